--- /dev/null
+++ b/tests/golden/wire.py
@@ -0,0 +1,51 @@
+"""What the simulator's wire is told: the replies to a recorded input, and a line for each action."""
+
+import io
+from collections.abc import Callable
+from contextlib import redirect_stderr
+from pathlib import Path
+
+from tests.golden.stored import HERE, lines
+from umberlead import wirehost
+from umberlead.core.interface import (
+    Action,
+    Cancel,
+    Fail,
+    Follow,
+    Note,
+    Probe,
+    Reason,
+    Refuse,
+    Send,
+    SetTimer,
+)
+
+
+def actions(_: Path) -> bytes:
+    """A line of the wire for each action, those that no recorded input brings too."""
+    rows: list[Action] = [
+        Send("t/a", "10.0.0.1:80"),
+        Refuse("t/a", 5),
+        Refuse("t/a", 0, Reason.OVERLOAD),
+        Fail("t/a", Reason.AIM_OVER),
+        Cancel("t/a", 2),
+        SetTimer(7, "x"),
+        Probe("10.0.0.1:80"),
+        Follow(),
+        Note("a b"),
+    ]
+    return lines([wirehost.action_line(row) for row in rows])
+
+
+def wire(_: Path) -> bytes:
+    """The replies to the recorded input."""
+    sink, said = io.StringIO(), io.StringIO()
+    with redirect_stderr(said):
+        code = wirehost.run(io.StringIO((HERE / "wire.in").read_text()), sink)
+    return f"{sink.getvalue()}{said.getvalue()}exit {code}\n".encode()
+
+
+FILES: dict[str, Callable[[Path], bytes]] = {
+    "actions.json": actions,
+    "wire.out": wire,
+}
