--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -23,7 +23,7 @@
 from umberlead.expect.model import Collection, Happening, Load
 from umberlead.expect.world import START, Modelled, World
 from umberlead.membership.loading import Loader
-from umberlead.membership.resolve import Resolver
+from umberlead.membership.name_resolution import Resolver
 from umberlead.standins.chunkserver import ChunkServer, Model, Record
 
 ROOT = Path(__file__).parent.parent
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -29,12 +29,12 @@
 from typing import Any
 
 from umberlead import config
-from umberlead.core import interface as api
-from umberlead.core.decide import Head
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.node import FOREVER, Job, Node, Traits
 from umberlead.emulator.settings import settings as told_by
 from umberlead.load.day import Day, Request, draw
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.scheduler import Head
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "cold-ramp.md"
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -39,8 +39,8 @@
 import uvloop
 
 from benchmarks.watched_lists import OUT, ROOT, server, sheet
-from umberlead.core.counters import Counters
-from umberlead.fronts.objects import digest
+from umberlead.common.counters import Counters
+from umberlead.frontends.object_api.handler import digest
 from umberlead.net.client_connections import Clients
 from umberlead.net.listener import Listener
 
@@ -90,7 +90,7 @@
     """A front's process; without the look an attempt begins for whoever is not known to have left."""
     os.environ["UMBERLEAD_CONFIG"] = path
     if look == "without":
-        from umberlead.core.engine import Engine
+        from umberlead.requests.lifecycle import Engine
 
         Engine.client_waits = lambda self, ticket: True  # type: ignore[method-assign]
     from umberlead.__main__ import main as run
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -16,14 +16,14 @@
 
 import uvloop
 
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import Plan, RequestClass, Settings
-from umberlead.core.wheel import Wheel
-from umberlead.membership.damping import Damping
-from umberlead.membership.joining import apply
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
+from umberlead.membership.flap_damping import Damping
+from umberlead.membership.list_merge import apply
 from umberlead.membership.machine import Rules
 from umberlead.membership.service import ListService, Watched
+from umberlead.requests.lifecycle import Engine
+from umberlead.scheduling.interface import Plan, RequestClass, Settings
 
 OUT = Path(__file__).parent.parent / "docs" / "measurements"
 SIZES = (200, 2000, 20_000)
--- a/benchmarks/news.py
+++ b/benchmarks/news.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from umberlead.recovery.backoff import TURN
-from umberlead.recovery.watching import UNSURE, Call, Pacing
+from umberlead.recovery.discovery_pacing import UNSURE, Call, Pacing
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "news.md"
--- a/benchmarks/planted_routes.py
+++ b/benchmarks/planted_routes.py
@@ -20,8 +20,8 @@
     "deploy/watched/servers.d/room-a.list",
     "deploy/watched/servers.d/room-b.list",
 )
-MODULE, ENGINE = "umberlead/core/decide.py", "umberlead/core/engine.py"
-MACHINE, JOIN = "umberlead/membership/machine.py", "umberlead/membership/joining.py"
+MODULE, ENGINE = "umberlead/scheduling/scheduler.py", "umberlead/requests/lifecycle.py"
+MACHINE, JOIN = "umberlead/membership/machine.py", "umberlead/membership/list_merge.py"
 NOT_LISTED = "error: no server is listed"  # something befalls it, and it is not there
 READ_ONLY = "read"  # the suite, the configuration or the list is refused before anything is played
 
@@ -78,7 +78,7 @@
     ("who is refused is held for good", MODULE, "        self.at(aim_at, self.give_up, item)", "        pass", {"refused", "prompt", "answered-once"}),
     ("a node that went is kept", MODULE, "                    self.by_shard[view.info.shard].pop(name)\n                    self.nodes.pop(name).info = node\n", "                    pass\n", {"never", "only"}),
     ("the bound is one unit", MODULE, "BOUND = 8.0", "BOUND = 0.1", set()),
-    ("a warming node gets nothing", "umberlead/recovery/warming.py", "    return units * s.cold_window / (", "    return 1e6 * units * s.cold_window / (", set()),
+    ("a warming node gets nothing", "umberlead/scheduling/slow_start.py", "    return units * s.cold_window / (", "    return 1e6 * units * s.cold_window / (", set()),
     ("new objects go to the first node alone", MODULE, "            for k, v in enumerate(views)\n", "            for k, v in enumerate(views[:1])\n", {"share", "served"}),
     ("all requests count as refused", MODULE, "hopeless = view and ", "hopeless = view or ", {"served"}),
     ("volumes are held for ever", MODULE, "            if wait or early or value < press - 1:", "            if wait or early or value < press + 9:", {"served"}),
--- a/benchmarks/room_loss.py
+++ b/benchmarks/room_loss.py
@@ -17,8 +17,8 @@
 from umberlead.emulator.price import Pricing
 from umberlead.emulator.records import Records
 from umberlead.experiments import compare, dataset, matrix, running
-from umberlead.rooms.machine import Rooms
-from umberlead.rooms.model import SECOND, Member, Met, Rules, State
+from umberlead.zones.model import SECOND, Member, Met, Rules, State
+from umberlead.zones.zone_health import Rooms
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements"
--- a/benchmarks/virtual_time.py
+++ b/benchmarks/virtual_time.py
@@ -15,14 +15,14 @@
 matplotlib.use("svg")
 import matplotlib.pyplot as plt
 
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import Node, NodeList, NodeState, Plan, RequestClass, Result, Settings
-from umberlead.core.requests import Attempt, IncomingRequest, Reply
-from umberlead.core.wheel import Wheel
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.expect.model import Collection, Load, Scenario
 from umberlead.expect.world import World
 from umberlead.membership.model import Listing, Place, Server
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import Attempt, IncomingRequest, Reply
+from umberlead.scheduling.interface import Node, NodeList, NodeState, Plan, RequestClass, Result, Settings
 
 OUT = Path(__file__).parent.parent / "docs" / "measurements"
 SERVERS = (10, 50, 200, 500, 2000)
--- a/tests/golden/exported.py
+++ b/tests/golden/exported.py
@@ -18,24 +18,24 @@
 from tests.golden.stored import HERE, LISTING, NOW, lines, operator_file, without
 from umberlead import config
 from umberlead.commands import command
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import Effect, Node, NodeList, NodeState, Reason, Result
-from umberlead.core.invariants import Invariant
-from umberlead.core.requests import Answer, Attempt, IncomingRequest, Kind
-from umberlead.core.send_guard import Denial
-from umberlead.core.wheel import Wheel
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.emulator.loop import Alarm, Loop
 from umberlead.expect.model import Outcome
-from umberlead.fronts.control import ControlFront
+from umberlead.frontends.admin_api import ControlFront
 from umberlead.membership.model import Place, Problem, Source
 from umberlead.membership.service import ListService, Watched
 from umberlead.net.close_reason import CloseReason
 from umberlead.net.http_message import Message
 from umberlead.net.server_connection import ServerConnection
 from umberlead.plugins import Plugins
-from umberlead.rooms.joined import Joined, join
-from umberlead.rooms.model import SECOND, Met, State
+from umberlead.requests.invariants import Invariant
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.send_guard import Denial
+from umberlead.requests.types import Answer, Attempt, IncomingRequest, Kind
+from umberlead.scheduling.interface import Effect, Node, NodeList, NodeState, Reason, Result
+from umberlead.zones.integration import Joined, join
+from umberlead.zones.model import SECOND, Met, State
 
 ENUMS: tuple[type[enum.Enum], ...] = (
     Effect, NodeState, Result, Reason, Kind, Denial, CloseReason, Invariant, State, Outcome, Source,
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -13,14 +13,14 @@
 from unittest import mock
 
 from umberlead import config
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import Node, NodeList, NodeState, Result
-from umberlead.core.requests import Attempt, Reply
-from umberlead.core.wheel import Wheel
-from umberlead.fronts.ledger import Ledger
-from umberlead.fronts.objects import Manifest, ObjectFront
-from umberlead.handover.claims import Claim, Use
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
+from umberlead.frontends.object_api.handler import Manifest, ObjectFront
+from umberlead.frontends.object_api.uploads import Ledger
+from umberlead.gossip.messages import Keys, News, Word
+from umberlead.gossip.messages import Message as Datagram
+from umberlead.gossip.swim import Gossip
+from umberlead.handover.process_claims import Claim, Use
 from umberlead.handover.shared_state import SharedState
 from umberlead.membership import snapshot
 from umberlead.membership.model import Listing, Server
@@ -28,10 +28,10 @@
 from umberlead.net.http_message import Message
 from umberlead.net.node_protocol import OutgoingRequest
 from umberlead.net.server_connection import ServerConnection
-from umberlead.rooms.gossip import Gossip
-from umberlead.rooms.model import SECOND, State
-from umberlead.rooms.wire import Keys, News, Word
-from umberlead.rooms.wire import Message as Datagram
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import Attempt, Reply
+from umberlead.scheduling.interface import Node, NodeList, NodeState, Result
+from umberlead.zones.model import SECOND, State
 
 HERE = Path(__file__).parent
 NOW = 1_700_000_000_000_000  # us of Unix time
--- a/tests/golden/wire.py
+++ b/tests/golden/wire.py
@@ -7,7 +7,7 @@
 
 from tests.golden.stored import HERE, lines
 from umberlead import wirehost
-from umberlead.core.interface import (
+from umberlead.scheduling.interface import (
     Action,
     Cancel,
     Fail,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,8 +2,7 @@
 
 from typing import Any
 
-from umberlead.core.decide import Head
-from umberlead.core.interface import (
+from umberlead.scheduling.interface import (
     Action,
     Effect,
     Event,
@@ -19,6 +18,7 @@
     SetTimer,
     Settings,
 )
+from umberlead.scheduling.scheduler import Head
 
 T0 = 1_000_000
 READ = RequestClass("read", aim=300_000, deadline=2_000_000, worth=2.0)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -7,9 +7,8 @@
 
 import pytest
 
-from umberlead.core.counters import Counters
-from umberlead.core.interface import Result
-from umberlead.core.wheel import Wheel
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.net.dialing import (
     CONNECT_TIMEOUT_MULTIPLIER,
     CONNECTION_ATTEMPT_DELAY,
@@ -18,6 +17,7 @@
 )
 from umberlead.net.node_pool import Pool
 from umberlead.net.node_protocol import OutgoingRequest
+from umberlead.scheduling.interface import Result
 
 LINK_TIMEOUT = 250_000
 
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -17,11 +17,11 @@
 
 from tests.exchange import PATIENCE, Exchange, Peer
 from tests.helpers import T0, ask, end, feed, head, up
-from umberlead.core import interface as api
 from umberlead.front import Front
 from umberlead.net.node_connection import NodeConnection
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.socket_state import DISCONNECT_EVENTS
+from umberlead.scheduling import interface as api
 
 WAYS = ["close", "half", "reset"]
 
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 
-from umberlead.core.counters import Counters
+from umberlead.common.counters import Counters
 from umberlead.net.client_connections import Clients
 from umberlead.net.close_reason import CloseReason
 from umberlead.net.http_message import Message
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -4,10 +4,10 @@
 import pytest
 
 from tests.helpers import READ, T0, ask, end, feed, head, up
-from umberlead.core import linear
-from umberlead.core.controller import CONTROL_COST, FORGETTING_FACTOR, TARGET_LATENCY_RATIO, Controller
-from umberlead.core.decide import Lane
-from umberlead.core.records import Item
+from umberlead.scheduling import matrices as linear
+from umberlead.scheduling.controller import CONTROL_COST, FORGETTING_FACTOR, TARGET_LATENCY_RATIO, Controller
+from umberlead.scheduling.pending_request import Item
+from umberlead.scheduling.scheduler import Lane
 
 
 def test_one_step_of_least_squares_is_the_matrix_form() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,8 +17,8 @@
 from tests.exchange import Exchange
 from tests.helpers import T0
 from tests.test_client_leaves import DONE, asks, block, play
+from umberlead.common.counters import Counters
 from umberlead.config import Listing
-from umberlead.core.counters import Counters
 from umberlead.net.client_connections import Clients
 from umberlead.net.discovery import Watch
 from umberlead.net.listener import Listener
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -24,8 +24,8 @@
 from hypothesis import strategies as st
 
 from tests.helpers import T0
-from umberlead import limits
-from umberlead.core.counters import Counters
+from umberlead import resource_limits as limits
+from umberlead.common.counters import Counters
 from umberlead.handover.shared_state import SharedState
 from umberlead.net.client_connections import Clients
 from umberlead.net.listener import ACCEPT_BATCH, Listener
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,9 +12,9 @@
 import uvloop
 
 from tests.helpers import T0
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.config import Listing
-from umberlead.core.counters import Counters
-from umberlead.core.wheel import Wheel
 from umberlead.handover.shared_state import SharedState
 from umberlead.net.discovery import Watch
 from umberlead.recovery.backoff import LIMIT
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -5,14 +5,14 @@
 from unittest import mock
 
 from tests.test_parts import Alarm, Clock
-from umberlead.core import interface as api
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import Effect, Result
-from umberlead.core.requests import Answer, Attempt, IncomingRequest, Kind
-from umberlead.core.wheel import Wheel
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.net.node_connection import NodeConnection
 from umberlead.net.node_protocol import OutgoingRequest
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import Answer, Attempt, IncomingRequest, Kind
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import Effect, Result
 
 SETTINGS = api.Settings(
     classes=(
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -9,13 +9,13 @@
 from click.testing import CliRunner
 
 from umberlead.commands import command
-from umberlead.core.interface import Effect, Plan, RequestClass, Settings
 from umberlead.expect import reach, running, suites
 from umberlead.expect.language import parse, spread
 from umberlead.expect.model import Expectation, Life, Outcome, Selector, Step
 from umberlead.expect.proportion import Judged, judge, needed
 from umberlead.expect.verdict import contradictions, judged, may_have_run, sent_again
 from umberlead.membership.model import Listing, Server
+from umberlead.scheduling.interface import Effect, Plan, RequestClass, Settings
 
 ROOT = Path(__file__).parent.parent
 SUITE = ROOT / "deploy" / "expectations" / "watched.suite"
--- a/tests/test_expect_tools.py
+++ b/tests/test_expect_tools.py
@@ -10,10 +10,10 @@
 
 from tests.helpers import settings
 from umberlead.commands import command
-from umberlead.core.interface import Effect, NodeState, Plan, RequestClass
 from umberlead.expect.altered import differences
 from umberlead.expect.suggest import suite
 from umberlead.membership.model import Listing, Server
+from umberlead.scheduling.interface import Effect, NodeState, Plan, RequestClass
 
 ROOT = Path(__file__).parent.parent
 S = settings(
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -7,10 +7,10 @@
 import pytest
 
 from umberlead import config
-from umberlead.membership.gate import Gate
+from umberlead.membership.change_gate import Gate
 from umberlead.membership.loading import Loader
 from umberlead.membership.model import Place, Problem
-from umberlead.membership.resolve import Resolver
+from umberlead.membership.name_resolution import Resolver
 
 ROOT = Path(__file__).parent.parent
 GOOD = {"a": 0, "b": 0, "c": 1}
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -13,11 +13,11 @@
 import pytest
 
 from tests.golden import exported, settings, stored, wire
-from umberlead.fronts.objects import Manifest
-from umberlead.handover.claims import Claim, parse
+from umberlead.frontends.object_api.handler import Manifest
+from umberlead.gossip.messages import Keys
+from umberlead.handover.process_claims import Claim, parse
 from umberlead.handover.shared_state import SharedState
 from umberlead.membership import snapshot
-from umberlead.rooms.wire import Keys
 
 FILES = {**stored.FILES, **exported.FILES, **settings.FILES, **wire.FILES}
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from umberlead.rooms.gossip import DEAD, DOUBT, SUSPECT, Gossip
-from umberlead.rooms.model import SECOND, State
-from umberlead.rooms.wire import MOST, BadKeys, Keys, Message, News, Word, sound
+from umberlead.gossip.messages import MOST, BadKeys, Keys, Message, News, Word, sound
+from umberlead.gossip.swim import DEAD, DOUBT, SUSPECT, Gossip
+from umberlead.zones.model import SECOND, State
 
 KEY, OTHER = bytes(range(32)), bytes(range(1, 33))
 MILLION = int(os.environ.get("FUZZ", "3000"))
@@ -351,7 +351,7 @@
 def test_two_fronts_talk_over_real_datagrams(tmp_path: Path) -> None:
     from tests.test_rooms_front import Hand
     from umberlead import config
-    from umberlead.rooms.peers import start
+    from umberlead.gossip.udp_transport import start
 
     (tmp_path / "keys").write_text(f"{KEY.hex()}  # the first\n")
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,14 +12,14 @@
 import uvloop
 
 from tests.helpers import T0, ask, end, feed, head, nodes, sends, up
-from umberlead.core import interface as api
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
+from umberlead.common.counters import Counters
 from umberlead.front import Front
 from umberlead.handover.shared_state import SharedState
-from umberlead.limits import deal
 from umberlead.net.client_connections import Clients
 from umberlead.net.listener import Listener
+from umberlead.requests.lifecycle import Engine
+from umberlead.resource_limits import deal
+from umberlead.scheduling import interface as api
 
 
 class TestShared(unittest.TestCase):
--- a/tests/test_handover_places.py
+++ b/tests/test_handover_places.py
@@ -25,12 +25,12 @@
     _until,
     _watched,
 )  # fmt: skip
-from umberlead.handover.claims import Claim, Use, parse
-from umberlead.handover.division import LEAST_PLACES, divide, settled
-from umberlead.handover.places import SHORTAGE_LOOK_INTERVAL_US, UNBOUNDED
-from umberlead.handover.registry import SPARE_FILES
+from umberlead.handover.descriptor_quota import SHORTAGE_LOOK_INTERVAL_US, UNBOUNDED
+from umberlead.handover.process_claims import Claim, Use, parse
+from umberlead.handover.process_registry import SPARE_FILES
+from umberlead.handover.quota_division import LEAST_PLACES, divide, settled
 from umberlead.handover.shared_state import SharedState
-from umberlead.limits import MORE, connections, deal, surplus, with_surplus
+from umberlead.resource_limits import MORE, connections, deal, surplus, with_surplus
 
 HELD = 15  # descriptors of a process at its start
 DESCRIPTORS = 384
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,11 +5,11 @@
 import pytest
 
 from tests.helpers import T0, settings, up
-from umberlead.core.counters import Counters
-from umberlead.core.interface import NodeList, NodeState, Result
-from umberlead.core.invariants import Invariant, InvariantChecker, slow_start_bound
-from umberlead.core.requests import Attempt, IncomingRequest, InFlightRequest
-from umberlead.core.send_guard import Denial, SendGuard
+from umberlead.common.counters import Counters
+from umberlead.requests.invariants import Invariant, InvariantChecker, slow_start_bound
+from umberlead.requests.send_guard import Denial, SendGuard
+from umberlead.requests.types import Attempt, IncomingRequest, InFlightRequest
+from umberlead.scheduling.interface import NodeList, NodeState, Result
 
 SECOND = 1_000_000
 
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from umberlead.core.level import Level
+from umberlead.scheduling.moving_average import Level
 
 SMOOTH, MEMORY, MOST = 0.2, 2_000_000, 3.0
 
--- a/tests/test_lists_files.py
+++ b/tests/test_lists_files.py
@@ -9,14 +9,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from umberlead.core.interface import NodeState
 from umberlead.membership import files, snapshot
 from umberlead.membership.checks import CODES, Before, Checks
 from umberlead.membership.formatting import formatted, statement
 from umberlead.membership.grammar import line, parse
 from umberlead.membership.loading import Loaded, Loader
 from umberlead.membership.model import Listing, Server
-from umberlead.membership.resolve import Resolver
+from umberlead.membership.name_resolution import Resolver
+from umberlead.scheduling.interface import NodeState
 
 ONE = "server n1 address 127.0.0.1:80 shard 0"
 HOSTS = {"node-01.example.org": ("127.0.0.9",), "node-07.example.org": ("127.0.0.7",)}
--- a/tests/test_lists_front.py
+++ b/tests/test_lists_front.py
@@ -18,7 +18,7 @@
 from click.testing import CliRunner
 
 from umberlead.commands import command
-from umberlead.handover.registry import SPARE_FILES, ProcessRegistry
+from umberlead.handover.process_registry import SPARE_FILES, ProcessRegistry
 from umberlead.standins.chunkserver import ChunkServer, Model, Record
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -6,12 +6,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from tests.helpers import T0, ask, feed, head, nodes, sends
-from umberlead.core import interface as api
-from umberlead.core.interface import NodeState
-from umberlead.core.weighted import Smooth
-from umberlead.membership.damping import Damping, Flaps
+from umberlead.membership.flap_damping import Damping, Flaps
 from umberlead.membership.machine import Membership, NotPending, Rules
 from umberlead.membership.model import Listing, Server, difference
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import NodeState
+from umberlead.scheduling.weighted_round_robin import Smooth
 from umberlead.standins.explore import A, B, C, World, explore, listing, server
 
 DEPTH = 3
--- a/tests/test_lists_watch.py
+++ b/tests/test_lists_watch.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from umberlead.core.counters import Counters
+from umberlead.common.counters import Counters
 from umberlead.membership import snapshot
-from umberlead.membership.damping import Damping
+from umberlead.membership.flap_damping import Damping
 from umberlead.membership.machine import NotPending, Rules
 from umberlead.membership.model import Change
 from umberlead.membership.service import ListService, Unusable, Watched
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -10,10 +10,8 @@
 
 from tests.exchange import CONTENT, Exchange
 from tests.helpers import T0
-from umberlead.core.counters import Counters
-from umberlead.core.interface import Result
-from umberlead.core.requests import Attempt, Reply
-from umberlead.core.wheel import Wheel
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.net.client_connections import Clients
 from umberlead.net.node_connection import NodeConnection
 from umberlead.net.node_protocol import OutgoingRequest
@@ -25,6 +23,8 @@
     STREAMING_THRESHOLD_US,
 )
 from umberlead.net.timeouts import WRITE_STALL_TIMEOUT_US
+from umberlead.requests.types import Attempt, Reply
+from umberlead.scheduling.interface import Result
 
 BODY = b"x" * 70_000
 
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -6,7 +6,7 @@
 
 from benchmarks.news import FAILURES, SECOND, Before, Fleet, World
 from umberlead.recovery.backoff import BOUND, LIMIT, TURN
-from umberlead.recovery.watching import SILENCE, Pacing
+from umberlead.recovery.discovery_pacing import SILENCE, Pacing
 
 FLEETS = (1, 2, 5, 30, 200)
 RATE = 7.0  # calls a second, as the herd+vast day showed
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -5,9 +5,9 @@
 import pytest
 
 from tests.helpers import T0, ask, end, feed, head, sends, up
-from umberlead.core.client_retries import MIN_REFUSALS, WINDOW_US, ClientRetries
-from umberlead.core.interface import Action, OpenLimit, Reason, Refuse
-from umberlead.limits import deal
+from umberlead.resource_limits import deal
+from umberlead.scheduling.client_retries import MIN_REFUSALS, WINDOW_US, ClientRetries
+from umberlead.scheduling.interface import Action, OpenLimit, Reason, Refuse
 
 MANY = 200
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -14,12 +14,13 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead import config, limits
-from umberlead.core.counters import Counters
-from umberlead.core.slots import Slots
-from umberlead.core.wheel import Wheel
-from umberlead.fronts import ranges
-from umberlead.fronts.objects import Manifest
+from umberlead import config
+from umberlead import resource_limits as limits
+from umberlead.common.counters import Counters
+from umberlead.common.slot_table import Slots
+from umberlead.common.timer_wheel import Wheel
+from umberlead.frontends.object_api import ranges
+from umberlead.frontends.object_api.handler import Manifest
 from umberlead.telemetry import Syslog, rfc5424
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -8,8 +8,7 @@
 
 import pytest
 
-from umberlead.core.decide import Head
-from umberlead.core.interface import (
+from umberlead.scheduling.interface import (
     Action,
     Cancel,
     ClientGone,
@@ -30,6 +29,7 @@
     Settings,
     Wake,
 )
+from umberlead.scheduling.scheduler import Head
 
 CLASSES = (
     RequestClass("read", 200_000, 900_000, worth=2.0),
--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -17,8 +17,6 @@
 from click.testing import CliRunner
 
 from umberlead.commands import command
-from umberlead.core.interface import Result as Ended
-from umberlead.core.requests import Answer, Attempt, Kind, Reply
 from umberlead.emulator import rehearsal, virtual
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.judge import NAMES, SLACK, Judge, by_name
@@ -28,6 +26,8 @@
 from umberlead.emulator.virtual import Front, Virtual
 from umberlead.expect.language import parse
 from umberlead.load.clients import Try
+from umberlead.requests.types import Answer, Attempt, Kind, Reply
+from umberlead.scheduling.interface import Result as Ended
 
 PATIENCE = 20.0
 SHORT = """format 1
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -7,13 +7,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from umberlead.core import interface as api
-from umberlead.core.interface import Effect, NodeState, Result
-from umberlead.rooms.director import Director, Pass, Refusal
-from umberlead.rooms.evidence import Ratio, Track, grey, log_odds, lost
-from umberlead.rooms.machine import Rooms
-from umberlead.rooms.model import SECOND, Member, Met, Rules, State, tier_of
-from umberlead.rooms.spill import Budget
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import Effect, NodeState, Result
+from umberlead.zones.evidence import Ratio, Track, grey, log_odds, lost
+from umberlead.zones.model import SECOND, Member, Met, Rules, State, tier_of
+from umberlead.zones.router import Director, Pass, Refusal
+from umberlead.zones.spillover import Budget
+from umberlead.zones.zone_health import Rooms
 
 RULES = Rules(own="a", near={"b": 1, "c": 2}, far=2.0)
 SETTINGS = api.Settings(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,8 +5,7 @@
 import pytest
 
 from tests.helpers import T0, ask, end, feed, head, nodes, run_until, sends, settings, up
-from umberlead.core.decide import Head
-from umberlead.core.interface import (
+from umberlead.scheduling.interface import (
     Cancel,
     ClientGone,
     Fail,
@@ -21,7 +20,8 @@
     Wake,
     check,
 )
-from umberlead.recovery.warming import SERVED
+from umberlead.scheduling.scheduler import Head
+from umberlead.scheduling.slow_start import SERVED
 
 DRAIN = NodeState.DRAINING
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -7,11 +7,11 @@
 from unittest import mock
 
 from tests.helpers import T0, ask, end, feed, head, nodes, sends, settings, up
-from umberlead.core import interface as api
-from umberlead.core.counters import Counters
-from umberlead.core.decide import KEPT, Head
+from umberlead.common.counters import Counters
 from umberlead.net.client_connections import Clients
 from umberlead.net.server_connection import ServerConnection
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.scheduler import KEPT, Head
 
 
 class TestServiceDays(unittest.TestCase):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -22,16 +22,16 @@
 from hypothesis import strategies as st
 
 from umberlead import config
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import Effect, Node, NodeList, NodeState, Result
-from umberlead.core.requests import NEVER_RAN, Answer, Attempt, InFlightRequest, Kind
-from umberlead.core.wheel import Wheel
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.emulator.loop import Alarm, Loop
 from umberlead.front import Front
-from umberlead.fronts.control import figures
-from umberlead.fronts.platform import ask_of
+from umberlead.frontends.admin_api import figures
+from umberlead.frontends.platform import ask_of
 from umberlead.net.http_message import Message
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import NEVER_RAN, Answer, Attempt, InFlightRequest, Kind
+from umberlead.scheduling.interface import Effect, Node, NodeList, NodeState, Result
 
 ROOT = Path(__file__).parent.parent
 SEGMENT = "-._~!$&'()*+,;=:@"  # beside letters and digits, what a path's segment holds as it is (RFC 3986)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -5,8 +5,8 @@
 import pytest
 
 from tests.helpers import T0, ask, end, feed, head, sends, settings, up
-from umberlead.core.interface import Node, NodeState, Result, Settings
-from umberlead.recovery.slow_start import LEAST_REQUESTS, SendWindow, window_units
+from umberlead.scheduling.interface import Node, NodeState, Result, Settings
+from umberlead.scheduling.send_window import LEAST_REQUESTS, SendWindow, window_units
 
 WINDOW_US = 3_000_000
 WARM_UP_US = 16_000_000
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -13,13 +13,13 @@
 from tests.helpers import T0, settings, up
 from tests.test_attempts import Dials, Wire
 from tests.test_descriptors import ENTRY, TEXT, Process, Servers, _read, _run, _served
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import NodeList
-from umberlead.core.requests import IncomingRequest
-from umberlead.core.wheel import Wheel
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.net.node_pool import Pool
 from umberlead.net.node_protocol import OutgoingRequest
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import IncomingRequest
+from umberlead.scheduling.interface import NodeList
 
 FRONTS = 24
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -6,10 +6,10 @@
 import pytest
 
 from tests.helpers import T0, head, settings, up
-from umberlead.core.interface import ProcessShare
 from umberlead.handover.clock_anchors import MAX_ANCHORS, ClockAnchors
-from umberlead.recovery.slow_start import window_units
 from umberlead.recovery.start_times import LATEST_NEWS_US, MAX_STEPS, StartTimes
+from umberlead.scheduling.interface import ProcessShare
+from umberlead.scheduling.send_window import window_units
 
 SECOND = 1_000_000
 HOUR = 3600 * SECOND
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from umberlead.handover.claims import Claim, Use
-from umberlead.handover.registry import LEAVING_WEIGHT, ProcessRegistry, write_all
+from umberlead.handover.process_claims import Claim, Use
+from umberlead.handover.process_registry import LEAVING_WEIGHT, ProcessRegistry, write_all
 from umberlead.handover.shared_state import SharedState
 
 CLAIM = Claim(20, (Use(10, 5, 3, 100),))
--- a/tests/test_volumes.py
+++ b/tests/test_volumes.py
@@ -15,13 +15,13 @@
 
 from tests.exchange import Exchange
 from tests.helpers import READ, T0, ask, end, feed, head, settings, up
-from umberlead.core import interface as api
-from umberlead.core.decide import KEPT
-from umberlead.core.interface import Result
-from umberlead.core.records import Item
-from umberlead.core.volumes import CAME, Volumes
-from umberlead.handover.registry import LEAVING_WEIGHT
+from umberlead.handover.process_registry import LEAVING_WEIGHT
 from umberlead.handover.shared_state import SharedState
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import Result
+from umberlead.scheduling.pending_request import Item
+from umberlead.scheduling.rate_limits import CAME, Volumes
+from umberlead.scheduling.scheduler import KEPT
 
 RATE, BURST, SLACK, LOOK, TICK = 20.0, 40.0, 6.0, 100_000, 10_000
 GOLD = api.Plan("gold", limit_rate=RATE, limit_burst=BURST, limit_slack=SLACK)
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -4,8 +4,8 @@
 
 from benchmarks.cold_ramp import play
 from tests.helpers import settings
-from umberlead.core.interface import Node, NodeState
-from umberlead.recovery.warming import SERVED, rest, warm
+from umberlead.scheduling.interface import Node, NodeState
+from umberlead.scheduling.slow_start import SERVED, rest, warm
 
 S = settings(cold_units=14.0, cold_share=0.17, cold_multiple=4.0, cold_window=3_000_000, warm_up=16_000_000)
 START = 1_000_000_000
--- a/umberlead/commands/lists.py
+++ b/umberlead/commands/lists.py
@@ -18,7 +18,7 @@
 
 def _loaded(path: Path, shards: int, names: bool) -> Any:
     from umberlead.membership.loading import Loader
-    from umberlead.membership.resolve import Resolver, system
+    from umberlead.membership.name_resolution import Resolver, system
 
     # Unless asked to, no name is looked up: each then stands for itself.
     resolver = Resolver(system if names else lambda host: (host,), within=5.0)
--- a/umberlead/config.py
+++ b/umberlead/config.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead.core import interface as i
+from umberlead.scheduling import interface as i
 
 Address = tuple[str, int]
 
--- a/umberlead/emulator/outcomes.py
+++ b/umberlead/emulator/outcomes.py
@@ -1,6 +1,6 @@
 """How a server's ends look to a front, after the platform's protocol: shared by the drivers and the judge."""
 
-from umberlead.core.interface import Result
+from umberlead.scheduling.interface import Result
 
 # Turned away, or broken off before its last byte: it never ran.
 AT_ONCE = {
--- a/umberlead/emulator/plan.py
+++ b/umberlead/emulator/plan.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from umberlead.core.interface import Settings
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.node import FOREVER, Node, Spell, Traits, traits
 from umberlead.emulator.settings import settings
 from umberlead.expect.model import Fleet, Happening, Scenario
 from umberlead.load.day import SECOND, Day, Wave, draw
 from umberlead.membership.model import Problem
+from umberlead.scheduling.interface import Settings
 
 BESIDE = ("rooms", "gossip")  # told to fronts beside their settings
 AFTER = 8 * SECOND  # a day runs on until all is answered
@@ -341,7 +341,7 @@
     told = {k: v for k, v in made.told.items() if k not in BESIDE}
     settings = config.settings_of(config.flat(told))
     if "rooms" in made.told:
-        from umberlead.rooms.joined import bounded
+        from umberlead.zones.integration import bounded
 
         settings = bounded(settings, config.rooms_of(config.Keys(made.told["rooms"], "rooms")).retry_part)
     return settings
--- a/umberlead/emulator/virtual.py
+++ b/umberlead/emulator/virtual.py
@@ -6,12 +6,8 @@
 from functools import partial
 from typing import Any
 
-from umberlead.core import interface as api
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import NodeState, Result
-from umberlead.core.requests import Answer, Attempt, IncomingRequest, Reply
-from umberlead.core.wheel import Wheel
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.emulator.loop import START, Alarm, Loop
 from umberlead.emulator.node import FOREVER, Job, Node
 from umberlead.emulator.outcomes import AFTER, AT_ONCE, KEEPS
@@ -21,6 +17,10 @@
 from umberlead.emulator.world import Stage
 from umberlead.load.clients import Try
 from umberlead.load.day import Request
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import Answer, Attempt, IncomingRequest, Reply
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import NodeState, Result
 
 MARGIN = 15_000  # us of a request's time that a front keeps to itself, as it does on sockets
 RETIRE = 0.6  # of the idle time at which a front closes a kept connection itself
@@ -66,7 +66,7 @@
         self.engine.carrier = self
         self.rooms: Any = None
         if "rooms" in world.plan.told:
-            from umberlead.rooms.joined import Joined, rules_of
+            from umberlead.zones.integration import Joined, rules_of
 
             rules = rules_of(room_table(world.plan, number))
             self.rooms = Joined(rules, self.engine, seed, lambda: loop.now, None, self._log)
@@ -197,8 +197,8 @@
     them does: "liars" hold every room lost whatever they see, "mute" ones say nothing."""
 
     def __init__(self, world: "Virtual", kind: str) -> None:
-        from umberlead.rooms.gossip import Gossip
-        from umberlead.rooms.wire import Keys
+        from umberlead.gossip.messages import Keys
+        from umberlead.gossip.swim import Gossip
 
         self.world, self.kind = world, kind
         keys, join = Keys([b"rehearsals' own key" * 2]), ["0:1", "1:1"]
@@ -213,7 +213,7 @@
         front.rooms.director.rooms.peer(self.world.loop.now, peer, room, state)
 
     def tick(self) -> None:
-        from umberlead.rooms.model import State
+        from umberlead.zones.model import State
 
         for front, member in zip(self.world.fronts, self.members, strict=True):
             if self.kind == "mute" and front.number % 3 == 0:
--- a/umberlead/expect/altered.py
+++ b/umberlead/expect/altered.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from umberlead.core.interface import NodeState, Settings
 from umberlead.expect.reach import Shape, TooMany, walk
 from umberlead.membership.model import Listing, Server
+from umberlead.scheduling.interface import NodeState, Settings
 
 
 @dataclass(frozen=True, slots=True)
--- a/umberlead/expect/reach.py
+++ b/umberlead/expect/reach.py
@@ -9,11 +9,11 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from umberlead.core.interface import Result, Settings
 from umberlead.expect.model import Collection, Expectation, Life, Load, Outcome, Selector, Verdict
 from umberlead.expect.verdict import sent_again
 from umberlead.expect.world import QUIET, START, Modelled, World
 from umberlead.membership.model import Listing
+from umberlead.scheduling.interface import Result, Settings
 
 ENDS = (Result.OK, Result.ERROR, Result.FULL, Result.TIMEOUT, Result.NO_LINK, Result.RESET, Result.MOOT)
 BRANCHES_MOST = 5000  # of one shape: with more the walk is cut off, and says so
--- a/umberlead/expect/suggest.py
+++ b/umberlead/expect/suggest.py
@@ -6,8 +6,8 @@
 from collections import defaultdict
 from pathlib import Path
 
-from umberlead.core.interface import Effect, NodeState, Settings
 from umberlead.membership.model import Listing
+from umberlead.scheduling.interface import Effect, NodeState, Settings
 
 RATE_MOST = 40.0  # requests a second of one class and plan
 DRAINS_MOST = 3  # servers whose drain is rehearsed
--- a/umberlead/expect/suites.py
+++ b/umberlead/expect/suites.py
@@ -5,13 +5,13 @@
 from pathlib import Path
 
 from umberlead import config
-from umberlead.core.interface import Settings
 from umberlead.expect.language import parse
 from umberlead.expect.model import Suite
 from umberlead.expect.verdict import contradictions
 from umberlead.membership.loading import Loader
 from umberlead.membership.model import Listing, Place, Problem
-from umberlead.membership.resolve import Resolver
+from umberlead.membership.name_resolution import Resolver
+from umberlead.scheduling.interface import Settings
 
 
 class Unreadable(ValueError):
--- a/umberlead/expect/verdict.py
+++ b/umberlead/expect/verdict.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable, Iterable
 
-from umberlead.core.interface import Settings
 from umberlead.expect.model import Expectation, Life, Outcome, Selector, Step, Verdict
 from umberlead.expect.proportion import Judged, judge, needed
+from umberlead.scheduling.interface import Settings
 
 NEVER_RAN = frozenset(("full", "no_link", "astray"))
 
--- a/umberlead/expect/world.py
+++ b/umberlead/expect/world.py
@@ -13,18 +13,18 @@
 from itertools import count
 from typing import Any
 
-from umberlead.core import interface as api
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import NodeState, Result
-from umberlead.core.requests import Answer, Attempt, IncomingRequest
-from umberlead.core.wheel import Wheel
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.emulator.loop import START, Alarm, Loop
 from umberlead.expect.model import Collection, Happening, Life, Load, Scenario, Step
-from umberlead.membership.damping import Damping
-from umberlead.membership.joining import apply
+from umberlead.membership.flap_damping import Damping
+from umberlead.membership.list_merge import apply
 from umberlead.membership.machine import Membership, Rules
 from umberlead.membership.model import Change, Listing, Server, difference
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import Answer, Attempt, IncomingRequest
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import NodeState, Result
 
 UNIT = 20_000  # us of work of a unit
 CORES = 2
--- a/umberlead/front.py
+++ b/umberlead/front.py
@@ -13,15 +13,12 @@
 import uvloop
 
 from umberlead import config
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import Node, NodeList, NodeState
-from umberlead.core.wheel import Wheel
-from umberlead.fronts.control import ControlFront
-from umberlead.fronts.platform import PlatformFront
-from umberlead.handover.places import Places
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
+from umberlead.frontends.admin_api import ControlFront
+from umberlead.frontends.platform import PlatformFront
+from umberlead.handover.descriptor_quota import Places
 from umberlead.handover.shared_state import SharedState
-from umberlead.limits import BODY_MOST, MORE, Reserve, deal, granted, held, to_come, with_surplus
 from umberlead.net.client_connections import Clients
 from umberlead.net.discovery import Watch
 from umberlead.net.listener import Listener
@@ -29,6 +26,9 @@
 from umberlead.net.server_connection import Handler
 from umberlead.plugins import Plugins
 from umberlead.recovery.start_times import STEP_US, StartTimes
+from umberlead.requests.lifecycle import Engine
+from umberlead.resource_limits import BODY_MOST, MORE, Reserve, deal, granted, held, to_come, with_surplus
+from umberlead.scheduling.interface import Node, NodeList, NodeState
 from umberlead.telemetry import Syslog, logger
 
 ACCEPTING = 550_000  # us after SIGTERM in which new connections are still taken
@@ -81,7 +81,7 @@
         trace = self.trace = self.log.debug if conf.log_level == "debug" else None
         settings = conf.settings
         if conf.rooms is not None:
-            from umberlead.rooms.joined import bounded
+            from umberlead.zones.integration import bounded
 
             settings = bounded(settings, conf.rooms.retry_part)
         hooks = Plugins(conf.plugins, conf.plugin_limit, self.counters, self.log.warning, trace)
@@ -98,7 +98,7 @@
         self.pool.on_write = self.engine.invariants.written
         self.rooms: Any = None  # what decides by rooms, where the configuration has them
         if conf.rooms is not None:
-            from umberlead.rooms.joined import join
+            from umberlead.zones.integration import join
 
             self.rooms = join(conf.rooms, self.engine, conf.seed, self.clock, self.log.warning)
         self.servers: list[Listener] = []
@@ -130,7 +130,7 @@
         if news:
             self.start_times.listed()
         if self.lists is not None:
-            from umberlead.membership.joining import server_of
+            from umberlead.membership.list_merge import server_of
 
             self.lists.discovered(listing.whole, [server_of(e) for e in listing.endpoints])
             return
@@ -166,7 +166,7 @@
 
     def watch_lists(self, of: config.Lists) -> None:
         """The list in force comes from watched files: what only that needs is loaded only for it."""
-        from umberlead.membership.joining import start
+        from umberlead.membership.list_merge import start
 
         self.lists = start(of, self)
 
@@ -279,8 +279,8 @@
             ready.append((platform, self.clients(), conf.listen))
         if conf.objects is not None:
             # A front that is back sooner is missed less: what only this one needs is loaded only for it.
-            from umberlead.fronts.ledger import Ledger
-            from umberlead.fronts.objects import ObjectFront
+            from umberlead.frontends.object_api.handler import ObjectFront
+            from umberlead.frontends.object_api.uploads import Ledger
 
             clients = self.clients()
             of = conf.objects
@@ -337,8 +337,8 @@
 
     async def talk(self, of: config.Peers) -> None:
         """What is held of rooms goes to other fronts, and theirs comes here: only where it is configured."""
-        from umberlead.rooms.peers import start
-        from umberlead.rooms.wire import BadKeys
+        from umberlead.gossip.messages import BadKeys
+        from umberlead.gossip.udp_transport import start
 
         try:
             self.peers = await start(of, self.conf.name, self.conf.seed ^ os.getpid(), self.rooms, self.clock)
--- a/umberlead/fronts/control.py
+++ b/umberlead/frontends/admin_api.py
@@ -8,10 +8,10 @@
 from typing import Any
 from urllib.parse import quote, unquote
 
-from umberlead.core.engine import Engine
-from umberlead.core.requests import Kind
 from umberlead.net.http_message import Message
 from umberlead.net.server_connection import ServerConnection
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import Kind
 
 COUNTED = ((Kind.SERVED, "ok"), (Kind.REFUSED, "shed"), (Kind.FAILED, "errors"))
 CHUNK_SERVERS = "/control/chunk-servers/"
--- a/umberlead/fronts/objects.py
+++ b/umberlead/frontends/object_api/handler.py
@@ -16,16 +16,17 @@
 from urllib.parse import parse_qs, quote, unquote_to_bytes
 
 from umberlead.config import Objects, Operation
-from umberlead.core.engine import Engine
-from umberlead.core.requests import Answer, IncomingRequest, InFlightRequest, Kind, Reply
-from umberlead.fronts import ranges, s3
-from umberlead.fronts.ledger import Ledger, Part, State, Upload, doubtful
-from umberlead.fronts.s3 import S3Error
-from umberlead.limits import BODY_MOST
+from umberlead.frontends.object_api import ranges
+from umberlead.frontends.object_api import s3_messages as s3
+from umberlead.frontends.object_api.s3_messages import S3Error
+from umberlead.frontends.object_api.uploads import Ledger, Part, State, Upload, doubtful
 from umberlead.net.client_connections import Clients
 from umberlead.net.http_message import Message
 from umberlead.net.node_protocol import OutgoingRequest
 from umberlead.net.server_connection import ServerConnection
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import Answer, IncomingRequest, InFlightRequest, Kind, Reply
+from umberlead.resource_limits import BODY_MOST
 
 KEY_MOST = 1024  # bytes
 META_MOST = 2048  # bytes of a client's own x-amz-meta- headers
--- a/umberlead/fronts/ledger.py
+++ b/umberlead/frontends/object_api/uploads.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from umberlead.fronts.s3 import S3Error
+from umberlead.frontends.object_api.s3_messages import S3Error
 
 
 class State(Enum):
--- a/umberlead/fronts/platform.py
+++ b/umberlead/frontends/platform.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from urllib.parse import unquote_to_bytes
 
-from umberlead.core.engine import Engine
-from umberlead.core.requests import Answer, DuplicateRequestError, IncomingRequest, InFlightRequest, Kind
 from umberlead.net.http_message import Message
 from umberlead.net.node_protocol import OutgoingRequest
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.streaming import MAX_STREAM_BYTES
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import Answer, DuplicateRequestError, IncomingRequest, InFlightRequest, Kind
 
 PASSED_ON = ((b"x-call-id", b"X-Call-Id: "), (b"x-plan", b"X-Plan: "), (b"x-io", b"X-IO: "))
 LONGER = 1.25  # most that a budget may be of its class's deadline, the longest that its clients wait
--- a/umberlead/rooms/gossip.py
+++ b/umberlead/gossip/swim.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from umberlead.rooms.model import SECOND, State
-from umberlead.rooms.wire import Keys, Message, News, Word
+from umberlead.gossip.messages import Keys, Message, News, Word
+from umberlead.zones.model import SECOND, State
 
 ALIVE, SUSPECT, DEAD = 0, 1, 2
 PING, ANSWER, ASK = 0, 1, 2
--- a/umberlead/rooms/peers.py
+++ b/umberlead/gossip/udp_transport.py
@@ -4,9 +4,9 @@
 from typing import Any
 
 from umberlead import config
-from umberlead.rooms.gossip import Gossip
-from umberlead.rooms.joined import Joined
-from umberlead.rooms.wire import Keys
+from umberlead.gossip.messages import Keys
+from umberlead.gossip.swim import Gossip
+from umberlead.zones.integration import Joined
 
 TICK = 0.1  # s
 
--- a/umberlead/handover/places.py
+++ b/umberlead/handover/descriptor_quota.py
@@ -3,13 +3,13 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from umberlead.handover.claims import Claim, Use
-from umberlead.handover.division import divide, settled
+from umberlead.handover.process_claims import Claim, Use
+from umberlead.handover.quota_division import divide, settled
 from umberlead.handover.shared_state import SharedState
-from umberlead.limits import connections, with_surplus
 from umberlead.net.client_connections import Clients
 from umberlead.net.listener import Listener
 from umberlead.net.node_pool import Pool
+from umberlead.resource_limits import connections, with_surplus
 
 SHORTAGE_LOOK_INTERVAL_US = 5_000  # between looks of a process that is short of places
 UNBOUNDED = 1_000_000  # more than any front's descriptors
--- a/umberlead/handover/division.py
+++ b/umberlead/handover/quota_division.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from umberlead.handover.claims import Claim, Use
+from umberlead.handover.process_claims import Claim, Use
 
 LEAST_PLACES = 2  # of a kind: one connection, and one beside it to be told that there is no room
 KEPT_FREE = 8  # this part of a kind's places is left to the others before a connection at rest is kept
--- a/umberlead/handover/shared_state.py
+++ b/umberlead/handover/shared_state.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from umberlead.handover.claims import Claim, parse
 from umberlead.handover.clock_anchors import ClockAnchors
 from umberlead.handover.drain_overrides import DrainOverrides
-from umberlead.handover.registry import PERMANENT_ERRNOS, ProcessRegistry, write_all
+from umberlead.handover.process_claims import Claim, parse
+from umberlead.handover.process_registry import PERMANENT_ERRNOS, ProcessRegistry, write_all
 
 CLAIM_BYTES = 256  # of a claim's file, whose size never changes: there is no moment without room for it
 DISK_ERRNOS = frozenset(
--- a/umberlead/membership/checks.py
+++ b/umberlead/membership/checks.py
@@ -10,8 +10,8 @@
 
 from netaddr import AddrFormatError, IPAddress, IPNetwork, IPSet
 
-from umberlead.core.interface import NodeState
 from umberlead.membership.model import Address, Entry, Listing, Parsed, Place, Problem, Server
+from umberlead.scheduling.interface import NodeState
 
 CODES = {
     "L101": "a line can't be read",
--- a/umberlead/membership/formatting.py
+++ b/umberlead/membership/formatting.py
@@ -1,9 +1,9 @@
 """Lays a list out: one blank line at most, attributes in one order, columns of runs of servers aligned,
 comments kept as they are. The meaning never changes, and laying out twice is laying out once."""
 
-from umberlead.core.interface import NodeState
 from umberlead.membership import grammar
 from umberlead.membership.model import Server
+from umberlead.scheduling.interface import NodeState
 
 
 def _number(value: float) -> str:
--- a/umberlead/membership/grammar.py
+++ b/umberlead/membership/grammar.py
@@ -12,8 +12,8 @@
 from lark import Lark, Token, Transformer
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, VisitError
 
-from umberlead.core.interface import NodeState
 from umberlead.membership.model import SHARD_MOST, STATES, WEIGHT_MOST, Entry, Parsed, Place, Problem, Server
+from umberlead.scheduling.interface import NodeState
 
 FORMAT = 1
 LINES_KEPT = 100_000  # parsed lines remembered: more than the largest list has
--- a/umberlead/membership/joining.py
+++ b/umberlead/membership/list_merge.py
@@ -5,18 +5,18 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from umberlead import config
-from umberlead.core import interface as api
-from umberlead.core.counters import Counters
-from umberlead.core.interface import NodeState
-from umberlead.membership.damping import RETURN, Damping
-from umberlead.membership.gate import Gate
+from umberlead.common.counters import Counters
+from umberlead.membership.change_gate import Gate
+from umberlead.membership.flap_damping import RETURN, Damping
 from umberlead.membership.machine import Rules
 from umberlead.membership.model import Change, Member, Server
 from umberlead.membership.service import ListService, Unusable, Watched
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import NodeState
 
 if TYPE_CHECKING:
-    from umberlead.core.engine import Engine
     from umberlead.net.node_pool import Pool
+    from umberlead.requests.lifecycle import Engine
 
 
 class Parts(Protocol):
--- a/umberlead/membership/loading.py
+++ b/umberlead/membership/loading.py
@@ -11,7 +11,7 @@
 from umberlead.membership import files
 from umberlead.membership.checks import Before, Checks, Verdict, names
 from umberlead.membership.model import Delta, Listing, Place, Problem, difference
-from umberlead.membership.resolve import Resolver
+from umberlead.membership.name_resolution import Resolver
 from umberlead.membership.watching import Poll
 
 PROBLEMS_MOST = 50  # told of one set
--- a/umberlead/membership/machine.py
+++ b/umberlead/membership/machine.py
@@ -8,8 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from umberlead.core.interface import NodeState
-from umberlead.membership.damping import Damping, Flaps
+from umberlead.membership.flap_damping import Damping, Flaps
 from umberlead.membership.model import (
     Change,
     Delta,
@@ -21,6 +20,7 @@
     Source,
     difference,
 )
+from umberlead.scheduling.interface import NodeState
 
 DIGEST_LEAST = 8  # hex digits by which a list may be confirmed
 
--- a/umberlead/membership/model.py
+++ b/umberlead/membership/model.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from umberlead.core.interface import NodeState
+from umberlead.scheduling.interface import NodeState
 
 Address = tuple[str, int]
 
--- a/umberlead/membership/service.py
+++ b/umberlead/membership/service.py
@@ -13,15 +13,15 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead.core.counters import Counters
-from umberlead.core.interface import NodeState
+from umberlead.common.counters import Counters
 from umberlead.membership import snapshot
-from umberlead.membership.gate import Gate
+from umberlead.membership.change_gate import Gate
 from umberlead.membership.loading import Loaded, Loader
 from umberlead.membership.machine import DIGEST_LEAST, Membership, NotPending, Rules
 from umberlead.membership.model import Change, Listing, Member, Problem, Server
-from umberlead.membership.resolve import Lookup, Resolver, system
+from umberlead.membership.name_resolution import Lookup, Resolver, system
 from umberlead.membership.watching import Watcher
+from umberlead.scheduling.interface import NodeState
 
 SWITCH = 0.0005  # s after which the loading thread gives way to the loop
 SAVE_PAUSE = 0.2  # s between two snapshots
--- a/umberlead/membership/snapshot.py
+++ b/umberlead/membership/snapshot.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from umberlead.core.interface import NodeState
 from umberlead.membership.model import Listing, Server
+from umberlead.scheduling.interface import NodeState
 
 MAGIC, FORMAT = "umberlead-list", 1
 HEAD_MOST, BODY_MOST = 256, 256 << 20
--- a/umberlead/net/client_connections.py
+++ b/umberlead/net/client_connections.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Protocol
 
-from umberlead.core.counters import Counters
-from umberlead.core.slots import Slots
-from umberlead.limits import HEAD_MOST
+from umberlead.common.counters import Counters
+from umberlead.common.slot_table import Slots
 from umberlead.net.close_reason import CloseReason
 from umberlead.net.http_message import Message
 from umberlead.net.relay import BodySource
 from umberlead.net.socket_state import DISCONNECT_EVENTS
 from umberlead.net.timeouts import idle_timeout_us
+from umberlead.resource_limits import HEAD_MOST
 
 IDLE_EVICTION_THRESHOLD = 0.5  # of the places; beyond it new connections end with their first reply
 ACCEPT_GRACE_US = 100_000  # a new connection is not evicted: its request may be on the way
--- a/umberlead/net/dialing.py
+++ b/umberlead/net/dialing.py
@@ -8,13 +8,13 @@
 import errno
 from typing import Protocol
 
+from umberlead.common.slot_table import Slots
 from umberlead.config import Address
-from umberlead.core.interface import Result
-from umberlead.core.requests import Attempt
-from umberlead.core.slots import Slots
-from umberlead.limits import LOCAL_RESOURCE_ERRNOS
 from umberlead.net.node_connection import NodeConnection
 from umberlead.net.pool_interface import ConnectionPool
+from umberlead.requests.types import Attempt
+from umberlead.resource_limits import LOCAL_RESOURCE_ERRNOS
+from umberlead.scheduling.interface import Result
 
 CONNECTION_ATTEMPT_DELAY = 0.2  # of the connect time-out: a dial that is not up by then may be raced
 MAX_PARALLEL_DIALS = 2  # that an attempt's first dial is raced by
--- a/umberlead/net/discovery.py
+++ b/umberlead/net/discovery.py
@@ -10,10 +10,10 @@
 
 import httptools
 
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Timer, Wheel
 from umberlead.config import Address, Listing, listing_of
-from umberlead.core.counters import Counters
-from umberlead.core.wheel import Timer, Wheel
-from umberlead.recovery.watching import UNSURE, Pacing
+from umberlead.recovery.discovery_pacing import UNSURE, Pacing
 
 STRINGS = re.compile(rb'"(?:[^"\\]|\\.)*"')
 LINE_MOST = 4 << 20
--- a/umberlead/net/listener.py
+++ b/umberlead/net/listener.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from umberlead.config import Address
-from umberlead.limits import LOCAL_RESOURCE_ERRNOS, surplus
 from umberlead.net.client_connections import ClientConnection, Clients
 from umberlead.net.server_connection import Handler, ServerConnection
+from umberlead.resource_limits import LOCAL_RESOURCE_ERRNOS, surplus
 
 ACCEPT_BATCH = 16  # connections accepted in a turn: a flood must not hold up those that are here
 ACCEPT_RETRY_SECONDS = 0.02  # until what can't be accepted now is tried again
--- a/umberlead/net/node_connection.py
+++ b/umberlead/net/node_connection.py
@@ -7,15 +7,15 @@
 import asyncio
 from typing import cast
 
+from umberlead.common.timer_wheel import Timer
 from umberlead.config import Address
-from umberlead.core.interface import Result
-from umberlead.core.requests import Attempt, Reply
-from umberlead.core.wheel import Timer
 from umberlead.net.node_protocol import OutgoingRequest, decode_reply, encode_request, result_of_reply
 from umberlead.net.pool_interface import ConnectionPool
 from umberlead.net.reply_parser import ReplyParser
 from umberlead.net.socket_state import SocketState
 from umberlead.net.streaming import SERVER_PAUSE_TIMEOUT_US, ReplyStream, is_long_reply
+from umberlead.requests.types import Attempt, Reply
+from umberlead.scheduling.interface import Result
 
 
 class NodeConnection(asyncio.Protocol):
--- a/umberlead/net/node_pool.py
+++ b/umberlead/net/node_pool.py
@@ -4,17 +4,17 @@
 from collections.abc import Callable
 from typing import Any
 
+from umberlead.common.counters import Counters
+from umberlead.common.slot_table import Slots
+from umberlead.common.timer_wheel import Wheel
 from umberlead.config import Address
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.interface import Result
-from umberlead.core.requests import Attempt
-from umberlead.core.send_guard import Denial
-from umberlead.core.slots import Slots
-from umberlead.core.wheel import Wheel
-from umberlead.limits import BODY_MOST, HEAD_MOST
 from umberlead.net.dialing import CONNECT_TIMEOUT_MULTIPLIER, Dialer
 from umberlead.net.node_connection import NodeConnection
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.send_guard import Denial
+from umberlead.requests.types import Attempt
+from umberlead.resource_limits import BODY_MOST, HEAD_MOST
+from umberlead.scheduling.interface import Result
 
 IDLE_KEEPALIVE_FRACTION = 0.6  # the chunk server may close at any time up to the whole of its keepalive
 RESET_PROBABILITY_THRESHOLD = 0.02  # of kept connections, above which a write takes a new one
--- a/umberlead/net/node_protocol.py
+++ b/umberlead/net/node_protocol.py
@@ -3,8 +3,8 @@
 import re
 from dataclasses import dataclass, field
 
-from umberlead.core.interface import Result
-from umberlead.core.requests import Reply
+from umberlead.requests.types import Reply
+from umberlead.scheduling.interface import Result
 
 FIGURE = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 MAX_LOAD_FIELDS = 16  # values of a load report
--- a/umberlead/net/pool_interface.py
+++ b/umberlead/net/pool_interface.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 from typing import Any, Protocol, TypeVar
 
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Wheel
 from umberlead.config import Address
-from umberlead.core.counters import Counters
-from umberlead.core.engine import Engine
-from umberlead.core.requests import Attempt
-from umberlead.core.send_guard import Denial
-from umberlead.core.wheel import Wheel
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.send_guard import Denial
+from umberlead.requests.types import Attempt
 
 ConnectionT = TypeVar("ConnectionT", contravariant=True)
 
--- a/umberlead/net/streaming.py
+++ b/umberlead/net/streaming.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from umberlead.core.counters import Counters
-from umberlead.core.wheel import Timer, Wheel
-from umberlead.limits import BODY_MOST
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import Timer, Wheel
+from umberlead.resource_limits import BODY_MOST
 
 STREAM_IDLE_TIMEOUT_US = 10_000_000  # in which a long reply must move on
 SERVER_PAUSE_TIMEOUT_US = 650_000  # that a server may stop within a reply that it is still giving
--- a/umberlead/plugins.py
+++ b/umberlead/plugins.py
@@ -17,10 +17,10 @@
 from types import FrameType
 from typing import Any
 
+from umberlead.common.counters import Counters
 from umberlead.config import ConfigError
-from umberlead.core.counters import Counters
-from umberlead.core.interface import Result
-from umberlead.core.requests import Answer, InFlightRequest
+from umberlead.requests.types import Answer, InFlightRequest
+from umberlead.scheduling.interface import Result
 
 API = 1
 HOOKS = ("request_taken", "outcome", "answer")
--- a/umberlead/core/invariants.py
+++ b/umberlead/requests/invariants.py
@@ -12,10 +12,10 @@
 from enum import Enum
 from typing import Any
 
-from umberlead.core.counters import Counters
-from umberlead.core.interface import Effect, Node, NodeList, NodeState, Result, Settings
-from umberlead.core.requests import NEVER_RAN, Attempt, InFlightRequest
-from umberlead.recovery.warming import grown
+from umberlead.common.counters import Counters
+from umberlead.requests.types import NEVER_RAN, Attempt, InFlightRequest
+from umberlead.scheduling.interface import Effect, Node, NodeList, NodeState, Result, Settings
+from umberlead.scheduling.slow_start import grown
 
 CLIENT_LEFT_GRACE_US = 100_000  # after a client left, in which an attempt may still begin
 NODE_TOLD_GRACE_US = 1_000_000  # after a change of the list, in which an attempt may still begin
--- a/umberlead/core/engine.py
+++ b/umberlead/requests/lifecycle.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from umberlead.core import interface as api
-from umberlead.core.counters import Counters
-from umberlead.core.decide import Head
-from umberlead.core.interface import Effect, Result
-from umberlead.core.invariants import InvariantChecker
-from umberlead.core.requests import (
+from umberlead.common.counters import Counters
+from umberlead.common.slot_table import Slots
+from umberlead.common.timer_wheel import Wheel
+from umberlead.requests.invariants import InvariantChecker
+from umberlead.requests.send_guard import Denial, SendGuard
+from umberlead.requests.types import (
     NEVER_RAN,
     Answer,
     Attempt,
@@ -27,9 +27,9 @@
     Reply,
     Watcher,
 )
-from umberlead.core.send_guard import Denial, SendGuard
-from umberlead.core.slots import Slots
-from umberlead.core.wheel import Wheel
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import Effect, Result
+from umberlead.scheduling.scheduler import Head
 
 NAMES_FOR = 10_000_000  # us at least that a request's name stays taken after it came
 LAST_WORD = 10_000  # us after a request's end by which the engine answers in the module's place
--- a/umberlead/core/send_guard.py
+++ b/umberlead/requests/send_guard.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from enum import Enum
 
-from umberlead.core.interface import Effect, RequestClass
-from umberlead.core.requests import Attempt, InFlightRequest
+from umberlead.requests.types import Attempt, InFlightRequest
+from umberlead.scheduling.interface import Effect, RequestClass
 
 
 class Denial(Enum):
--- a/umberlead/core/requests.py
+++ b/umberlead/requests/types.py
@@ -9,9 +9,9 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from umberlead.core import interface as api
-from umberlead.core.interface import Result
-from umberlead.core.wheel import Timer
+from umberlead.common.timer_wheel import Timer
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import Result
 
 NEVER_RAN = (Result.FULL, Result.NO_LINK, Result.MOOT)  # outcomes that prove that nothing ran
 
--- a/umberlead/core/controller.py
+++ b/umberlead/scheduling/controller.py
@@ -4,7 +4,7 @@
 the numbers in brackets are its equations.
 """
 
-from umberlead.core import linear as la
+from umberlead.scheduling import matrices as la
 
 MIN_SAMPLES = (
     5  # answers under which shares stay (Fig. 3 of the paper): the interval goes on until it has them
--- a/umberlead/core/overload.py
+++ b/umberlead/scheduling/load_shedding.py
@@ -8,7 +8,7 @@
 import heapq
 import itertools
 
-from umberlead.core.records import Item
+from umberlead.scheduling.pending_request import Item
 
 MIN_PRUNED = 16  # entries, of which a fourth may be dropped at once
 
--- a/umberlead/core/records.py
+++ b/umberlead/scheduling/pending_request.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from umberlead.core import interface as api
+from umberlead.scheduling import interface as api
 
 
 @dataclass(slots=True, eq=False)
--- a/umberlead/core/volumes.py
+++ b/umberlead/scheduling/rate_limits.py
@@ -10,10 +10,10 @@
 there is half a part of the slack at the birth of a front that nobody stands beside, which can't know what was
 spent before. Fronts don't speak of it: how many send for a volume is known from `writers` alone."""
 
-from umberlead.core import interface as api
-from umberlead.core.buckets import NEVER, Store
-from umberlead.core.interface import Result
-from umberlead.core.records import Item
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import Result
+from umberlead.scheduling.pending_request import Item
+from umberlead.scheduling.token_bucket import NEVER, Store
 
 NOTICE = 100_000  # us in which others learn of a new process, by their next look; the slack bears a late one
 CHANGES = 8  # of the part that are remembered; before these, a volume not yet seen has nothing
--- a/umberlead/core/decide.py
+++ b/umberlead/scheduling/scheduler.py
@@ -10,18 +10,18 @@
 from dataclasses import replace
 from itertools import count
 
-from umberlead.core import interface as api
-from umberlead.core.buckets import NEVER
-from umberlead.core.client_retries import ClientRetries
-from umberlead.core.controller import MIN_SHARE, Controller
-from umberlead.core.interface import Effect, NodeState, Reason, Result
-from umberlead.core.level import Level
-from umberlead.core.overload import WaitingBound
-from umberlead.core.records import Item, Try
-from umberlead.core.volumes import Volumes
-from umberlead.core.weighted import Smooth
-from umberlead.recovery.slow_start import SendWindow, window_units
-from umberlead.recovery.warming import rest, warm
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.client_retries import ClientRetries
+from umberlead.scheduling.controller import MIN_SHARE, Controller
+from umberlead.scheduling.interface import Effect, NodeState, Reason, Result
+from umberlead.scheduling.load_shedding import WaitingBound
+from umberlead.scheduling.moving_average import Level
+from umberlead.scheduling.pending_request import Item, Try
+from umberlead.scheduling.rate_limits import Volumes
+from umberlead.scheduling.send_window import SendWindow, window_units
+from umberlead.scheduling.slow_start import rest, warm
+from umberlead.scheduling.token_bucket import NEVER
+from umberlead.scheduling.weighted_round_robin import Smooth
 
 INTERVAL = 500_000  # us between control steps: the paper's interval for its file server
 BOUND = 8.0  # mean-size requests: most that one head has out at a node
--- a/umberlead/recovery/slow_start.py
+++ b/umberlead/scheduling/send_window.py
@@ -9,8 +9,8 @@
 import math
 from collections import deque
 
-from umberlead.core import interface as api
-from umberlead.recovery.warming import grown
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.slow_start import grown
 
 USED = 0.85  # of the bound that the heads' even parts add up to: the rest is left to chance and busy heads
 BUSIEST_PART = 0.2  # of the bound, most that a head has for what it asks more than others; or its even part
--- a/umberlead/recovery/warming.py
+++ b/umberlead/scheduling/slow_start.py
@@ -1,6 +1,6 @@
 """How much of its capacity a chunk server has after a start, and what all fronts together may ask of it."""
 
-from umberlead.core import interface as api
+from umberlead.scheduling import interface as api
 
 SERVED = 0.6  # of what a cold node always bears: that keeps it up, this much it also serves in time
 LEAST = 0.02  # a cold share below that is taken for that
--- a/umberlead/standins/explore.py
+++ b/umberlead/standins/explore.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from umberlead.core.interface import NodeState
-from umberlead.membership.damping import Damping
+from umberlead.membership.flap_damping import Damping
 from umberlead.membership.machine import Membership, NotPending, Rules
 from umberlead.membership.model import Change, Listing, Place, Problem, Server
+from umberlead.scheduling.interface import NodeState
 from umberlead.standins.reference import Broken, Follower, Reference, compare
 
 UP, DRAINING, GONE = NodeState.UP, NodeState.DRAINING, NodeState.GONE
--- a/umberlead/standins/reference.py
+++ b/umberlead/standins/reference.py
@@ -7,9 +7,9 @@
 
 from dataclasses import dataclass, field, replace
 
-from umberlead.core.interface import NodeState
 from umberlead.membership.machine import Membership
 from umberlead.membership.model import Change, Listing, Server, Source
+from umberlead.scheduling.interface import NodeState
 
 
 class Broken(AssertionError):
--- a/umberlead/standins/soak/judge.py
+++ b/umberlead/standins/soak/judge.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from umberlead.core.invariants import slow_start_bound
+from umberlead.requests.invariants import slow_start_bound
 from umberlead.standins.soak.records import ClientRecord, Event, NodeRecord
 
 MS = 1_000_000
--- a/umberlead/telemetry.py
+++ b/umberlead/telemetry.py
@@ -16,7 +16,7 @@
 
 import structlog
 
-from umberlead.core.counters import Counters
+from umberlead.common.counters import Counters
 
 SEVERITY = {"critical": 2, "error": 3, "warning": 4, "info": 6, "debug": 7}
 FACILITY = 16  # local0
--- a/umberlead/wirehost.py
+++ b/umberlead/wirehost.py
@@ -5,8 +5,8 @@
 from typing import TextIO
 
 from umberlead.config import settings_of
-from umberlead.core import interface as i
-from umberlead.core.decide import Head
+from umberlead.scheduling import interface as i
+from umberlead.scheduling.scheduler import Head
 
 _STATES = {"live": i.NodeState.UP, "quiescing": i.NodeState.DRAINING, "dead": i.NodeState.GONE}
 _RESULTS = {
--- a/umberlead/rooms/evidence.py
+++ b/umberlead/zones/evidence.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from umberlead.rooms.model import Met, Rules
+from umberlead.zones.model import Met, Rules
 
 MUTE_RATIO = 15.0  # a server that leaves one request without a word: its room is lost, against a pause
 MUTE = 16  # given-up sendings that are remembered
--- a/umberlead/rooms/joined.py
+++ b/umberlead/zones/integration.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from umberlead import config
-from umberlead.core import interface as api
-from umberlead.core.engine import Engine
-from umberlead.core.interface import Result
-from umberlead.core.requests import Answer, Attempt, Hooks, InFlightRequest, Kind, Refused
-from umberlead.rooms.director import Director, Refusal
-from umberlead.rooms.model import Rules, State, Verdict
+from umberlead.requests.lifecycle import Engine
+from umberlead.requests.types import Answer, Attempt, Hooks, InFlightRequest, Kind, Refused
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import Result
+from umberlead.zones.model import Rules, State, Verdict
+from umberlead.zones.router import Director, Refusal
 
 TICK = 100_000  # us
 
--- a/umberlead/rooms/model.py
+++ b/umberlead/zones/model.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from umberlead.core.interface import NodeState
+from umberlead.scheduling.interface import NodeState
 
 SECOND = 1_000_000
 
--- a/umberlead/rooms/director.py
+++ b/umberlead/zones/router.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from umberlead.core import interface as api
-from umberlead.core.interface import Effect, NodeState, Result
-from umberlead.rooms.machine import Rooms
-from umberlead.rooms.model import SECOND, Member, Met, Rules, State, Verdict, tier_of
-from umberlead.rooms.spill import Budget
+from umberlead.scheduling import interface as api
+from umberlead.scheduling.interface import Effect, NodeState, Result
+from umberlead.zones.model import SECOND, Member, Met, Rules, State, Verdict, tier_of
+from umberlead.zones.spillover import Budget
+from umberlead.zones.zone_health import Rooms
 
 PATIENT = 3  # times the link time-out that an aim must leave
 TRIED = 1e-6  # how dear an answer of one counts that is tried
--- a/umberlead/rooms/spill.py
+++ b/umberlead/zones/spillover.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from umberlead.core.interface import Settings
-from umberlead.rooms.model import SECOND
+from umberlead.scheduling.interface import Settings
+from umberlead.zones.model import SECOND
 
 STEP = SECOND // 2
 GOOD, POOR = 0.8, 0.5  # of the spill answered in time: above the one it grows, below the other it shrinks
--- a/umberlead/rooms/machine.py
+++ b/umberlead/zones/zone_health.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from umberlead.core.interface import NodeState
-from umberlead.rooms.evidence import Ratio, Track, grey, log_odds, lost
-from umberlead.rooms.model import Member, Met, Rules, State, Verdict
+from umberlead.scheduling.interface import NodeState
+from umberlead.zones.evidence import Ratio, Track, grey, log_odds, lost
+from umberlead.zones.model import Member, Met, Rules, State, Verdict
 
 CLEAR = ""  # by hand: as the evidence has it
 BY_HAND = ("evacuate", "forbid", CLEAR)
