--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -22,8 +22,8 @@
 from umberlead import config
 from umberlead.expect.model import Collection, Happening, Load
 from umberlead.expect.world import START, Modelled, World
-from umberlead.membership.loading import Loader
-from umberlead.membership.name_resolution import Resolver
+from umberlead.membership.loading import ListLoader
+from umberlead.membership.name_resolution import NameResolver
 from umberlead.standins.chunkserver import ChunkServer, Model, Record
 
 ROOT = Path(__file__).parent.parent
@@ -134,10 +134,10 @@
     path = folder / "virtual.list"
     ports = {name: 9000 + k for k, name in enumerate(NAMES)}
     path.write_text(sheet(1, dict.fromkeys(NAMES, "ready"), ports))
-    listing = Loader(path, 0, Resolver(lambda host: ())).load(None).verdict.listing
+    listing = ListLoader(path, 0, NameResolver(lambda host: ())).load(None).check_result.checked_list
     assert listing is not None
-    world = World(config.operator(str(folder / "front.toml")).settings, listing, script.seed)
-    world._first = dict(listing.servers)
+    world = World(config.load_operator_file(str(folder / "front.toml")).settings, listing, script.seed)
+    world._first = dict(listing.endpoints)
     for name in NAMES:
         world.models[name] = Modelled(PACES[name[0]] / 0.020)
     made = []
@@ -178,9 +178,16 @@
         self.ports = {name: s.address[1] for name, s in self.servers.items()}
         self.swap()
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "umberlead", "run", str(self.folder / "front.toml"),
-            cwd=ROOT, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-B",
+            "-m",
+            "umberlead",
+            "run",
+            str(self.folder / "front.toml"),
+            cwd=ROOT,
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+        )
         assert self.process.stderr is not None
         found: dict[str, int] = {}
         while len(found) < 2:
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -33,8 +33,11 @@
 from umberlead.emulator.node import FOREVER, Job, Node, Traits
 from umberlead.emulator.settings import settings as told_by
 from umberlead.load.day import Day, Request, draw
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.scheduler import Head
+from umberlead.scheduling import events
+from umberlead.scheduling.actions import Cancel, Fail, Reject, Send, SetTimer
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus, Event, Outcome
+from umberlead.scheduling.scheduler import Scheduler
+from umberlead.scheduling.settings import Settings
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "cold-ramp.md"
@@ -112,7 +115,7 @@
     return n, n + 2 * math.sqrt(n) + 2, n + 3 * math.sqrt(n) + 3
 
 
-def judged(of: Start, s: api.Settings, mean: float) -> Windows:
+def judged(of: Start, s: Settings, mean: float) -> Windows:
     """`mean` is the work of a mean request."""
     made, times = Windows(starts=1), [t for t, _ in of.sent]
     sums = [0.0]
@@ -120,23 +123,23 @@
         sums.append(sums[-1] + work / mean)
 
     def window(at: int) -> tuple[float, tuple[float, float, float]]:
-        got = sums[bisect_right(times, at)] - sums[bisect_right(times, at - s.cold_window)]
-        grown = s.cold_share + (1 - s.cold_share) * min((at - of.at) / s.warm_up, 1.0)
-        return got, bounds(s.cold_units / s.mean_units * grown / s.cold_share)
+        got = sums[bisect_right(times, at)] - sums[bisect_right(times, at - s.cold_window_us)]
+        grown = s.cold_capacity_ratio + (1 - s.cold_capacity_ratio) * min((at - of.at) / s.warm_up_us, 1.0)
+        return got, bounds(s.cold_start_units / s.mean_request_units * grown / s.cold_capacity_ratio)
 
-    for at in range(of.at, of.at + s.warm_up, GRID):
+    for at in range(of.at, of.at + s.warm_up_us, GRID):
         got, limits = window(at)
         made.windows += 1
         made.past = [p + (got > limit) for p, limit in zip(made.past, limits, strict=True)]
     hit = [False] * 3
     for at in times:
-        if at < of.at + s.warm_up:
+        if at < of.at + s.warm_up_us:
             got, limits = window(at)
             hit = [h or got > limit for h, limit in zip(hit, limits, strict=True)]
             made.most = max(made.most, got / limits[1])
     made.fell = [int(h) for h in hit]
     power = of.node.of.cores * of.node.of.speed * SECOND
-    for second in range(s.warm_up // SECOND):
+    for second in range(s.warm_up_us // SECOND):
         can = power * of.node.warmth(of.at + second * SECOND + SECOND // 2)
         asked = of.offered.get(second, 0.0)
         made.offered += asked
@@ -150,7 +153,7 @@
     """A front's process: its head, and what is open there."""
 
     def __init__(self, world: "World", number: int, seed: int) -> None:
-        self.head = Head(world.settings, seed, world.now)
+        self.head = Scheduler(world.settings, seed, world.now)
         self.number = number
         self.open: dict[str, tuple[Request, int, int]] = {}  # request, when it came, client's try
         self.tries: dict[str, int] = {}
@@ -173,13 +176,19 @@
             base = draw(self.of, seconds=0.001, load=0.5, shards=shards, fronts=heads, speed=speed, seed=seed)
             speed *= SMALL / base.power
         self.day: Day = draw(
-            self.of, seconds=self.length / SECOND, load=chance.uniform(0.4, 0.65), shards=shards,
-            fronts=heads, speed=speed, seed=seed, excess=chance.uniform(0.3, 1.0),
-        )  # fmt: skip
+            self.of,
+            seconds=self.length / SECOND,
+            load=chance.uniform(0.4, 0.65),
+            shards=shards,
+            fronts=heads,
+            speed=speed,
+            seed=seed,
+            excess=chance.uniform(0.3, 1.0),
+        )
         self.mean = sum(r.work for r in self.day.requests) / len(self.day.requests)
         told = told_by(self.of, self.day, heads, shards)
         told["extra"]["coldUnits"] *= chance.uniform(0.38, 1.0)  # 0.19 to 0.5 of what the slowest bears
-        self.settings = config.settings_of(config.flat(told))
+        self.settings = config.parse_settings(config.flatten(told))
         self.kinds = {k.name: k for k in self.day.kinds}
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order, self.now = count(), 0
@@ -189,17 +198,23 @@
         self.jobs: dict[str, tuple[Process, str, int]] = {}
         self.seed = seed
         self.fronts = [Process(self, n, seed * 1000 + n) for n in range(heads)]
-        self.told: list[list[api.Node]] = [[] for _ in self.fronts]
+        self.told: list[list[Endpoint]] = [[] for _ in self.fronts]
         self.number = count()
 
     def _start(self, shard: int, speed: float) -> Start:
         chance, cold = self.chance, self.of.cold
         at = HISTORY + int(chance.uniform(0, 2) * SECOND)
         of = Traits(
-            cores=2, speed=speed * chance.uniform(0.9, 1.1), room=100, errors=0.02,
-            cold_from=cold.draw("from", chance), warm=cold.draw("warm_s", chance) * SECOND, multiple=1e9,
-            thrash=self.of.node.draw("thrash", chance), thrash_at=self.of.node.draw("thrash_at", chance),
-        )  # fmt: skip
+            cores=2,
+            speed=speed * chance.uniform(0.9, 1.1),
+            room=100,
+            errors=0.02,
+            cold_from=cold.draw("from", chance),
+            warm=cold.draw("warm_s", chance) * SECOND,
+            multiple=1e9,
+            thrash=self.of.node.draw("thrash", chance),
+            thrash_at=self.of.node.draw("thrash_at", chance),
+        )
         return Start(Node(f"n{shard}", shard, of, 1, at, cold=True), at)
 
     def at(self, when: int, what: Callable[..., None], *args: Any) -> None:
@@ -207,41 +222,41 @@
 
     # Fronts
 
-    def feed(self, of: Process, *events: api.Event) -> None:
+    def feed(self, of: Process, *events: Event) -> None:
         if not of.alive:
             return
         for act in of.head.handle(self.now, list(events)):
-            if isinstance(act, api.Send):
+            if isinstance(act, Send):
                 self.send(of, act)
-            elif isinstance(act, api.SetTimer):
-                self.at(self.now + act.delay, self.feed, of)
-            elif isinstance(act, api.Refuse | api.Fail):
-                self.over(of, act.request, isinstance(act, api.Refuse))
-            elif isinstance(act, api.Cancel):
-                attempt, node, since = of.out.get(act.request, (-1, "", 0))
+            elif isinstance(act, SetTimer):
+                self.at(self.now + act.delay_us, self.feed, of)
+            elif isinstance(act, Reject | Fail):
+                self.over(of, act.request_id, isinstance(act, Reject))
+            elif isinstance(act, Cancel):
+                attempt, node, since = of.out.get(act.request_id, (-1, "", 0))
                 if attempt == act.attempt:
-                    self.at(self.now, self.ended, of, act.request, attempt, api.Result.CANCELLED)
-
-    def send(self, of: Process, act: api.Send) -> None:
-        attempt = of.tries.get(act.request, 0)
-        of.tries[act.request] = attempt + 1
-        of.out[act.request] = attempt, act.node, self.now
-        if act.node == RESTS:
-            return self.at(self.now + 2 * WAY, self.ended, of, act.request, attempt, api.Result.OK)
+                    self.at(self.now, self.ended, of, act.request_id, attempt, AttemptResult.CANCELLED)
+
+    def send(self, of: Process, act: Send) -> None:
+        attempt = of.tries.get(act.request_id, 0)
+        of.tries[act.request_id] = attempt + 1
+        of.out[act.request_id] = attempt, act.endpoint, self.now
+        if act.endpoint == RESTS:
+            return self.at(self.now + 2 * WAY, self.ended, of, act.request_id, attempt, AttemptResult.OK)
         return self.at(self.now + WAY, self.arrived, of, act, attempt)
 
-    def arrived(self, of: Process, act: api.Send, attempt: int) -> None:
-        start = self.by_node[act.node]
-        if act.request not in of.open:
+    def arrived(self, of: Process, act: Send, attempt: int) -> None:
+        start = self.by_node[act.endpoint]
+        if act.request_id not in of.open:
             return  # its front has died: its connection ended before
-        r = of.open[act.request][0]
+        r = of.open[act.request_id][0]
         start.sent.append((self.now, r.work))
-        name = f"{act.request}/{attempt}"
+        name = f"{act.request_id}/{attempt}"
         job = Job(name, r.class_name, r.volume, r.block, r.shard, r.units, r.work, r.write, of.number)
         word = "full" if self.chance.random() < AWAY else start.node.offer(self.now, job)
         if word != "taken":
-            return self.at(self.now + WAY, self.ended, of, act.request, attempt, api.Result.FULL)
-        self.jobs[name] = of, act.request, attempt
+            return self.at(self.now + WAY, self.ended, of, act.request_id, attempt, AttemptResult.REJECTED)
+        self.jobs[name] = of, act.request_id, attempt
         return self.arm(start)
 
     def arm(self, start: Start) -> None:
@@ -254,25 +269,29 @@
         self.armed[start.node.name] = FOREVER
         for job in start.node.advance(self.now):
             of, request, attempt = self.jobs.pop(job.id)
-            if self.now < start.at + self.settings.warm_up:
+            if self.now < start.at + self.settings.warm_up_us:
                 start.served += job.work
-            result = api.Result.OK if job.end == "ok" else api.Result.ERROR
+            result = AttemptResult.OK if job.end == "ok" else AttemptResult.ERROR
             self.at(self.now + WAY, self.ended, of, request, attempt, result)
         self.arm(start)
 
-    def ended(self, of: Process, request: str, attempt: int, result: api.Result) -> None:
+    def ended(self, of: Process, request: str, attempt: int, result: AttemptResult) -> None:
         if request not in of.open or of.out.get(request, (-1,))[0] != attempt:
             return
         _, node, since = of.out.pop(request)
         r, came, _ = of.open[request]
-        final = result is api.Result.OK or self.now >= came + self.kinds[r.class_name].deadline
+        final = result is AttemptResult.OK or self.now >= came + self.kinds[r.class_name].deadline
         start = self.starts.get(r.shard)
-        if start is not None and result is api.Result.OK and self.now - r.at <= self.kinds[r.class_name].aim:
-            start.in_time += r.work * (start.at <= self.now < start.at + self.settings.warm_up)
+        if (
+            start is not None
+            and result is AttemptResult.OK
+            and self.now - r.at <= self.kinds[r.class_name].aim
+        ):
+            start.in_time += r.work * (start.at <= self.now < start.at + self.settings.warm_up_us)
         if final:
             of.open.pop(request)
         elapsed = self.now - since if node != RESTS else 20_000
-        self.feed(of, api.Outcome(request, node, attempt, result, elapsed, final))
+        self.feed(of, Outcome(request, node, attempt, result, elapsed, final))
 
     def over(self, of: Process, request: str, harmless: bool) -> None:
         r, came, number = of.open.pop(request)
@@ -285,7 +304,7 @@
     def gone(self, of: Process, request: str) -> None:
         """Its time is over: an attempt that is out has timed out."""
         if request in of.open and request in of.out:
-            self.ended(of, request, of.out[request][0], api.Result.TIMEOUT)
+            self.ended(of, request, of.out[request][0], AttemptResult.TIMEOUT)
 
     # Clients
 
@@ -302,10 +321,10 @@
         self.at(until, self.gone, of, name)
         self.feed(of, self.request(r, name, shard, until))
 
-    def request(self, r: Request, name: str, shard: int, until: int) -> api.Request:
-        return api.Request(
+    def request(self, r: Request, name: str, shard: int, until: int) -> events.Request:
+        return events.Request(
             name, r.block, r.volume, until, shard, float(r.units), r.class_name, r.plan, r.hosts
-        )  # fmt: skip
+        )
 
     def lump(self, front: int, rows: list[Request]) -> None:
         """What goes to shards that are not looked at: asked of the head, and over the next moment."""
@@ -318,9 +337,9 @@
 
     # What befalls fronts
 
-    def tell(self, front: int, node: api.Node) -> None:
+    def tell(self, front: int, node: Endpoint) -> None:
         self.told[front].append(node)
-        self.feed(self.fronts[front], api.NodeList(False, (node,)))
+        self.feed(self.fronts[front], EndpointList(False, (node,)))
 
     def restart(self, front: int, beside: bool) -> None:
         old = self.fronts[front]
@@ -329,7 +348,7 @@
         else:
             self.end(old)
         new = self.fronts[front] = Process(self, front, self.seed * 1000 + 500 + front)
-        self.feed(new, api.NodeList(True, tuple(self.told[front])))
+        self.feed(new, EndpointList(True, tuple(self.told[front])))
 
     def end(self, of: Process) -> None:
         of.alive = False
@@ -337,8 +356,8 @@
 
     def play(self) -> Windows:
         chance = self.chance
-        others = api.Node(
-            RESTS, api.NodeState.UP, OTHER, 0, float(max(self.settings.shards - len(self.cold), 1))
+        others = Endpoint(
+            RESTS, EndpointStatus.UP, OTHER, 0, float(max(self.settings.shard_count - len(self.cold), 1))
         )
         late = chance.random() < 0.5
         for n in range(self.heads):
@@ -346,7 +365,7 @@
             behind = chance.uniform(2, 7.5) if late and chance.random() < 0.33 else 0.0
             spread = chance.uniform(0.27, 2.4) + behind
             for start in self.starts.values():
-                node = api.Node(start.node.name, api.NodeState.UP, start.node.shard, start.at, 1.0)
+                node = Endpoint(start.node.name, EndpointStatus.UP, start.node.shard, start.at, 1.0)
                 self.at(start.at + int((spread + chance.uniform(0, 0.3)) * SECOND), self.tell, n, node)
         struck = chance.choice([0.0, 0.3, 0.7])
         moment = HISTORY + int(chance.uniform(1, 8) * SECOND)
--- a/benchmarks/fleet_speed.py
+++ b/benchmarks/fleet_speed.py
@@ -30,10 +30,16 @@
     got = rehearsal.rehearse(suite.scenarios[0], Figures(), keep=lambda p, r: kept.extend((p, r)))
     took = time.process_time() - began
     return {
-        "fronts": fronts, "servers": servers, "requests": len(kept[1].asked), "cpu": took, "day": seconds,
-        "mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, "base_mb": base / 1024,
-        "service": got.rows["service"], "held": float(got.held),
-    }  # fmt: skip
+        "fronts": fronts,
+        "servers": servers,
+        "requests": len(kept[1].asked),
+        "cpu": took,
+        "day": seconds,
+        "mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
+        "base_mb": base / 1024,
+        "service": got.rows["service"],
+        "held": float(got.held),
+    }
 
 
 def chart(rows: list[dict[str, float]], path: Path) -> None:
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -40,8 +40,8 @@
 
 from benchmarks.watched_lists import OUT, ROOT, server, sheet
 from umberlead.common.counters import Counters
-from umberlead.frontends.object_api.handler import digest
-from umberlead.net.client_connections import Clients
+from umberlead.frontends.object_api.handler import hashed_name
+from umberlead.net.client_connections import ClientGroup
 from umberlead.net.listener import Listener
 
 WAYS, SHARDS, BUSY = ("free", "busy", "stopped"), 8, 2
@@ -90,9 +90,9 @@
     """A front's process; without the look an attempt begins for whoever is not known to have left."""
     os.environ["UMBERLEAD_CONFIG"] = path
     if look == "without":
-        from umberlead.requests.lifecycle import Engine
+        from umberlead.requests.lifecycle import RequestLifecycle
 
-        Engine.client_waits = lambda self, ticket: True  # type: ignore[method-assign]
+        RequestLifecycle.client_waits = lambda self, ticket: True  # type: ignore[method-assign]
     from umberlead.__main__ import main as run
 
     return run()
@@ -191,9 +191,10 @@
     body = b"PUT /scans/%s HTTP/1.1\r\nContent-Length: 49152\r\n\r\n" + b"x" * 49152
     while time.monotonic() < end:
         key = next(
-            k for k in iter(lambda: f"{chance.getrandbits(40):x}", "")
-            if int(digest("shard", "scans", k), 16) % SHARDS == shard
-        )  # fmt: skip
+            k
+            for k in iter(lambda: f"{chance.getrandbits(40):x}", "")
+            if int(hashed_name("shard", "scans", k), 16) % SHARDS == shard
+        )
         if told:
             left.objects[shard].append((told, time.monotonic_ns()))
         sock = socket.create_connection(address)
@@ -314,13 +315,13 @@
 async def call() -> float:
     """us of one look by itself, on a connection that stands."""
     loop, seen = asyncio.get_running_loop(), list[Any]()
-    clients = Clients(9, lambda: 0, Counters(), 0, 1 << 20, print)
+    clients = ClientGroup(9, lambda: 0, Counters(), 0, 1 << 20, print)
 
     class Handler:
         max_body_bytes, sends_date, singleton_headers = 0, False, frozenset[bytes]()
-        retry_after, allows_slow_bodies = 0, False
+        retry_after_us, allows_slow_bodies = 0, False
 
-        def request(self, conn: Any, message: Any) -> None:
+        def handle_request(self, conn: Any, request: Any) -> None:
             seen.append(conn)
 
         def client_disconnected(self, conn: Any) -> None: ...
@@ -377,8 +378,10 @@
         rows = [loads(line) for line in record.read_text().splitlines()]
         return {
             "ways": {name: after(name, left, rows) for name, left in lefts.items()},
-            "pairs": pairs, "call": await call(), "codes": codes,
-        }  # fmt: skip
+            "pairs": pairs,
+            "call": await call(),
+            "codes": codes,
+        }
 
 
 def row(name: str, of: dict[str, Any]) -> str:
@@ -394,10 +397,18 @@
     without, with_ = (statistics.median(p[k] for p in made["pairs"]) for k in (0, 1))
     more = sorted(b - a for a, b in made["pairs"])
     heads = [
-        "front", "look", "requests whose client left", "of these not begun before",
-        "begun over 10 ms after", "over 100 ms", "latest, ms",
-        "objects whose client left", "blocks begun over 10 ms after", "over 100 ms", "latest, ms",
-    ]  # fmt: skip
+        "front",
+        "look",
+        "requests whose client left",
+        "of these not begun before",
+        "begun over 10 ms after",
+        "over 100 ms",
+        "latest, ms",
+        "objects whose client left",
+        "blocks begun over 10 ms after",
+        "over 100 ms",
+        "latest, ms",
+    ]
     text = "# Attempts begun after their client left\n\n"
     text += f"`make bench-leaving`; {seconds:g} s each, seed {seed}. Latest: the last request that stand-ins"
     text += " read whole after its client had left; what they take to read it is in it. Without the look: as"
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -17,13 +17,13 @@
 import uvloop
 
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
-from umberlead.membership.flap_damping import Damping
-from umberlead.membership.list_merge import apply
-from umberlead.membership.machine import Rules
-from umberlead.membership.service import ListService, Watched
-from umberlead.requests.lifecycle import Engine
-from umberlead.scheduling.interface import Plan, RequestClass, Settings
+from umberlead.common.timer_wheel import TimerWheel
+from umberlead.membership.flap_damping import FlapDampingSettings
+from umberlead.membership.list_merge import apply_change
+from umberlead.membership.machine import MembershipSettings
+from umberlead.membership.service import WatchedListService, WatchedListSettings
+from umberlead.requests.lifecycle import RequestLifecycle
+from umberlead.scheduling.settings import Plan, RequestClass, Settings
 
 OUT = Path(__file__).parent.parent / "docs" / "measurements"
 SIZES = (200, 2000, 20_000)
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self.addresses: dict[str, Any] = {}
-        self.node_counts: Any = None
+        self.endpoint_counts: Any = None
 
     def close_unlisted(self, addresses: Any) -> None: ...
 
@@ -75,14 +75,14 @@
 async def measure(n: int, rounds: int) -> dict[str, float]:
     loop = asyncio.get_running_loop()
     clock = lambda: time.monotonic_ns() // 1000  # noqa: E731
-    wheel = Wheel(clock, lambda delay, fn: loop.call_later(delay / 1e6, fn), 2000)
+    wheel = TimerWheel(clock, lambda delay, fn: loop.call_later(delay / 1e6, fn), 2000)
     of = Settings((RequestClass("read", 300_000, 2_000_000),), (Plan("basic"),))
-    engine = Engine(of, 1, clock, wheel, loop.call_soon, Counters(), print)
+    engine = RequestLifecycle(of, 1, clock, wheel, loop.call_soon, Counters(), print)
     pool, turns = Addresses(), list[float]()
 
     def take(change: Any) -> None:
         began = time.perf_counter()
-        apply(change, engine, pool)  # type: ignore[arg-type]
+        apply_change(change, engine, pool)  # type: ignore[arg-type]
         engine._decide()
         turns.append((time.perf_counter() - began) * 1000)
 
@@ -90,26 +90,26 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "list"
         path.write_text(sheet(1, n))
-        rules = Rules(1.0, 10**9, Damping(100_000, 7000.0, 1000.0))
-        made = ListService(
-            Watched(path, None, 0.005, 0.25, rules), 0, loop, clock, Counters(), Quiet(), take
-        )  # fmt: skip
+        rules = MembershipSettings(1.0, 10**9, FlapDampingSettings(100_000, 7000.0, 1000.0))
+        made = WatchedListService(
+            WatchedListSettings(path, None, 0.005, 0.25, rules), 0, loop, clock, Counters(), Quiet(), take
+        )
         began = time.perf_counter()
-        made.begin()
+        made.load_first_list()
         first = (time.perf_counter() - began) * 1000
         gc.set_threshold(10_000, 20, 20)  # as a front has it once it has started
         gc.collect()
         gc.freeze()
-        made.open()
+        made.start_watching()
         late, waits = list[float](), list[float]()
         turns.clear()
         for k in range(rounds):
-            text, generation = sheet(2 + k, n, str(2 + k % 2)), made.machine.generation
+            text, generation = sheet(2 + k, n, str(2 + k % 2)), made.membership.generation
 
             async def changed(text: str = text, generation: int = generation) -> None:
                 path.with_name("next").write_text(text)
                 os.replace(path.with_name("next"), path)
-                while made.machine.generation == generation:
+                while made.membership.generation == generation:
                     await asyncio.sleep(0.002)
 
             got, took = await beside(changed)
@@ -117,18 +117,23 @@
             waits.append(took)
         one = max(turns)
         turns.clear()
-        generation = made.machine.generation
+        generation = made.membership.generation
         path.write_text(sheet(100, n, "7", every=True))
-        while made.machine.generation == generation:
+        while made.membership.generation == generation:
             await asyncio.sleep(0.002)
         whole = max(turns)
         idle, _ = await beside(lambda: asyncio.sleep(1.0))
         made.close()
     late.sort()
     return {
-        "first": first, "reload": sorted(waits)[len(waits) // 2], "p99": late[len(late) * 99 // 100],
-        "max": late[-1], "idle": idle[-1], "one": one, "whole": whole,
-    }  # fmt: skip
+        "first": first,
+        "reload": sorted(waits)[len(waits) // 2],
+        "p99": late[len(late) * 99 // 100],
+        "max": late[-1],
+        "idle": idle[-1],
+        "one": one,
+        "whole": whole,
+    }
 
 
 def main() -> int:
--- a/benchmarks/news.py
+++ b/benchmarks/news.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead.recovery.backoff import TURN
-from umberlead.recovery.discovery_pacing import UNSURE, Call, Pacing
+from umberlead.recovery.backoff import SERVICE_QUEUE_TIMEOUT_US
+from umberlead.recovery.discovery_pacing import UNKNOWN_RESPONSE_TIMEOUT_US, WatchCall, WatchPacing
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "news.md"
@@ -49,37 +49,41 @@
 """
 
 
-class Before(Pacing):
+class Before(WatchPacing):
     """The pacing as it was at c66d2e7, for comparison. It kept nothing for the next process."""
 
-    def __init__(self, fleet: int, ours: bool, agent: bool | None, chance: random.Random) -> None:
-        super().__init__(fleet, ours, None, chance)
+    def __init__(
+        self, fleet_size: int, expects_agent: bool, is_agent: bool | None, rng: random.Random
+    ) -> None:
+        super().__init__(fleet_size, expects_agent, None, rng)
 
-    def start(self) -> int:
-        window = min(self.backoff.fleet * SECOND // 10, 5 * SECOND)
-        return 0 if self.ours or window <= 500_000 else int(window * self.backoff.chance.random())
+    def first_call_delay_us(self) -> int:
+        window = min(self.backoff.fleet_size * SECOND // 10, 5 * SECOND)
+        return 0 if self.expects_agent or window <= 500_000 else int(window * self.backoff.rng.random())
 
-    def _patience(self, call: Call) -> int:
+    def _timeout_us(self, call: WatchCall) -> int:
         if call.answered:
             return 3_000_000
-        if self.agent is None:
-            return 600_000 if call.up is None else 2_500_000
-        return 600_000 if self.agent else 5_000_000
+        if self.is_agent is None:
+            return 600_000 if call.connected_us is None else 2_500_000
+        return 600_000 if self.is_agent else 5_000_000
 
-    def listens_on(self, call: Call, now: int) -> bool:
+    def keeps_listening(self, call: WatchCall, now: int) -> bool:
         return False
 
-    def again(self, call: Call, now: int, silent: bool) -> int:
-        chance, of = self.backoff.chance, self.backoff
-        if silent and not call.answered and self.agent is None:
-            self.agent = True
-        if self.agent:
-            return max(int(100_000 * (0.5 + 0.5 * chance.random())), min(call.asked, 30 * SECOND))
-        first = max(100_000, min(of.fleet * SECOND // 10, 5 * SECOND))
-        window = min(first << min(of.failed, 16), max(2 * SECOND, of.fleet * SECOND // 5), 60 * SECOND)
-        low = 0.5 if of.failed or of.fleet == 1 else 0.0
-        of.failed += 1
-        wait = max(int(window * (low + (1 - low) * chance.random())), min(call.asked, 30 * SECOND))
+    def next_call_delay_us(self, call: WatchCall, now: int, silent: bool) -> int:
+        chance, of = self.backoff.rng, self.backoff
+        if silent and not call.answered and self.is_agent is None:
+            self.is_agent = True
+        if self.is_agent:
+            return max(int(100_000 * (0.5 + 0.5 * chance.random())), min(call.retry_after_us, 30 * SECOND))
+        first = max(100_000, min(of.fleet_size * SECOND // 10, 5 * SECOND))
+        window = min(
+            first << min(of.failures_in_a_row, 16), max(2 * SECOND, of.fleet_size * SECOND // 5), 60 * SECOND
+        )
+        low = 0.5 if of.failures_in_a_row or of.fleet_size == 1 else 0.0
+        of.failures_in_a_row += 1
+        wait = max(int(window * (low + (1 - low) * chance.random())), min(call.retry_after_us, 30 * SECOND))
         return min(wait, 2_500_000) if silent and call.answered else wait
 
 
@@ -102,10 +106,10 @@
 
 
 class _Front:
-    def __init__(self, pacing: Pacing) -> None:
+    def __init__(self, pacing: WatchPacing) -> None:
         self.pacing = pacing
-        self.call: Call | None = None  # what it waits for
-        self.late: Call | None = None  # given up, and listened to
+        self.call: WatchCall | None = None  # what it waits for
+        self.late: WatchCall | None = None  # given up, and listened to
         self.turn = 0  # of its next call: an earlier one is called off
         self.told: int | None = None
 
@@ -114,7 +118,7 @@
     """One fleet through one failure. `told`: us after discovery could be reached; `calls`: by second since
     then; `downs`: by second before it."""
 
-    def __init__(self, world: World, made: Callable[..., Pacing] = Pacing, seed: int = 0) -> None:
+    def __init__(self, world: World, made: Callable[..., WatchPacing] = WatchPacing, seed: int = 0) -> None:
         self.world, self.chance = world, random.Random(seed)
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.number = self.now = self.free = 0
@@ -129,7 +133,7 @@
         for front in self.fronts:
             if self.chance.random() < world.restarted:
                 at = self.back - min(SECOND, world.down) + self.chance.randrange(SECOND // 2)
-                self._at(at + front.pacing.start(), self._caller(front))
+                self._at(at + front.pacing.first_call_delay_us(), self._caller(front))
             else:
                 self._stood(front)
         while self.queue and self.queue[0][0] < self.back + world.until:
@@ -153,79 +157,83 @@
     def _stood(self, front: _Front) -> None:
         """A watch that stands, and whose end comes as discovery goes down."""
         pacing, fell = front.pacing, 10 * SECOND
-        if not self.world.rate and pacing.agent is None:
-            pacing.agent = True
-        call = front.call = pacing.call(fell)
-        call.up = call.began = 0
-        call.answered = call.listed = True
+        if not self.world.rate and pacing.is_agent is None:
+            pacing.is_agent = True
+        call = front.call = pacing.start_call(fell)
+        call.connected_us = call.started_us = 0
+        call.answered = call.list_received = True
         call.status = 200
         if self.world.failing in ("silent", "half a list"):
             call.partial = self.world.failing == "half a list"
-            call.last = fell - (0 if call.partial else self.chance.randrange(2 * SECOND))
-            self._at(max(pacing.due(call), fell), lambda: self._due(front, call))
+            call.last_activity_us = fell - (0 if call.partial else self.chance.randrange(2 * SECOND))
+            self._at(max(pacing.gives_up_at_us(call), fell), lambda: self._due(front, call))
         else:
-            call.last = fell
+            call.last_activity_us = fell
             self._at(fell, lambda: self._ends(front, call, silent=False))
 
     def _calls(self, front: _Front) -> None:
-        call = front.call = front.pacing.call(self.now)
+        call = front.call = front.pacing.start_call(self.now)
         up = self.now >= self.back
         (self.calls if up else self.downs)[(self.now - self.back) // SECOND] += 1
         kind, at = self._served() if up else self._failed()
         if kind != "hung dial":
-            call.up = self.now
+            call.connected_us = self.now
         if kind in ("list", "no", "refused"):
             self._at(at, lambda: self._comes(front, call, kind))
-        self._at(front.pacing.due(call), lambda: self._due(front, call))
+        self._at(front.pacing.gives_up_at_us(call), lambda: self._due(front, call))
 
     def _served(self) -> tuple[str, int]:
         if not self.world.rate:
             return "list", self.now + AGENT
         begun = max(self.now, self.free)
         self.free = begun + int(SECOND / self.world.rate)
-        return ("list", self.free) if begun - self.now <= TURN else ("no", self.now + TURN)
+        return (
+            ("list", self.free)
+            if begun - self.now <= SERVICE_QUEUE_TIMEOUT_US
+            else ("no", self.now + SERVICE_QUEUE_TIMEOUT_US)
+        )
 
     def _failed(self) -> tuple[str, int]:
         if self.world.failing in ("no", "refused", "hung dial") and self.world.rate:
             return self.world.failing, self.now + 1000
         return "hung", 0
 
-    def _comes(self, front: _Front, call: Call, kind: str) -> None:
+    def _comes(self, front: _Front, call: WatchCall, kind: str) -> None:
         if call is not front.call and call is not front.late:
             return
         if kind == "refused":
-            call.up = None
+            call.connected_us = None
             return self._ends(front, call, silent=False)
-        front.pacing.heard(call, self.now)
-        call.asked = self.world.retry_after if kind == "no" else 0
-        front.pacing.head(call, 200 if kind == "list" else 503)
+        front.pacing.record_activity(call, self.now)
+        call.retry_after_us = self.world.retry_after if kind == "no" else 0
+        front.pacing.record_status(call, 200 if kind == "list" else 503)
         late, front.late = front.late, None
         if kind == "list":
             front.call, front.told = call, self.now
             front.turn += 1
-            front.pacing.listed(call)
+            front.pacing.record_list(call)
         elif call is not late:
             self._ends(front, call, silent=False)
 
-    def _due(self, front: _Front, call: Call) -> None:
+    def _due(self, front: _Front, call: WatchCall) -> None:
         if call is not front.call or front.told is not None:
             return
-        due = front.pacing.due(call)
+        due = front.pacing.gives_up_at_us(call)
         if self.now < due:
             return self._at(due, lambda: self._due(front, call))
-        if front.late is None and front.pacing.listens_on(call, self.now):
+        if front.late is None and front.pacing.keeps_listening(call, self.now):
             front.late = call
-            self._at(call.began + UNSURE, lambda: self._left(front, call))
+            self._at(call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US, lambda: self._left(front, call))
         self._ends(front, call, silent=True)
 
-    def _left(self, front: _Front, call: Call) -> None:
+    def _left(self, front: _Front, call: WatchCall) -> None:
         if front.late is call:
             front.late = None
-            front.pacing.no_word(call)
+            front.pacing.record_no_response(call)
 
-    def _ends(self, front: _Front, call: Call, silent: bool) -> None:
+    def _ends(self, front: _Front, call: WatchCall, silent: bool) -> None:
         front.call = None
-        self._at(self.now + front.pacing.again(call, self.now, silent), self._caller(front))
+        self._at(self.now + front.pacing.next_call_delay_us(call, self.now, silent), self._caller(front))
 
 
 def part(times: list[int], share: float) -> float:
@@ -233,16 +241,18 @@
     return times[max(math.ceil(share * len(times)) - 1, 0)] / SECOND
 
 
-def figures(world: World, made: Callable[..., Pacing], seeds: int) -> dict[str, float]:
+def figures(world: World, made: Callable[..., WatchPacing], seeds: int) -> dict[str, float]:
     """Over all seeds: p50 and p99 of all fronts, the last of all; the busiest second's calls since discovery
     could be reached; the part of plays with every front told in 6 s."""
     plays = [Fleet(world, made, seed) for seed in range(seeds)]
     times = sorted(t for play in plays for t in play.told())
     return {
-        "p50": part(times, 0.5), "p99": part(times, 0.99), "last": times[-1] / SECOND,
+        "p50": part(times, 0.5),
+        "p99": part(times, 0.99),
+        "last": times[-1] / SECOND,
         "calls": max(max(play.calls.values(), default=0) for play in plays),
         "held": sum(play.told()[-1] <= 6 * SECOND for play in plays) / seeds,
-    }  # fmt: skip
+    }
 
 
 def cell(got: dict[str, float], until: int) -> str:
@@ -265,10 +275,10 @@
     down = "-" if world.failing in ("reset", "silent") else f"{world.down / SECOND:g} s"
     text = f"| {world.fronts} | {way} | {f'{world.rate:g}' if world.rate else '-'} | {failing} | {down} | "
     text += f"{cell(figures(world, Before, seeds), world.until)} | "
-    return text + f"{cell(figures(world, Pacing, seeds), world.until)} |\n"
+    return text + f"{cell(figures(world, WatchPacing, seeds), world.until)} |\n"
 
 
-def least(fronts: int, failing: str, seeds: int, made: Callable[..., Pacing]) -> float | None:
+def least(fronts: int, failing: str, seeds: int, made: Callable[..., WatchPacing]) -> float | None:
     """The least rate, in whole calls a second, at which each play has every front told in 6 s."""
     low, high = 0, 400
     if figures(World(fronts, high, failing=failing, until=20 * SECOND), made, seeds)["held"] < 1:
@@ -306,7 +316,7 @@
     text += "watch fell silent.\n\n| fronts | failing | before | after |\n|---|---|---|---|\n"
     for fronts in (1, 2, 5, 30, 40, 100, 200):
         for failing in ("refused", "hung", "silent", "reset"):
-            rates = [least(fronts, failing, max(seeds // 2, 1), made) for made in (Before, Pacing)]
+            rates = [least(fronts, failing, max(seeds // 2, 1), made) for made in (Before, WatchPacing)]
             told = ["none up to 400" if rate is None else f"{rate:g}" for rate in rates]
             text += f"| {fronts} | {failing} | {told[0]} | {told[1]} |\n"
     return text + CHOSEN
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -111,17 +111,23 @@
         for name, effect in (("read", "idempotent"), ("write", "at_most_once"), ("export", "idempotent"))
     ]
     settings = {
-        "instances": fronts, "discovery": lists, "grades": grades, "plans": [{"name": "a"}, {"name": "b"}],
+        "instances": fronts,
+        "discovery": lists,
+        "grades": grades,
+        "plans": [{"name": "a"}, {"name": "b"}],
         "bounds": {"maxAttempts": 3, "dialTimeout": 250_000, "cancel": True},
-    }  # fmt: skip
+    }
     config = {"settings": settings, "seed": f"{k:x}", "known": {"index": 1, "endpoints": endpoints(fronts)}}
     config["limits"] = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
     (own / "config.json").write_text(json.dumps(config))
     keep = {name: os.environ[name] for name in ("PATH", "LANG") if name in os.environ}
     return keep | {
-        "EDGE_CONFIG": str(own / "config.json"), "EDGE_NAME": f"f{k}", "TMPDIR": str(own),
-        "EDGE_LISTEN": f"127.1.{k >> 8}.{k & 255}:{port}", "EDGE_DISCOVERY": f"127.0.0.1:{discovery}",
-    }  # fmt: skip
+        "EDGE_CONFIG": str(own / "config.json"),
+        "EDGE_NAME": f"f{k}",
+        "TMPDIR": str(own),
+        "EDGE_LISTEN": f"127.1.{k >> 8}.{k & 255}:{port}",
+        "EDGE_DISCOVERY": f"127.0.0.1:{discovery}",
+    }
 
 
 def endpoints(number: int) -> list[dict[str, Any]]:
@@ -272,8 +278,15 @@
         figures = " | ".join(f"{at(took, p):.2f}" for p in (0.5, 0.9, 1.0))
         late = sum(not one.ready for one in made)
         lines.append(f"| {way}: {WAYS[way][1]} | {figures} | {within} of {len(took)} | {late} |")
-    names = ("the interpreter, to the program's first line", "imports", "configuration", "parts made",
-             "wait for the first list", "listeners, collection", "first answer seen")  # fmt: skip
+    names = (
+        "the interpreter, to the program's first line",
+        "imports",
+        "configuration",
+        "parts made",
+        "wait for the first list",
+        "listeners, collection",
+        "first answer seen",
+    )
     lines += ["", "What it goes into, ms; for the busy machine p50, p90 and max of all fronts.", ""]
     lines += [
         "| part | one front alone | " + " | ".join(rounds) + " |",
--- a/benchmarks/room_loss.py
+++ b/benchmarks/room_loss.py
@@ -17,8 +17,8 @@
 from umberlead.emulator.price import Pricing
 from umberlead.emulator.records import Records
 from umberlead.experiments import compare, dataset, matrix, running
-from umberlead.zones.model import SECOND, Member, Met, Rules, State
-from umberlead.zones.zone_health import Rooms
+from umberlead.zones.model import MICROSECONDS_PER_S, Contact, ZoneMember, ZoneSettings, ZoneState
+from umberlead.zones.zone_health import ZoneHealth
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements"
@@ -32,33 +32,33 @@
 def verdicts(rate: float, breaks: float, lost_at: int, seed: int, seconds: int = 60) -> tuple[int, int]:
     """Wrong losses, and us until the lost room is held lost (-1: never). `rate` is of one front's
     attempts."""
-    chance, of = random.Random(seed), Rooms(Rules(), seed, 0)
-    of.listed(0, [Member(f"s{k}", f"r{k % 3}", k) for k in range(SERVERS)])
-    now, wrong, out = 0, 0, list[tuple[int, str, str, Met]]()
+    chance, of = random.Random(seed), ZoneHealth(ZoneSettings(), seed, 0)
+    of.apply_endpoint_list(0, [ZoneMember(f"s{k}", f"r{k % 3}", k) for k in range(SERVERS)])
+    now, wrong, out = 0, 0, list[tuple[int, str, str, Contact]]()
     ticks = 0
-    while now < seconds * SECOND:
-        now += int(chance.expovariate(rate) * SECOND) + 1
+    while now < seconds * MICROSECONDS_PER_S:
+        now += int(chance.expovariate(rate) * MICROSECONDS_PER_S) + 1
         server = f"s{chance.randrange(SERVERS)}"
         room, name = f"r{int(server[1:]) % 3}", f"q{now}"
-        of.sent(now, server, name)
+        of.record_attempt(now, server, name)
         dark = lost_at and now >= lost_at and room == "r1"
         if dark:
-            out.append((now + 2 * SECOND, server, name, Met.BROKEN))
+            out.append((now + 2 * MICROSECONDS_PER_S, server, name, Contact.BROKEN))
         elif chance.random() < breaks:
-            out.append((now + 250_000, server, name, Met.BROKEN))
+            out.append((now + 250_000, server, name, Contact.BROKEN))
         else:
-            out.append((now + int(chance.lognormvariate(10.8, 0.8)), server, name, Met.ANSWERED))
+            out.append((now + int(chance.lognormvariate(10.8, 0.8)), server, name, Contact.ANSWERED))
         out.sort()
         while out and out[0][0] <= now:
             at, at_server, ended, met = out.pop(0)
-            of.ended(at, at_server, ended, met, 50_000)
+            of.record_outcome(at, at_server, ended, met, 50_000)
         while ticks <= now:
             of.tick(ticks)
             ticks += 100_000
-        for verdict in of.taken():
-            if verdict.state is State.LOST:
-                if lost_at and verdict.room == "r1" and verdict.at >= lost_at:
-                    return wrong, verdict.at - lost_at
+        for verdict in of.take_transitions():
+            if verdict.state is ZoneState.DOWN:
+                if lost_at and verdict.zone == "r1" and verdict.at_us >= lost_at:
+                    return wrong, verdict.at_us - lost_at
                 wrong += 1
     return wrong, -1
 
@@ -71,7 +71,7 @@
     for rate in (10, 30, 60, 120):
         for breaks in (0.002, 0.02, 0.1):
             wrong = sum(verdicts(rate, breaks, 0, seed)[0] for seed in range(100))
-            took = [verdicts(rate, breaks, 20 * SECOND, seed, 30)[1] for seed in range(100)]
+            took = [verdicts(rate, breaks, 20 * MICROSECONDS_PER_S, seed, 30)[1] for seed in range(100)]
             sure = sorted(t for t in took if t >= 0)
             text += f"| {rate} | {breaks:.1%} | {wrong} | {statistics.median(sure) / 1e6:.2f} s | "
             text += f"{sure[-1] / 1e6:.2f} s | {took.count(-1)} |\n"
@@ -85,7 +85,7 @@
 def measured(made: Plan, of: Records, dials: Counter[int]) -> dict[str, float]:
     """From servers' and clients' records: how the reserves fared in the loss, and connections."""
     (cut,) = made.cuts
-    begin, end = cut.begin // SECOND, cut.end // SECOND
+    begin, end = cut.begin // MICROSECONDS_PER_S, cut.end // MICROSECONDS_PER_S
     first = {a.id: a.first for a in of.asked}
     served = {first[a.id]: a.at for a in of.answered if a.kind == "served" and a.id in first}
     tiers = Pricing(made).tiers()
@@ -93,7 +93,7 @@
     aims = {k.name: k.aim for k in made.day.kinds}
     by: dict[tuple[str, int], list[Any]] = {}
     for r in made.day.requests:
-        by.setdefault((r.volume, r.at // SECOND), []).append(r)
+        by.setdefault((r.volume, r.at // MICROSECONDS_PER_S), []).append(r)
     for (_, second), rows in by.items():
         inside = tiers[rows[0].volume, second].left[0]
         if begin + 2 <= second < end and inside > 0:
@@ -108,7 +108,7 @@
         "dials a second before": calm,
         "dials a second at most, from the loss on": max(dials[s] for s in range(begin, end + 12)),
         "servers that fell": sum(life.what == "fallen" for life in of.lives),
-    }  # fmt: skip
+    }
 
 
 def on_sockets(seeds: list[int]) -> str:
@@ -134,7 +134,7 @@
             got["rules broken"] = len(Judge(made, of, SLACK).breaches()) + len(world.strange)
             got["requests a second"] = len(of.asked) / made.day.seconds
             last = max(world.verdicts.values(), default=0.0)
-            got["last front sure after, s"] = last - made.cuts[0].begin / SECOND if last else -1.0
+            got["last front sure after, s"] = last - made.cuts[0].begin / MICROSECONDS_PER_S if last else -1.0
             kept.append(got)
             print(arm, seed, {k: round(v, 3) for k, v in got.items()}, flush=True)
     text = (
--- a/benchmarks/virtual_time.py
+++ b/benchmarks/virtual_time.py
@@ -16,13 +16,14 @@
 import matplotlib.pyplot as plt
 
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
+from umberlead.common.timer_wheel import TimerWheel
 from umberlead.expect.model import Collection, Load, Scenario
 from umberlead.expect.world import World
-from umberlead.membership.model import Listing, Place, Server
-from umberlead.requests.lifecycle import Engine
+from umberlead.membership.model import CheckedList, EndpointSpec, FilePosition
+from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Attempt, IncomingRequest, Reply
-from umberlead.scheduling.interface import Node, NodeList, NodeState, Plan, RequestClass, Result, Settings
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
+from umberlead.scheduling.settings import Plan, RequestClass, Settings
 
 OUT = Path(__file__).parent.parent / "docs" / "measurements"
 SERVERS = (10, 50, 200, 500, 2000)
@@ -33,23 +34,25 @@
 def settings(shards: int) -> Settings:
     classes = (
         RequestClass("read", 300_000, 2_000_000),
-        RequestClass("bulk", 2_000_000, 6_000_000, worth=0.5),
+        RequestClass("bulk", 2_000_000, 6_000_000, priority_weight=0.5),
     )
-    return Settings(classes, (Plan("basic"), Plan("standard", 2.0)), max_attempts=3, shards=shards)
+    return Settings(classes, (Plan("basic"), Plan("standard", 2.0)), max_attempts=3, shard_count=shards)
 
 
 def speed(servers: int, collections: int, new: bool) -> float:
     """Simulated requests a second of CPU."""
     shards = max(servers // 2, 1)
-    listed = {f"n{k}": Server(f"n{k}", (f"10.0.{k >> 8}.{k & 255}", 80), k % shards) for k in range(servers)}
-    world = World(settings(shards), Listing(1, "1" * 64, listed), 1)
+    listed = {
+        f"n{k}": EndpointSpec(f"n{k}", (f"10.0.{k >> 8}.{k & 255}", 80), k % shards) for k in range(servers)
+    }
+    world = World(settings(shards), CheckedList(1, "1" * 64, listed), 1)
     made = {
         f"c{k}": Collection(f"c{k}", "basic", tuple(range(k % shards, shards, max(shards // 4, 1))))
         for k in range(collections)
     }
     rate = min(40.0 * servers, 1000.0)
     until = int(REQUESTS / rate * 1e6)
-    scenario = Scenario("speed", Place("bench"), 1)
+    scenario = Scenario("speed", FilePosition("bench"), 1)
     scenario.loads += [Load(name, "read", rate / collections, 0, until, 1.0, new) for name in made]
     began = time.process_time()
     lives = world.play(scenario, made, {})
@@ -65,28 +68,28 @@
     def start(self, attempt: Attempt) -> None:
         self.out.append(attempt)
 
-    def stop(self, attempt: Attempt, why: Result) -> None:
+    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         raise AssertionError("nothing is late here")
 
-    def unwanted(self, attempt: Attempt) -> bool:
+    def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False
 
 
 def decisions(observed: bool) -> float:
     """us of CPU of one request through engine and module, with its outcome."""
     now, soon = [1_000_000], list[Any]()
-    wheel = Wheel(lambda: now[0], lambda delay, fn: None, 2000)
-    engine = Engine(settings(8), 1, lambda: now[0], wheel, soon.append, Counters(), print)
-    engine.carrier = carrier = _Ends()
+    wheel = TimerWheel(lambda: now[0], lambda delay, fn: None, 2000)
+    engine = RequestLifecycle(settings(8), 1, lambda: now[0], wheel, soon.append, Counters(), print)
+    engine.transport = carrier = _Ends()
     if observed:
         seen: list[int] = []
-        engine.observer = lambda at, acts: seen.append(len(acts))
-    nodes = tuple(Node(f"n{k}", NodeState.UP, k % 8) for k in range(16))
-    engine.listed(NodeList(True, nodes))
+        engine.action_observer = lambda at, acts: seen.append(len(acts))
+    nodes = tuple(Endpoint(f"n{k}", EndpointStatus.UP, k % 8) for k in range(16))
+    engine.apply_endpoint_list(EndpointList(True, nodes))
     reply, began = Reply(200), time.process_time()
     for k in range(DECISIONS):
         now[0] += 4000
-        engine.take(
+        engine.accept(
             IncomingRequest("read", "basic", f"v{k % 40}", None, k % 8, 1.0, now[0] + 2_000_000, None),
             lambda _: None,
         )
@@ -94,7 +97,7 @@
             soon.pop(0)()
         now[0] += 1000
         for attempt in carrier.out:
-            engine.ended(attempt, Result.OK, reply)
+            engine.attempt_ended(attempt, AttemptResult.OK, reply)
         carrier.out.clear()
         while soon:
             soon.pop(0)()
--- a/benchmarks/watched_lists.py
+++ b/benchmarks/watched_lists.py
@@ -251,19 +251,24 @@
         traps = sum(r["server"] in swapper.traps for r in asked)
         changes = sum(len(front.forced()) for front in fronts) / FRONTS
         return {
-            "swaps": swapper.swaps, "broken": swapper.broken, "requests": len(asked),
-            "at_traps": traps, "astray": sum(r["end"] == "astray" for r in asked),
+            "swaps": swapper.swaps,
+            "broken": swapper.broken,
+            "requests": len(asked),
+            "at_traps": traps,
+            "astray": sum(r["end"] == "astray" for r in asked),
             "uploads_twice": len(uploads) - len(set(uploads)),
             "unanswered": sum(p.statuses[0] for p in phases.values()),
             "answered_twice": sum(n > 1 for p in phases.values() for n in p.answers.values()),
             "force_ms": {"p50": at(waits, 0.5), "p99": at(waits, 0.99), "max": at(waits, 1.0)},
             "removals": len(lates),
             "late_ms": {"p50": at(sorted(lates), 0.5), "max": max(lates, default=0.0)},
-            "lists_in_force_each": changes, "exits": codes,
+            "lists_in_force_each": changes,
+            "exits": codes,
             "memory_mb": [round(sum(row) / len(row), 1) for row in memory],
-            "phases": {name: result.row() for name, result in phases.items()}, "waits": waits,
+            "phases": {name: result.row() for name, result in phases.items()},
+            "waits": waits,
             "behind_ms": max(p.late_start for p in phases.values()) * 1000,
-        }  # fmt: skip
+        }
 
 
 def table(made: dict[str, Any], seconds: float, seed: int) -> str:
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -49,7 +49,7 @@
 import uvloop
 
 from umberlead import config
-from umberlead.front import Front
+from umberlead.front import FrontProcess
 
 FOLDER = Path(__file__).parent / "exchanges"
 PATIENCE = 5.0  # s until a step that never comes fails
@@ -199,7 +199,7 @@
         self.patches = ExitStack()
         self.fresh: Counter[str] = Counter()
         self.conf = tomllib.loads((FOLDER / "base.toml").read_text())
-        self.front: Front | None = None
+        self.front: FrontProcess | None = None
 
     def play(self) -> None:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -216,7 +216,7 @@
             self.patches.close()
             if self.front is not None:
                 self.task.cancel()
-                self.front.end()
+                self.front.release_resources()
             for server in self.servers:
                 server.close()
 
@@ -233,18 +233,20 @@
             mock.patch.object(config.Path, "read_text", lambda _: ""),
             mock.patch.object(tomllib, "loads", lambda _: self.conf),
         ):
-            return config.operator(str(FOLDER / "base.toml"))
+            return config.load_operator_file(str(FOLDER / "base.toml"))
 
-    async def _start(self) -> Front:
+    async def _start(self) -> FrontProcess:
         if self.front is None:
             self.patches.enter_context(mock.patch.object(config, "load", self._load))
-            self.patches.enter_context(mock.patch("umberlead.front.held", lambda: (4, 0)))
-            self.patches.enter_context(mock.patch("umberlead.front.module_clock", lambda: self.clock))
-            self.front = Front(self._load(), asyncio.get_running_loop())
+            self.patches.enter_context(
+                mock.patch("umberlead.front.descriptors_and_memory_in_use", lambda: (4, 0))
+            )
+            self.patches.enter_context(mock.patch("umberlead.front.unix_anchored_clock", lambda: self.clock))
+            self.front = FrontProcess(self._load(), asyncio.get_running_loop())
             self.gate = Gate(asyncio.get_running_loop())
             self.front.pool.loop = cast(asyncio.AbstractEventLoop, self.gate)
             self.task = asyncio.create_task(self.front.run())
-            while len(self.front.servers) < 2:
+            while len(self.front.listeners) < 2:
                 await asyncio.sleep(0)
                 if self.task.done():
                     self.task.result()
@@ -271,7 +273,9 @@
                 self.conf["discovery"] = await self._listen("discovery", True)
             case ["client", name, which]:
                 front = await self._start()
-                listener = front.doors[0][0] if which == "control" else front.servers[which == "objects"]
+                listener = (
+                    front.admin_listeners[0][0] if which == "control" else front.listeners[which == "objects"]
+                )
                 port = listener.address[1]
                 loop = asyncio.get_running_loop()
                 _, self.peers[name] = await loop.create_connection(Peer, "127.0.0.1", port)
@@ -281,18 +285,18 @@
                 await self._start()
                 self.gate.open.clear() if word == "hold" else self.gate.open.set()
             case ["memory", number]:
-                (await self._start()).groups[0].memory_limit_bytes = int(number)
+                (await self._start()).client_groups[0].buffer_limit_bytes = int(number)
             case ["beside"]:
                 front = await self._start()
-                self.patches.enter_context(mock.patch.object(front.shared, "others", lambda: 1))
-                self.patches.enter_context(mock.patch.object(front.shared, "share", lambda: 0.5))
-                front.look()
+                self.patches.enter_context(mock.patch.object(front.shared_state, "count_siblings", lambda: 1))
+                self.patches.enter_context(mock.patch.object(front.shared_state, "share", lambda: 0.5))
+                front.sync_shared_state()
             case ["lastword"]:  # what is due at the process's end, with no time gone by
-                (await self._start()).finish()
+                (await self._start()).answer_open_requests()
             case ["clock", number]:
                 front = await self._start()
                 self.clock.added += int(number)
-                front.wheel.turn()
+                front.wheel.fire_due()
                 for _ in range(3):  # what that sets in motion comes one turn later
                     await asyncio.sleep(0)
             case [name, "release", number]:
--- a/tests/golden/exported.py
+++ b/tests/golden/exported.py
@@ -19,27 +19,39 @@
 from umberlead import config
 from umberlead.commands import command
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
+from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.loop import Alarm, Loop
 from umberlead.expect.model import Outcome
-from umberlead.frontends.admin_api import ControlFront
-from umberlead.membership.model import Place, Problem, Source
-from umberlead.membership.service import ListService, Watched
+from umberlead.frontends.admin_api import AdminApi
+from umberlead.membership.model import FilePosition, ListProblem, Source
+from umberlead.membership.service import WatchedListService, WatchedListSettings
 from umberlead.net.close_reason import CloseReason
-from umberlead.net.http_message import Message
+from umberlead.net.http_message import HttpRequest
 from umberlead.net.server_connection import ServerConnection
-from umberlead.plugins import Plugins
+from umberlead.plugins import PluginHooks
 from umberlead.requests.invariants import Invariant
-from umberlead.requests.lifecycle import Engine
+from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.send_guard import Denial
-from umberlead.requests.types import Answer, Attempt, IncomingRequest, Kind
-from umberlead.scheduling.interface import Effect, Node, NodeList, NodeState, Reason, Result
-from umberlead.zones.integration import Joined, join
-from umberlead.zones.model import SECOND, Met, State
+from umberlead.requests.types import Answer, AnswerKind, Attempt, IncomingRequest
+from umberlead.scheduling.actions import EndReason
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
+from umberlead.scheduling.settings import Repeatability
+from umberlead.zones.integration import ZoneIntegration, integrate_zones
+from umberlead.zones.model import MICROSECONDS_PER_S, Contact, ZoneState
 
 ENUMS: tuple[type[enum.Enum], ...] = (
-    Effect, NodeState, Result, Reason, Kind, Denial, CloseReason, Invariant, State, Outcome, Source,
-)  # fmt: skip
+    Repeatability,
+    EndpointStatus,
+    AttemptResult,
+    EndReason,
+    AnswerKind,
+    Denial,
+    CloseReason,
+    Invariant,
+    ZoneState,
+    Outcome,
+    Source,
+)
 PLUGIN = """
 import json
 
@@ -72,25 +84,25 @@
 class Carrier:
     """Ends attempts by a seed's draw."""
 
-    def __init__(self, engine: Engine, loop: Loop) -> None:
+    def __init__(self, engine: RequestLifecycle, loop: Loop) -> None:
         self.engine, self.loop, self.chance = engine, loop, random.Random(3)
 
     def start(self, attempt: Attempt) -> None:
-        result = self.chance.choices(list(Result), weights=[40, 10, 8, 0, 8, 8, 0, 8])[0]
+        result = self.chance.choices(list(AttemptResult), weights=[40, 10, 8, 0, 8, 8, 0, 8])[0]
         self.loop.at(self.loop.now + self.chance.randrange(1, 400_000), lambda: self.end(attempt, result))
 
-    def end(self, attempt: Attempt, result: Result) -> None:
-        if attempt.ticket.out is attempt:
-            self.engine.ended(attempt, result)
+    def end(self, attempt: Attempt, result: AttemptResult) -> None:
+        if attempt.request.attempt is attempt:
+            self.engine.attempt_ended(attempt, result)
 
-    def stop(self, attempt: Attempt, why: Result) -> None:
+    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         self.loop.soon(lambda: self.end(attempt, why))
 
-    def unwanted(self, attempt: Attempt) -> bool:
+    def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False
 
 
-def engine_of(conf: config.Config, loop: Loop) -> Engine:
+def engine_of(conf: config.Config, loop: Loop) -> RequestLifecycle:
     """An engine in virtual time over ten servers in two rooms."""
 
     def alarm(delay: int, what: Callable[[], None]) -> Alarm:
@@ -98,37 +110,48 @@
         loop.at(loop.now + delay, made)
         return made
 
-    wheel = Wheel(lambda: loop.now, alarm, 2000)
-    return Engine(
+    wheel = TimerWheel(lambda: loop.now, alarm, 2000)
+    return RequestLifecycle(
         conf.settings, 7, lambda: loop.now, wheel, loop.soon, Counters(), lambda event, **told: None
     )
 
 
-def serve(engine: Engine, loop: Loop) -> None:
+def serve(engine: RequestLifecycle, loop: Loop) -> None:
     """Ten servers in two rooms, and 400 requests in four seconds, some of whose clients leave."""
-    engine.carrier, chance = Carrier(engine, loop), random.Random(5)
-    servers = [Node(f"n{k}", NodeState.UP, k % 5, room=("room-a", "room-b")[k // 5]) for k in range(10)]
-    engine.listed(NodeList(True, tuple(servers)))
+    engine.transport, chance = Carrier(engine, loop), random.Random(5)
+    servers = [
+        Endpoint(f"n{k}", EndpointStatus.UP, k % 5, zone=("room-a", "room-b")[k // 5]) for k in range(10)
+    ]
+    engine.apply_endpoint_list(EndpointList(True, tuple(servers)))
 
     def ask(number: int) -> None:
         cls, plan = chance.choice(list(engine.classes)), chance.choice(sorted(engine.plans))
         left = chance.random() < 0.1
         until = loop.now + chance.choice((5_000, 300_000, 2_000_000))
         request = IncomingRequest(
-            cls, plan, f"v{number % 7}", f"k{number}", chance.randrange(-1, 5), chance.uniform(0.5, 6), until,
-            None, 1, chance.random() < 0.2, b"r%d" % number,
-        )  # fmt: skip
+            cls,
+            plan,
+            f"v{number % 7}",
+            f"k{number}",
+            chance.randrange(-1, 5),
+            chance.uniform(0.5, 6),
+            until,
+            None,
+            1,
+            chance.random() < 0.2,
+            b"r%d" % number,
+        )
 
         def done(answer: Answer) -> None:
             """No one waits for it."""
 
-        ticket = engine.take(request, done)
+        ticket = engine.accept(request, done)
         if left:
-            loop.at(loop.now + 50_000, lambda: engine.gone(ticket))
+            loop.at(loop.now + 50_000, lambda: engine.client_left(ticket))
 
     for number in range(400):
         loop.at(loop.now + number * 10_000, lambda number=number: ask(number))  # type: ignore[misc]
-    loop.run(loop.now + 12 * SECOND)
+    loop.run(loop.now + 12 * MICROSECONDS_PER_S)
 
 
 def operator_conf(folder: Path) -> config.Config:
@@ -141,7 +164,9 @@
     script, told, loop = folder / "hooks.py", folder / "told.jsonl", Loop()
     script.write_text(PLUGIN.format(path=str(told)))
     engine = engine_of(operator_conf(folder), loop)
-    engine.hooks = Plugins((script,), 60 * SECOND, engine.counters, lambda event, **more: None)
+    engine.hooks = PluginHooks(
+        (script,), 60 * MICROSECONDS_PER_S, engine.counters, lambda event, **more: None
+    )
     serve(engine, loop)
     calls = [json.loads(line) for line in told.read_text().splitlines()]
     return lines([engine.counters.report(), *calls[:300]])
@@ -150,10 +175,10 @@
 # The admin API
 
 
-def called(front: ControlFront, method: bytes, path: str) -> list[Any]:
+def called(front: AdminApi, method: bytes, path: str) -> list[Any]:
     """A call and its answer."""
     conn = mock.Mock(spec=ServerConnection)
-    front.request(conn, Message(method, path.encode()))
+    front.handle_request(conn, HttpRequest(method, path.encode()))
     (reply,) = (call.args for call in conn.mock_calls if call.args and isinstance(call.args[0], int))
     return [method.decode(), path, reply[0], [h.decode() for h in reply[1]], reply[2].decode()]
 
@@ -169,7 +194,7 @@
             raise OSError(28, "No space left on device")
         drained.append((node, out))
 
-    front = ControlFront(engine, lambda: ready[0], mark)
+    front = AdminApi(engine, lambda: ready[0], mark)
     told = [called(front, b"GET", path) for path in ("/control/ready", "/control/counters", "/control/none")]
     told += [called(front, b"HEAD", "/control/ready"), called(front, b"PUT", "/control/ready")]
     for word in ("offline", "online", "away"):
@@ -183,20 +208,22 @@
     return lines([told, drained])
 
 
-def joined_rooms(engine: Engine, loop: Loop) -> Joined:
+def joined_rooms(engine: RequestLifecycle, loop: Loop) -> ZoneIntegration:
     """Rooms one of which is lost and comes back in part."""
-    joined = join(
-        config.Rooms("room-a", ("room-b",)), engine, 7, lambda: loop.now, lambda event, **told: None
+    joined = integrate_zones(
+        config.ZoneConfig("room-a", ("room-b",)), engine, 7, lambda: loop.now, lambda event, **told: None
     )
     serve(engine, loop)
-    rooms = joined.director.rooms
-    for met in (Met.ANSWERED, Met.BROKEN, Met.BROKEN):
+    rooms = joined.router.zone_health
+    for met in (Contact.ANSWERED, Contact.BROKEN, Contact.BROKEN):
         for member in list(rooms.members.values()):
-            rooms.sent(loop.now, member.id, "x")
-            rooms.ended(loop.now, member.id, "x", met if member.room == "room-b" else Met.ANSWERED, 9_000)
-        loop.run(loop.now + SECOND // 10)
-    rooms.peer(loop.now, "f2", "room-b", State.LOST)
-    rooms.peer(loop.now, "f3", "room-b", State.GREY)
+            rooms.record_attempt(loop.now, member.name, "x")
+            rooms.record_outcome(
+                loop.now, member.name, "x", met if member.zone == "room-b" else Contact.ANSWERED, 9_000
+            )
+        loop.run(loop.now + MICROSECONDS_PER_S // 10)
+    rooms.record_peer_state(loop.now, "f2", "room-b", ZoneState.DOWN)
+    rooms.record_peer_state(loop.now, "f3", "room-b", ZoneState.DEGRADED)
     joined.tick()
     return joined
 
@@ -205,8 +232,8 @@
     """What is held of rooms, and what operators say of them."""
     loop = Loop()
     engine = engine_of(operator_conf(folder), loop)
-    front = ControlFront(engine, lambda: True, lambda node, out: None)
-    front.rooms = joined_rooms(engine, loop)
+    front = AdminApi(engine, lambda: True, lambda node, out: None)
+    front.zones = joined_rooms(engine, loop)
     told = [called(front, b"GET", "/control/rooms")]
     for path in ("room-a/forbid-spill", "room%2Db/evacuate", "room-a/clear", "none/clear", "room-a/away"):
         told += [called(front, b"PUT", f"/control/rooms/{path}"), called(front, b"GET", "/control/rooms")]
@@ -220,25 +247,34 @@
     text += "".join(f"server s{k} address 127.0.0.1:{k + 1} shard {k} weight 1\n" for k in range(4))
     main.write_text(f"{text}end 7\n")
     loop = asyncio.new_event_loop()
-    service = ListService(
-        Watched(main), 0, loop, lambda: NOW, Counters(), mock.Mock(), lambda change: None, observer=mock.Mock
+    service = WatchedListService(
+        WatchedListSettings(main),
+        0,
+        loop,
+        lambda: NOW,
+        Counters(),
+        mock.Mock(),
+        lambda change: None,
+        new_observer=mock.Mock,
     )
-    front = ControlFront(mock.Mock(), lambda: True, lambda node, out: None, lambda node: True)
-    front.lists = service
+    front = AdminApi(mock.Mock(), lambda: True, lambda node, out: None, lambda node: True)
+    front.watched_lists = service
     told: list[Any] = []
 
     def look() -> None:
         told.extend(called(front, b"GET", path) for path in ("/control/list", "/control/list/servers"))
 
     try:
-        service.begin()
-        service.mark("s1", True, NOW)
+        service.load_first_list()
+        service.set_manual_drain("s1", True, NOW)
         look()
-        service.machine.files(NOW, without(LISTING, "b"))
+        service.membership.apply_files(NOW, without(LISTING, "b"))
         look()
         told += [called(front, b"PUT", f"/control/list/confirm/{word}") for word in ("00", "cd" * 8)]
         told += [called(front, b"GET", "/control/list/confirm/cd"), called(front, b"PUT", "/control/list")]
-        service.machine.refused([Problem("L101", Place("servers.list", 3, 4), "found 'srver'", "server")])
+        service.membership.reject_files(
+            [ListProblem("L101", FilePosition("servers.list", 3, 4), "found 'srver'", "server")]
+        )
         look()
     finally:
         service.close()
@@ -311,13 +347,24 @@
         rows[0] |= other
     (folder / "old.toml").write_text(tomli_w.dumps(old))
     grade = {
-        "aim": 650_000, "hardLimit": 6_100_000, "effect": "at_most_once", "group": "cell", "memorySpan": 9,
-        "sequential": True, "credit": 1, "lateWorth": 0.1,
-    }  # fmt: skip
+        "aim": 650_000,
+        "hardLimit": 6_100_000,
+        "effect": "at_most_once",
+        "group": "cell",
+        "memorySpan": 9,
+        "sequential": True,
+        "credit": 1,
+        "lateWorth": 0.1,
+    }
     plan = {
-        "weight": 1, "usualRate": 1, "reservation": 1, "valueFactor": 1, "neverOver": 1, "mostAtOnce": 1,
+        "weight": 1,
+        "usualRate": 1,
+        "reservation": 1,
+        "valueFactor": 1,
+        "neverOver": 1,
+        "mostAtOnce": 1,
         "capSlack": 1,
-    }  # fmt: skip
+    }
     new["settings"]["grades"][2] |= grade
     new["settings"]["plans"][0] |= plan
     (folder / "new.toml").write_text(tomli_w.dumps(new))
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -14,24 +14,24 @@
 
 from umberlead import config
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
-from umberlead.frontends.object_api.handler import Manifest, ObjectFront
-from umberlead.frontends.object_api.uploads import Ledger
-from umberlead.gossip.messages import Keys, News, Word
-from umberlead.gossip.messages import Message as Datagram
+from umberlead.common.timer_wheel import TimerWheel
+from umberlead.frontends.object_api.handler import Manifest, ObjectApi
+from umberlead.frontends.object_api.uploads import UploadRegistry
+from umberlead.gossip.messages import GossipKeys, MemberUpdate, Observation
+from umberlead.gossip.messages import GossipMessage as Datagram
 from umberlead.gossip.swim import Gossip
-from umberlead.handover.process_claims import Claim, Use
+from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim
 from umberlead.handover.shared_state import SharedState
 from umberlead.membership import snapshot
-from umberlead.membership.model import Listing, Server
-from umberlead.net.client_connections import Clients
-from umberlead.net.http_message import Message
+from umberlead.membership.model import CheckedList, EndpointSpec
+from umberlead.net.client_connections import ClientGroup
+from umberlead.net.http_message import HttpRequest
 from umberlead.net.node_protocol import OutgoingRequest
 from umberlead.net.server_connection import ServerConnection
-from umberlead.requests.lifecycle import Engine
+from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Attempt, Reply
-from umberlead.scheduling.interface import Node, NodeList, NodeState, Result
-from umberlead.zones.model import SECOND, State
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
+from umberlead.zones.model import MICROSECONDS_PER_S, ZoneState
 
 HERE = Path(__file__).parent
 NOW = 1_700_000_000_000_000  # us of Unix time
@@ -65,7 +65,7 @@
 # The state folder
 
 
-CLAIM = Claim(5, (Use(1, 2, 3, 4), Use(1000, 20, 30, 1_000_000)))
+CLAIM = DescriptorClaim(5, (ConnectionUse(1, 2, 3, 4), ConnectionUse(1000, 20, 30, 1_000_000)))
 
 
 def tree(folder: Path) -> dict[str, str]:
@@ -87,30 +87,31 @@
         first, second = SharedState(folder / "state"), SharedState(folder / "state")
     first.publish(lambda others: CLAIM)
     for node in DRAINED:
-        first.override(node, True)
-    first.met_agent(True)
+        first.set_drain_override(node, True)
+    first.record_agent(True)
     for anchor in (NOW, NOW - 5, -3):
         first.clock_anchors.add(anchor)
-    second.leaves()
+    second.announce_leaving()
     return lines(tree(folder / "state"))
 
 
 # The snapshot
 
 
-LISTING = Listing(
-    41, "ab" * 32,
+LISTING = CheckedList(
+    41,
+    "ab" * 32,
     {
-        "a": Server("a", ("10.0.0.1", 80), 0, NodeState.UP, "room-a", 1.5, 64.0),
-        "b": Server("b", ("::1", 8080), 3, NodeState.DRAINING, "", None, 0.0),
+        "a": EndpointSpec("a", ("10.0.0.1", 80), 0, EndpointStatus.UP, "room-a", 1.5, 64.0),
+        "b": EndpointSpec("b", ("::1", 8080), 3, EndpointStatus.DRAINING, "", None, 0.0),
     },
     ("servers.list", "servers.d/a.list"),
-)  # fmt: skip
+)
 
 
 def saved_list(_: Path) -> bytes:
     """The snapshot's bytes."""
-    return snapshot.dump(LISTING, NOW)
+    return snapshot.encode_snapshot(LISTING, NOW)
 
 
 # Objects
@@ -120,21 +121,28 @@
     "scans", "a/é", 1500, "0" * 32, 1_700_000_000, 1024, [("0a" * 12, 1500)], {"content-type": "x/y"}
 )
 MULTIPART = Manifest(
-    "scans", "b", 9000, f"{'1' * 32}-2", 1_700_000_001, 1024, [("0b" * 12, 8000), ("0c" * 12, 1000)],
-    {"content-type": "text/plain", "x-amz-meta-a": "b"}, "4d-5-1-0d",
-)  # fmt: skip
+    "scans",
+    "b",
+    9000,
+    f"{'1' * 32}-2",
+    1_700_000_001,
+    1024,
+    [("0b" * 12, 8000), ("0c" * 12, 1000)],
+    {"content-type": "text/plain", "x-amz-meta-a": "b"},
+    "4d-5-1-0d",
+)
 
 
 class Store:
     """Chunk servers that hold what was written, in place of connections to them."""
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: RequestLifecycle) -> None:
         self.engine = engine
         self.blocks: dict[bytes, bytes] = {}
         self.asked: list[list[str]] = []
 
     def start(self, attempt: Attempt) -> None:
-        out: OutgoingRequest = attempt.ticket.ask.payload
+        out: OutgoingRequest = attempt.request.request.payload
         block = out.target.partition(b"block=")[2]
         body = bytes(out.body)
         told = body.decode() if body.startswith(b"{") else hashlib.sha256(body).hexdigest()
@@ -146,32 +154,36 @@
             reply = Reply(200)
         else:
             reply = Reply(200, self.blocks[block]) if block in self.blocks else Reply(404)
-        asyncio.get_running_loop().call_soon(self.engine.ended, attempt, Result.OK, reply)
+        asyncio.get_running_loop().call_soon(self.engine.attempt_ended, attempt, AttemptResult.OK, reply)
 
-    def stop(self, attempt: Attempt, why: Result) -> None:
+    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         raise AssertionError("nothing is stopped here")
 
-    def unwanted(self, attempt: Attempt) -> bool:
+    def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False
 
 
 async def _objects(conf: config.Config) -> list[Any]:
-    assert conf.objects is not None
-    wheel = Wheel(lambda: NOW, lambda delay, call: mock.Mock(), 2000)
+    assert conf.object_api is not None
+    wheel = TimerWheel(lambda: NOW, lambda delay, call: mock.Mock(), 2000)
     soon: Callable[[Callable[[], None]], Any] = asyncio.get_running_loop().call_soon
-    engine = Engine(conf.settings, 7, lambda: NOW, wheel, soon, Counters(), lambda event, **told: None)
-    store = engine.carrier = Store(engine)
-    engine.listed(NodeList(True, tuple(Node(f"n{k}", NodeState.UP, k) for k in range(5))))
-    clients = Clients(9, lambda: NOW, engine.counters, 0, 1 << 24, lambda *_, **__: None)
-    ledger = Ledger("objects-1", lambda: NOW, 10, 10, SECOND)
-    front = ObjectFront(conf.objects, engine, ledger, clients, SECOND, mock.Mock())
+    engine = RequestLifecycle(
+        conf.settings, 7, lambda: NOW, wheel, soon, Counters(), lambda event, **told: None
+    )
+    store = engine.transport = Store(engine)
+    engine.apply_endpoint_list(
+        EndpointList(True, tuple(Endpoint(f"n{k}", EndpointStatus.UP, k) for k in range(5)))
+    )
+    clients = ClientGroup(9, lambda: NOW, engine.counters, 0, 1 << 24, lambda *_, **__: None)
+    ledger = UploadRegistry("objects-1", lambda: NOW, 10, 10, MICROSECONDS_PER_S)
+    front = ObjectApi(conf.object_api, engine, ledger, clients, MICROSECONDS_PER_S, mock.Mock())
 
     async def ask(method: bytes, target: bytes, body: bytes = b"", **headers: bytes) -> list[Any]:
         named = {name.replace("_", "-").encode(): value for name, value in headers.items()}
-        message = Message(method, target, named, body, received=NOW)
-        conn = mock.Mock(spec=ServerConnection, current=message)
+        message = HttpRequest(method, target, named, body, received_us=NOW)
+        conn = mock.Mock(spec=ServerConnection, active_request=message)
         conn.check_disconnected.return_value = False
-        front.request(conn, message)
+        front.handle_request(conn, message)
         await asyncio.gather(*front.tasks)
         (reply,) = (call.args for call in conn.mock_calls if call.args and isinstance(call.args[0], int))
         return [method.decode(), target.decode(), reply[0], [h.decode() for h in reply[1]], reply[2].decode()]
@@ -212,18 +224,23 @@
 
 def manifests(_: Path) -> bytes:
     """Of a single PUT and of a completed multipart upload, a line each."""
-    return PUT.dump() + b"\n" + MULTIPART.dump() + b"\n"
+    return PUT.to_bytes() + b"\n" + MULTIPART.to_bytes() + b"\n"
 
 
 # Gossip
 
 
 NEWS = [
-    News("f2", "10.0.0.2:7001", 3, 0),
-    News("f3", "10.0.0.3:7001", 0, 1),
-    News("f4", "10.0.0.4:7001", 9, 2),
+    MemberUpdate("f2", "10.0.0.2:7001", 3, 0),
+    MemberUpdate("f3", "10.0.0.3:7001", 0, 1),
+    MemberUpdate("f4", "10.0.0.4:7001", 9, 2),
+]
+WORDS = [
+    Observation("room-a", 0),
+    Observation("room-b", 1),
+    Observation("room-c", 2),
+    Observation("room-d", 3),
 ]
-WORDS = [Word("room-a", 0), Word("room-b", 1), Word("room-c", 2), Word("room-d", 3)]
 DATAGRAMS = (
     Datagram(0, "f1", "10.0.0.1:7001", 77, 1, 5, "", NEWS, WORDS),
     Datagram(1, "f1", "10.0.0.1:7001", 77, 2, 6, "", NEWS[:1], []),
@@ -233,33 +250,33 @@
 
 def datagrams(_: Path) -> bytes:
     """One of each kind."""
-    return lines([Keys([KEY]).sealed(message).hex() for message in DATAGRAMS])
+    return lines([GossipKeys([KEY]).seal(message).hex() for message in DATAGRAMS])
 
 
 def gossip(_: Path) -> bytes:
     """All that three members say to each other in ten seconds, the third silent from the fifth on."""
-    keys, now = Keys([KEY]), 0
+    keys, now = GossipKeys([KEY]), 0
     members = {
         f"f{k}:1": Gossip(f"f{k}", f"f{k}:1", ["f0:1", "f1:1"], keys, k, now, 20_000) for k in range(3)
     }
     for member in members.values():
-        member.words = {f"room-{state.value}": state for state in State}
+        member.observations = {f"room-{state.value}": state for state in ZoneState}
     told: list[list[Any]] = []
-    while now < 10 * SECOND:
+    while now < 10 * MICROSECONDS_PER_S:
         now += 100_000
         due = [row for member in members.values() for row in member.tick(now)]
         while due:
             address, data = due.pop(0)
             told.append([now, address, data.hex()])
-            if not (address == "f2:1" and now > 5 * SECOND):
-                due += members[address].got(now, data)
-    return lines([told, [member.alive() for member in members.values()]])
+            if not (address == "f2:1" and now > 5 * MICROSECONDS_PER_S):
+                due += members[address].receive(now, data)
+    return lines([told, [member.alive_members() for member in members.values()]])
 
 
-def without(listing: Listing, *names: str) -> Listing:
+def without(listing: CheckedList, *names: str) -> CheckedList:
     """A later list that has no longer what is named."""
-    left = {name: server for name, server in listing.servers.items() if name not in names}
-    return replace(listing, version=listing.version + 1, digest="cd" * 32, servers=left)
+    left = {name: server for name, server in listing.endpoints.items() if name not in names}
+    return replace(listing, version=listing.version + 1, digest="cd" * 32, endpoints=left)
 
 
 FILES: dict[str, Callable[[Path], bytes]] = {
--- a/tests/golden/wire.py
+++ b/tests/golden/wire.py
@@ -7,17 +7,17 @@
 
 from tests.golden.stored import HERE, lines
 from umberlead import wirehost
-from umberlead.scheduling.interface import (
+from umberlead.scheduling.actions import (
     Action,
     Cancel,
+    EndReason,
     Fail,
-    Follow,
-    Note,
-    Probe,
-    Reason,
-    Refuse,
+    HealthCheck,
+    LogNote,
+    Reject,
     Send,
     SetTimer,
+    WatchEndpoints,
 )
 
 
@@ -25,16 +25,16 @@
     """A line of the wire for each action, those that no recorded input brings too."""
     rows: list[Action] = [
         Send("t/a", "10.0.0.1:80"),
-        Refuse("t/a", 5),
-        Refuse("t/a", 0, Reason.OVERLOAD),
-        Fail("t/a", Reason.AIM_OVER),
+        Reject("t/a", 5),
+        Reject("t/a", 0, EndReason.OVERLOAD),
+        Fail("t/a", EndReason.OBJECTIVE_PASSED),
         Cancel("t/a", 2),
         SetTimer(7, "x"),
-        Probe("10.0.0.1:80"),
-        Follow(),
-        Note("a b"),
+        HealthCheck("10.0.0.1:80"),
+        WatchEndpoints(),
+        LogNote("a b"),
     ]
-    return lines([wirehost.action_line(row) for row in rows])
+    return lines([wirehost.format_action(row) for row in rows])
 
 
 def wire(_: Path) -> bytes:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -8,16 +8,16 @@
 import pytest
 
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
+from umberlead.common.timer_wheel import TimerWheel
 from umberlead.net.dialing import (
     CONNECT_TIMEOUT_MULTIPLIER,
-    CONNECTION_ATTEMPT_DELAY,
-    MAX_PARALLEL_DIALS,
+    CONNECTION_ATTEMPT_DELAY_RATIO,
+    MAX_RACING_DIALS_COUNT,
     MIN_SUCCESS_RATE,
 )
-from umberlead.net.node_pool import Pool
+from umberlead.net.node_pool import EndpointPool
 from umberlead.net.node_protocol import OutgoingRequest
-from umberlead.scheduling.interface import Result
+from umberlead.scheduling.events import AttemptResult
 
 LINK_TIMEOUT = 250_000
 
@@ -26,9 +26,9 @@
     """In the engine's place: the outcomes of attempts, as they come."""
 
     def __init__(self) -> None:
-        self.seen: list[tuple[int, Result]] = []
+        self.seen: list[tuple[int, AttemptResult]] = []
 
-    def ended(self, attempt: Any, result: Result, reply: Any = None) -> None:
+    def attempt_ended(self, attempt: Any, result: AttemptResult, reply: Any = None) -> None:
         self.seen.append((attempt.number, result))
 
 
@@ -89,13 +89,22 @@
         self.now = max(self.now, now)
 
 
-def _pool(dials: Dials) -> tuple[Pool, Ends, Any]:
-    ends = Ends()
-    wheel = Wheel(lambda: dials.now, dials.alarm, 2000)
-    pool = Pool(
-        ends, dials, wheel, lambda: dials.now, Counters(), 10,  # type: ignore[arg-type]
-        LINK_TIMEOUT, 4_000_000, "s", lambda *_, **__: None,
-    )  # fmt: skip
+def _pool(dials: Dials) -> tuple[EndpointPool, Ends, Any]:
+    ends: Any = Ends()
+    loop: Any = dials
+    wheel = TimerWheel(lambda: dials.now, dials.alarm, 2000)
+    pool = EndpointPool(
+        ends,
+        loop,
+        wheel,
+        lambda: dials.now,
+        Counters(),
+        10,
+        LINK_TIMEOUT,
+        4_000_000,
+        "s",
+        lambda *_, **__: None,
+    )
     pool.addresses["n"] = ("127.0.0.1", 1)
     return pool, ends, _attempt(dials)
 
@@ -103,9 +112,16 @@
 def _attempt(dials: Dials, number: int = 0) -> Any:
     ask = SimpleNamespace(payload=OutgoingRequest(b"PUT", b"/w", []))
     return SimpleNamespace(
-        node="n", number=number, once=True, again=False, astray=False, sent=dials.now, give_up=9_000_000,
-        carried=None, ticket=SimpleNamespace(ask=ask, answered=False),
-    )  # fmt: skip
+        endpoint="n",
+        number=number,
+        must_not_repeat=True,
+        reconnected=False,
+        misdirected=False,
+        started_us=dials.now,
+        deadline_us=9_000_000,
+        transport_state=None,
+        request=SimpleNamespace(request=ask, answered=False),
+    )
 
 
 async def _turns() -> None:
@@ -125,13 +141,13 @@
         pool.start(attempt)
         await asyncio.sleep(0)
         if ended_by == "engine":
-            pool.stop(attempt, Result.TIMEOUT)
+            pool.stop(attempt, AttemptResult.TIMEOUT)
         else:
             dials.until(dials.now + 2 * LINK_TIMEOUT)
-            assert ends.seen == [(0, Result.NO_LINK)]  # at the time-out, while its dial goes on
+            assert ends.seen == [(0, AttemptResult.CONNECT_FAILED)]  # at the time-out, while its dial goes on
             dials.until(dials.now + CONNECT_TIMEOUT_MULTIPLIER * LINK_TIMEOUT)
         await _turns()
-        assert ends.seen == [(0, Result.NO_LINK)]
+        assert ends.seen == [(0, AttemptResult.CONNECT_FAILED)]
         assert not dials.wire.sent and dials.wire.aborted == late
         assert not len(pool.slots)  # and its place is free again
         dials.conns[0].connection_lost(None)  # some loops call it all the same
@@ -149,7 +165,7 @@
         pool.start(attempt)
         await asyncio.sleep(0)
         dials.now += 4 * LINK_TIMEOUT
-        pool.wheel.turn()
+        pool.wheel.fire_due()
         dials.conns[0].connection_made(dials.wire)
         dials.until(dials.now + 2 * LINK_TIMEOUT)
         await asyncio.sleep(0)
@@ -159,18 +175,18 @@
     asyncio.run(test())
 
 
-async def _raced() -> tuple[Dials, Pool, Ends, Any]:
+async def _raced() -> tuple[Dials, EndpointPool, Ends, Any]:
     dials = Dials(False)
     pool, ends, attempt = _pool(dials)
     pool.start(attempt)
     await _turns()
-    dials.until(dials.now + int(CONNECTION_ATTEMPT_DELAY * LINK_TIMEOUT) + 4000)
+    dials.until(dials.now + int(CONNECTION_ATTEMPT_DELAY_RATIO * LINK_TIMEOUT) + 4000)
     await _turns()
     assert len(dials.conns) == 2 and not ends.seen
     return dials, pool, ends, attempt
 
 
-def _wire(pool: Pool, conn: Any) -> Wire:
+def _wire(pool: EndpointPool, conn: Any) -> Wire:
     """Up, on a transport of its own whose peer says nothing."""
     wire, conn.has_no_unread_bytes = Wire(), lambda: True
     conn.connection_made(wire)
@@ -185,12 +201,12 @@
     async def test() -> None:
         dials, pool, ends, attempt = await _raced()
         won, other = dials.conns[first], dials.conns[1 - first]
-        assert _wire(pool, won).sent and attempt.carried is won
+        assert _wire(pool, won).sent and attempt.transport_state is won
         spare = _wire(pool, other)  # the other is not lost: the next attempt, also a second, has a connection
         assert not spare.sent and not ends.seen
         again = _attempt(dials, 1)
         pool.start(again)
-        assert spare.sent and again.carried is other and len(dials.conns) == 2
+        assert spare.sent and again.transport_state is other and len(dials.conns) == 2
         dials.until(dials.now + (CONNECT_TIMEOUT_MULTIPLIER + 1) * LINK_TIMEOUT)
         assert not ends.seen  # no time-out of a dial is left behind
         pool.close()
@@ -203,12 +219,15 @@
         dials, pool, ends, _ = await _raced()
         dials.until(dials.now + 2 * LINK_TIMEOUT)
         await _turns()
-        assert ends.seen == [(0, Result.NO_LINK)] and len(dials.conns) == 1 + MAX_PARALLEL_DIALS
+        assert (
+            ends.seen == [(0, AttemptResult.CONNECT_FAILED)]
+            and len(dials.conns) == 1 + MAX_RACING_DIALS_COUNT
+        )
         again = _attempt(dials, 1)
         pool.start(again)
         await _turns()
-        assert _wire(pool, dials.conns[0]).sent and again.carried is dials.conns[0]
-        assert ends.seen == [(0, Result.NO_LINK)]
+        assert _wire(pool, dials.conns[0]).sent and again.transport_state is dials.conns[0]
+        assert ends.seen == [(0, AttemptResult.CONNECT_FAILED)]
         pool.close()
 
     asyncio.run(test())
@@ -239,14 +258,14 @@
     async def test() -> None:
         dials, pool, ends, _ = await _raced()
         pool.max_connections = 2  # all taken: one by the attempt, one by its racer
-        dials.until(dials.now + int(CONNECTION_ATTEMPT_DELAY * LINK_TIMEOUT) + 4000)
+        dials.until(dials.now + int(CONNECTION_ATTEMPT_DELAY_RATIO * LINK_TIMEOUT) + 4000)
         await _turns()
         assert len(dials.conns) == 2  # no race without room
         other = _attempt(dials, 0)
         pool.start(other)
         await _turns()
         assert len(dials.conns) == 3 and len(pool.slots) == 2 and not ends.seen
-        assert _wire(pool, dials.conns[0]).sent and not other.carried.written
+        assert _wire(pool, dials.conns[0]).sent and not other.transport_state.written
         pool.close()
 
     asyncio.run(test())
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -7,7 +7,15 @@
 
 import pytest
 
-from umberlead.recovery.backoff import FIRST, LAST, LIMIT, LONGEST, STEADY, TURN, Backoff
+from umberlead.recovery.backoff import (
+    FIRST_WINDOW_US,
+    LAST_WINDOW_US,
+    MAX_BACKLOG_US,
+    MAX_CALL_GAP_US,
+    SERVICE_CALLS_PER_SECOND,
+    SERVICE_QUEUE_TIMEOUT_US,
+    Backoff,
+)
 
 RATE, PATIENCE = 7.0, 2_000_000  # calls a second and us in the queue, as the herd+vast day showed
 
@@ -31,11 +39,11 @@
 
 def doubling(chance: random.Random) -> Callable[[int], int]:
     """What each front did before: from 0.1 s to 2 s, whatever the fleet's size."""
-    pause = FIRST
+    pause = FIRST_WINDOW_US
 
     def next_(_: int) -> int:
         nonlocal pause
-        drawn, pause = int(pause * (0.5 + 0.5 * chance.random())), min(pause * 2, LAST)
+        drawn, pause = int(pause * (0.5 + 0.5 * chance.random())), min(pause * 2, LAST_WINDOW_US)
         return drawn
 
     return next_
@@ -46,8 +54,13 @@
     """herd+vast: 28 of 40 fronts restart at once beside others whose watch broke; none got a list for
     the rest of the day (0 of 28), as refused calls came back faster than the service worked."""
     fronts = [Backoff(40, random.Random(f"{seed}/{k}")) for k in range(40)]
-    pauses: list[Callable[[int], int]] = [partial(f.next, room=LIMIT - TURN, waited=True) for f in fronts]
-    got = overbooked(pauses, [f.start() for f in fronts], 30_000_000)
+    pauses: list[Callable[[int], int]] = [
+        partial(
+            f.next_delay_us, remaining_us=MAX_CALL_GAP_US - SERVICE_QUEUE_TIMEOUT_US, waited_in_queue=True
+        )
+        for f in fronts
+    ]
+    got = overbooked(pauses, [f.first_delay_us() for f in fronts], 30_000_000)
     times = sorted(t for t in got if t is not None)
     assert len(times) == 40 and times[-1] < 10_000_000 and times[27] < 5_000_000
     old = [doubling(random.Random(f"{seed}/{k}")) for k in range(40)]
@@ -61,27 +74,37 @@
     one = Backoff(fleet, random.Random(1))
     windows = []
     for k in range(30):
-        windows.append(one.window())
-        assert FIRST // 2 <= one.next(k * 777_777) <= windows[-1]
-    assert windows == sorted(windows) and windows[-1] <= LIMIT
-    assert windows[-1] == (LAST if fleet <= 10 else LIMIT)
-    turned = [one.next(0, waited=True) for _ in range(9)]
-    if fleet * 1_000_000 // STEADY <= LIMIT + TURN:
-        assert max(turned) <= LIMIT
+        windows.append(one.window_us())
+        assert FIRST_WINDOW_US // 2 <= one.next_delay_us(k * 777_777) <= windows[-1]
+    assert windows == sorted(windows) and windows[-1] <= MAX_CALL_GAP_US
+    assert windows[-1] == (LAST_WINDOW_US if fleet <= 10 else MAX_CALL_GAP_US)
+    turned = [one.next_delay_us(0, waited_in_queue=True) for _ in range(9)]
+    if fleet * 1_000_000 // SERVICE_CALLS_PER_SECOND <= MAX_CALL_GAP_US + SERVICE_QUEUE_TIMEOUT_US:
+        assert max(turned) <= MAX_CALL_GAP_US
     else:
-        assert turned == sorted(turned) and turned[0] >= LAST and LONGEST <= turned[-1] <= 2 * LONGEST
-        assert turned[0] >= min(fleet * 1_000_000 // STEADY - LIMIT - TURN, LONGEST)
-    one.emptied()
-    assert one.next(0) <= LIMIT
-    one.worked()
-    assert one.window() == windows[0] == min(max(FIRST, fleet * 100_000), LIMIT)
+        assert (
+            turned == sorted(turned)
+            and turned[0] >= LAST_WINDOW_US
+            and MAX_BACKLOG_US <= turned[-1] <= 2 * MAX_BACKLOG_US
+        )
+        assert turned[0] >= min(
+            fleet * 1_000_000 // SERVICE_CALLS_PER_SECOND - MAX_CALL_GAP_US - SERVICE_QUEUE_TIMEOUT_US,
+            MAX_BACKLOG_US,
+        )
+    one.queue_emptied()
+    assert one.next_delay_us(0) <= MAX_CALL_GAP_US
+    one.record_success()
+    assert one.window_us() == windows[0] == min(max(FIRST_WINDOW_US, fleet * 100_000), MAX_CALL_GAP_US)
 
 
 def test_what_a_call_has_hung_is_no_part_of_the_pause() -> None:
     for fleet in (1, 5, 30, 200):
         for k in range(50):
             one = Backoff(fleet, random.Random(k))
-            assert one.next(k, room=300_000) <= 300_000 and one.next(k, room=-1) <= FIRST
+            assert (
+                one.next_delay_us(k, remaining_us=300_000) <= 300_000
+                and one.next_delay_us(k, remaining_us=-1) <= FIRST_WINDOW_US
+            )
 
 
 def test_a_fleet_that_fails_together_calls_evenly_and_once_a_window() -> None:
@@ -89,11 +112,11 @@
     fronts, calls = [Backoff(200, random.Random(k)) for k in range(200)], list[int]()
     for one in fronts:
         now = 0
-        while now < 10 * LIMIT:
-            now += one.next(now)
+        while now < 10 * MAX_CALL_GAP_US:
+            now += one.next_delay_us(now)
             calls.append(now)
-    for begin in range(0, 9 * LIMIT, LIMIT):
-        inside = [t for t in calls if begin <= t < begin + LIMIT]
+    for begin in range(0, 9 * MAX_CALL_GAP_US, MAX_CALL_GAP_US):
+        inside = [t for t in calls if begin <= t < begin + MAX_CALL_GAP_US]
         assert len(inside) <= 210
         assert max(sum(t // 500_000 == s for t in inside) for s in range(100)) <= 45  # 26 in the mean
 
@@ -101,13 +124,16 @@
 def test_a_new_process_of_a_small_fleet_calls_at_once_and_one_of_a_large_fleet_somewhere_in_the_burst() -> (
     None
 ):
-    assert {Backoff(4, random.Random(k)).start() for k in range(9)} == {0}
-    starts = [Backoff(40, random.Random(k)).start() for k in range(400)]
+    assert {Backoff(4, random.Random(k)).first_delay_us() for k in range(9)} == {0}
+    starts = [Backoff(40, random.Random(k)).first_delay_us() for k in range(400)]
     assert max(starts) <= 4_000_000 and min(starts) < 100_000
     assert 1.8 < sum(starts) / len(starts) / 1_000_000 < 2.2
 
 
 def test_what_the_service_asks_for_is_kept_to_within_the_bound() -> None:
-    assert Backoff(1, random.Random(1)).next(0, asked=1_500_000) == 1_500_000
-    assert Backoff(1, random.Random(1)).next(0, asked=300_000_000) == LIMIT
-    assert Backoff(200, random.Random(1)).next(0, room=1_000_000, asked=300_000_000) == 1_000_000
+    assert Backoff(1, random.Random(1)).next_delay_us(0, retry_after_us=1_500_000) == 1_500_000
+    assert Backoff(1, random.Random(1)).next_delay_us(0, retry_after_us=300_000_000) == MAX_CALL_GAP_US
+    assert (
+        Backoff(200, random.Random(1)).next_delay_us(0, remaining_us=1_000_000, retry_after_us=300_000_000)
+        == 1_000_000
+    )
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -17,11 +17,13 @@
 
 from tests.exchange import PATIENCE, Exchange, Peer
 from tests.helpers import T0, ask, end, feed, head, up
-from umberlead.front import Front
-from umberlead.net.node_connection import NodeConnection
+from umberlead.front import FrontProcess
+from umberlead.net.node_connection import EndpointConnection
 from umberlead.net.server_connection import ServerConnection
-from umberlead.net.socket_state import DISCONNECT_EVENTS
-from umberlead.scheduling import interface as api
+from umberlead.net.socket_state import DISCONNECT_POLL_EVENTS
+from umberlead.scheduling.actions import Action, Send
+from umberlead.scheduling.events import AttemptResult, ClientDisconnected, Event
+from umberlead.scheduling.settings import Plan
 
 WAYS = ["close", "half", "reset"]
 
@@ -56,7 +58,7 @@
             case ["plain", name, which]:
                 self.plain[name] = sock = socket.socket()
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
-                sock.connect((await self._start()).servers[which == "objects"].address)
+                sock.connect((await self._start()).listeners[which == "objects"].address)
             case [name, ">"] if name in self.plain:
                 self.plain[name].sendall(b"".join(self._bytes(line, False) for line in lines))
             case [name, "slow"]:
@@ -65,14 +67,14 @@
             case [name, way, "at", "send", number]:
                 self._at_send(await self._start(), name, way, int(number))
             case [name, way, "at", "dial"]:
-                made = NodeConnection.connection_made
+                made = EndpointConnection.connection_made
 
-                def first(conn: NodeConnection, transport: Any) -> None:
+                def first(conn: EndpointConnection, transport: Any) -> None:
                     if name in self.plain:
                         self._leave(name, way)
                     made(conn, transport)
 
-                self.patches.enter_context(mock.patch.object(NodeConnection, "connection_made", first))
+                self.patches.enter_context(mock.patch.object(EndpointConnection, "connection_made", first))
             case [name, way, "still", us]:
                 front, loop = await self._start(), asyncio.get_running_loop()
                 over = loop.create_future()
@@ -80,32 +82,34 @@
                 def stand() -> None:  # as a timer: those run before what can be read is looked at
                     self._leave(name, way)
                     self.clock.added += int(us)
-                    front.wheel.turn()
+                    front.wheel.fire_due()
                     over.set_result(None)
 
                 loop.call_later(0.002, stand)
                 await over
             case [name, "behind" | "paused" as what]:
                 conn = await self._known(name)
-                await self._until(conn.reading_paused if what == "paused" else lambda: bool(conn.pipelined))
+                await self._until(
+                    conn.is_reading_paused if what == "paused" else lambda: bool(conn.pipelined_requests)
+                )
             case [name, way] if name in self.plain and way in WAYS:
                 self._leave(name, way)
             case [name, way, "unread"]:
                 conn = await self._known(name)
-                await self._until(lambda: conn.write_blocked and bool(conn.pipelined))
+                await self._until(lambda: conn.write_blocked and bool(conn.pipelined_requests))
                 self.plain[name].recv(1 << 20)
                 self._leave(name, way)
             case [name, "deaf"]:
                 node, accept = self.nodes[name], self.nodes[name].accept
                 self.deaf.add(name)
                 _small(self.servers[-1].sockets[0].fileno(), socket.SO_RCVBUF)
-                up = NodeConnection.connection_made
+                up = EndpointConnection.connection_made
 
-                def narrow(conn: NodeConnection, transport: Any) -> None:
+                def narrow(conn: EndpointConnection, transport: Any) -> None:
                     _small(transport.get_extra_info("socket").fileno(), socket.SO_SNDBUF, 65536)
                     up(conn, transport)
 
-                self.patches.enter_context(mock.patch.object(NodeConnection, "connection_made", narrow))
+                self.patches.enter_context(mock.patch.object(EndpointConnection, "connection_made", narrow))
 
                 def quiet(scripted: bool) -> Peer:
                     peer = accept(scripted)
@@ -160,14 +164,16 @@
                 await super()._step(words, lines)
 
     @staticmethod
-    def _kept(front: Front) -> dict[str, Any]:
-        engine = front.engine
+    def _kept(front: FrontProcess) -> dict[str, Any]:
+        engine = front.lifecycle
         kept = {
-            "active": engine.active, "tickets": len(engine.tickets), "items": list(engine.head.items),
-            "held": sum(group.held_bytes for group in front.groups),
-            "out": sum(v.out for v in engine.head.nodes.values()),
+            "active": engine.unanswered_count,
+            "tickets": len(engine.open_requests),
+            "items": list(engine.scheduler.requests),
+            "held": sum(group.buffered_bytes for group in front.client_groups),
+            "out": sum(v.units_in_flight for v in engine.scheduler.endpoints.values()),
             "tasks": sum(len(getattr(h, "tasks", ())) for h in front.handlers),
-        }  # fmt: skip
+        }
         return {name: what for name, what in kept.items() if what}
 
     @staticmethod
@@ -186,27 +192,27 @@
             where = self.plain[name].getsockname()
         else:
             where = self.peers[name].transport.get_extra_info("sockname")
-        known = (conn for group in (self.front.groups if self.front else []) for conn in group.slots)
+        known = (conn for group in (self.front.client_groups if self.front else []) for conn in group.slots)
         found = next((c for c in known if c.transport.get_extra_info("peername") == where), None)
         assert found is None or isinstance(found, ServerConnection)
         return found
 
-    def _at_send(self, front: Front, name: str, way: str, number: int) -> None:
-        handle, seen = front.engine.head.handle, 0
+    def _at_send(self, front: FrontProcess, name: str, way: str, number: int) -> None:
+        handle, seen = front.lifecycle.scheduler.handle, 0
 
-        def counted(now: int, events: list[api.Event]) -> list[api.Action]:
+        def counted(now: int, events: list[Event]) -> list[Action]:
             nonlocal seen
             acts = handle(now, events)
             for act in acts:
-                if isinstance(act, api.Send):
-                    ticket = front.engine.tickets.get(int(act.request.partition(".")[0]))
+                if isinstance(act, Send):
+                    ticket = front.lifecycle.open_requests.get(int(act.request_id.partition(".")[0]))
                     assert ticket is not None
-                    seen += ticket.ask.name[:1] in (b"", name.encode())  # an object's blocks have none
+                    seen += ticket.request.call_id[:1] in (b"", name.encode())  # an object's blocks have none
                     if seen == number and name in self.plain:
                         self._leave(name, way)
             return acts
 
-        self.patches.enter_context(mock.patch.object(front.engine.head, "handle", counted))
+        self.patches.enter_context(mock.patch.object(front.lifecycle.scheduler, "handle", counted))
 
     def _leave(self, name: str, way: str) -> None:
         """Within one turn of the loop: until the system has it."""
@@ -220,7 +226,7 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
         end = time.monotonic() + PATIENCE
-        while not conn.pending_events() & DISCONNECT_EVENTS:
+        while not conn.pending_events() & DISCONNECT_POLL_EVENTS:
             assert time.monotonic() < end
         assert not conn.client_disconnected  # the front was not told
 
@@ -257,24 +263,35 @@
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\n",
         "client c platform\nclient d platform\n",
-        asks("a", 1, 6), asks("b", 2, 6), "until attempts_written 2\n",
-        asks("c", 3, 6), "until requests_taken 3\n", asks("d", 4, 1), "until requests_taken 4\n",
-        f"c {way}\nuntil clients_gone 1\n", DONE.format("d"),
-        "n0 release 2\n", DONE.format("a"), DONE.format("b"),
-        asks("d", 5, 6), DONE.format("d"),
+        asks("a", 1, 6),
+        asks("b", 2, 6),
+        "until attempts_written 2\n",
+        asks("c", 3, 6),
+        "until requests_taken 3\n",
+        asks("d", 4, 1),
+        "until requests_taken 4\n",
+        f"c {way}\nuntil clients_gone 1\n",
+        DONE.format("d"),
+        "n0 release 2\n",
+        DONE.format("a"),
+        DONE.format("b"),
+        asks("d", 5, 6),
+        DONE.format("d"),
         f"n0 ran {block(3)} 0\nwrites n0 PUT 4\ncounter attempts_sent 4\n",
-    )  # fmt: skip
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
 def test_while_its_connection_comes_up(way: str) -> None:
     play(
         "node n0 0\nclient a platform\nclient b platform\ndials hold\n",
-        asks("a", 1), "until attempts_sent 1\n",
+        asks("a", 1),
+        "until attempts_sent 1\n",
         f"a {way}\nuntil clients_gone 1\nuntil attempts_moot 1\ndials go\n",
-        asks("b", 2), DONE.format("b"),
+        asks("b", 2),
+        DONE.format("b"),
         f"n0 ran {block(1)} 0\nwrites n0 PUT 1\ncounter attempts_no_link 0\n",  # nor is it blamed
-    )  # fmt: skip
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -283,12 +300,14 @@
     """A node that turned one away rests; the request waits for it, or another that comes meanwhile."""
     play(
         "node n0 0\nn0 next full\nclient a platform\nclient b platform\nclient c platform\n",
-        asks("a", 1), "until attempts_full 1\n",
+        asks("a", 1),
+        "until attempts_full 1\n",
         "" if again == "own" else asks("c", 3) + "until requests_taken 2\n",
         f"{'a' if again == 'own' else 'c'} {way}\nuntil clients_gone 1\nclock 2000000\n",
-        asks("b", 2), DONE.format("b"),
+        asks("b", 2),
+        DONE.format("b"),
         f"n0 ran {block(3)} 0\nn0 ran {block(1)} {0 if again == 'own' else 1}\n",
-    )  # fmt: skip
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -298,10 +317,13 @@
         "set settings.guarantees.fallMultiple 4\nset settings.guarantees.overloadFor 1000000\n"
         "set settings.guarantees.warmUp 4000000\n"
         "node n0 0\nstarted n0\nclient a platform\nclient b platform\n",
-        asks("a", 1, 6), "until requests_taken 1\ncounter attempts_sent 0\n",
+        asks("a", 1, 6),
+        "until requests_taken 1\ncounter attempts_sent 0\n",
         f"a {way}\nuntil clients_gone 1\nclock 5000000\n",
-        asks("b", 2), DONE.format("b"), f"n0 ran {block(1)} 0\nwrites n0 PUT 1\n",
-    )  # fmt: skip
+        asks("b", 2),
+        DONE.format("b"),
+        f"n0 ran {block(1)} 0\nwrites n0 PUT 1\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -311,12 +333,16 @@
     behind = "".join(f"& block x{k} / PUT /write / {block(100 + k)} / 1\n" for k in range(more))
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
-        asks("a", 1), "until attempts_written 1\na >\n", f"& block y / PUT /write / {block(99)} / 1\n",
+        asks("a", 1),
+        "until attempts_written 1\na >\n",
+        f"& block y / PUT /write / {block(99)} / 1\n",
         f"a behind\na >\n{behind}| X-Pad: {'p' * (0 if more == 1 else 20_000)}\n",
         "" if more == 1 else "a paused\n",
         f"a {way}\nuntil clients_gone 1\nn0 release 1\nuntil attempts_ok 1\n",
-        asks("b", 2), DONE.format("b"), "writes n0 PUT 2\ncounter requests_taken 2\nclean\n",
-    )  # fmt: skip
+        asks("b", 2),
+        DONE.format("b"),
+        "writes n0 PUT 2\ncounter requests_taken 2\nclean\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -324,11 +350,18 @@
     """Reading ends there, and the request before it still waits in the queue."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\nclient c platform\n",
-        asks("a", 1, 6), asks("b", 2, 6), "until attempts_written 2\n",
-        asks("c", 3, 6), "c >\n" + "| noise\n" * 4 + f"| {'x' * 40_000}\nuntil bad_requests_400 1\n",
-        f"c {way}\nuntil clients_gone 1\nn0 release 2\n", DONE.format("a"), DONE.format("b"),
-        asks("a", 4, 6), DONE.format("a"), f"n0 ran {block(3)} 0\nwrites n0 PUT 3\n",
-    )  # fmt: skip
+        asks("a", 1, 6),
+        asks("b", 2, 6),
+        "until attempts_written 2\n",
+        asks("c", 3, 6),
+        "c >\n" + "| noise\n" * 4 + f"| {'x' * 40_000}\nuntil bad_requests_400 1\n",
+        f"c {way}\nuntil clients_gone 1\nn0 release 2\n",
+        DONE.format("a"),
+        DONE.format("b"),
+        asks("a", 4, 6),
+        DONE.format("a"),
+        f"n0 ran {block(3)} 0\nwrites n0 PUT 3\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -338,8 +371,10 @@
         "node n0 0\nn0 next hold\nclient o objects\nclient b platform\n",
         "o >\n| PUT /scans/k HTTP/1.1\n| Content-Length: 4096\n|\n@ 0 4096\nuntil attempts_written 1\n",
         f"o {way}\nuntil clients_gone 1\nn0 release 1\nuntil attempts_ok 1\n",
-        asks("b", 2), DONE.format("b"), "writes n0 PUT 2\ncounter attempts_sent 2\nclean\n",
-    )  # fmt: skip
+        asks("b", 2),
+        DONE.format("b"),
+        "writes n0 PUT 2\ncounter attempts_sent 2\nclean\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -351,8 +386,10 @@
         "node n0 0\nclient o objects\nclient b platform\ndials hold\n",
         f"o >\n| {method} /scans/k HTTP/1.1\n{body}until attempts_sent 1\n",
         f"o {way}\nuntil clients_gone 1\nuntil attempts_moot 1\ndials go\n",
-        asks("b", 2), DONE.format("b"), "writes n0 PUT 1\nn0 ran GET 0\n",
-    )  # fmt: skip
+        asks("b", 2),
+        DONE.format("b"),
+        "writes n0 PUT 1\nn0 ran GET 0\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -365,7 +402,7 @@
         f"o >\n| {part}until attempts_written 1\n",
         f"o {way}\nuntil clients_gone 1\nb >\n| {part}until objects_requests 3\nn0 release 1\n",
         "b <\n& stored etag\nwrites n0 PUT 4\ncounter attempts_sent 4\n",
-    )  # fmt: skip
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -373,11 +410,16 @@
     """Written before its client left, it is out until it ends: the bound holds, then its place is free."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\nclient c platform\n",
-        asks("a", 1, 6), asks("b", 2, 6), "until attempts_written 2\n",
+        asks("a", 1, 6),
+        asks("b", 2, 6),
+        "until attempts_written 2\n",
         f"a {way}\nuntil clients_gone 1\n",
-        asks("c", 3, 6), "until requests_taken 3\nclock 1000\ncounter attempts_sent 2\n",
-        "n0 release 1\n", DONE.format("c"), "counter attempts_ok 2\n",
-    )  # fmt: skip
+        asks("c", 3, 6),
+        "until requests_taken 3\nclock 1000\ncounter attempts_sent 2\n",
+        "n0 release 1\n",
+        DONE.format("c"),
+        "counter attempts_ok 2\n",
+    )
 
 
 # In one turn the front decides, or its connection is up, and the client has left without the front's knowing.
@@ -393,7 +435,7 @@
     + "until attempts_written 2\n"
 )
 FREE, FREED = "n0 release 1\n", "n0 release 1\n" + DONE.format("a") + DONE.format("b")
-UNSWEPT = "patch umberlead.front SWEEP 600000000\n"
+UNSWEPT = "patch umberlead.front SWEEP_INTERVAL_US 600000000\n"
 TRIED = KEPT + "n0 next full\nplain c platform\n" + asks("c", 3) + "until attempts_full 1\n"
 RESTS = KEPT + "n0 next full\nclient a platform\nplain c platform\n" + asks("a", 1)
 RESTS += "until attempts_full 1\n" + asks("c", 3) + "until requests_taken 2\n"
@@ -420,20 +462,25 @@
     "at a node that warms": (WARMS, "c {} at send 1\nclock 5000000\n", ""),
     "at a node that warms, the front still": (WARMS, "c {} still 5000000\n", ""),
     "behind another on its connection": (
-        KEPT + "n0 next hold\nplain c platform\n" + asks("c", 1)
-        + "until attempts_written 1\n" + asks("c", 3),
-        "c {} at send 1\n" + FREE, "",
+        KEPT
+        + "n0 next hold\nplain c platform\n"
+        + asks("c", 1)
+        + "until attempts_written 1\n"
+        + asks("c", 3),
+        "c {} at send 1\n" + FREE,
+        "",
     ),
     "for a kept connection": (
-        KEPT + "client b platform\nplain c platform\n" + asks("b", 1) + DONE.format("b")
-        + "c {} at send 1\n", asks("c", 3), "",
+        KEPT + "client b platform\nplain c platform\n" + asks("b", 1) + DONE.format("b") + "c {} at send 1\n",
+        asks("c", 3),
+        "",
     ),
     "for its connection": (
-        "node n0 0\nplain c platform\ndials hold\n" + asks("c", 3)
-        + "until attempts_sent 1\n",
-        "c {} at dial\ndials go\n", "until attempts_moot 1\ncounter attempts_no_link 0\n",
+        "node n0 0\nplain c platform\ndials hold\n" + asks("c", 3) + "until attempts_sent 1\n",
+        "c {} at dial\ndials go\n",
+        "until attempts_moot 1\ncounter attempts_no_link 0\n",
     ),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -441,15 +488,29 @@
 def test_nothing_begins_for_a_client_that_left_in_the_same_turn(wait: str, way: str) -> None:
     """Nothing of it goes out, and others are served after it as if it had not been."""
     begin, leaves, after = (part.format(way) for part in LEAVES[wait])
-    play(begin, leaves, "until clients_gone 1\n", after, "client d platform\n", asks("d", 4, 6),
-         DONE.format("d"), f"n0 ran {block(3)} 0\nclean\ncounter clients_gone 1\n")  # fmt: skip
+    play(
+        begin,
+        leaves,
+        "until clients_gone 1\n",
+        after,
+        "client d platform\n",
+        asks("d", 4, 6),
+        DONE.format("d"),
+        f"n0 ran {block(3)} 0\nclean\ncounter clients_gone 1\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
 def test_nothing_begins_of_one_that_left_while_its_process_hands_over(way: str) -> None:
-    play(BUSY, QUEUED, "client d platform\nbeside\nsignal TERM\n",
-         "d >\n| GET /healthz HTTP/1.1\n|\nd <\n| HTTP/1.1 {~}\n", f"c {way} at send 1\n", FREE,
-         f"until clients_gone 1\nn0 release 1\nn0 ran {block(3)} 0\nclean\n")  # fmt: skip
+    play(
+        BUSY,
+        QUEUED,
+        "client d platform\nbeside\nsignal TERM\n",
+        "d >\n| GET /healthz HTTP/1.1\n|\nd <\n| HTTP/1.1 {~}\n",
+        f"c {way} at send 1\n",
+        FREE,
+        f"until clients_gone 1\nn0 release 1\nn0 ran {block(3)} 0\nclean\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -458,11 +519,21 @@
     big = f"{{}} >\n| {{}} /{{}}?block={block(9)} HTTP/1.1\n| X-Call-Id: {{}}9\n| X-Plan: gold\n"
     big += "| X-IO: volume=b4,units=1,shard=0\n"
     well = "c >\n| GET /healthz HTTP/1.1\n|\n"
-    play("node n0 0\nclient b platform\nplain c platform\n", big.format("b", "PUT", "write", "b"),
-         "| Content-Length: 60000\n|\n@ 0 60000\n", DONE.format("b"), well, "c slow\n",
-         big.format("c", "GET", "read", "c"), "|\nuntil attempts_ok 2\n", asks("c", 3), f"c {way} unread\n",
-         asks("b", 4), DONE.format("b"),
-         f"n0 ran {block(3)} 0\nclean\ncounter requests_taken 3\n")  # fmt: skip
+    play(
+        "node n0 0\nclient b platform\nplain c platform\n",
+        big.format("b", "PUT", "write", "b"),
+        "| Content-Length: 60000\n|\n@ 0 60000\n",
+        DONE.format("b"),
+        well,
+        "c slow\n",
+        big.format("c", "GET", "read", "c"),
+        "|\nuntil attempts_ok 2\n",
+        asks("c", 3),
+        f"c {way} unread\n",
+        asks("b", 4),
+        DONE.format("b"),
+        f"n0 ran {block(3)} 0\nclean\ncounter requests_taken 3\n",
+    )
 
 
 LARGE = f"{{}} >\n| PUT /write?block={block(1)} HTTP/1.1\n& ask {{}}1 / 0\n| Content-Length: 786432\n|\n"
@@ -472,18 +543,29 @@
 @pytest.mark.parametrize("way", WAYS)
 def test_a_request_that_is_partly_written_is_not_written_on(way: str) -> None:
     """Its chunk server reads nothing for now: the rest must not follow."""
-    play("node n0 0\nn0 deaf\nclient a platform\nclient b platform\n", LARGE.format("a", "a"),
-         f"partly\ncounter attempts_written 0\na {way}\nuntil clients_gone 1\n",
-         "until attempts_moot 1\nn0 hears\n", asks("b", 2), DONE.format("b"),
-         f"n0 ran {block(1)} 0\nwrites n0 PUT 1\nclean\n")  # fmt: skip
+    play(
+        "node n0 0\nn0 deaf\nclient a platform\nclient b platform\n",
+        LARGE.format("a", "a"),
+        f"partly\ncounter attempts_written 0\na {way}\nuntil clients_gone 1\n",
+        "until attempts_moot 1\nn0 hears\n",
+        asks("b", 2),
+        DONE.format("b"),
+        f"n0 ran {block(1)} 0\nwrites n0 PUT 1\nclean\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS[:2])  # of a reset the front is told a turn later, all of it written
 def test_the_rest_of_a_request_does_not_follow_in_the_turn_that_gives_it_up(way: str) -> None:
     """It counts as never run; an upload's part would be sent again."""
-    play("node n0 0\nn0 deaf\nplain c platform\nclient b platform\n", LARGE.format("c", "c"), "partly\n",
-         f"c {way} as n0 reads\nuntil attempts_moot 1\nn0 hears\n", asks("b", 2), DONE.format("b"),
-         f"n0 ran {block(1)} 0\nclean\n")  # fmt: skip
+    play(
+        "node n0 0\nn0 deaf\nplain c platform\nclient b platform\n",
+        LARGE.format("c", "c"),
+        "partly\n",
+        f"c {way} as n0 reads\nuntil attempts_moot 1\nn0 hears\n",
+        asks("b", 2),
+        DONE.format("b"),
+        f"n0 ran {block(1)} 0\nclean\n",
+    )
 
 
 PUT = "{} >\n& put /scans/k / {}\n@ 0 {}\n"
@@ -495,8 +577,13 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("begun", [0, 1, 3], ids=["first block", "next block", "manifest"])
 def test_no_block_of_an_object_begins_whose_client_left_in_the_same_turn(begun: int, way: str) -> None:
-    play(OBJECTS, f"o {way} at send {begun + 1}\n", PUT.format("o", 3072, 3072), "until clients_gone 1\n",
-         f"clean\nwrites n0 PUT {5 + begun}\n")  # fmt: skip
+    play(
+        OBJECTS,
+        f"o {way} at send {begun + 1}\n",
+        PUT.format("o", 3072, 3072),
+        "until clients_gone 1\n",
+        f"clean\nwrites n0 PUT {5 + begun}\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -504,17 +591,26 @@
 def test_blocks_that_were_to_begin_together_have_each_their_outcome(method: str, way: str) -> None:
     """At the first one the client turns out to have left: no node keeps the others' units on its account."""
     get = method == "GET"
-    play("set objects.parallel 4\n", OBJECTS, f"o {way} at send {1 + get}\n",
-         "o >\n| GET /scans/k HTTP/1.1\n|\n" if get else PUT.format("o", 4096, 4096),
-         f"until clients_gone 4\nclean\nn0 ran GET {int(get)}\nwrites n0 PUT 5\n")  # fmt: skip
+    play(
+        "set objects.parallel 4\n",
+        OBJECTS,
+        f"o {way} at send {1 + get}\n",
+        "o >\n| GET /scans/k HTTP/1.1\n|\n" if get else PUT.format("o", 4096, 4096),
+        f"until clients_gone 4\nclean\nn0 ran GET {int(get)}\nwrites n0 PUT 5\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("begun", [0, 2, 6], ids=["manifest", "block", "window after the head"])
 def test_no_read_of_an_object_begins_whose_client_left_in_the_same_turn(begun: int, way: str) -> None:
-    play(OBJECTS, PUT.format("p", 8192, 8192), "p <\n& stored e\n", f"o {way} at send {begun + 1}\n",
-         "o >\n| GET /scans/k HTTP/1.1\n|\nuntil clients_gone 1\nclean\n",
-         f"n0 ran GET {begun}\n")  # fmt: skip
+    play(
+        OBJECTS,
+        PUT.format("p", 8192, 8192),
+        "p <\n& stored e\n",
+        f"o {way} at send {begun + 1}\n",
+        "o >\n| GET /scans/k HTTP/1.1\n|\nuntil clients_gone 1\nclean\n",
+        f"n0 ran GET {begun}\n",
+    )
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -523,22 +619,30 @@
     done = "| POST /scans/big?uploadId={id} HTTP/1.1\n| Content-Length: 135\n|\n"
     done += "= <CompleteMultipartUpload><Part><PartNumber>1</PartNumber><ETag>{e}</ETag></Part>"
     done += "</CompleteMultipartUpload>\n"
-    play(OBJECTS, CREATE, f"o {way} at send 3\n", PART.format("o", 4096, 4096), "until clients_gone 1\n",
-         "clean\nwrites n0 PUT 7\n", PART.format("p", 4096, 4096), "p <\n& stored e\nwrites n0 PUT 9\n",
-         f"plain q objects\nq {way} at send 1\nq >\n{done}until clients_gone 2\nclean\nwrites n0 PUT 9\n",
-         f"p >\n{done}p <\n| HTTP/1.1 200 OK\nwrites n0 PUT 10\n")  # fmt: skip
+    play(
+        OBJECTS,
+        CREATE,
+        f"o {way} at send 3\n",
+        PART.format("o", 4096, 4096),
+        "until clients_gone 1\n",
+        "clean\nwrites n0 PUT 7\n",
+        PART.format("p", 4096, 4096),
+        "p <\n& stored e\nwrites n0 PUT 9\n",
+        f"plain q objects\nq {way} at send 1\nq >\n{done}until clients_gone 2\nclean\nwrites n0 PUT 9\n",
+        f"p >\n{done}p <\n| HTTP/1.1 200 OK\nwrites n0 PUT 10\n",
+    )
 
 
 @pytest.mark.parametrize("order", ["left first", "outcome first"])
 def test_a_plan_s_limit_is_not_charged_for_what_was_not_sent(order: str) -> None:
     """Both orders within one batch; where it may have run, it stays charged."""
-    limited = (api.Plan("gold", limit_rate=1.0, limit_burst=16.0, limit_slack=16.0),)
-    for result in (api.Result.MOOT, api.Result.RESET):
+    limited = (Plan("gold", limit_units_per_second=1.0, limit_burst_units=16.0, limit_slack_units=16.0),)
+    for result in (AttemptResult.NOT_SENT, AttemptResult.RESET):
         h = head(T0, up(), plans=limited)
         feed(h, T0, ask("a"))
-        before = h.volumes["v"].limit.have
-        news: list[api.Event] = [api.ClientGone("a"), replace(end("a", result), final=True)]
+        before = h.rate_limits["v"].limit.available_units
+        news: list[Event] = [ClientDisconnected("a"), replace(end("a", result), final=True)]
         feed(h, T0, *(news if order == "left first" else news[::-1]))
-        given = 2.0 if result is api.Result.MOOT else 0.0
-        assert h.volumes["v"].limit.have == before + given and not h.items
-        assert h.nodes["n0"].out == 0
+        given = 2.0 if result is AttemptResult.NOT_SENT else 0.0
+        assert h.rate_limits["v"].limit.available_units == before + given and not h.requests
+        assert h.endpoints["n0"].units_in_flight == 0
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -16,9 +16,9 @@
 import uvloop
 
 from umberlead.common.counters import Counters
-from umberlead.net.client_connections import Clients
+from umberlead.net.client_connections import ClientGroup
 from umberlead.net.close_reason import CloseReason
-from umberlead.net.http_message import Message
+from umberlead.net.http_message import HttpRequest
 from umberlead.net.listener import Listener
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.socket_state import SocketState
@@ -31,20 +31,20 @@
     max_body_bytes = 1 << 16
     sends_date = False
     singleton_headers = frozenset[bytes]()
-    retry_after = 0
+    retry_after_us = 0
     allows_slow_bodies = False
 
     def __init__(self) -> None:
-        self.requests: list[tuple[ServerConnection, Message]] = []
+        self.requests: list[tuple[ServerConnection, HttpRequest]] = []
 
-    def request(self, conn: ServerConnection, message: Message) -> None:
+    def handle_request(self, conn: ServerConnection, message: HttpRequest) -> None:
         self.requests.append((conn, message))
 
     def client_disconnected(self, conn: ServerConnection) -> None:
         pass
 
     def reject(self, conn: ServerConnection, status: int, reason: str) -> None:
-        conn.reply(status, (), reason.encode())
+        conn.send_response(status, (), reason.encode())
 
 
 class Setting:
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self.now, self.handler, self.ends = 1_000_000, Handler(), list[tuple[bool, str, str]]()
-        self.clients = Clients(100, lambda: self.now, Counters(), 0, MEMORY, print)
+        self.clients = ClientGroup(100, lambda: self.now, Counters(), 0, MEMORY, print)
         self.clients.on_close = lambda *told: self.ends.append(told)
         self.listener = Listener(self.handler, self.clients, ("127.0.0.1", 0), asyncio.get_running_loop())
         self.client = socket.create_connection(self.listener.address)
@@ -106,17 +106,17 @@
         setting.client.sendall(get("long"))
         conn = await setting.requested(1)
         source = mock.Mock()
-        conn.relay(200, 6, b"abc", source, lambda whole: None)
+        conn.stream_response(200, 6, b"abc", source, lambda whole: None)
         setting.clients.drain()
         setting.client.sendall(get("next"))
         source.sink.write(b"def")
         source.sink.finish()
         again = await setting.requested(2)
         assert again is conn
-        conn.reply(200, (), b"x")
+        conn.send_response(200, (), b"x")
         got = await setting.read(b"\r\n\r\nx")
         assert b"abcdef" in got and got.count(b"Connection: close") == 1
-        assert setting.ends == [(False, CloseReason.ANNOUNCED.value, "")]
+        assert setting.ends == [(False, CloseReason.CONNECTION_CLOSE_SENT.value, "")]
 
     play(steps)
 
@@ -126,7 +126,7 @@
         setting.client.sendall(get("long"))
         conn = await setting.requested(1)
         source = mock.Mock()
-        conn.relay(200, 6, b"abc", source, lambda whole: None)
+        conn.stream_response(200, 6, b"abc", source, lambda whole: None)
         setting.clients.drain()
         source.sink.write(b"def")
         source.sink.finish()
@@ -142,9 +142,9 @@
         conn = await setting.requested(1)
         setting.clients.close_after_reply = True
         setting.client.sendall(get("b"))
-        conn.reply(200, (), b"x")
+        conn.send_response(200, (), b"x")
         await setting.requested(2)
-        conn.reply(200, (), b"y")
+        conn.send_response(200, (), b"y")
         got = await setting.read(b"\r\n\r\ny")
         assert got.count(b"HTTP/1.1 200 OK") == 2 and got.count(b"Connection: close") == 1
 
@@ -155,27 +155,27 @@
     """It was given the time that it had waited once more, and its server was told of it."""
 
     async def steps(setting: Setting) -> None:
-        setting.clients.max_head_bytes = 500
+        setting.clients.max_header_bytes = 500
         setting.client.sendall(get("a"))
         conn = await setting.requested(1)
         setting.client.sendall(get("b"))
-        await setting.until(lambda: conn.pipelined)
+        await setting.until(lambda: conn.pipelined_requests)
         setting.now += 100
         setting.client.sendall(get("c", f"X-Long: {'x' * 400}\r\n") + get("d", f"X-Long: {'x' * 400}\r\n"))
-        await setting.until(conn.reading_paused)
+        await setting.until(conn.is_reading_paused)
         paused_us = setting.now
         setting.now += 2_000_000
         setting.client.sendall(get("e"))
         for number in range(2, 6):
-            conn.reply(200, (), b"x")
+            conn.send_response(200, (), b"x")
             await setting.requested(number)
-        times = [message.received for _, message in setting.handler.requests]
+        times = [message.received_us for _, message in setting.handler.requests]
         assert times == [paused_us - 100, paused_us - 100, paused_us, paused_us, paused_us]
         setting.now += 1_000_000
-        conn.reply(200, (), b"x")
+        conn.send_response(200, (), b"x")
         setting.client.sendall(get("f"))
         await setting.requested(6)
-        assert setting.handler.requests[5][1].received == setting.now
+        assert setting.handler.requests[5][1].received_us == setting.now
 
     play(steps)
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -6,8 +6,8 @@
 from tests.helpers import READ, T0, ask, end, feed, head, up
 from umberlead.scheduling import matrices as linear
 from umberlead.scheduling.controller import CONTROL_COST, FORGETTING_FACTOR, TARGET_LATENCY_RATIO, Controller
-from umberlead.scheduling.pending_request import Item
-from umberlead.scheduling.scheduler import Lane
+from umberlead.scheduling.pending_request import PendingRequest
+from umberlead.scheduling.scheduler import FairQueue
 
 
 def test_one_step_of_least_squares_is_the_matrix_form() -> None:
@@ -38,7 +38,7 @@
         assert np.allclose(linear.gram(m.tolist(), w.tolist(), 0.5), want)
         assert np.allclose(linear.add_outer(m.tolist(), v.tolist(), w.tolist(), 3.0), m + 3 * np.outer(v, w))
     for bad in ([[1.0, 2.0], [2.0, 4.0]], [[float("nan")]]):
-        with pytest.raises(linear.Singular):
+        with pytest.raises(linear.SingularMatrixError):
             linear.solve(bad, [[1.0]] * len(bad))
 
 
@@ -96,40 +96,40 @@
 
 def test_an_interval_goes_on_until_it_has_enough_answers() -> None:
     """A head of a large fleet sees a few answers in half a second: they add up, and then shares move."""
-    h = head(T0, up(), heads=100)
-    before = list(h.control.share)
+    h = head(T0, up(), front_count=100)
+    before = list(h.controller.share)
     for k in range(3):
         at = T0 + 100_000 + k * 500_000
         feed(h, at, ask(f"a{k}", at), ask(f"b{k}", at, plan="plain", volume="w"))
         feed(h, at + 10_000, end(f"a{k}"), end(f"b{k}", elapsed=90_000))
         feed(h, at + 390_000, end(f"b{k}", elapsed=90_000))
         feed(h, T0 + (k + 1) * 500_000)
-        assert (h.control.share == before) == (k < 2)
-    assert h.counts == [0, 0]
+        assert (h.controller.share == before) == (k < 2)
+    assert h.latency_ratio_counts == [0, 0]
 
 
 def test_tags_follow_a_hand_worked_example() -> None:
     """Plan shares 0.5 each; plan 0 has volume a, plan 1 has b and c; all requests of 2 units. Finish tags:
     a: 2/0.5 = 4 a request; b, c: 2/(0.5/2) = 8. So a(0) b(0) c(0) a(4) a(8)-b(8)-c(8) by order of tagging."""
-    lane = Lane(2)
+    lane = FairQueue(2)
     for k, (volume, plan) in enumerate(
         [("a", 0), ("b", 1), ("c", 1), ("a", 0), ("a", 0), ("b", 1), ("c", 1)]
     ):
-        item = Item(ask(f"r{k}", volume=volume), READ, plan, 0, 1000 + k, k)
-        first = volume not in lane.items
+        item = PendingRequest(ask(f"r{k}", volume=volume), READ, plan, 0, 1000 + k, k)
+        first = volume not in lane.waiting
         lane.push(item)
         if first:
-            lane.tag(volume)
+            lane.tag_volume(volume)
     left = []
-    while lane.tags:
-        start, _, volume = lane.tags[0]
-        item_or_none = lane.head(volume)
+    while lane.start_tags:
+        start, _, volume = lane.start_tags[0]
+        item_or_none = lane.most_urgent(volume)
         assert item_or_none is not None
         left.append((volume, start))
-        lane.take(item_or_none, 0.5)
-        following = lane.head(volume)
+        lane.dequeue(item_or_none, 0.5)
+        following = lane.most_urgent(volume)
         if following:
-            lane.tag(volume)
+            lane.tag_volume(volume)
     assert left[:4] == [("a", 0.0), ("b", 0.0), ("c", 0.0), ("a", 4.0)]
     assert [v for v, _ in left[4:]] == ["b", "c", "a"] and [s for _, s in left[4:]] == [8.0, 8.0, 8.0]
 
@@ -141,5 +141,5 @@
         h = head()
         feed(h, T0, ask("r", units=units))
         feed(h, T0 + 400_000, end("r", elapsed=elapsed))
-        means.append(h.nodes["n0"].level.read(T0 + 400_000))
+        means.append(h.endpoints["n0"].relative_latency.read(T0 + 400_000))
     assert np.isclose(means[0], means[1])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,9 +18,9 @@
 from tests.helpers import T0
 from tests.test_client_leaves import DONE, asks, block, play
 from umberlead.common.counters import Counters
-from umberlead.config import Listing
-from umberlead.net.client_connections import Clients
-from umberlead.net.discovery import Watch
+from umberlead.config import DiscoveryMessage
+from umberlead.net.client_connections import ClientGroup
+from umberlead.net.discovery import DiscoveryWatch
 from umberlead.net.listener import Listener
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -54,63 +54,128 @@
 
 
 def test_a_request_half_read_is_served_where_its_end_comes() -> None:
-    play("node n0 0\nclient a platform\nclient b platform\n", HALF, well("b"), "signal TERM\n", well("b"),
-         "a >\n= cd\n", DONE.format("a"), "writes n0 PUT 1\n")  # fmt: skip
+    play(
+        "node n0 0\nclient a platform\nclient b platform\n",
+        HALF,
+        well("b"),
+        "signal TERM\n",
+        well("b"),
+        "a >\n= cd\n",
+        DONE.format("a"),
+        "writes n0 PUT 1\n",
+    )
 
 
 def test_a_request_half_read_at_the_end_is_refused_and_its_end_not_waited_for() -> None:
-    play("node n0 0\nclient a platform\nclient b platform\n", HALF, well("b"), "signal TERM\n", well("b"),
-         "lastword\n", STOPPED.format("a"), "ends\nn0 ran PUT 0\n")  # fmt: skip
+    play(
+        "node n0 0\nclient a platform\nclient b platform\n",
+        HALF,
+        well("b"),
+        "signal TERM\n",
+        well("b"),
+        "lastword\n",
+        STOPPED.format("a"),
+        "ends\nn0 ran PUT 0\n",
+    )
 
 
 def test_one_half_read_behind_another_is_refused_at_the_end_too() -> None:
     half = f"a >\n| PUT /write?block={block(2)} HTTP/1.1\n" + HEAD.replace("a1", "a2") + "= ab\n"
-    play("node n0 0\nn0 next hold\nclient a platform\nclient b platform\n", asks("a", 1),
-         "until attempts_written 1\n", half, well("b"), "signal TERM\n", well("b"),
-         "lastword\na <\n& failed\n", STOPPED.format("a"), "ends\n")  # fmt: skip
+    play(
+        "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
+        asks("a", 1),
+        "until attempts_written 1\n",
+        half,
+        well("b"),
+        "signal TERM\n",
+        well("b"),
+        "lastword\na <\n& failed\n",
+        STOPPED.format("a"),
+        "ends\n",
+    )
 
 
 def test_one_that_waits_is_answered_at_the_end_with_what_is_known_of_it() -> None:
     """Out at a node, queued behind it, and behind it on its own connection: the first may have run."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\nclient c platform\n",
-        asks("a", 1, 6), asks("b", 2, 6), "until attempts_written 2\n", asks("c", 3, 6), asks("a", 4),
-        "until requests_taken 3\nsignal TERM\n", well("d").replace("d >", "client d platform\nd >"), FINISH,
-        "a <\n& failed\n", STOPPED.format("a"), CLOSING.format("b", *FAILED), REFUSED.format("c"),
+        asks("a", 1, 6),
+        asks("b", 2, 6),
+        "until attempts_written 2\n",
+        asks("c", 3, 6),
+        asks("a", 4),
+        "until requests_taken 3\nsignal TERM\n",
+        well("d").replace("d >", "client d platform\nd >"),
+        FINISH,
+        "a <\n& failed\n",
+        STOPPED.format("a"),
+        CLOSING.format("b", *FAILED),
+        REFUSED.format("c"),
         f"ends\nn0 ran {block(3)} 0\nn0 ran {block(4)} 0\n",
-    )  # fmt: skip
+    )
 
 
 def test_one_whose_connection_comes_up_too_late_was_not_sent_and_is_refused() -> None:
-    play("node n0 0\nclient a platform\ndials hold\n", asks("a", 1), "until attempts_sent 1\nsignal TERM\n",
-         "lastword\n", REFUSED.format("a"), "dials go\nends\nn0 ran PUT 0\n")  # fmt: skip
+    play(
+        "node n0 0\nclient a platform\ndials hold\n",
+        asks("a", 1),
+        "until attempts_sent 1\nsignal TERM\n",
+        "lastword\n",
+        REFUSED.format("a"),
+        "dials go\nends\nn0 ran PUT 0\n",
+    )
 
 
 def test_one_between_tries_is_refused_at_the_end() -> None:
-    play("node n0 0\nn0 next full\nclient a platform\n", asks("a", 1), "until attempts_full 1\nsignal TERM\n",
-         "lastword\n", REFUSED.format("a"), "ends\nn0 ran PUT 0\n")  # fmt: skip
+    play(
+        "node n0 0\nn0 next full\nclient a platform\n",
+        asks("a", 1),
+        "until attempts_full 1\nsignal TERM\n",
+        "lastword\n",
+        REFUSED.format("a"),
+        "ends\nn0 ran PUT 0\n",
+    )
 
 
 def test_a_request_that_crosses_the_closing_of_its_idle_connection_is_served() -> None:
     """It is here, and not read yet, as the front closes what is idle; closed on, it would be lost."""
-    play("node n0 0\nclient a platform\nclient b platform\n", well("a"), well("b"), "signal TERM\n",
-         well("b"), asks("a", 1), DRAIN, SERVED.format("a"), "b eof\nends\nwrites n0 PUT 1\n")  # fmt: skip
+    play(
+        "node n0 0\nclient a platform\nclient b platform\n",
+        well("a"),
+        well("b"),
+        "signal TERM\n",
+        well("b"),
+        asks("a", 1),
+        DRAIN,
+        SERVED.format("a"),
+        "b eof\nends\nwrites n0 PUT 1\n",
+    )
 
 
 def test_requests_sent_ahead_are_all_answered_before_a_connection_ends() -> None:
     """By a front that stops, and on one that ends for what came behind them."""
     play(
-        "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n", asks("a", 1), asks("a", 2),
-        "until attempts_written 1\nsignal TERM\n", well("b"), DRAIN, "n0 release 1\n", DONE.format("a"),
-        SERVED.format("a"), "a eof\nends\nwrites n0 PUT 2\n",
-    )  # fmt: skip
+        "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
+        asks("a", 1),
+        asks("a", 2),
+        "until attempts_written 1\nsignal TERM\n",
+        well("b"),
+        DRAIN,
+        "n0 release 1\n",
+        DONE.format("a"),
+        SERVED.format("a"),
+        "a eof\nends\nwrites n0 PUT 2\n",
+    )
     play(
-        "node n0 0\nn0 next hold\nclient a platform\n", asks("a", 1), asks("a", 2),
+        "node n0 0\nn0 next hold\nclient a platform\n",
+        asks("a", 1),
+        asks("a", 2),
         "until attempts_written 1\na >\n| noise\n|\nn0 release 1\n",
-        DONE.format("a"), DONE.format("a"),
+        DONE.format("a"),
+        DONE.format("a"),
         "a <\n& bad 400 Bad Request / this is not HTTP/1.1 as it is spoken here\n",
         "a eof\nwrites n0 PUT 2\n",
-    )  # fmt: skip
+    )
 
 
 def _process(folder: Path, listed: str) -> tuple[subprocess.Popen[str], Path]:
@@ -195,9 +260,15 @@
 
 def test_connections_of_one_that_another_replaces_end_with_their_next_answer() -> None:
     """Its clients find the other process: nothing is kept for them up to SIGKILL."""
-    play("node n0 0\nn0 next hold\nclient a platform\nclient b platform\n", asks("a", 1),
-         "until attempts_written 1\nbeside\nsignal TERM\n", well("b").replace("& well", WELL_CLOSING),
-         "n0 release 1\n", SERVED.format("a"), "a eof\nb eof\nwrites n0 PUT 1\n")  # fmt: skip
+    play(
+        "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
+        asks("a", 1),
+        "until attempts_written 1\nbeside\nsignal TERM\n",
+        well("b").replace("& well", WELL_CLOSING),
+        "n0 release 1\n",
+        SERVED.format("a"),
+        "a eof\nb eof\nwrites n0 PUT 1\n",
+    )
 
 
 # Watches
@@ -214,10 +285,20 @@
 def indented(index: int, status: str) -> str:
     """As json.dumps with indent=2 has it, with braces within a name."""
     lines = [
-        "{", f'  "index": {index},', '  "snapshot": false,', '  "endpoints": [', "    {",
-        '      "name": "n0",', '      "address": "{n0.address}",', '      "zone": "a}]\\"{",',
-        '      "group": 0,', f'      "status": "{status}"', "    }", "  ]", "}",
-    ]  # fmt: skip
+        "{",
+        f'  "index": {index},',
+        '  "snapshot": false,',
+        '  "endpoints": [',
+        "    {",
+        '      "name": "n0",',
+        '      "address": "{n0.address}",',
+        '      "zone": "a}]\\"{",',
+        '      "group": 0,',
+        f'      "status": "{status}"',
+        "    }",
+        "  ]",
+        "}",
+    ]
     return "".join(f"~ {line}\n" for line in lines)
 
 
@@ -232,8 +313,14 @@
 
 
 def test_an_indented_list_is_a_list() -> None:
-    play(BEGIN, "discovery >\n", indented(2, "draining"), "until discovery_updates 2\n",
-         "counter discovery_breaks 0\n", NOTHING_GOES)  # fmt: skip
+    play(
+        BEGIN,
+        "discovery >\n",
+        indented(2, "draining"),
+        "until discovery_updates 2\n",
+        "counter discovery_breaks 0\n",
+        NOTHING_GOES,
+    )
 
 
 def test_an_indented_list_in_pieces_is_one_once_its_last_line_came() -> None:
@@ -246,8 +333,17 @@
 def test_a_list_is_taken_with_its_last_brace(whole: str) -> None:
     """The line's end may come with the next empty line, two seconds later."""
     *lines, last = whole.splitlines(keepends=True)
-    play(BEGIN, "discovery >\n", *lines, last.replace("~ ", "= "), "until discovery_updates 2\n",
-         "discovery >\n|\n", well("a"), "counter discovery_breaks 0\n", NOTHING_GOES)  # fmt: skip
+    play(
+        BEGIN,
+        "discovery >\n",
+        *lines,
+        last.replace("~ ", "= "),
+        "until discovery_updates 2\n",
+        "discovery >\n|\n",
+        well("a"),
+        "counter discovery_breaks 0\n",
+        NOTHING_GOES,
+    )
 
 
 @pytest.mark.parametrize(
@@ -255,63 +351,115 @@
 )
 def test_what_can_t_be_read_is_asked_for_again(broken: str) -> None:
     """It may have told of a drain, and no later line tells that again."""
-    play(BEGIN, "discovery >\n", broken, "| \n", "until discovery_breaks 1\nclock 100000\ndiscovery fresh\n",
-         OPEN.format(1), ANSWER, told(3, "draining"), "until discovery_updates 2\n",
-         NOTHING_GOES)  # fmt: skip
+    play(
+        BEGIN,
+        "discovery >\n",
+        broken,
+        "| \n",
+        "until discovery_breaks 1\nclock 100000\ndiscovery fresh\n",
+        OPEN.format(1),
+        ANSWER,
+        told(3, "draining"),
+        "until discovery_updates 2\n",
+        NOTHING_GOES,
+    )
 
 
 def test_a_drain_told_while_a_connection_comes_up_keeps_the_request_from_it() -> None:
-    play(BEGIN, "dials hold\n", asks("a", 1), "until attempts_sent 1\ndiscovery >\n", told(2, "draining"),
-         "until discovery_updates 2\ndials go\nuntil node_connections_too_late 1\nclock 10000000\n",
-         "a <\n& refused\nn0 ran PUT 0\n")  # fmt: skip
+    play(
+        BEGIN,
+        "dials hold\n",
+        asks("a", 1),
+        "until attempts_sent 1\ndiscovery >\n",
+        told(2, "draining"),
+        "until discovery_updates 2\ndials go\nuntil node_connections_too_late 1\nclock 10000000\n",
+        "a <\n& refused\nn0 ran PUT 0\n",
+    )
 
 
 def test_a_server_that_goes_while_a_connection_comes_up_gets_nothing() -> None:
-    play(BEGIN, "dials hold\n", asks("a", 1), "until attempts_sent 1\ndiscovery >\n", told(2, "gone"),
-         "until discovery_updates 2\ndials go\nuntil node_connections_too_late 1\nclock 10000000\n",
-         "a <\n& refused\nn0 ran PUT 0\n")  # fmt: skip
+    play(
+        BEGIN,
+        "dials hold\n",
+        asks("a", 1),
+        "until attempts_sent 1\ndiscovery >\n",
+        told(2, "gone"),
+        "until discovery_updates 2\ndials go\nuntil node_connections_too_late 1\nclock 10000000\n",
+        "a <\n& refused\nn0 ran PUT 0\n",
+    )
 
 
 def test_discovery_back_with_a_drain_while_a_retry_waits_for_that_server() -> None:
     play(
-        BEGIN, "n0 next full\n", asks("a", 1), "until attempts_full 1\ndiscovery close\n",
-        "until discovery_breaks 1\nclock 100000\ndiscovery fresh\n", OPEN.format(1), ANSWER,
-        told(2, "draining"), "until discovery_updates 2\nclock 2000000\nclock 8000000\n",
+        BEGIN,
+        "n0 next full\n",
+        asks("a", 1),
+        "until attempts_full 1\ndiscovery close\n",
+        "until discovery_breaks 1\nclock 100000\ndiscovery fresh\n",
+        OPEN.format(1),
+        ANSWER,
+        told(2, "draining"),
+        "until discovery_updates 2\nclock 2000000\nclock 8000000\n",
         "a <\n& refused\ncounter attempts_sent 1\n",
-    )  # fmt: skip
+    )
 
 
 def test_sighup_while_a_watch_is_being_opened_leaves_it_for_the_new_one() -> None:
-    play("discovery\nnode n0 0\nclient a platform\n", OPEN.format(0), "moves second\nsignal HUP\n",
-         "second <\n| GET /v1/servers?watch=1&after=0 HTTP/1.1\n| Host: {second.address}\n|\n",
-         "discovery eof\nsecond >\n| HTTP/1.1 200 OK\n| Connection: close\n|\n", told(2, "draining"),
-         "until discovery_updates 1\ncounter discovery_breaks 0\n", NOTHING_GOES)  # fmt: skip
+    play(
+        "discovery\nnode n0 0\nclient a platform\n",
+        OPEN.format(0),
+        "moves second\nsignal HUP\n",
+        "second <\n| GET /v1/servers?watch=1&after=0 HTTP/1.1\n| Host: {second.address}\n|\n",
+        "discovery eof\nsecond >\n| HTTP/1.1 200 OK\n| Connection: close\n|\n",
+        told(2, "draining"),
+        "until discovery_updates 1\ncounter discovery_breaks 0\n",
+        NOTHING_GOES,
+    )
 
 
 def test_an_agent_that_says_nothing_is_asked_anew_within_a_second() -> None:
     """While discovery is down it is silent; what it gets at the return counts at once."""
-    play("discovery\nnode n0 0\nclient a platform\n", OPEN.format(0), "clock 700000\nclock 100000\n",
-         "discovery fresh\n", OPEN.format(0), "clock 700000\nclock 100000\ndiscovery fresh\n",
-         OPEN.format(0), ANSWER, told(2, "draining"), "until discovery_updates 1\n",
-         NOTHING_GOES)  # fmt: skip
+    play(
+        "discovery\nnode n0 0\nclient a platform\n",
+        OPEN.format(0),
+        "clock 700000\nclock 100000\n",
+        "discovery fresh\n",
+        OPEN.format(0),
+        "clock 700000\nclock 100000\ndiscovery fresh\n",
+        OPEN.format(0),
+        ANSWER,
+        told(2, "draining"),
+        "until discovery_updates 1\n",
+        NOTHING_GOES,
+    )
 
 
-def _watch(ours: bool, fleet: int) -> tuple[Watch, list[int]]:
+def _watch(ours: bool, fleet: int) -> tuple[DiscoveryWatch, list[int]]:
     """A watch, and the pauses that it asks for."""
     now, waits = [T0], list[int]()
     wheel: Any = mock.Mock(after=lambda delay, what, *words: waits.append(delay))
     loop: Any = mock.Mock(create_task=lambda work: work.close())
-    watch = Watch(("127.0.0.1", 1), Listing(0, True, ()), loop, wheel, lambda: now[0], Counters(),
-                  lambda *a, **k: None, lambda listing: None, fleet, ours)  # fmt: skip
+    watch = DiscoveryWatch(
+        ("127.0.0.1", 1),
+        DiscoveryMessage(0, True, ()),
+        loop,
+        wheel,
+        lambda: now[0],
+        Counters(),
+        lambda *a, **k: None,
+        lambda listing: None,
+        fleet,
+        ours,
+    )
     return watch, waits
 
 
-def _answered(watch: Watch, after: int, status: bytes = b"200 OK") -> None:
+def _answered(watch: DiscoveryWatch, after: int, status: bytes = b"200 OK") -> None:
     """An answer's first bytes, so many us after the call."""
     stream: Any = watch.stream
     stream.connection_made(mock.Mock())
     stream.call.up -= after
-    stream.call.began -= after
+    stream.call.started_us -= after
     stream.data_received(b"HTTP/1.1 " + status + b"\r\nContent-Length: 9\r\n\r\n")
 
 
@@ -320,7 +468,7 @@
     known by its quick answer."""
     for fleet in (1, 200):
         watch, waits = _watch(True, fleet)
-        watch.begin()
+        watch.start()
         _answered(watch, 10_000)
         assert watch.stream is not None
         waits.clear()
@@ -333,18 +481,20 @@
 
 def test_silence_without_a_word_is_an_agent_s_whose_discovery_is_down() -> None:
     watch, waits = _watch(True, 200)
-    watch.begin()
+    watch.start()
     assert watch.stream is not None and waits[-1] <= 800_000  # it does not even come up
     watch.stream.connection_made(mock.Mock())
-    assert watch.pacing.due(watch.stream.call) - T0 <= 2_500_000
-    watch.stream.call.began -= 2_500_000
+    assert watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 2_500_000
+    watch.stream.call.started_us -= 2_500_000
     waits.clear()
     watch.stream.end("silent")
     assert waits[-1] <= 101_000
     watch.open()
     assert watch.stream is not None
     watch.stream.connection_made(mock.Mock())
-    assert watch.pacing.due(watch.stream.call) - T0 <= 800_000  # one that comes up is an agent's now
+    assert (
+        watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 800_000
+    )  # one that comes up is an agent's now
 
 
 def test_pushed_lists_behind_a_service_that_answers_in_turn_spare_it() -> None:
@@ -352,7 +502,7 @@
     waited = []
     for _ in range(40):
         watch, waits = _watch(True, 200)
-        watch.begin()
+        watch.start()
         _answered(watch, 2_000_000, b"503 Service Unavailable")
         assert watch.stream is not None
         waits.clear()
@@ -362,7 +512,7 @@
         watch.open()
         assert watch.stream is not None and waits[-1] >= 1_999_000
         watch.stream.connection_made(mock.Mock())
-        assert 3_000_000 <= watch.pacing.due(watch.stream.call) - T0 <= 3_850_000
+        assert 3_000_000 <= watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 3_850_000
     assert max(waited) > 1_000_000 and len(set(waited)) > 10
 
 
@@ -374,7 +524,7 @@
         watch.open()
         assert watch.stream is not None
         watch.stream.call.answered = True
-        watch.stream.call.last -= 3_000_000
+        watch.stream.call.last_activity_us -= 3_000_000
         waits.clear()
         watch.stream.end("silent")
         waits_seen.append(waits[-1])
@@ -386,26 +536,26 @@
 
     async def test() -> None:
         exchange = Exchange("discovery\nnode n0 0\n")
-        exchange.patches.enter_context(mock.patch("umberlead.front.FIRST_LIST", 60))
+        exchange.patches.enter_context(mock.patch("umberlead.front.FIRST_LIST_TIMEOUT_SECONDS", 60))
         try:
             for words, lines in exchange.steps:
                 await exchange._step(words, lines)
             starting = asyncio.create_task(exchange._start())
             peer = await exchange.nodes["discovery"].peer()
-            assert exchange.front is not None and not exchange.front.servers
+            assert exchange.front is not None and not exchange.front.listeners
             while b"\r\n\r\n" not in peer.got:
                 await peer.more("the call")
-            assert not exchange.front.servers
+            assert not exchange.front.listeners
             peer.transport.write(
                 b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b'{"index":1,"endpoints":[]}\n'
             )
             front = await starting
-            assert front.engine.pool() == (0, 0) and len(front.servers) == 2
+            assert front.lifecycle.endpoint_summary() == (0, 0) and len(front.listeners) == 2
         finally:
             exchange.patches.close()
             exchange.task.cancel()
             assert exchange.front is not None
-            exchange.front.end()
+            exchange.front.release_resources()
             for server in exchange.servers:
                 server.close()
 
@@ -419,26 +569,44 @@
 def test_an_interim_answer_begins_nothing() -> None:
     """An upload took longer than a dial behind it, and was answered as failed."""
     interim = "n0 >\n| HTTP/1.1 103 Early Hints\n| Link: </x>\n|\n"
-    play("node n0 0:script\nclient a platform\n", "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n", interim,
-         well("b").replace("b >", "client b platform\nb >", 1), "clock 400000\n", interim, well("b"),
-         "clock 400000\n",
-         "n0 >\n& done\na <\n& done\ncounter attempts_ok 1\n")  # fmt: skip
+    play(
+        "node n0 0:script\nclient a platform\n",
+        "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n",
+        interim,
+        well("b").replace("b >", "client b platform\nb >", 1),
+        "clock 400000\n",
+        interim,
+        well("b"),
+        "clock 400000\n",
+        "n0 >\n& done\na <\n& done\ncounter attempts_ok 1\n",
+    )
 
 
 def test_an_answer_that_breaks_off_behind_an_interim_one_is_an_error() -> None:
-    play("node n0 0:script\nclient a platform\n", "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n",
-         "n0 >\n| HTTP/1.1 103 Early Hints\n|\n| HTTP/1.1 200 OK\n| Content-Len\n",
-         well("b").replace("b >", "client b platform\nb >", 1), "clock 400000\na <\n& failed\n")  # fmt: skip
+    play(
+        "node n0 0:script\nclient a platform\n",
+        "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n",
+        "n0 >\n| HTTP/1.1 103 Early Hints\n|\n| HTTP/1.1 200 OK\n| Content-Len\n",
+        well("b").replace("b >", "client b platform\nb >", 1),
+        "clock 400000\na <\n& failed\n",
+    )
 
 
 def test_what_is_sent_ahead_is_held_within_the_memory_for_bodies() -> None:
     """Beyond that it is dropped, and what was whole before it is answered."""
     ahead = f"a >\n| {'x' * 6_000}\n"
-    play("node n0 0\nn0 next hold\nclient a platform\n", asks("a", 1), asks("a", 2),
-         "until attempts_written 1\nmemory 5000\n", ahead, "until bad_requests_503 1\nn0 release 1\n",
-         DONE.format("a"), DONE.format("a"),
-         "a <\n| HTTP/1.1 503 Service Unavailable\n| Retry-After: 0.5\n| Content-Length: {~}\n"
-         "| Connection: close\n|\n~ refused: too much is held at present\n")  # fmt: skip
+    play(
+        "node n0 0\nn0 next hold\nclient a platform\n",
+        asks("a", 1),
+        asks("a", 2),
+        "until attempts_written 1\nmemory 5000\n",
+        ahead,
+        "until bad_requests_503 1\nn0 release 1\n",
+        DONE.format("a"),
+        DONE.format("a"),
+        "a <\n| HTTP/1.1 503 Service Unavailable\n| Retry-After: 0.5\n| Content-Length: {~}\n"
+        "| Connection: close\n|\n~ refused: too much is held at present\n",
+    )
 
 
 # Idle connections
@@ -450,10 +618,10 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         now = [T0]
-        clients = Clients(2, lambda: now[0], Counters(), 0, 1 << 20, print)
+        clients = ClientGroup(2, lambda: now[0], Counters(), 0, 1 << 20, print)
         clients.stopping = True  # connections are kept, however many
         handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
-        handler.request = lambda conn, _: conn.reply(200, (), b"x")
+        handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x")
         listener = Listener(handler, clients, ("127.0.0.1", 0), loop)
         came = []
         for _ in range(2):
@@ -466,12 +634,12 @@
         first, second = list(clients.slots)
         came[0].send(b"GET /b HTTP/1.1\r\n\r\n")
         came[1].send(b"GET /b HTTP/1.1\r\n\r\n")
-        assert not clients.make_room() and not first.evicted and not second.evicted
+        assert not clients.ensure_capacity() and not first.evicted and not second.evicted
         for sock in came:
             assert (await loop.sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200")
         now[0] += 10_000_000
         came[0].send(b"GET /c HTTP/1.1\r\n\r\n")
-        assert clients.make_room() and second.evicted and not first.evicted
+        assert clients.ensure_capacity() and second.evicted and not first.evicted
         assert (await loop.sock_recv(came[0], 1000)).startswith(b"HTTP/1.1 200")
         for sock in came:
             sock.close()
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -112,8 +112,10 @@
             assert load.tally.done["back"] and load.tally.done["part"] and not load.tally.refused
             assert "not the same" in summary(load.tally)
             assert [r[0] for r in rows(load.tally, Counter(), 1.0)] == [
-                "objects in", "objects back", "ranges back"
-            ]  # fmt: skip
+                "objects in",
+                "objects back",
+                "ranges back",
+            ]
 
     asyncio.run(test())
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -27,10 +27,10 @@
 from umberlead import resource_limits as limits
 from umberlead.common.counters import Counters
 from umberlead.handover.shared_state import SharedState
-from umberlead.net.client_connections import Clients
-from umberlead.net.listener import ACCEPT_BATCH, Listener
-from umberlead.net.node_connection import NodeConnection
-from umberlead.net.node_pool import Pool
+from umberlead.net.client_connections import ClientGroup
+from umberlead.net.listener import ACCEPT_BATCH_SIZE, Listener
+from umberlead.net.node_connection import EndpointConnection
+from umberlead.net.node_pool import EndpointPool
 from umberlead.net.server_connection import ServerConnection
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -43,22 +43,31 @@
 
 @given(st.integers(32, 100_000), st.integers(0, 64), st.integers(1, 2))
 def test_all_descriptors_are_dealt_and_none_twice(sockets: int, held: int, fronts: int) -> None:
-    of = limits.deal(sockets, 64 << 20, held, 20 << 20, fronts)
-    clients, doors = (most + limits.surplus(most) for most in (of.clients, of.doors))
-    least = held + limits.MORE + 4 + 2 * fronts
-    assert held + limits.MORE + doors + fronts * clients + of.nodes == max(sockets, least)
-    assert of.clients and of.doors and of.nodes >= limits.NODES_LEAST
+    of = limits.divide_resources(sockets, 64 << 20, held, 20 << 20, fronts)
+    clients, doors = (
+        most + limits.surplus_connections(most) for most in (of.client_connections, of.admin_connections)
+    )
+    least = held + limits.RESERVED_DESCRIPTORS_COUNT + 4 + 2 * fronts
+    assert (
+        held + limits.RESERVED_DESCRIPTORS_COUNT + doors + fronts * clients + of.endpoint_connections
+        == max(sockets, least)
+    )
+    assert (
+        of.client_connections
+        and of.admin_connections
+        and of.endpoint_connections >= limits.MIN_ENDPOINT_CONNECTIONS_COUNT
+    )
     assert sockets < 128 or held > 16 or fronts * clients > sockets / 3
 
 
 # What is taken
 
 
-def _listener(clients: Clients) -> tuple[Listener, list[int]]:
+def _listener(clients: ClientGroup) -> tuple[Listener, list[int]]:
     """A listener, and the descriptors that its connections held as it took each."""
     handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
-    handler.request = lambda conn, _: conn.reply(200, (), b"x")
-    handler.reject = lambda conn, status, why: conn.reply(status, (), b"x")
+    handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x")
+    handler.reject = lambda conn, status, why: conn.send_response(status, (), b"x")
     made = Listener(handler, clients, ("127.0.0.1", 0), asyncio.get_running_loop())
     peak, take = list[int](), made._connect
 
@@ -104,19 +113,21 @@
 
     async def test() -> None:
         now = [T0]
-        clients = Clients(16, lambda: now[0], Counters(), 0, 1 << 20, print)
+        clients = ClientGroup(16, lambda: now[0], Counters(), 0, 1 << 20, print)
         clients.stopping = True  # answers end no connection
         listener, peak = _listener(clients)
         came = [_asks(listener.address) for _ in range(16)]
-        await _until(lambda: sum(conn.served for conn in clients.slots) == 16)
+        await _until(lambda: sum(conn.served_count for conn in clients.slots) == 16)
         now[0] += 1_000_000
         came += [_asks(listener.address, b"G") for _ in range(64)]
         await _until(lambda: listener.paused)
         assert clients.counters["clients_evicted"] == 16
         now[0] += 1_000_000
-        assert clients.make_room() and clients.make_room()  # for requests that were read in this turn
+        assert (
+            clients.ensure_capacity() and clients.ensure_capacity()
+        )  # for requests that were read in this turn
         listener._accept_batch()
-        assert max(peak) == 16 + limits.surplus(16)
+        assert max(peak) == 16 + limits.surplus_connections(16)
         for sock in came:
             sock.close()
         listener.close()
@@ -128,10 +139,10 @@
     """All of it was taken at once, whatever the cap: up to 1024 connections, and no descriptor was left."""
 
     async def test() -> None:
-        clients = Clients(16, lambda: time.monotonic_ns() // 1000, Counters(), 0, 1 << 20, print)
+        clients = ClientGroup(16, lambda: time.monotonic_ns() // 1000, Counters(), 0, 1 << 20, print)
         clients.stopping = clients.close_after_reply = True
         listener, peak = _listener(clients)
-        listener.accept_without_delay()
+        listener.disable_deferred_accept()
         came, loop = [_asks(listener.address) for _ in range(64)], asyncio.get_running_loop()
         listener.close()
         for sock in came:
@@ -140,7 +151,7 @@
                 got += piece
             assert re.match(rb"HTTP/1.1 (200|503) .*\r\n\r\nx$", got, re.S), got
             sock.close()
-        assert max(peak) <= 16 + limits.surplus(16)
+        assert max(peak) <= 16 + limits.surplus_connections(16)
 
     _run(test())
 
@@ -150,7 +161,7 @@
 
     async def test() -> None:
         now, looked = [T0], list[ServerConnection]()
-        clients = Clients(800, lambda: now[0], Counters(), 0, 1 << 20, print)
+        clients = ClientGroup(800, lambda: now[0], Counters(), 0, 1 << 20, print)
         listener, _ = _listener(clients)
         for _ in range(800):
             ServerConnection(listener.handler, clients).connection_made(mock.Mock(is_closing=lambda: False))
@@ -164,8 +175,12 @@
 
         with mock.patch.object(ServerConnection, "is_evictable", look):
             listener._accept_batch()
-        assert (len(looked), listener.accepting, clients.evicting) == (800, ACCEPT_BATCH, ACCEPT_BATCH)
-        await _until(lambda: not listener.tasks)
+        assert (len(looked), listener.accepting_count, clients.evicting_count) == (
+            800,
+            ACCEPT_BATCH_SIZE,
+            ACCEPT_BATCH_SIZE,
+        )
+        await _until(lambda: not listener.accept_tasks)
         for sock in came:
             sock.close()
         listener.close()
@@ -175,21 +190,21 @@
 
 def test_silent_newcomers_keep_no_request_out_and_only_requests_do() -> None:
     """In their grace they can't be told to go, and a client that asked was told that there is no room."""
-    clients = Clients(4, lambda: T0, Counters(), 0, 1 << 20, print)
+    clients = ClientGroup(4, lambda: T0, Counters(), 0, 1 << 20, print)
     handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
     conns = [ServerConnection(handler, clients) for _ in range(6)]
     for conn in conns:
         conn.connection_made(mock.Mock(is_closing=lambda: False))
     for conn in conns[:5]:
         conn.data_received(b"GET /a HTTP/1.1\r\n\r\n")
-    assert [call.args[0] for call in handler.request.call_args_list] == conns[:4]
+    assert [call.args[0] for call in handler.handle_request.call_args_list] == conns[:4]
     assert [call.args[0] for call in handler.reject.call_args_list] == conns[4:5]
 
 
 def test_an_upload_that_hardly_moves_gives_way_at_the_cap_and_another_does_not() -> None:
     """Where a body may take long each byte made its connection new, and a crowd of them kept all places."""
     now = [T0]
-    clients = Clients(1, lambda: now[0], Counters(), 0, 1 << 20, print)
+    clients = ClientGroup(1, lambda: now[0], Counters(), 0, 1 << 20, print)
     conn = ServerConnection(
         mock.Mock(max_body_bytes=1 << 20, singleton_headers=frozenset(), allows_slow_bodies=True), clients
     )
@@ -199,35 +214,37 @@
         for _ in range(pieces):
             now[0] += pause
             conn.data_received(b"x" * size)
-        assert not clients.make_room() and not conn.evicted
+        assert not clients.ensure_capacity() and not conn.evicted
     now[0] += 200_000_000
     conn.data_received(b"x")
-    assert clients.make_room() and conn.evicted
+    assert clients.ensure_capacity() and conn.evicted
 
 
 def test_where_the_cap_to_chunk_servers_comes_down_only_what_is_over_it_goes() -> None:
     """A slot is free a turn after its connection was closed: all that rested went."""
-    pool = Pool(mock.Mock(), mock.Mock(), mock.Mock(), lambda: T0, Counters(), 6, 0, 1 << 40, "s", print)
-    rest = [NodeConnection(pool, ("127.0.0.1", n)) for n in range(6)]
+    pool = EndpointPool(
+        mock.Mock(), mock.Mock(), mock.Mock(), lambda: T0, Counters(), 6, 0, 1 << 40, "s", print
+    )
+    rest = [EndpointConnection(pool, ("127.0.0.1", n)) for n in range(6)]
     for conn in rest:
         conn.slot, conn.transport = pool.slots.add(conn), mock.Mock()
         pool.put_idle(conn)
     pool.max_connections = 4
-    pool.sweep()
+    pool.close_expired()
     assert [conn.closed for conn in rest] == [True] * 2 + [False] * 4
 
 
 def test_without_a_descriptor_to_look_what_was_seen_of_the_others_stands(tmp_path: Path) -> None:
     """Chunk servers out by hand came back, and each of two processes took all limits for itself."""
     one, other = SharedState(tmp_path), SharedState(tmp_path)
-    one.override("n0", True)
-    seen = one.others(), one.overrides()
+    one.set_drain_override("n0", True)
+    seen = one.count_siblings(), one.drain_overrides()
     for name in ("os.listdir", "builtins.open"):
         with mock.patch(name, side_effect=OSError(errno.EMFILE, "")):
-            assert (one.others(), one.overrides()) == seen
-    other.leave()
-    assert (one.others(), list(one.overrides())) == (0, ["n0"])
-    one.leave()
+            assert (one.count_siblings(), one.drain_overrides()) == seen
+    other.deregister()
+    assert (one.count_siblings(), list(one.drain_overrides())) == (0, ["n0"])
+    one.deregister()
 
 
 # Whole processes
@@ -265,10 +282,12 @@
         self.log = folder / "log"
         with open(self.log, "wb") as log:
             self.of = subprocess.Popen(
-                [sys.executable, "-B", "-m", "umberlead"], cwd=ROOT, stderr=log,
+                [sys.executable, "-B", "-m", "umberlead"],
+                cwd=ROOT,
+                stderr=log,
                 env=os.environ | {"UMBERLEAD_CONFIG": str(folder / "front.toml")},
                 preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)),
-            )  # fmt: skip
+            )
 
     def told(self, event: str) -> list[dict[str, str]]:
         rows = [line for line in self.log.read_text().splitlines() if line.endswith(f"] {event}")]
@@ -328,9 +347,11 @@
 
 
 TEXTS = {
-    "silent": b"", "half": b"GET /read?block=", "kept": b"GET /healthz HTTP/1.1\r\n\r\n",
+    "silent": b"",
+    "half": b"GET /read?block=",
+    "kept": b"GET /healthz HTTP/1.1\r\n\r\n",
     "trickle": b"PUT /read?block=7f3a9c21e0b4d655 HTTP/1.1\r\nContent-Length: 60000\r\n\r\n",
-}  # fmt: skip
+}
 
 
 async def _idles(kind: str, address: tuple[str, int]) -> None:
@@ -433,8 +454,11 @@
             got, log = await front.counters(), front.log.read_text()
             print(f"{sockets}: {dealt}, {number} in use, peak {max(peak)}, {got}")
             failed = (
-                "accepts_failed", "node_connections_failed", "node_connections_over_cap", "reloads_refused",
-            )  # fmt: skip
+                "accepts_failed",
+                "node_connections_failed",
+                "node_connections_over_cap",
+                "reloads_refused",
+            )
             assert max(peak) <= sockets and not any(got.get(name) for name in failed), log
             assert 'why="refused"' not in log  # all calls at discovery came up
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,11 +13,11 @@
 
 from tests.helpers import T0
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
-from umberlead.config import Listing
+from umberlead.common.timer_wheel import TimerWheel
+from umberlead.config import DiscoveryMessage
 from umberlead.handover.shared_state import SharedState
-from umberlead.net.discovery import Watch
-from umberlead.recovery.backoff import LIMIT
+from umberlead.net.discovery import DiscoveryWatch
+from umberlead.recovery.backoff import MAX_CALL_GAP_US
 
 LIST = b'{"index":3,"snapshot":true,"endpoints":[]}\n'
 
@@ -42,12 +42,18 @@
         def clock() -> int:
             return time.monotonic_ns() // 1000
 
-        wheel = Wheel(clock, lambda delay, fn: loop.call_later(delay / 1e6, fn), 1000)
+        wheel = TimerWheel(clock, lambda delay, fn: loop.call_later(delay / 1e6, fn), 1000)
         counters = Counters()
-        watch = Watch(
-            ("127.0.0.1", port), Listing(0, True, ()), loop, wheel, clock, counters,
-            lambda *a, **k: None, lambda listing: None,
-        )  # fmt: skip
+        watch = DiscoveryWatch(
+            ("127.0.0.1", port),
+            DiscoveryMessage(0, True, ()),
+            loop,
+            wheel,
+            clock,
+            counters,
+            lambda *a, **k: None,
+            lambda listing: None,
+        )
         watch.open()
         await asyncio.sleep(seconds)
         watch.close()
@@ -126,12 +132,19 @@
             return await loop.create_connection(made, host, port)
 
         self.loop: Any = mock.Mock(create_task=loop.create_task, create_connection=dial)
-        self.wheel = Wheel(lambda: self.now, lambda delay, fn: mock.Mock(), 1000)
+        self.wheel = TimerWheel(lambda: self.now, lambda delay, fn: mock.Mock(), 1000)
         self.heard: list[tuple[int, int]] = []
-        self.watch = Watch(
-            ("127.0.0.1", discovery.port), Listing(0, True, ()), self.loop, self.wheel, lambda: self.now,
-            Counters(), lambda *a, **k: None, lambda told: self.heard.append((told.index, self.now)), **more,
-        )  # fmt: skip
+        self.watch = DiscoveryWatch(
+            ("127.0.0.1", discovery.port),
+            DiscoveryMessage(0, True, ()),
+            self.loop,
+            self.wheel,
+            lambda: self.now,
+            Counters(),
+            lambda *a, **k: None,
+            lambda told: self.heard.append((told.index, self.now)),
+            **more,
+        )
 
     def dialled(self, times: int) -> bool:
         return self.dials >= times
@@ -148,9 +161,11 @@
             return await asyncio.sleep(0)
         if how:
             said = isinstance(how, bytes) and how.startswith(HEAD)
-            await self.until(lambda: stream.dead or (said and (stream.call.listed or stream.call.partial)))
+            await self.until(
+                lambda: stream.ended or (said and (stream.call.list_received or stream.call.partial))
+            )
         else:
-            await self.until(lambda: stream.dead or stream.call.up is not None)
+            await self.until(lambda: stream.ended or stream.call.connected_us is not None)
 
     async def goes_on(self, until: Callable[[], Any], most: int) -> None:
         """The clock moves on until that, `most` us at the most."""
@@ -158,7 +173,7 @@
         while not until():
             assert self.now < end, "it did not come about in that time"
             self.now += STEP
-            self.wheel.turn()
+            self.wheel.fire_due()
             await self.settle()
 
 
@@ -177,10 +192,17 @@
 
 HALF = HEAD + _chunk(LIST[:20])
 WAYS: dict[str, bytes | str] = {
-    "refused": b"", "no": NO, "no without Retry-After": NO.replace(b"Retry-After: 30\r\n", b""),
-    "hung": b"", "hung dial": b"", "reset": "reset", "no HTTP": b"noise\r\n\r\n",
-    "no list": HEAD + _chunk(b"[1]\n"), "half a list": HALF, "silent": HEAD + _chunk(LIST),
-}  # fmt: skip
+    "refused": b"",
+    "no": NO,
+    "no without Retry-After": NO.replace(b"Retry-After: 30\r\n", b""),
+    "hung": b"",
+    "hung dial": b"",
+    "reset": "reset",
+    "no HTTP": b"noise\r\n\r\n",
+    "no list": HEAD + _chunk(b"[1]\n"),
+    "half a list": HALF,
+    "silent": HEAD + _chunk(LIST),
+}
 
 
 @pytest.mark.parametrize("failed", [1, 4])
@@ -190,7 +212,7 @@
     6 s less the 2 s that a call may wait its turn are left."""
 
     async def test(discovery: Discovery) -> None:
-        of = Setting(discovery, fleet=200)
+        of = Setting(discovery, fleet_size=200)
         discovery.how = WAYS[way]
         if way == "hung dial":
             of.gate.clear()
@@ -203,10 +225,10 @@
             await of.goes_on(partial(of.dialled, k), 8_000_000)
         back, dials, discovery.how = of.now, of.dials, NEWS
         of.watch.address = ("127.0.0.1", discovery.port)
-        await of.goes_on(lambda: of.dials > dials, LIMIT + STEP)  # one that hung is left first
+        await of.goes_on(lambda: of.dials > dials, MAX_CALL_GAP_US + STEP)  # one that hung is left first
         of.gate.set()
         await of.goes_on(lambda: of.heard and of.heard[-1][0] == 9, STEP)
-        assert of.heard[-1][1] - back <= LIMIT + 2 * STEP
+        assert of.heard[-1][1] - back <= MAX_CALL_GAP_US + 2 * STEP
         of.watch.close()
 
     _play(test)
@@ -214,7 +236,7 @@
 
 def test_a_connection_that_comes_up_late_is_taken() -> None:
     async def test(discovery: Discovery) -> None:
-        of = Setting(discovery, fleet=200)
+        of = Setting(discovery, fleet_size=200)
         of.gate.clear()
         discovery.how = NEWS
         of.watch.open()
@@ -231,8 +253,8 @@
     """Of a few fronts from the first call on, of many once an earlier process met it."""
 
     async def test(discovery: Discovery) -> None:
-        of = Setting(discovery, fleet=200 if agent else 5, ours=True, agent=agent)
-        of.watch.begin()
+        of = Setting(discovery, fleet_size=200 if agent else 5, expects_agent=True, is_agent=agent)
+        of.watch.start()
         await of.settle()
         for k in range(2, 9):
             await of.goes_on(partial(of.dialled, k), 750_000)
@@ -247,14 +269,14 @@
     """A service was taken for an agent, as it once answered quickly."""
 
     async def test(discovery: Discovery) -> None:
-        of = Setting(discovery, fleet=200, ours=True, agent=True)
+        of = Setting(discovery, fleet_size=200, expects_agent=True, is_agent=True)
         of.watch.open()
         await of.settle()
         await of.until(lambda: discovery.calls)
         await of.goes_on(lambda: of.dials >= 3, 1_600_000)
         discovery.calls[0].write(NO)
-        await of.until(lambda: of.watch.pacing.agent is False)
-        assert of.watch.late is None
+        await of.until(lambda: of.watch.pacing.is_agent is False)
+        assert of.watch.late_stream is None
         dials = of.dials
         await of.goes_on(lambda: of.now > T0 + 4_000_000, 3_000_000)
         assert of.dials <= dials + 1  # what is under way waits its turn
@@ -265,7 +287,7 @@
 
 def test_a_list_that_comes_to_a_call_that_was_given_up_is_taken_and_the_others_left() -> None:
     async def test(discovery: Discovery) -> None:
-        of = Setting(discovery, fleet=5, ours=True)
+        of = Setting(discovery, fleet_size=5, expects_agent=True)
         of.watch.open()
         await of.settle()
         await of.until(lambda: discovery.calls)
@@ -274,7 +296,7 @@
         await of.until(lambda: of.heard)
         dials = of.dials
         await of.goes_on(lambda: of.now >= T0 + 3_000_000, 3_000_000)
-        assert of.dials == dials and of.watch.late is None
+        assert of.dials == dials and of.watch.late_stream is None
         discovery.calls[0].write(_chunk(LIST))
         await of.until(lambda: len(of.heard) == 2)
 
@@ -284,15 +306,21 @@
 def test_what_was_learnt_of_who_answers_is_kept_for_the_next_process(tmp_path: Any) -> None:
     async def test(discovery: Discovery) -> None:
         shared = SharedState(tmp_path)
-        assert shared.agent() is None and SharedState(None).agent() is None
+        assert shared.met_agent_before() is None and SharedState(None).met_agent_before() is None
         for how, agent in ((NEWS, True), (NO, True), (NEWS, None)):  # kept or not once a list has come
-            of = Setting(discovery, fleet=40, ours=True, agent=shared.agent(), learnt=shared.met_agent)
+            of = Setting(
+                discovery,
+                fleet_size=40,
+                expects_agent=True,
+                is_agent=shared.met_agent_before(),
+                on_agent_detected=shared.record_agent,
+            )
             if (how, agent) == (NEWS, None):
-                of.watch.pacing.agent = False
+                of.watch.pacing.is_agent = False
             discovery.how = how
             of.watch.open()
             await of.settle()
-            assert shared.agent() is agent
+            assert shared.met_agent_before() is agent
             of.watch.close()
 
     _play(test)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -39,8 +39,11 @@
     words = [n.offer(0, job(f"j{k}")) for k in range(5)]
     assert words == ["taken"] * 4 + ["full"]
     assert [(j.id, j.answer_at) for j in run(n)] == [
-        ("j0", 10_000), ("j1", 10_000), ("j2", 20_000), ("j3", 20_000)
-    ]  # fmt: skip
+        ("j0", 10_000),
+        ("j1", 10_000),
+        ("j2", 20_000),
+        ("j3", 20_000),
+    ]
     assert n.offer(30_000, job("astray", shard=4)) == "astray"
 
 
@@ -104,8 +107,13 @@
         run(n)
         times.append(before)
     assert [b - a for a, b in zip([0.0, *times], times, strict=False)] == [
-        10_000, 5_000, 10_000, 10_000, 10_000, 10_000
-    ]  # fmt: skip
+        10_000,
+        5_000,
+        10_000,
+        10_000,
+        10_000,
+        10_000,
+    ]
 
 
 def test_connections_cost_work_and_are_capped() -> None:
@@ -276,12 +284,14 @@
     from umberlead import config
 
     d = day()
-    got = config.settings_of(config.flat(settings(FIGURES, d, 4, 10)))
-    assert [p.reserve / p.rate for p in got.plans] == pytest.approx([0.0, 0.8, 1.2])
-    assert [c.aim for c in got.classes] == [300_000, 600_000, 2_000_000]
-    assert got.heads == 4 and got.shards == 10 and got.cold_multiple == 4.0
+    got = config.parse_settings(config.flatten(settings(FIGURES, d, 4, 10)))
+    assert [p.reserved_units_per_second / p.usual_units_per_second for p in got.plans] == pytest.approx(
+        [0.0, 0.8, 1.2]
+    )
+    assert [c.latency_objective_us for c in got.classes] == [300_000, 600_000, 2_000_000]
+    assert got.front_count == 4 and got.shard_count == 10 and got.cold_overload_factor == 4.0
     # What a cold node always bears is less than what pushes the slowest of them over.
-    assert got.cold_units * d.unit < 4 * 3 * SECOND * 2 * 0.85 * 0.17
+    assert got.cold_start_units * d.unit < 4 * 3 * SECOND * 2 * 0.85 * 0.17
 
 
 # Plans of scripts
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -6,20 +6,21 @@
 
 from tests.test_parts import Alarm, Clock
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
-from umberlead.net.node_connection import NodeConnection
+from umberlead.common.timer_wheel import TimerWheel
+from umberlead.net.node_connection import EndpointConnection
 from umberlead.net.node_protocol import OutgoingRequest
-from umberlead.requests.lifecycle import Engine
-from umberlead.requests.types import Answer, Attempt, IncomingRequest, Kind
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import Effect, Result
+from umberlead.requests.lifecycle import RequestLifecycle
+from umberlead.requests.types import Answer, AnswerKind, Attempt, IncomingRequest
+from umberlead.scheduling.actions import Action, Fail, Reject, Send
+from umberlead.scheduling.events import AttemptResult, Event, TimerExpired
+from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings
 
-SETTINGS = api.Settings(
+SETTINGS = Settings(
     classes=(
-        api.RequestClass("read", 300_000, 1_000_000),
-        api.RequestClass("once", 300_000, 1_000_000, Effect.UNSAFE),
+        RequestClass("read", 300_000, 1_000_000),
+        RequestClass("once", 300_000, 1_000_000, Repeatability.AT_MOST_ONCE),
     ),
-    plans=(api.Plan("p"),),
+    plans=(Plan("p"),),
     max_attempts=3,
 )
 
@@ -27,97 +28,113 @@
 class TestEngine(unittest.TestCase):
     def setUp(self) -> None:
         self.clock, self.calls = Clock(), list[Any]()
-        self.sent, self.stopped = list[Attempt](), list[tuple[Attempt, Result]]()
-        self.answers, self.says = list[Answer](), list[api.Action]()
+        self.sent, self.stopped = list[Attempt](), list[tuple[Attempt, AttemptResult]]()
+        self.answers, self.says = list[Answer](), list[Action]()
         self.logged = list[str]()
         clock = self.clock
-        wheel = Wheel(lambda: clock.now, lambda d, f: Alarm(clock, clock.now + d, f), 2000)
-        self.engine = Engine(
-            SETTINGS, 1, lambda: clock.now, wheel, self.calls.append, Counters(),
+        wheel = TimerWheel(lambda: clock.now, lambda d, f: Alarm(clock, clock.now + d, f), 2000)
+        self.engine = RequestLifecycle(
+            SETTINGS,
+            1,
+            lambda: clock.now,
+            wheel,
+            self.calls.append,
+            Counters(),
             lambda event, **_: self.logged.append(event),
-        )  # fmt: skip
-        self.engine.carrier = self
-        self.engine.head.handle = self.handle  # type: ignore[method-assign]
+        )
+        self.engine.transport = self
+        self.engine.scheduler.handle = self.handle  # type: ignore[method-assign]
 
     def start(self, attempt: Attempt) -> None:
         self.sent.append(attempt)
 
-    def stop(self, attempt: Attempt, why: Result) -> None:
+    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         self.stopped.append((attempt, why))
 
-    def unwanted(self, attempt: Attempt) -> bool:
+    def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False
 
-    def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
         says, self.says = self.says, []
         return says
 
-    def turn(self, *says: api.Action) -> None:
+    def turn(self, *says: Action) -> None:
         """The module says so at its next batch."""
         self.says = list(says)
         if not self.calls:
-            self.engine._post(api.Wake("x"))
+            self.engine._post(TimerExpired("x"))
         while self.calls:
             self.calls.pop(0)()
 
     def take(self, name: str = "read") -> Any:
         ask = IncomingRequest(name, "p", "v", None, 0, 1.0, self.clock.now + 1_000_000, None)
-        return self.engine.take(ask, self.answers.append)
+        return self.engine.accept(ask, self.answers.append)
 
     def test_one_answer_whatever_comes_after_it(self) -> None:
         t = self.take()
-        self.turn(api.Send(t.id, "n"))
-        self.engine.ended(self.sent[0], Result.OK)
-        self.turn(api.Refuse(t.id), api.Fail(t.id), api.Send(t.id, "n"))
+        self.turn(Send(t.id, "n"))
+        self.engine.attempt_ended(self.sent[0], AttemptResult.OK)
+        self.turn(Reject(t.id), Fail(t.id), Send(t.id, "n"))
         self.clock.run(5_000_000)
-        self.assertEqual([a.kind for a in self.answers], [Kind.SERVED])
-        self.assertEqual((len(self.sent), len(self.engine.tickets)), (1, 0))
-        self.assertRaises(RuntimeError, self.engine.ended, self.sent[0], Result.OK)
+        self.assertEqual([a.kind for a in self.answers], [AnswerKind.SERVED])
+        self.assertEqual((len(self.sent), len(self.engine.open_requests)), (1, 0))
+        self.assertRaises(RuntimeError, self.engine.attempt_ended, self.sent[0], AttemptResult.OK)
 
     def test_never_two_attempts_at_once_nor_more_than_the_most(self) -> None:
         t = self.take()
-        self.turn(api.Send(t.id, "a"), api.Send(t.id, "b"))
-        self.assertEqual([a.node for a in self.sent], ["a"])
-        self.engine.ended(self.sent[0], Result.FULL)
-        self.turn(api.Send(t.id, "c"))
-        self.engine.ended(self.sent[1], Result.FULL)
-        self.turn(api.Send(t.id, "d"))
+        self.turn(Send(t.id, "a"), Send(t.id, "b"))
+        self.assertEqual([a.endpoint for a in self.sent], ["a"])
+        self.engine.attempt_ended(self.sent[0], AttemptResult.REJECTED)
+        self.turn(Send(t.id, "c"))
+        self.engine.attempt_ended(self.sent[1], AttemptResult.REJECTED)
+        self.turn(Send(t.id, "d"))
         self.assertEqual([a.number for a in self.sent], [0, 2])
 
     def test_an_unsafe_request_that_may_have_run_is_not_sent_again_and_not_refused(self) -> None:
-        for result in (Result.ERROR, Result.RESET, Result.TIMEOUT, Result.CANCELLED):
+        for result in (
+            AttemptResult.ERROR,
+            AttemptResult.RESET,
+            AttemptResult.TIMEOUT,
+            AttemptResult.CANCELLED,
+        ):
             t = self.take("once")
-            self.turn(api.Send(t.id, "n"))
-            self.engine.ended(self.sent.pop(), result)
-            self.turn(api.Send(t.id, "n"), api.Refuse(t.id))
-            self.assertEqual((self.sent, self.answers.pop().kind), ([], Kind.FAILED))
+            self.turn(Send(t.id, "n"))
+            self.engine.attempt_ended(self.sent.pop(), result)
+            self.turn(Send(t.id, "n"), Reject(t.id))
+            self.assertEqual((self.sent, self.answers.pop().kind), ([], AnswerKind.FAILED))
 
     def test_what_a_module_leaves_open_or_breaks_on_is_answered(self) -> None:
-        def broken(*_: Any) -> list[api.Action]:
+        def broken(*_: Any) -> list[Action]:
             raise ValueError("no")
 
-        self.engine.head.handle = broken  # type: ignore[method-assign,assignment]
+        self.engine.scheduler.handle = broken  # type: ignore[method-assign,assignment]
         self.take()
         self.turn()
         self.clock.run(3_000_000)
-        self.assertEqual((self.logged[0], self.answers.pop().kind), ("module_error", Kind.REFUSED))
-        self.engine.head.handle = self.handle  # type: ignore[method-assign]
+        self.assertEqual((self.logged[0], self.answers.pop().kind), ("module_error", AnswerKind.REJECTED))
+        self.engine.scheduler.handle = self.handle  # type: ignore[method-assign]
         t = self.take()
-        self.turn(api.Send(t.id, "n"))
+        self.turn(Send(t.id, "n"))
         self.clock.run(5_000_000)
-        self.assertEqual([why for _, why in self.stopped], [Result.TIMEOUT])
-        self.assertEqual(self.answers.pop().kind, Kind.FAILED)  # its attempt is still out
-        self.engine.ended(self.sent[0], Result.TIMEOUT)
-        self.assertEqual(len(self.engine.tickets), 0)
+        self.assertEqual([why for _, why in self.stopped], [AttemptResult.TIMEOUT])
+        self.assertEqual(self.answers.pop().kind, AnswerKind.FAILED)  # its attempt is still out
+        self.engine.attempt_ended(self.sent[0], AttemptResult.TIMEOUT)
+        self.assertEqual(len(self.engine.open_requests), 0)
 
     def test_a_break_proves_that_nothing_ran_only_before_the_last_byte_is_handed_over(self) -> None:
-        for steps, want in (("", Result.RESET), ("pause", Result.NO_LINK), ("pause resume", Result.RESET)):
+        for steps, want in (
+            ("", AttemptResult.RESET),
+            ("pause", AttemptResult.CONNECT_FAILED),
+            ("pause resume", AttemptResult.RESET),
+        ):
             transport = mock.Mock()
-            pool = mock.Mock(clock=lambda: 0, host_line=b"", held_bytes=0, may_write=lambda attempt: None)
+            pool = mock.Mock(
+                clock=lambda: 0, host_line=b"", buffered_bytes=0, write_denial=lambda attempt: None
+            )
             transport.is_closing.return_value = False
-            conn = NodeConnection(pool, ("h", 1))
-            conn.attempt = mock.Mock(give_up=0, sent=0)
-            conn.attempt.ticket.ask.payload = OutgoingRequest(b"PUT", b"/x", [], b"body")
+            conn = EndpointConnection(pool, ("h", 1))
+            conn.attempt = mock.Mock(deadline_us=0, started_us=0)
+            conn.attempt.request.request.payload = OutgoingRequest(b"PUT", b"/x", [], b"body")
             transport.writelines.side_effect = lambda _, c=conn, s=steps: s and c.pause_writing()
             conn.connection_made(transport)
             if "resume" in steps:
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -14,16 +14,23 @@
 from umberlead.expect.model import Expectation, Life, Outcome, Selector, Step
 from umberlead.expect.proportion import Judged, judge, needed
 from umberlead.expect.verdict import contradictions, judged, may_have_run, sent_again
-from umberlead.membership.model import Listing, Server
-from umberlead.scheduling.interface import Effect, Plan, RequestClass, Settings
+from umberlead.membership.model import CheckedList, EndpointSpec
+from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings
 
 ROOT = Path(__file__).parent.parent
 SUITE = ROOT / "deploy" / "expectations" / "watched.suite"
 SETTINGS = Settings(
-    (RequestClass("read", 300_000, 2_000_000), RequestClass("once", 300_000, 2_000_000, Effect.UNSAFE)),
-    (Plan("p"), Plan("q")), max_attempts=3, shards=2,
-)  # fmt: skip
-LISTING = Listing(1, "1" * 64, {n: Server(n, ("127.0.0.1", k), k % 2) for k, n in enumerate("abcd")})
+    (
+        RequestClass("read", 300_000, 2_000_000),
+        RequestClass("once", 300_000, 2_000_000, Repeatability.AT_MOST_ONCE),
+    ),
+    (Plan("p"), Plan("q")),
+    max_attempts=3,
+    shard_count=2,
+)
+LISTING = CheckedList(
+    1, "1" * 64, {n: EndpointSpec(n, ("127.0.0.1", k), k % 2) for k, n in enumerate("abcd")}
+)
 
 
 def steps(text: str) -> list[Step]:
@@ -72,8 +79,8 @@
 def test_errors_name_place_and_reason(row: str, column: int, said: str, near: str) -> None:
     text = f"format 1\ncollection c plan p shards 0..1\nscenario s\n{row}\nexpect served\nend 5\n"
     _, problems = parse(text, "f")
-    assert [(p.place.line, p.place.column) for p in problems] == [(4, column)], problems
-    assert said in problems[0].text and problems[0].near == near
+    assert [(p.position.line, p.position.column) for p in problems] == [(4, column)], problems
+    assert said in problems[0].message and problems[0].suggestion == near
 
 
 def test_no_part_of_a_suite_passes_for_the_whole() -> None:
@@ -90,16 +97,21 @@
         list(spread("foreach a in 1 : " * 4 + "x"))
     many = "foreach a in 0..999 : foreach b in 0..99 : expect served"
     _, problems = parse(f"format 1\nscenario s\n{many}\nend 3\n", "f")
-    assert ["more than 20000 statements" in p.text for p in problems] == [True]
+    assert ["more than 20000 statements" in p.message for p in problems] == [True]
 
 
 @pytest.mark.parametrize(
     ("text", "found"),
     [
-        ("a +reset b", True), ("a +full b +ok", False), ("a +no_link b +no_link c", False), ("a b", True),
-        ("a +astray b", False), ("a +timeout =failed", False), ("a +error b +ok", True),
+        ("a +reset b", True),
+        ("a +full b +ok", False),
+        ("a +no_link b +no_link c", False),
+        ("a b", True),
+        ("a +astray b", False),
+        ("a +timeout =failed", False),
+        ("a +error b +ok", True),
     ],
-)  # fmt: skip
+)
 def test_a_second_sending_is_judged_by_what_the_first_proved(text: str, found: bool) -> None:
     """Whatever the configuration says of the class: that may be what is wrong."""
     for cls in ("read", "once"):
--- a/tests/test_expect_tools.py
+++ b/tests/test_expect_tools.py
@@ -12,30 +12,31 @@
 from umberlead.commands import command
 from umberlead.expect.altered import differences
 from umberlead.expect.suggest import suite
-from umberlead.membership.model import Listing, Server
-from umberlead.scheduling.interface import Effect, NodeState, Plan, RequestClass
+from umberlead.membership.model import CheckedList, EndpointSpec
+from umberlead.scheduling.events import EndpointStatus
+from umberlead.scheduling.settings import Plan, Repeatability, RequestClass
 
 ROOT = Path(__file__).parent.parent
 S = settings(
     classes=(
         RequestClass("read", 300_000, 2_000_000),
-        RequestClass("once", 400_000, 2_000_000, Effect.UNSAFE),
+        RequestClass("once", 400_000, 2_000_000, Repeatability.AT_MOST_ONCE),
     ),
     plans=(Plan("p"), Plan("q")),
-    shards=2,
+    shard_count=2,
 )
-LIST = {n: Server(n, ("127.0.0.1", k + 1), k % 2) for k, n in enumerate("abcd")}
+LIST = {n: EndpointSpec(n, ("127.0.0.1", k + 1), k % 2) for k, n in enumerate("abcd")}
 
 
-def listing(**more: Any) -> Listing:
-    return Listing(1, "1" * 64, LIST | more)
+def listing(**more: Any) -> CheckedList:
+    return CheckedList(1, "1" * 64, LIST | more)
 
 
-def without(*names: str) -> Listing:
-    return Listing(2, "2" * 64, {n: s for n, s in LIST.items() if n not in names})
+def without(*names: str) -> CheckedList:
+    return CheckedList(2, "2" * 64, {n: s for n, s in LIST.items() if n not in names})
 
 
-def told(new: Listing, settings_: Any = S) -> list[str]:
+def told(new: CheckedList, settings_: Any = S) -> list[str]:
     return [str(d) for d in differences((S, listing()), (settings_, new))]
 
 
@@ -53,7 +54,7 @@
 
 
 def test_a_server_that_drains_is_lost_and_one_that_is_the_last_leaves_nobody() -> None:
-    drains = listing(a=replace(LIST["a"], state=NodeState.DRAINING))
+    drains = listing(a=replace(LIST["a"], state=EndpointStatus.DRAINING))
     assert told(drains)[1] == "read, shard 0: - a"
     lines = told(without("a", "c"))[1:]
     assert lines and all(": - a c; " in x and x.endswith("nobody can serve it") for x in lines)
@@ -74,7 +75,7 @@
 def test_settings_that_change_how_often_a_request_goes_out_are_told_by_class() -> None:
     lines = told(listing(), replace(S, max_attempts=1))
     assert any("at most 3 -> 1 attempts" in line and "shard 0" in line for line in lines)
-    keyed = replace(S, classes=(S.classes[0], replace(S.classes[1], effect=Effect.SAFE)))
+    keyed = replace(S, classes=(S.classes[0], replace(S.classes[1], repeatability=Repeatability.IDEMPOTENT)))
     lines = told(listing(), keyed)
     assert lines[0] == "class once: effect unsafe -> safe"
     assert not any(line.startswith("read") for line in lines)  # and reads are as they were
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -122,15 +122,21 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     repo = tmp_path / "repo"
-    for name, text in (("core/decide.py", "old"), ("emulator/node.py", "old world"), ("load/day.py", "x")):
+    for name, text in (
+        ("scheduling/scheduler.py", "old"),
+        ("emulator/node.py", "old world"),
+        ("load/day.py", "x"),
+    ):
         (repo / "umberlead" / name).parent.mkdir(parents=True, exist_ok=True)
         (repo / "umberlead" / name).write_text(text)
 
     def git(*words: str) -> None:
         subprocess.run(
-            ["git", "-c", "user.name=t", "-c", "user.email=t@example.org", *words], cwd=repo, check=True,
+            ["git", "-c", "user.name=t", "-c", "user.email=t@example.org", *words],
+            cwd=repo,
+            check=True,
             capture_output=True,
-        )  # fmt: skip
+        )
 
     git("init", "-q")
     git("add", "-A")
@@ -154,9 +160,16 @@
 
 def row(version: str, seed: int, value: float, measure: str = "service", second: int = -1) -> dict[str, Any]:
     return {
-        "script": "s", "scenario": "x", "seed": seed, "version": version, "configuration": "c",
-        "driver": "virtual", "measure": measure, "second": second, "value": value,
-    }  # fmt: skip
+        "script": "s",
+        "scenario": "x",
+        "seed": seed,
+        "version": version,
+        "configuration": "c",
+        "driver": "virtual",
+        "measure": measure,
+        "second": second,
+        "value": value,
+    }
 
 
 def test_pairs_tell_what_means_alone_do_not() -> None:
