--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -14,8 +14,8 @@
 
 from tests.golden import exported, settings, stored, wire
 from umberlead.frontends.object_api.handler import Manifest
-from umberlead.gossip.messages import Keys
-from umberlead.handover.process_claims import Claim, parse
+from umberlead.gossip.messages import GossipKeys
+from umberlead.handover.process_claims import DescriptorClaim, parse_claim
 from umberlead.handover.shared_state import SharedState
 from umberlead.membership import snapshot
 
@@ -51,26 +51,26 @@
     files = _stored_state(tmp_path)
     claims = {name: text for name, text in files.items() if name[:7] == "claims/" and text}
     assert {len(text) for text in claims.values()} == {256}
-    assert stored.CLAIM in [parse(text) for text in claims.values()]
+    assert stored.CLAIM in [parse_claim(text) for text in claims.values()]
     (leaving,) = [name for name, text in files.items() if text == "leaving "]
     standing = next(name for name, text in files.items() if text == "standing")
     held = [os.open(tmp_path / name, os.O_RDONLY) for name in (leaving, standing)]
     for descriptor in held:
         fcntl.flock(descriptor, fcntl.LOCK_EX)
-    state, seen = SharedState(tmp_path), list[Claim | None]()
+    state, seen = SharedState(tmp_path), list[DescriptorClaim | None]()
 
-    def decide(others: list[Claim | None]) -> Claim:
+    def decide(others: list[DescriptorClaim | None]) -> DescriptorClaim:
         seen.extend(others)
         return stored.CLAIM
 
     assert state.publish(decide)
-    assert len(seen) == 2 and set(seen) == {stored.CLAIM, Claim(0, ())}
+    assert len(seen) == 2 and set(seen) == {stored.CLAIM, DescriptorClaim(0, ())}
     assert state.share() == 1 / 2.25  # one stands, one leaves
-    assert sorted(state.overrides()) == sorted(stored.DRAINED)
-    assert state.agent() is True
+    assert sorted(state.drain_overrides()) == sorted(stored.DRAINED)
+    assert state.met_agent_before() is True
     for descriptor in held:
         os.close(descriptor)
-    state.leave()
+    state.deregister()
 
 
 def test_clock_anchors_of_before_are_read(tmp_path: Path) -> None:
@@ -81,22 +81,25 @@
         boot + b"\n" + json.loads((stored.HERE / "state_folder.json").read_bytes())["clock"].encode()
     )
     assert state.clock_anchors.read() == [stored.NOW, stored.NOW - 5, -3]
-    state.leave()
+    state.deregister()
 
 
 def test_a_snapshot_of_before_is_read() -> None:
-    assert snapshot.load((stored.HERE / "snapshot.bin").read_bytes()) == (stored.LISTING, stored.NOW)
+    assert snapshot.decode_snapshot((stored.HERE / "snapshot.bin").read_bytes()) == (
+        stored.LISTING,
+        stored.NOW,
+    )
 
 
 def test_manifests_of_before_are_read() -> None:
     rows = (stored.HERE / "manifests.jsonl").read_bytes().splitlines()
-    assert [Manifest.load(row) for row in rows] == [stored.PUT, stored.MULTIPART]
-    assert Manifest.load(b'{"v": 1, "deleted": true}') is None
+    assert [Manifest.from_bytes(row) for row in rows] == [stored.PUT, stored.MULTIPART]
+    assert Manifest.from_bytes(b'{"v": 1, "deleted": true}') is None
 
 
 def test_datagrams_of_before_are_opened() -> None:
     rows = json.loads((stored.HERE / "datagrams.json").read_bytes())
-    assert [Keys([stored.KEY]).opened(bytes.fromhex(row)) for row in rows] == list(stored.DATAGRAMS)
+    assert [GossipKeys([stored.KEY]).open(bytes.fromhex(row)) for row in rows] == list(stored.DATAGRAMS)
 
 
 def test_the_recorded_input_of_the_wire_brings_what_heads_do() -> None:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -12,9 +12,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from umberlead.gossip.messages import MOST, BadKeys, Keys, Message, News, Word, sound
-from umberlead.gossip.swim import DEAD, DOUBT, SUSPECT, Gossip
-from umberlead.zones.model import SECOND, State
+from umberlead.gossip.messages import (
+    MAX_DATAGRAM_BYTES,
+    GossipKeys,
+    GossipKeysError,
+    GossipMessage,
+    MemberUpdate,
+    Observation,
+    is_within_bounds,
+)
+from umberlead.gossip.swim import DEAD, SUSPECT, SUSPICION_TIMEOUT_US, Gossip
+from umberlead.zones.model import MICROSECONDS_PER_S, ZoneState
 
 KEY, OTHER = bytes(range(32)), bytes(range(1, 33))
 MILLION = int(os.environ.get("FUZZ", "3000"))
@@ -31,20 +39,26 @@
         self.split: dict[str, int] = {}
         self.kept: list[tuple[str, bytes]] = []
         self.sent: dict[str, int] = {}
-        self.heard: dict[str, list[tuple[str, str, State]]] = {}
+        self.heard: dict[str, list[tuple[str, str, ZoneState]]] = {}
         self.left: list[tuple[str, str]] = []
         for k in range(count):
             self.start(f"f{k}")
 
-    def start(self, name: str, keys: Keys | None = None) -> Gossip:
+    def start(self, name: str, keys: GossipKeys | None = None) -> Gossip:
         self.born += 1
         made = Gossip(
-            name, f"{name}:1", ["f0:1", "f1:1"], keys or Keys([KEY]), self.born * 1000, self.now, self.octets
+            name,
+            f"{name}:1",
+            ["f0:1", "f1:1"],
+            keys or GossipKeys([KEY]),
+            self.born * 1000,
+            self.now,
+            self.octets,
         )
         self.members[f"{name}:1"] = made
         self.heard.setdefault(name, [])
-        made.heard = lambda peer, room, state: self.heard[name].append((peer, room, state))
-        made.left = lambda peer: self.left.append((name, peer))
+        made.on_observation = lambda peer, room, state: self.heard[name].append((peer, room, state))
+        made.on_member_dead = lambda peer: self.left.append((name, peer))
         return made
 
     def put(self, source: str, rows: list[tuple[str, bytes]]) -> None:
@@ -56,7 +70,7 @@
                 self.wires.append((self.now + self.chance.randint(500, 20_000), source, address, data))
 
     def run(self, seconds: float) -> None:
-        end = self.now + int(seconds * SECOND)
+        end = self.now + int(seconds * MICROSECONDS_PER_S)
         while self.now < end:
             self.now += 100_000
             for address, member in list(self.members.items()):
@@ -73,11 +87,11 @@
         for _, source, address, data in due:
             member = self.members.get(address)
             if member is not None and self.split.get(source, 0) == self.split.get(address, 0):
-                self.put(address, member.got(self.now, data))
+                self.put(address, member.receive(self.now, data))
 
     def whole(self) -> bool:
         names = sorted(m.name for m in self.members.values())
-        return all(m.alive() == [n for n in names if n != m.name] for m in self.members.values())
+        return all(m.alive_members() == [n for n in names if n != m.name] for m in self.members.values())
 
 
 @pytest.mark.parametrize(("count", "loss"), [(2, 0.0), (8, 0.0), (8, 0.2), (20, 0.1)])
@@ -92,10 +106,10 @@
 def test_words_on_rooms_reach_the_others() -> None:
     net = Net(6)
     net.run(15)
-    net.members["f3:1"].words["room-b"] = State.LOST
+    net.members["f3:1"].observations["room-b"] = ZoneState.DOWN
     net.run(12)
     for name in ("f0", "f1", "f2", "f4", "f5"):
-        assert ("f3", "room-b", State.LOST) in net.heard[name]
+        assert ("f3", "room-b", ZoneState.DOWN) in net.heard[name]
 
 
 def test_one_that_vanishes_is_suspected_and_then_dead_everywhere() -> None:
@@ -103,10 +117,10 @@
     net.run(20)
     del net.members["f4:1"]
     began = net.now
-    while any("f4" in m.alive() for m in net.members.values()):
+    while any("f4" in m.alive_members() for m in net.members.values()):
         net.run(0.1)
-        assert net.now - began < 40 * SECOND
-    net.run(DOUBT / SECOND + 5)
+        assert net.now - began < 40 * MICROSECONDS_PER_S
+    net.run(SUSPICION_TIMEOUT_US / MICROSECONDS_PER_S + 5)
     assert {m.peers["f4"].state for m in net.members.values() if "f4" in m.peers} == {DEAD}
     assert {who for who, whom in net.left if whom == "f4"} == {m.name for m in net.members.values()}
 
@@ -127,7 +141,7 @@
     net.run(20)
     net.split = {f"f{k}:1": k % 2 for k in range(6)}
     net.run(30)
-    assert all(len(m.alive()) == 2 for m in net.members.values())
+    assert all(len(m.alive_members()) == 2 for m in net.members.values())
     net.split = {}
     net.run(40)
     assert net.whole()
@@ -137,19 +151,21 @@
     net = Net(5)
     net.run(20)
     net.start("f2")
-    net.members["f2:1"].words["r"] = State.GREY
+    net.members["f2:1"].observations["r"] = ZoneState.DEGRADED
     net.heard["f0"].clear()
     net.run(30)
-    assert net.whole() and ("f2", "r", State.GREY) in net.heard["f0"]
+    assert net.whole() and ("f2", "r", ZoneState.DEGRADED) in net.heard["f0"]
 
 
 def test_what_an_earlier_session_said_counts_no_more() -> None:
     net = Net(3)
     net.run(10)
-    net.members["f2:1"].words["r"] = State.LOST
+    net.members["f2:1"].observations["r"] = ZoneState.DOWN
     net.run(10)
     old = [
-        d for a, d in net.kept if a == "f0:1" and (m := Keys([KEY]).opened(d)) and m.name == "f2" and m.words
+        d
+        for a, d in net.kept
+        if a == "f0:1" and (m := GossipKeys([KEY]).open(d)) and m.name == "f2" and m.observations
     ]
     assert old
     net.start("f2")
@@ -157,39 +173,39 @@
     net.heard["f0"].clear()
     target = net.members["f0:1"]
     for data in old * 3:
-        target.got(net.now, data)
+        target.receive(net.now, data)
     assert not [row for row in net.heard["f0"] if row[1] == "r"]
 
 
 def test_a_repeated_datagram_counts_once() -> None:
     net = Net(2)
     net.run(10)
-    net.members["f1:1"].words["r"] = State.LOST
-    rows = net.members["f1:1"].tick(net.now + 2 * SECOND)
+    net.members["f1:1"].observations["r"] = ZoneState.DOWN
+    rows = net.members["f1:1"].tick(net.now + 2 * MICROSECONDS_PER_S)
     (data,) = [d for a, d in rows if a == "f0:1"][:1]
     net.heard["f0"].clear()
-    before = net.members["f0:1"].refused
+    before = net.members["f0:1"].rejected
     for _ in range(5):
-        net.members["f0:1"].got(net.now, data)
+        net.members["f0:1"].receive(net.now, data)
     assert len([r for r in net.heard["f0"] if r[1] == "r"]) == 1
-    assert net.members["f0:1"].refused == before + 4
+    assert net.members["f0:1"].rejected == before + 4
 
 
 def test_without_the_key_nothing_is_taken() -> None:
     net = Net(2)
-    net.start("liar", Keys([OTHER]))
-    net.members["liar:1"].words["r"] = State.LOST
+    net.start("liar", GossipKeys([OTHER]))
+    net.members["liar:1"].observations["r"] = ZoneState.DOWN
     net.run(30)
     assert "liar" not in net.members["f0:1"].peers and not [r for r in net.heard["f0"] if r[0] == "liar"]
 
 
 def test_keys_are_rotated_without_a_gap() -> None:
-    old, both, new = Keys([KEY]), Keys([KEY, OTHER]), Keys([OTHER, KEY])
-    message = Message(0, "a", "a:1", 1, 1, 1)
-    assert old.opened(both.sealed(message)) == message
-    assert both.opened(new.sealed(message)) == message
-    assert old.opened(new.sealed(message)) is None  # the new one must be everywhere before it signs
-    assert Keys([OTHER]).opened(new.sealed(message)) == message
+    old, both, new = GossipKeys([KEY]), GossipKeys([KEY, OTHER]), GossipKeys([OTHER, KEY])
+    message = GossipMessage(0, "a", "a:1", 1, 1, 1)
+    assert old.open(both.seal(message)) == message
+    assert both.open(new.seal(message)) == message
+    assert old.open(new.seal(message)) is None  # the new one must be everywhere before it signs
+    assert GossipKeys([OTHER]).open(new.seal(message)) == message
 
 
 def test_octets_a_second_are_bounded() -> None:
@@ -205,43 +221,43 @@
     net = Net(2)
     of = net.members["f0:1"]
     for k in range(100):
-        of.words[f"{k:060d}"] = State.LOST
-        of._learn(0, News(f"{k:060d}", f"{k:050d}:1", 1 << 61, 0))
-    for at in range(0, 20 * SECOND, 100_000):
+        of.observations[f"{k:060d}"] = ZoneState.DOWN
+        of._apply_update(0, MemberUpdate(f"{k:060d}", f"{k:050d}:1", 1 << 61, 0))
+    for at in range(0, 20 * MICROSECONDS_PER_S, 100_000):
         for _, data in of.tick(at):
-            assert len(data) <= MOST
+            assert len(data) <= MAX_DATAGRAM_BYTES
 
 
 def test_news_of_a_higher_life_hold_and_a_member_denies_its_death() -> None:
     net = Net(2)
     net.run(10)
     of, other = net.members["f0:1"], net.members["f1:1"]
-    of._learn(net.now, News("f1", "f1:1", other.life, DEAD))
+    of._apply_update(net.now, MemberUpdate("f1", "f1:1", other.incarnation, DEAD))
     assert of.peers["f1"].state == DEAD
-    other._learn(net.now, News("f1", "f1:1", other.life, DEAD))
-    assert other.life == 1
-    of._learn(net.now, News("f1", "f1:1", 0, SUSPECT))
+    other._apply_update(net.now, MemberUpdate("f1", "f1:1", other.incarnation, DEAD))
+    assert other.incarnation == 1
+    of._apply_update(net.now, MemberUpdate("f1", "f1:1", 0, SUSPECT))
     assert of.peers["f1"].state == DEAD  # no better word of the same life
-    of._learn(net.now, News("f1", "f1:1", 1, 0))
+    of._apply_update(net.now, MemberUpdate("f1", "f1:1", 1, 0))
     assert of.peers["f1"].state == 0
 
 
 @settings(max_examples=MILLION, deadline=None)
-@given(st.binary(max_size=MOST + 10))
+@given(st.binary(max_size=MAX_DATAGRAM_BYTES + 10))
 def test_any_octets_are_a_message_or_none(data: bytes) -> None:
-    assert Keys([KEY]).opened(data) is None
+    assert GossipKeys([KEY]).open(data) is None
 
 
 @settings(max_examples=MILLION, deadline=None)
 @given(st.binary(max_size=400))
 def test_any_body_under_a_sound_digest_is_a_sound_message_or_none(body: bytes) -> None:
     """Whoever has a key may still err: the decoder is reached, and bounds hold."""
-    keys = Keys([KEY])
+    keys = GossipKeys([KEY])
     head = bytes((1,)) + keys.first
-    got = keys.opened(head + keys._digest(KEY, head + body) + body)
-    assert got is None or sound(got)
+    got = keys.open(head + keys._digest(KEY, head + body) + body)
+    assert got is None or is_within_bounds(got)
     net = Net(1)
-    net.members["f0:1"].got(0, head + keys._digest(KEY, head + body) + body)
+    net.members["f0:1"].receive(0, head + keys._digest(KEY, head + body) + body)
 
 
 texts = st.text(max_size=70)
@@ -251,22 +267,29 @@
 @settings(max_examples=max(MILLION // 10, 200), deadline=None)
 @given(
     st.builds(
-        Message, numbers, texts, texts, numbers, numbers, numbers, texts,
-        st.lists(st.builds(News, texts, texts, numbers, numbers), max_size=5),
-        st.lists(st.builds(Word, texts, numbers), max_size=5),
+        GossipMessage,
+        numbers,
+        texts,
+        texts,
+        numbers,
+        numbers,
+        numbers,
+        texts,
+        st.lists(st.builds(MemberUpdate, texts, texts, numbers, numbers), max_size=5),
+        st.lists(st.builds(Observation, texts, numbers), max_size=5),
     )
-)  # fmt: skip
-def test_any_message_from_one_with_a_key_is_borne(message: Message) -> None:
-    keys, net = Keys([KEY]), Net(2)
+)
+def test_any_message_from_one_with_a_key_is_borne(message: GossipMessage) -> None:
+    keys, net = GossipKeys([KEY]), Net(2)
     try:
-        data = keys.sealed(message)
+        data = keys.seal(message)
     except ValueError:
         return
     of = net.members["f0:1"]
     for _ in range(3):
-        for _, answer in of.got(0, data):
-            assert len(answer) <= MOST
-    of.tick(SECOND)
+        for _, answer in of.receive(0, data):
+            assert len(answer) <= MAX_DATAGRAM_BYTES
+    of.tick(MICROSECONDS_PER_S)
 
 
 class Wild(RuleBasedStateMachine):
@@ -277,7 +300,7 @@
         super().__init__()
         self.net = Net(4, seed=7)
         self.net.run(5)
-        self.said: dict[str, set[State]] = {f"f{k}": set() for k in range(4)}
+        self.said: dict[str, set[ZoneState]] = {f"f{k}": set() for k in range(4)}
 
     @rule(seconds=st.floats(0.1, 3))
     def time(self, seconds: float) -> None:
@@ -295,16 +318,16 @@
     def restart(self, k: int) -> None:
         self.net.start(f"f{k}")
 
-    @rule(k=st.integers(0, 3), state=st.sampled_from(list(State)))
-    def say(self, k: int, state: State) -> None:
-        self.net.members[f"f{k}:1"].words["r"] = state
+    @rule(k=st.integers(0, 3), state=st.sampled_from(list(ZoneState)))
+    def say(self, k: int, state: ZoneState) -> None:
+        self.net.members[f"f{k}:1"].observations["r"] = state
         self.said[f"f{k}"].add(state)
 
     @rule(data=st.data())
     def repeat(self, data: st.DataObject) -> None:
         if self.net.kept:
             address, old = data.draw(st.sampled_from(self.net.kept[-50:]))
-            self.net.put(address, self.net.members[address].got(self.net.now, old))
+            self.net.put(address, self.net.members[address].receive(self.net.now, old))
 
     @rule(data=st.data(), at=st.integers(0, 1199), by=st.integers(1, 255))
     def spoil(self, data: st.DataObject, at: int, by: int) -> None:
@@ -313,9 +336,9 @@
             bad = bytearray(old)
             bad[at % len(bad)] ^= by
             member = self.net.members[address]
-            before = member.refused
-            member.got(self.net.now, bytes(bad))
-            assert member.refused == before + 1
+            before = member.rejected
+            member.receive(self.net.now, bytes(bad))
+            assert member.rejected == before + 1
 
     @invariant()
     def heard_is_said(self) -> None:
@@ -343,15 +366,15 @@
 )
 def test_bad_keys_name_file_and_line(tmp_path: Path, text: str, why: str) -> None:
     (tmp_path / "keys").write_text(text)
-    with pytest.raises(BadKeys) as caught:
-        Keys.read(tmp_path / "keys")
+    with pytest.raises(GossipKeysError) as caught:
+        GossipKeys.read(tmp_path / "keys")
     assert "keys" in str(caught.value) and why in str(caught.value)
 
 
 def test_two_fronts_talk_over_real_datagrams(tmp_path: Path) -> None:
     from tests.test_rooms_front import Hand
     from umberlead import config
-    from umberlead.gossip.udp_transport import start
+    from umberlead.gossip.udp_transport import start_gossip
 
     (tmp_path / "keys").write_text(f"{KEY.hex()}  # the first\n")
 
@@ -361,21 +384,23 @@
         begin = hands[0].loop.now
 
         def clock() -> int:
-            return begin + int(loop.time() * SECOND)
+            return begin + int(loop.time() * MICROSECONDS_PER_S)
 
         for k, hand in enumerate(hands):
-            of = config.Peers(("127.0.0.1", 0), join, tmp_path / "keys", 20_000)
-            peers, task = await start(of, f"f{k}", k, hand.rooms, clock)
+            of = config.GossipConfig(("127.0.0.1", 0), join, tmp_path / "keys", 20_000)
+            peers, task = await start_gossip(of, f"f{k}", k, hand.rooms, clock)
             host, _, port = peers.gossip.address.rpartition(":")
             join = ((host, int(port)),)
             made.append((peers, task))
         hands[0].lose()
         end = loop.time() + 20
-        told = hands[1].rooms.director.rooms.rooms["a"].peers
-        while told.get("f0", (State.WELL, 0))[0] is not State.LOST:
+        told = hands[1].rooms.router.zone_health.zones["a"].peer_states
+        while told.get("f0", (ZoneState.HEALTHY, 0))[0] is not ZoneState.DOWN:
             assert loop.time() < end
             await asyncio.sleep(0.05)
-        assert hands[1].rooms.director.rooms.state("a") is State.WELL  # a word alone decides nothing
+        assert (
+            hands[1].rooms.router.zone_health.state("a") is ZoneState.HEALTHY
+        )  # a word alone decides nothing
         for peers, task in made:
             task.cancel()
             assert peers.transport is not None
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,13 +13,13 @@
 
 from tests.helpers import T0, ask, end, feed, head, nodes, sends, up
 from umberlead.common.counters import Counters
-from umberlead.front import Front
+from umberlead.front import FrontProcess
 from umberlead.handover.shared_state import SharedState
-from umberlead.net.client_connections import Clients
+from umberlead.net.client_connections import ClientGroup
 from umberlead.net.listener import Listener
-from umberlead.requests.lifecycle import Engine
-from umberlead.resource_limits import deal
-from umberlead.scheduling import interface as api
+from umberlead.requests.lifecycle import RequestLifecycle
+from umberlead.resource_limits import divide_resources
+from umberlead.scheduling.events import Endpoint, EndpointStatus, ManualDrain
 
 
 class TestShared(unittest.TestCase):
@@ -27,38 +27,50 @@
         with tempfile.TemporaryDirectory() as folder:
             old, new = SharedState(Path(folder) / "u"), SharedState(Path(folder) / "u")
             (Path(folder) / "u" / "fronts" / "killed").touch()
-            self.assertEqual((old.others(), new.others()), (1, 1))
-            old.override("s/1", True)
-            since = old.overrides()["s/1"]
-            new.override("s/1", True)
-            old.leave()
-            self.assertEqual((new.others(), new.overrides()), (0, {"s/1": since}))
-            new.override("s/1", False)
-            new.override("s/1", False)
-            self.assertEqual(new.overrides(), {})
-            new.leave()
+            self.assertEqual((old.count_siblings(), new.count_siblings()), (1, 1))
+            old.set_drain_override("s/1", True)
+            since = old.drain_overrides()["s/1"]
+            new.set_drain_override("s/1", True)
+            old.deregister()
+            self.assertEqual((new.count_siblings(), new.drain_overrides()), (0, {"s/1": since}))
+            new.set_drain_override("s/1", False)
+            new.set_drain_override("s/1", False)
+            self.assertEqual(new.drain_overrides(), {})
+            new.deregister()
 
     def test_without_a_folder_marks_still_hold(self) -> None:
         for root in (None, Path("/dev/null/u")):
             alone = SharedState(root)
-            alone.override("s", True)
-            self.assertEqual((list(alone.overrides()), alone.others()), (["s"], 0))
+            alone.set_drain_override("s", True)
+            self.assertEqual((list(alone.drain_overrides()), alone.count_siblings()), (["s"], 0))
 
 
 class TestLimits(unittest.TestCase):
     def test_two_processes_have_one_front_s_limits_between_them(self) -> None:
         """Their memory and descriptors count together, and the one that is there must make room."""
-        front = mock.Mock(processes=1, marks={}, groups=[], doors=[], handlers=[], held=(4, 0), lists=None)
-        front.start_times.local = lambda name, told, now: told
-        front.shared = mock.Mock(others=lambda: 1, overrides=lambda: {"s": 5})
-        front.conf = mock.Mock(sockets=400, memory=80 << 20, keepalive=15_000_000, objects=None)
-        front.limit = lambda: Front.limit(front)
-        Front.look(front)
-        of = deal(200, 40 << 20, 4, 0)
+        front = mock.Mock(
+            process_count=1,
+            manual_drains={},
+            client_groups=[],
+            admin_listeners=[],
+            handlers=[],
+            resources_in_use=(4, 0),
+            watched_lists=None,
+        )
+        front.start_times.to_local_clock = lambda name, told, now: told
+        front.shared_state = mock.Mock(count_siblings=lambda: 1, drain_overrides=lambda: {"s": 5})
+        front.config = mock.Mock(
+            max_descriptors=400, memory_limit_bytes=80 << 20, keepalive_us=15_000_000, object_api=None
+        )
+        front.apply_limits = lambda: FrontProcess.apply_limits(front)
+        FrontProcess.sync_shared_state(front)
+        of = divide_resources(200, 40 << 20, 4, 0)
         pool = front.pool
-        self.assertEqual((pool.memory_limit_bytes, pool.max_reply_bytes), (of.answers, of.answer))
-        front.divide.assert_called_once_with()
-        front.engine.by_hand.assert_called_once_with("s", True, 5)
+        self.assertEqual(
+            (pool.buffer_limit_bytes, pool.max_response_bytes), (of.response_bytes, of.max_response_bytes)
+        )
+        front.update_quota.assert_called_once_with()
+        front.lifecycle.set_manual_drain.assert_called_once_with("s", True, 5)
 
 
 def _raise(fault: OSError) -> Any:
@@ -77,11 +89,11 @@
 
     async def _close(self, fault: int = 0) -> None:
         loop = asyncio.get_running_loop()
-        clients = Clients(9, lambda: T0, Counters(), 0, 0, print)
+        clients = ClientGroup(9, lambda: T0, Counters(), 0, 0, print)
         handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
-        handler.request = lambda conn, _: conn.reply(200, (), b"x")
+        handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x")
         old = Listener(handler, clients, ("127.0.0.1", 0), loop, reuse_port=True)
-        old.accept_without_delay()
+        old.disable_deferred_accept()
         came = [socket.create_connection(old.address) for _ in range(3)]
         clients.close_after_reply = True
         new = Listener(handler, clients, old.address, loop, reuse_port=True)
@@ -105,23 +117,25 @@
 class TestByHand(unittest.TestCase):
     def test_out_by_hand_a_node_gets_nothing_whatever_the_list_says(self) -> None:
         h = head(T0, up("n0", 0))
-        feed(h, T0, api.ByHand("n0", True, T0), ask("a"), nodes(up("n0", 0, T0)))
-        self.assertEqual((sends(feed(h, T0 + 1)), Engine.pool(mock.Mock(head=h))), ([], (1, 1)))
-        gone = api.Node("n0", api.NodeState.GONE, 0)
+        feed(h, T0, ManualDrain("n0", True, T0), ask("a"), nodes(up("n0", 0, T0)))
+        self.assertEqual(
+            (sends(feed(h, T0 + 1)), RequestLifecycle.endpoint_summary(mock.Mock(scheduler=h))), ([], (1, 1))
+        )
+        gone = Endpoint("n0", EndpointStatus.GONE, 0)
         feed(h, T0 + 2, nodes(gone, whole=False))
         self.assertEqual(sends(feed(h, T0 + 3, nodes(up("n0", 0, T0 + 3)))), [])
-        self.assertEqual(sends(feed(h, T0 + 4, api.ByHand("n0", False, 0))), ["a"])
+        self.assertEqual(sends(feed(h, T0 + 4, ManualDrain("n0", False, 0))), ["a"])
 
     def test_put_back_it_is_cold_until_the_list_tells_of_its_start(self) -> None:
         """It was restarted while it was out, and the list tells so seconds late."""
-        h = head(T0, up("n0", 0), warm_up=10_000_000, cold_units=20.0, cold_window=3_000_000)
-        feed(h, T0, api.ByHand("n0", True, T0))
+        h = head(T0, up("n0", 0), warm_up_us=10_000_000, cold_start_units=20.0, cold_window_us=3_000_000)
+        feed(h, T0, ManualDrain("n0", True, T0))
         back = T0 + 5_000_000
-        feed(h, back, api.ByHand("n0", False, 0))
-        started = [h.nodes["n0"].info.started]
+        feed(h, back, ManualDrain("n0", False, 0))
+        started = [h.endpoints["n0"].endpoint.started_us]
         for told in (0, T0 + 3_000_000):
             feed(h, back + 1, nodes(up("n0", 0, told)))
-            started.append(h.nodes["n0"].info.started)
+            started.append(h.endpoints["n0"].endpoint.started_us)
         self.assertEqual(started, [back, back, T0 + 3_000_000])
         self.assertEqual(sends(feed(h, back + 2, ask("a", back + 2))), ["a"])
         feed(h, back + 3, end("a"))
--- a/tests/test_handover_places.py
+++ b/tests/test_handover_places.py
@@ -24,13 +24,19 @@
     _run,
     _until,
     _watched,
-)  # fmt: skip
-from umberlead.handover.descriptor_quota import SHORTAGE_LOOK_INTERVAL_US, UNBOUNDED
-from umberlead.handover.process_claims import Claim, Use, parse
-from umberlead.handover.process_registry import SPARE_FILES
-from umberlead.handover.quota_division import LEAST_PLACES, divide, settled
+)
+from umberlead.handover.descriptor_quota import SHORTAGE_LOOK_INTERVAL_US, UNBOUNDED_COUNT
+from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim, parse_claim
+from umberlead.handover.process_registry import SPARE_FILES_COUNT
+from umberlead.handover.quota_division import MIN_QUOTA_COUNT, divide_quota, has_fair_quota
 from umberlead.handover.shared_state import SharedState
-from umberlead.resource_limits import MORE, connections, deal, surplus, with_surplus
+from umberlead.resource_limits import (
+    RESERVED_DESCRIPTORS_COUNT,
+    connections_within,
+    divide_resources,
+    surplus_connections,
+    with_surplus,
+)
 
 HELD = 15  # descriptors of a process at its start
 DESCRIPTORS = 384
@@ -38,68 +44,70 @@
 
 @given(st.integers(2, 100_000))
 def test_connections_and_their_surplus_are_the_most_that_the_places_hold(places: int) -> None:
-    most = connections(places)
-    assert most + surplus(most) <= places < with_surplus(most + 1)
+    most = connections_within(places)
+    assert most + surplus_connections(most) <= places < with_surplus(most + 1)
 
 
 # What is published
 
 FIGURES = st.integers(0, 1_000_000)
 CLAIMS = st.builds(
-    Claim, FIGURES, st.lists(st.builds(Use, FIGURES, FIGURES, FIGURES, FIGURES), max_size=4).map(tuple)
+    DescriptorClaim,
+    FIGURES,
+    st.lists(st.builds(ConnectionUse, FIGURES, FIGURES, FIGURES, FIGURES), max_size=4).map(tuple),
 )
 
 
 @given(CLAIMS)
-def test_a_claim_is_read_as_it_was_written(claim: Claim) -> None:
-    assert parse(claim.text()) == parse(claim.text().ljust(256)) == claim
+def test_a_claim_is_read_as_it_was_written(claim: DescriptorClaim) -> None:
+    assert parse_claim(claim.to_text()) == parse_claim(claim.to_text().ljust(256)) == claim
 
 
 @pytest.mark.parametrize(
     "text", ["", " ", "v1", "v2 5", "v1 x", "v1 -5", "v1 5 1/2/3", "v1 5 1/2/3/4/5", "v1 5 1/2/3/", "v1 5/6"]
 )
 def test_what_is_no_claim_counts_as_nothing_published(text: str) -> None:
-    assert parse(text) is None
+    assert parse_claim(text) is None
 
 
 def test_processes_see_each_other_s_claims_and_a_dead_one_s_no_longer(tmp_path: Path) -> None:
-    first, second, seen = SharedState(tmp_path), SharedState(tmp_path), list[list[Claim | None]]()
-    claim = Claim(26, (Use(170, 9, 3, 384),))
+    first, second, seen = SharedState(tmp_path), SharedState(tmp_path), list[list[DescriptorClaim | None]]()
+    claim = DescriptorClaim(26, (ConnectionUse(170, 9, 3, 384),))
 
-    def decide(others: list[Claim | None]) -> Claim:
+    def decide(others: list[DescriptorClaim | None]) -> DescriptorClaim:
         seen.append(others)
         return claim
 
     assert first.publish(decide) and second.publish(decide) and first.publish(decide)
-    name = next(n for n in second._registry.others) if second._registry else ""
+    name = next(n for n in second._registry.siblings) if second._registry else ""
     (tmp_path / "claims" / name).write_text("")
     assert second.publish(decide)
     (tmp_path / "claims" / name).unlink()
     assert second.publish(decide)
-    first.leave()
+    first.deregister()
     assert second.publish(decide)
-    assert seen == [[Claim(0, ())], [claim], [claim], [None], [None], []]
-    second.leave()
+    assert seen == [[DescriptorClaim(0, ())], [claim], [claim], [None], [None], []]
+    second.deregister()
     spares = [sorted(path.name for path in (tmp_path / kind).iterdir()) for kind in ("fronts", "claims")]
-    assert spares[0] == spares[1] and len(spares[0]) == SPARE_FILES and name not in spares[0]
+    assert spares[0] == spares[1] and len(spares[0]) == SPARE_FILES_COUNT and name not in spares[0]
     third = SharedState(tmp_path)
-    assert third.others() == 0 and third.publish(decide) and seen[-1] == []
-    third.leave()
+    assert third.count_siblings() == 0 and third.publish(decide) and seen[-1] == []
+    third.deregister()
 
 
 def test_where_another_decides_or_no_descriptor_is_left_nothing_is_published(tmp_path: Path) -> None:
     first, second = SharedState(tmp_path), SharedState(tmp_path)
-    claim = Claim(26, (Use(170, 9, 3, 384),))
+    claim = DescriptorClaim(26, (ConnectionUse(170, 9, 3, 384),))
 
-    def decide(_: list[Claim | None]) -> Claim:
+    def decide(_: list[DescriptorClaim | None]) -> DescriptorClaim:
         assert not second.publish(lambda _: pytest.fail("both decide"))
         return claim
 
     assert first.publish(decide)
     with mock.patch("os.open", side_effect=OSError(24, "")):
         assert not second.publish(lambda _: pytest.fail("it can't look"))
-    first.leave()
-    second.leave()
+    first.deregister()
+    second.deregister()
 
 
 # The rule
@@ -109,33 +117,37 @@
     """A process: how many connections of clients and to chunk servers it has, with and without a request."""
 
     def __init__(self, descriptors: int, held: int) -> None:
-        of = deal(descriptors, 64 << 20, held, 0)
-        self.descriptors, self.fixed = descriptors, held + MORE
-        self.alone = (with_surplus(of.doors), with_surplus(of.clients), of.nodes)
+        of = divide_resources(descriptors, 64 << 20, held, 0)
+        self.descriptors, self.fixed = descriptors, held + RESERVED_DESCRIPTORS_COUNT
+        self.alone = (
+            with_surplus(of.admin_connections),
+            with_surplus(of.client_connections),
+            of.endpoint_connections,
+        )
         self.places, self.busy, self.resting = [0] * 3, [0] * 3, [0] * 3
         self.closed = False
-        self.published = Claim(0, ())
+        self.published = DescriptorClaim(0, ())
 
     def standing(self, kind: int) -> int:
         return self.busy[kind] + self.resting[kind]
 
     def caps(self) -> list[int]:
         """Connections that may stand, without the surplus that is only told that there is no room."""
-        return [connections(self.places[0]), connections(self.places[1]), self.places[2]]
+        return [connections_within(self.places[0]), connections_within(self.places[1]), self.places[2]]
 
-    def claim(self) -> Claim:
+    def claim(self) -> DescriptorClaim:
         uses = []
         for kind, places in enumerate(self.places):
             needed = self.busy[kind] if kind == 2 else with_surplus(self.busy[kind])
-            bound = UNBOUNDED
+            bound = UNBOUNDED_COUNT
             if self.closed and kind:
                 bound = max(self.standing(1), needed)
-            uses.append(Use(places, self.standing(kind), needed, bound))
-        return Claim(self.fixed, tuple(uses))
+            uses.append(ConnectionUse(places, self.standing(kind), needed, bound))
+        return DescriptorClaim(self.fixed, tuple(uses))
 
     def look(self, others: list["Model"]) -> None:
-        claims: list[Claim | None] = [other.published for other in others]
-        new = divide(self.descriptors, self.alone, self.claim(), claims)
+        claims: list[DescriptorClaim | None] = [other.published for other in others]
+        new = divide_quota(self.descriptors, self.alone, self.claim(), claims)
         self.places = list(map(min, new, self.places))
         for kind, most in enumerate(self.caps()):
             over = max(self.standing(kind) - most, 0)
@@ -144,8 +156,8 @@
         self.published = self.claim()
 
     def settled(self, others: list["Model"]) -> bool:
-        claims: list[Claim | None] = [other.published for other in others]
-        return settled(self.descriptors, self.alone, self.claim(), claims)
+        claims: list[DescriptorClaim | None] = [other.published for other in others]
+        return has_fair_quota(self.descriptors, self.alone, self.claim(), claims)
 
     def holds(self) -> int:
         return self.fixed + sum(map(self.standing, range(3)))
@@ -171,10 +183,13 @@
 EVENTS = st.lists(
     st.tuples(
         st.sampled_from(["look", "look", "connect", "connect", "end", "leave", "close", "kill", "start"]),
-        st.integers(0, 2), st.integers(0, 2), st.booleans(), st.integers(1, 60),
+        st.integers(0, 2),
+        st.integers(0, 2),
+        st.booleans(),
+        st.integers(1, 60),
     ),
     max_size=120,
-)  # fmt: skip
+)
 
 
 @settings(max_examples=300)
@@ -196,7 +211,7 @@
         elif event == "start" and len(models) < 3:
             models.append(Model(descriptors, HELD + at))
             models[-1].look(models[:-1])
-            before += models[-1].fixed + 3 * LEAST_PLACES
+            before += models[-1].fixed + 3 * MIN_QUOTA_COUNT
         elif event == "kill" and len(models) > 1:
             models.remove(model)
         for _ in range(times):
@@ -246,7 +261,7 @@
 def test_beside_a_process_that_publishes_nothing_each_has_half() -> None:
     first = Model(DESCRIPTORS, HELD)
     first.look([])
-    new = divide(DESCRIPTORS, first.alone, first.claim(), [None])
+    new = divide_quota(DESCRIPTORS, first.alone, first.claim(), [None])
     assert DESCRIPTORS // 2 - 3 <= first.fixed + sum(new) <= DESCRIPTORS // 2
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,7 +9,7 @@
 from umberlead.requests.invariants import Invariant, InvariantChecker, slow_start_bound
 from umberlead.requests.send_guard import Denial, SendGuard
 from umberlead.requests.types import Attempt, IncomingRequest, InFlightRequest
-from umberlead.scheduling.interface import NodeList, NodeState, Result
+from umberlead.scheduling.events import AttemptResult, EndpointList, EndpointStatus
 
 SECOND = 1_000_000
 
@@ -23,7 +23,7 @@
 
 
 def request(class_name: str = "read", **changed: Any) -> InFlightRequest:
-    ask = IncomingRequest(class_name, "gold", "v", None, 0, 2.0, T0 + SECOND, None, name=b"call")
+    ask = IncomingRequest(class_name, "gold", "v", None, 0, 2.0, T0 + SECOND, None, call_id=b"call")
     made = InFlightRequest(ask, lambda answer: None, id="0.1")
     for name, value in changed.items():
         setattr(made, name, value)
@@ -42,8 +42,8 @@
         [
             ({}, None),
             ({"answered": True}, Denial.ANSWERED),
-            ({"forsaken": True}, Denial.CLIENT_LEFT),
-            ({"tries": 3}, Denial.ATTEMPTS_USED),
+            ({"abandoned": True}, Denial.CLIENT_LEFT),
+            ({"attempt_count": 3}, Denial.ATTEMPTS_USED),
             ({"class_name": "once", "may_have_run": True}, Denial.MAY_HAVE_RUN),
             ({"may_have_run": True}, None),
         ],
@@ -55,7 +55,7 @@
 
     def test_an_attempt_begins_neither_beside_another_nor_without_its_client_nor_past_its_time(self) -> None:
         open_ = request()
-        open_.out = Attempt(open_, 0, "n0", T0, T0 + SECOND)
+        open_.attempt = Attempt(open_, 0, "n0", T0, T0 + SECOND)
         assert self.guard().may_begin(open_) is Denial.IN_FLIGHT
         assert self.guard(waits=False).may_begin(request()) is Denial.CLIENT_LEFT
         guard = self.guard()
@@ -67,7 +67,7 @@
     ) -> None:
         attempt = Attempt(request(), 0, "n0", T0, T0 + SECOND)
         assert self.guard().may_write(attempt) is None
-        assert self.guard(ready=False).may_write(attempt) is Denial.NODE_OUT_OF_SERVICE
+        assert self.guard(ready=False).may_write(attempt) is Denial.ENDPOINT_OUT_OF_SERVICE
         assert self.guard(waits=False).may_write(attempt) is Denial.CLIENT_LEFT
         guard = self.guard()
         self.clock.now = T0 + SECOND
@@ -77,14 +77,16 @@
 class TestChecker:
     def setup_method(self) -> None:
         self.clock, self.counters, self.lines = Clock(), Counters(), list[dict[str, Any]]()
-        self.settings = settings(cold_units=20.0, cold_share=0.2, cold_window=2 * SECOND, warm_up=10 * SECOND)
+        self.settings = settings(
+            cold_start_units=20.0, cold_capacity_ratio=0.2, cold_window_us=2 * SECOND, warm_up_us=10 * SECOND
+        )
         self.checker = InvariantChecker(
             self.settings, self.clock, self.counters, lambda event, **details: self.lines.append(details)
         )
-        self.checker.listed(NodeList(True, (up("n0"), up("n1"))))
+        self.checker.listed(EndpointList(True, (up("n0"), up("n1"))))
 
     def written(self, of: InFlightRequest, node: str = "n0", budget: int = SECOND) -> Attempt:
-        attempt = Attempt(of, of.tries, node, self.clock.now, of.ask.give_up)
+        attempt = Attempt(of, of.attempt_count, node, self.clock.now, of.request.deadline_us)
         self.checker.written(attempt, budget)
         return attempt
 
@@ -94,7 +96,7 @@
 
     def test_what_keeps_all_rules_is_not_counted(self) -> None:
         of = request()
-        for result in (Result.FULL, Result.RESET):
+        for result in (AttemptResult.REJECTED, AttemptResult.RESET):
             self.checker.ended(self.written(of), result)
         self.written(of, "n1")
         self.checker.answered(of)
@@ -111,7 +113,7 @@
         del first
         self.counters.clear()
         other = request("once", id="0.2")
-        self.checker.ended(self.written(other), Result.RESET)
+        self.checker.ended(self.written(other), AttemptResult.RESET)
         self.written(other)
         assert self.broken() == {"never_twice"}
 
@@ -120,21 +122,21 @@
         attempt = self.written(of)
         self.checker.written(attempt, 0)
         assert self.broken() == set()
-        self.checker.ended(attempt, Result.RESET)
+        self.checker.ended(attempt, AttemptResult.RESET)
         self.checker.written(attempt, 0)
         assert self.broken() == {"never_twice"}
 
     def test_one_attempt_too_many_is_counted(self) -> None:
         of = request()
         for _ in range(self.settings.max_attempts):
-            self.checker.ended(self.written(of), Result.FULL)
+            self.checker.ended(self.written(of), AttemptResult.REJECTED)
         assert self.broken() == set()
         self.written(of)
         assert self.broken() == {"attempts_bounded"}
 
     def test_an_attempt_behind_the_client_the_time_or_the_budget_is_counted(self) -> None:
         self.clock.now = T0 + 200_000
-        self.written(request(left_at=T0 + 50_000), budget=0)
+        self.written(request(client_left_us=T0 + 50_000), budget=0)
         assert self.broken() == {"client_waits"}
         self.counters.clear()
         self.written(request(id="0.2"), budget=SECOND - 200_000 + 150_001)
@@ -145,16 +147,16 @@
         assert self.broken() == {"in_time"}
 
     def test_an_attempt_at_a_node_that_is_out_for_long_is_counted(self) -> None:
-        self.checker.listed(NodeList(False, (up("n0").__class__("n0", NodeState.DRAINING, 0),)))
+        self.checker.listed(EndpointList(False, (up("n0").__class__("n0", EndpointStatus.DRAINING, 0),)))
         self.checker.taken_out("n1", True)
         self.clock.now = T0 + 900_000
         self.written(request(), budget=0)
         assert self.broken() == set()
         late = request(id="0.2")
-        late.ask.give_up = T0 + 9 * SECOND
+        late.request.deadline_us = T0 + 9 * SECOND
         self.clock.now = T0 + 1_000_001
         for node in ("n0", "n1"):
-            self.checker.ended(self.written(late, node), Result.FULL)
+            self.checker.ended(self.written(late, node), AttemptResult.REJECTED)
         assert self.broken() == {"node_in_service"} and len(self.lines) == 2
         self.counters.clear()
         self.checker.taken_out("n1", False)
@@ -162,8 +164,8 @@
         assert self.broken() == set()
 
     def test_a_cold_node_that_one_process_alone_sends_too_much_is_counted(self) -> None:
-        self.checker.listed(NodeList(False, (up("n0", started=T0),)))
-        most = int(slow_start_bound(20.0 / self.settings.mean_units))
+        self.checker.listed(EndpointList(False, (up("n0", started=T0),)))
+        most = int(slow_start_bound(20.0 / self.settings.mean_request_units))
         for number in range(most + 1):
             self.written(request(id=f"0.{number}"))
         assert self.broken() == {"slow_start"} and self.counters["invariant_violations"] == 1
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -85,7 +85,7 @@
 def _fed(of: Records, part: float, told: bool = True) -> None:
     """A start, and within one window the given part of what the budget and chance leave, in small work."""
     s, day = checked(DAY), DAY.day
-    n, mean = s.cold_units / s.mean_units, sum(r.work for r in day.requests) / len(day.requests)
+    n, mean = s.cold_start_units / s.mean_request_units, sum(r.work for r in day.requests) / len(day.requests)
     of.lives.append(Life(2 * S, "n00", "cold", 0))
     of.told += [Told(2 * S, 0, "n00", "up")] if told else []
     for k in range(200):  # all at the start, when the least is allowed
@@ -120,7 +120,7 @@
     ("answer-of-another", lambda of: of.answered.__setitem__(0, Answered(S + 9500, "r", "served", "n01:u"))),
     ("refused-though-run", lambda of: of.answered.__setitem__(1, Answered(S + 9500, "u", "refused"))),
     ("wrong-front", lambda of: of.came.__setitem__(0, replace(of.came[0], front=1))),
-]  # fmt: skip
+]
 
 
 def test_sound_records_show_no_breach(made: Plan) -> None:
@@ -202,10 +202,20 @@
         until = r.at + of.day.kind(r.class_name).deadline
         made.asked.append(
             Asked(
-                r.at, id_, r.number, r.front, r.class_name, r.plan, r.volume, r.block, r.shard, r.units,
-                r.write, until,
+                r.at,
+                id_,
+                r.number,
+                r.front,
+                r.class_name,
+                r.plan,
+                r.volume,
+                r.block,
+                r.shard,
+                r.units,
+                r.write,
+                until,
             )
-        )  # fmt: skip
+        )
         if (took := late(r)) >= 0:
             made.answered.append(Answered(r.at + took, id_, "served"))
     made.sort()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -51,10 +51,13 @@
     result = played(suite, ALL)
     result.assert_outcomes(passed=3, xfailed=3, skipped=1)
     assert result.ret == 0 and (suite.path / "ran").read_text() == "x"
-    result.stdout.fnmatch_lines([
-        "*= KNOWN-RED.txt =*", "fails: tests/test_x.py::test_bad: it fails (24)",
-        "fails: tests/test_x.py::test_each?2?: a (#7)",
-    ])  # fmt: skip
+    result.stdout.fnmatch_lines(
+        [
+            "*= KNOWN-RED.txt =*",
+            "fails: tests/test_x.py::test_bad: it fails (24)",
+            "fails: tests/test_x.py::test_each?2?: a (#7)",
+        ]
+    )
 
 
 def test_another_failure_fails_the_run(suite: pytest.Pytester) -> None:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -69,11 +69,15 @@
 
 def test_a_circle_is_found_wherever_its_imports_stand(tmp_path: Path) -> None:
     files = {
-        "p/__init__.py": "", "p/a.py": "def f():\n    from p import b\n", "p/b.py": "import p.q.c\n",
-        "p/q/__init__.py": "from ..a import f\n", "p/q/c.py": "", "p/d.py": "from .q import c\nimport p.a\n",
+        "p/__init__.py": "",
+        "p/a.py": "def f():\n    from p import b\n",
+        "p/b.py": "import p.q.c\n",
+        "p/q/__init__.py": "from ..a import f\n",
+        "p/q/c.py": "",
+        "p/d.py": "from .q import c\nimport p.a\n",
         "p/e.py": "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from p.f import X\n",
         "p/f.py": "async def g():\n    with open('x'):\n        import p.e as e\nclass X: ...\n",
-    }  # fmt: skip
+    }
     for name, text in files.items():
         (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
         (tmp_path / name).write_text(text)
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from umberlead.scheduling.moving_average import Level
+from umberlead.scheduling.moving_average import MovingAverage
 
 SMOOTH, MEMORY, MOST = 0.2, 2_000_000, 3.0
 
 
-def _level(now: int = 0) -> Level:
-    return Level(now, SMOOTH, MEMORY, MOST, Level(now, SMOOTH, MEMORY, MOST))
+def _level(now: int = 0) -> MovingAverage:
+    return MovingAverage(now, SMOOTH, MEMORY, MOST, MovingAverage(now, SMOOTH, MEMORY, MOST))
 
 
 @pytest.mark.parametrize(("every", "learnt"), [(20_000, 0.95), (500_000, 0.75), (2_000_000, 0.7)])
@@ -18,7 +18,7 @@
     level, now = _level(), 0
     for _ in range(30):
         now += every
-        level.learn(now, 10.0)
+        level.add(now, 10.0)
     assert level.read(now) >= learnt * MOST
 
 
@@ -26,17 +26,17 @@
     level, now = _level(), 0
     for _ in range(200):
         now += 10_000
-        level.learn(now, 0.5)
-    level.learn(now + 10_000, 3.0)
+        level.add(now, 0.5)
+    level.add(now + 10_000, 3.0)
     assert level.read(now + 10_000) == pytest.approx(0.5 + SMOOTH * 2.5, abs=0.05)
 
 
 def test_without_news_it_fades_to_the_fleets_and_that_to_nothing() -> None:
-    fleet = Level(0, SMOOTH, MEMORY, MOST)
-    one, other = (Level(0, SMOOTH, MEMORY, MOST, fleet) for _ in range(2))
+    fleet = MovingAverage(0, SMOOTH, MEMORY, MOST)
+    one, other = (MovingAverage(0, SMOOTH, MEMORY, MOST, fleet) for _ in range(2))
     for k in range(100):
-        one.learn(k * 10_000, 3.0)
-        other.learn(k * 10_000 + 5_000, 0.5)
+        one.add(k * 10_000, 3.0)
+        other.add(k * 10_000 + 5_000, 0.5)
     now = 1_000_000
     assert one.read(now) > 2.5 and other.read(now) < 1.0 < fleet.read(now)
     assert one.read(now + 2 * MEMORY) - fleet.read(now + 2 * MEMORY) < 0.4
@@ -45,10 +45,10 @@
 
 def test_news_never_weighs_more_than_all_and_a_clock_that_stands_is_no_harm() -> None:
     level = _level()
-    level.learn(0, 1.0)
-    level.learn(0, 1.0)
+    level.add(0, 1.0)
+    level.add(0, 1.0)
     assert 0 < level.read(0) <= 1.0
-    level.learn(1 << 50, 2.0)
+    level.add(1 << 50, 2.0)
     assert level.read(1 << 50) == pytest.approx(2.0)
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -79,7 +79,7 @@
     def fall(*_: object) -> None:
         raise RuntimeError("boom")
 
-    monkeypatch.setattr(wirehost.Head, "handle", fall)
+    monkeypatch.setattr(wirehost.Scheduler, "handle", fall)
     code, lines = talk(START)
     assert code == 0 and lines == ["as head_0", "broken RuntimeError: boom", "ready 1"]
     assert "Traceback" in capsys.readouterr().err
--- a/tests/test_lists_files.py
+++ b/tests/test_lists_files.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from umberlead.membership import files, snapshot
-from umberlead.membership.checks import CODES, Before, Checks
-from umberlead.membership.formatting import formatted, statement
-from umberlead.membership.grammar import line, parse
-from umberlead.membership.loading import Loaded, Loader
-from umberlead.membership.model import Listing, Server
-from umberlead.membership.name_resolution import Resolver
-from umberlead.scheduling.interface import NodeState
+from umberlead.membership.checks import PROBLEM_CODES, CurrentList, ListChecker
+from umberlead.membership.formatting import endpoint_statement, format_list
+from umberlead.membership.grammar import parse_file, parse_line
+from umberlead.membership.loading import ListLoader, LoadResult
+from umberlead.membership.model import CheckedList, EndpointSpec
+from umberlead.membership.name_resolution import NameResolver
+from umberlead.scheduling.events import EndpointStatus
 
 ONE = "server n1 address 127.0.0.1:80 shard 0"
 HOSTS = {"node-01.example.org": ("127.0.0.9",), "node-07.example.org": ("127.0.0.7",)}
@@ -31,23 +31,25 @@
     return text(f"version {version}", *rows)
 
 
-def load(folder: Path, before: Listing | None = None, shards: int = 0, **sheets: str) -> Loaded:
+def load(folder: Path, before: CheckedList | None = None, shards: int = 0, **sheets: str) -> LoadResult:
     for name, content in sheets.items():
         (folder / f"{name}.list").write_text(content)
-    resolver = Resolver(lambda host: HOSTS.get(host, ()))
+    resolver = NameResolver(lambda host: HOSTS.get(host, ()))
     try:
-        return Loader(folder / "main.list", shards, resolver).load(before)
+        return ListLoader(folder / "main.list", shards, resolver).load(before)
     finally:
         resolver.close()
 
 
-def codes(got: Loaded) -> list[str]:
-    return [p.code for p in got.verdict.problems]
+def codes(got: LoadResult) -> list[str]:
+    return [p.code for p in got.check_result.problems]
 
 
 def test_a_statement_gives_all_that_it_says() -> None:
-    got = line("server n1 address [::1]:8080 shard 3 room room-b weight 1.5 state draining max-units 8 # c")
-    want = Server("n1", ("::1", 8080), 3, NodeState.DRAINING, "room-b", 1.5, 8.0)
+    got = parse_line(
+        "server n1 address [::1]:8080 shard 3 room room-b weight 1.5 state draining max-units 8 # c"
+    )
+    want = EndpointSpec("n1", ("::1", 8080), 3, EndpointStatus.DRAINING, "room-b", 1.5, 8.0)
     assert got == ("server", want, 8)
 
 
@@ -74,23 +76,23 @@
 def test_errors_name_place_expectation_and_the_nearest_word(
     row: str, column: int, said: str, near: str
 ) -> None:
-    problem = parse(whole(row), "f").problems[0]
-    assert (problem.code, problem.place.line, problem.place.column) == ("L101", 3, column)
-    assert said in problem.text and problem.near == near
+    problem = parse_file(whole(row), "f").problems[0]
+    assert (problem.code, problem.position.line, problem.position.column) == ("L101", 3, column)
+    assert said in problem.message and problem.suggestion == near
     assert str(problem).startswith(f"f:3:{column}: L101: ")
 
 
 def test_all_errors_of_a_file_are_told() -> None:
-    problems = parse(whole("serve a", ONE, "server b"), "f").problems
-    assert [p.place.line for p in problems] == [3, 5]
+    problems = parse_file(whole("serve a", ONE, "server b"), "f").problems
+    assert [p.position.line for p in problems] == [3, 5]
 
 
 SERVERS = st.builds(
-    Server,
+    EndpointSpec,
     st.from_regex(r"[A-Za-z0-9][A-Za-z0-9._-]{0,20}", fullmatch=True),
     st.tuples(st.sampled_from(["10.0.0.1", "::1", "node-07.example.org"]), st.integers(1, 65535)),
     st.integers(0, 5000),
-    st.sampled_from([NodeState.UP, NodeState.DRAINING]),
+    st.sampled_from([EndpointStatus.UP, EndpointStatus.DRAINING]),
     st.sampled_from(["", "room-a", "shard"]),
     st.none() | st.decimals(0, 1000, places=9).map(float),
     st.sampled_from([0.0, 0.5, 16.0]),
@@ -101,7 +103,7 @@
 @settings(deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(SERVERS, st.none() | COMMENTS) | COMMENTS | st.just(""), max_size=12))
 def test_laying_out_keeps_the_meaning_and_comments_and_ends(
-    rows: list[tuple[Server, str | None] | str],
+    rows: list[tuple[EndpointSpec, str | None] | str],
 ) -> None:
     lines, count = ["format 1"], 1
     for row in rows:
@@ -109,13 +111,15 @@
             lines.append(row)
         else:
             count += 1
-            lines.append("  " + statement(row[0]).replace(" ", "\t ") + (f" {row[1]}" if row[1] else ""))
+            lines.append(
+                "  " + endpoint_statement(row[0]).replace(" ", "\t ") + (f" {row[1]}" if row[1] else "")
+            )
     before = "\n".join([*lines, f"end {count}", ""])
-    after = formatted(before)
-    assert formatted(after) == after
-    a, b = parse(before, "f"), parse(after, "f")
+    after = format_list(before)
+    assert format_list(after) == after
+    a, b = parse_file(before, "f"), parse_file(after, "f")
     assert not a.problems and not b.problems
-    assert [e.server for e in a.entries] == [e.server for e in b.entries]
+    assert [e.endpoint for e in a.endpoint_statements] == [e.endpoint for e in b.endpoint_statements]
     for row in rows:
         comment = row if isinstance(row, str) else row[1] or ""
         assert comment.strip("# ").strip() in after
@@ -126,13 +130,13 @@
     rows = [f"server n{k} address 127.0.0.1:{8000 + k} shard {k}  # room {k}" for k in range(12)]
     content = whole(*rows).encode()
     path = tmp_path / "main.list"
-    loader = Loader(path, 0, Resolver(lambda host: ()))
+    loader = ListLoader(path, 0, NameResolver(lambda host: ()))
     for cut in range(len(content)):
         path.write_bytes(content[:cut])
         got = loader.load(None)
-        assert got.verdict.listing is None and got.verdict.problems, cut
+        assert got.check_result.checked_list is None and got.check_result.problems, cut
     path.write_bytes(content)
-    assert loader.load(None).verdict.listing is not None
+    assert loader.load(None).check_result.checked_list is not None
 
 
 def test_noise_is_a_complaint_and_never_a_crash(tmp_path: Path) -> None:
@@ -143,8 +147,8 @@
         for _ in range(chance.randint(1, 6)):
             spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
         (tmp_path / "main.list").write_bytes(bytes(spoilt))
-        got = files.read(tmp_path / "main.list")
-        assert got.files or got.problems
+        got = files.read_set(tmp_path / "main.list")
+        assert got.parsed_files or got.problems
 
 
 CASES: dict[str, tuple[str, dict[str, str]]] = {
@@ -176,28 +180,28 @@
 @pytest.mark.parametrize("code", CASES)
 def test_each_check_finds_its_fault_and_no_other_list_does(code: str, tmp_path: Path) -> None:
     main, others = CASES[code]
-    before = Listing(4, "f" * 64, {})
+    before = CheckedList(4, "f" * 64, {})
     shards = 2 if code == "L206" else 0
     got = load(tmp_path, before, shards, main=main, **others)
-    assert got.verdict.listing is None and set(codes(got)) == {code}
-    assert all(p.code in CODES for p in got.verdict.problems)
+    assert got.check_result.checked_list is None and set(codes(got)) == {code}
+    assert all(p.code in PROBLEM_CODES for p in got.check_result.problems)
     good = load(tmp_path, before, 1, main=whole("network 127.0.0.0/8", ONE + " weight 2"))
-    assert codes(good) == [] and good.verdict.listing is not None
+    assert codes(good) == [] and good.check_result.checked_list is not None
 
 
 def test_a_typo_in_a_host_name_names_the_host_that_was_meant(tmp_path: Path) -> None:
     inventory = ["host node-01.example.org", "host node-07.example.org"]
     got = load(tmp_path, main=whole(*inventory, "server n address node-O7.example.org:80 shard 0"))
-    assert [(p.code, p.near) for p in got.verdict.problems] == [("L204", "node-07.example.org")]
+    assert [(p.code, p.suggestion) for p in got.check_result.problems] == [("L204", "node-07.example.org")]
     rows = [
         "server m address node-07.example.org:80 shard 0",
         "server n address nod-07.example.org:80 shard 0",
     ]
     got = load(tmp_path, main=whole(*rows))
-    assert [(p.code, p.near) for p in got.verdict.problems] == [("L205", "node-07.example.org")]
+    assert [(p.code, p.suggestion) for p in got.check_result.problems] == [("L205", "node-07.example.org")]
     sound = load(tmp_path, main=whole(*inventory, "server n address NODE-07.example.org:80 shard 0"))
-    assert sound.verdict.listing is not None
-    assert sound.verdict.listing.servers["n"].address == ("127.0.0.7", 80)
+    assert sound.check_result.checked_list is not None
+    assert sound.check_result.checked_list.endpoints["n"].address == ("127.0.0.7", 80)
 
 
 def test_a_name_server_that_is_down_changes_nothing_for_known_names() -> None:
@@ -208,7 +212,7 @@
             raise OSError("no answer")
         return answers[host]
 
-    resolver = Resolver(lookup, lambda: now[0], within=5.0)
+    resolver = NameResolver(lookup, lambda: now[0], timeout_seconds=5.0)
     assert resolver.resolve(["a", "b"]) == {"a": ("127.0.0.1",)}
     answers.clear()
     now[0] = 100.0
@@ -225,7 +229,7 @@
     main = whole("include d/*.list", "manifest m.list")
     sheets = {"main.list": main, "d/a.list": text(ONE)}
     rows = [f"file {n} sha256 {hashlib.sha256(c.encode()).hexdigest()}" for n, c in sheets.items()]
-    assert load(tmp_path, main=main, m=text(*rows)).verdict.listing is not None
+    assert load(tmp_path, main=main, m=text(*rows)).check_result.checked_list is not None
     (tmp_path / "d" / "a.list").write_text(text(ONE.replace("127.0.0.1", "127.0.0.2")))
     assert codes(load(tmp_path)) == ["L405"]
     (tmp_path / "d" / "a.list").write_text(text(ONE))
@@ -235,9 +239,9 @@
 
 def test_a_file_is_included_once_and_a_loop_is_shown(tmp_path: Path) -> None:
     twice = load(tmp_path, main=whole("include b.list", "include b.list"), b=text(ONE))
-    assert [(p.code, p.place.line) for p in twice.verdict.problems] == [("L403", 4)]
+    assert [(p.code, p.position.line) for p in twice.check_result.problems] == [("L403", 4)]
     round_ = load(tmp_path, main=whole(ONE, "include b.list"), b=text("include main.list"))
-    assert [p.text for p in round_.verdict.problems] == ["main.list -> b.list -> main.list"]
+    assert [p.message for p in round_.check_result.problems] == ["main.list -> b.list -> main.list"]
 
 
 def test_a_drop_in_folder_that_is_away_is_no_empty_list(tmp_path: Path) -> None:
@@ -251,13 +255,13 @@
     assert codes(load(tmp_path)) == ["L401"]
     (tmp_path / "main.list").write_bytes(b"format 1\n\xff\n")
     got = load(tmp_path)
-    assert codes(got)[0] == "L401" and got.verdict.problems[0].place.line == 2
+    assert codes(got)[0] == "L401" and got.check_result.problems[0].position.line == 2
 
 
 def test_too_much_is_refused_before_it_is_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(files, "BYTES_MOST", 100)
+    monkeypatch.setattr(files, "MAX_SET_BYTES", 100)
     assert "L402" in codes(load(tmp_path, main=whole(ONE + "  # " + "x" * 100)))
-    monkeypatch.setattr(files, "BYTES_MOST", 1 << 20)
+    monkeypatch.setattr(files, "MAX_SET_BYTES", 1 << 20)
     for k in range(12):
         (tmp_path / f"f{k}.list").write_text(text(f"include f{k + 1}.list"))
     assert "L402" in codes(load(tmp_path, main=whole(ONE, "include f0.list")))
@@ -267,7 +271,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / "main.list").write_text(whole(ONE))
-    first, count = files.read, [0]
+    first, count = files.read_set, [0]
 
     def moving(main: Path) -> files.FileSet:
         count[0] += 1
@@ -275,36 +279,38 @@
         main.write_text(whole(ONE, version=5 + count[0]))
         return got
 
-    monkeypatch.setattr(files, "read", moving)
-    assert [p.code for p in files.read_steady(tmp_path / "main.list").problems] == ["L407"]
+    monkeypatch.setattr(files, "read_set", moving)
+    assert [p.code for p in files.read_stable_set(tmp_path / "main.list").problems] == ["L407"]
 
 
 def test_two_thousand_lines_are_parsed_once(tmp_path: Path) -> None:
     rows = [f"server n{k} address 10.0.{k >> 8}.{k & 255}:80 shard {k}" for k in range(2000)]
     got = load(tmp_path, main=whole("network 10.0.0.0/8", *rows))
-    assert got.verdict.listing is not None and got.delta is not None
-    again = load(tmp_path, got.verdict.listing, main=whole("network 10.0.0.0/8", *rows[:-1], version=6))
-    assert again.delta is not None and again.delta.names == ("n1999",)
-    old, new = got.verdict.listing, again.verdict.listing
-    assert new is not None and all(old.servers[n] is s for n, s in new.servers.items())
+    assert got.check_result.checked_list is not None and got.delta is not None
+    again = load(
+        tmp_path, got.check_result.checked_list, main=whole("network 10.0.0.0/8", *rows[:-1], version=6)
+    )
+    assert again.delta is not None and again.delta.affected_names == ("n1999",)
+    old, new = got.check_result.checked_list, again.check_result.checked_list
+    assert new is not None and all(old.endpoints[n] is s for n, s in new.endpoints.items())
 
 
 def test_a_snapshot_comes_back_whole_or_not_at_all(tmp_path: Path) -> None:
-    server = Server("n", ("::1", 80), 3, NodeState.DRAINING, "room-a", 0.5, 4.0)
-    made = Listing(7, "ab" * 32, {"n": server}, ("main.list",))
-    data = snapshot.dump(made, 123)
-    assert snapshot.load(data) == (made, 123)
+    server = EndpointSpec("n", ("::1", 80), 3, EndpointStatus.DRAINING, "room-a", 0.5, 4.0)
+    made = CheckedList(7, "ab" * 32, {"n": server}, ("main.list",))
+    data = snapshot.encode_snapshot(made, 123)
+    assert snapshot.decode_snapshot(data) == (made, 123)
     for cut in range(len(data)):
-        with pytest.raises(snapshot.Damaged):
-            snapshot.load(data[:cut])
+        with pytest.raises(snapshot.SnapshotDamagedError):
+            snapshot.decode_snapshot(data[:cut])
     chance = random.Random(1)
     for at in range(len(data)):
         spoilt = bytearray(data)
         spoilt[at] ^= 1 << chance.randrange(8)
-        with pytest.raises(snapshot.Damaged):
-            snapshot.load(bytes(spoilt))
-    with pytest.raises(snapshot.Damaged):
-        snapshot.load(data + b"x")
+        with pytest.raises(snapshot.SnapshotDamagedError):
+            snapshot.decode_snapshot(bytes(spoilt))
+    with pytest.raises(snapshot.SnapshotDamagedError):
+        snapshot.decode_snapshot(data + b"x")
 
 
 def test_a_full_disk_leaves_the_old_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -324,11 +330,11 @@
 
 def test_checks_alone_take_what_loading_found_sound() -> None:
     """The check of a version against the list in force, at its edges."""
-    sheet = parse(whole(ONE, version=4), "f")
+    sheet = parse_file(whole(ONE, version=4), "f")
     for before, want in (
-        (Before(3, "x"), []),
-        (Before(4, "d"), []),
-        (Before(4, "x"), ["L210"]),
-        (Before(5, "d"), ["L209"]),
+        (CurrentList(3, "x"), []),
+        (CurrentList(4, "d"), []),
+        (CurrentList(4, "x"), ["L210"]),
+        (CurrentList(5, "d"), ["L209"]),
     ):
-        assert [p.code for p in Checks().check([sheet], "d", before, {}).problems] == want
+        assert [p.code for p in ListChecker().check([sheet], "d", before, {}).problems] == want
--- a/tests/test_lists_front.py
+++ b/tests/test_lists_front.py
@@ -18,7 +18,7 @@
 from click.testing import CliRunner
 
 from umberlead.commands import command
-from umberlead.handover.process_registry import SPARE_FILES, ProcessRegistry
+from umberlead.handover.process_registry import SPARE_FILES_COUNT, ProcessRegistry
 from umberlead.standins.chunkserver import ChunkServer, Model, Record
 
 ROOT = Path(__file__).parent.parent
@@ -74,9 +74,7 @@
         (self.folder / "front.toml").write_text(text + "withdrawn_most = 1.0\n" + SETTINGS)
         count = len(self.lines)
         self.program = [sys.executable, "-B", "-m", "umberlead", "run", str(self.folder / "front.toml")]
-        self.process = await asyncio.create_subprocess_exec(
-            *self.program, cwd=ROOT, stderr=subprocess.PIPE
-        )  # fmt: skip
+        self.process = await asyncio.create_subprocess_exec(*self.program, cwd=ROOT, stderr=subprocess.PIPE)
         self.reader = asyncio.create_task(self._read(self.process.stderr))
         line = await self.said("listening", count)
         host, port = re.findall(r'address="([\d.]+):(\d+)"', line)[0]
@@ -280,7 +278,7 @@
             assert await asyncio.gather(*[w.ask(f"s{k}") for k in range(10)]) == [200] * 10
             assert await w.end() == 0
             left = ProcessRegistry(tmp_path / "state" / "fronts")  # spares, which nobody holds
-            assert left.look() == 0 and len(os.listdir(left.folder)) == SPARE_FILES
+            assert left.refresh() == 0 and len(os.listdir(left.folder)) == SPARE_FILES_COUNT
 
     play(test)
 
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -6,12 +6,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from tests.helpers import T0, ask, feed, head, nodes, sends
-from umberlead.membership.flap_damping import Damping, Flaps
-from umberlead.membership.machine import Membership, NotPending, Rules
-from umberlead.membership.model import Listing, Server, difference
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import NodeState
-from umberlead.scheduling.weighted_round_robin import Smooth
+from umberlead.membership.flap_damping import FlapDamper, FlapDampingSettings
+from umberlead.membership.machine import Membership, MembershipSettings, NoPendingListError
+from umberlead.membership.model import CheckedList, EndpointSpec, diff_endpoints
+from umberlead.scheduling.actions import Send
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointStatus, Outcome
+from umberlead.scheduling.weighted_round_robin import SmoothWeightedRoundRobin
 from umberlead.standins.explore import A, B, C, World, explore, listing, server
 
 DEPTH = 3
@@ -25,25 +25,35 @@
 
 NAMES = st.sampled_from("abcd")
 SERVERS = st.builds(
-    lambda name, port, shard, ready, weight, started: Server(
-        name, ("127.0.0.1", port), shard, NodeState.UP if ready else NodeState.DRAINING,
-        weight=weight, started=started,
+    lambda name, port, shard, ready, weight, started: EndpointSpec(
+        name,
+        ("127.0.0.1", port),
+        shard,
+        EndpointStatus.UP if ready else EndpointStatus.DRAINING,
+        weight=weight,
+        started=started,
     ),
-    NAMES, st.integers(1, 3), st.integers(0, 1), st.booleans(), st.sampled_from([None, 0.0, 2.0]),
+    NAMES,
+    st.integers(1, 3),
+    st.integers(0, 1),
+    st.booleans(),
+    st.sampled_from([None, 0.0, 2.0]),
     st.sampled_from([0, 5]),
-)  # fmt: skip
+)
 
 
 class Machine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
-        self.world = World.new(Rules(0.4, 40 * SECOND, Damping(10 * SECOND, 2000.0, 1000.0, 5000.0)))
+        self.world = World.new(
+            MembershipSettings(0.4, 40 * SECOND, FlapDampingSettings(10 * SECOND, 2000.0, 1000.0, 5000.0))
+        )
         self.count = 0
 
     @rule(servers=st.lists(SERVERS, max_size=5))
-    def files(self, servers: list[Server]) -> None:
+    def files(self, servers: list[EndpointSpec]) -> None:
         self.count += 1
-        self.world.files(Listing(self.count, f"{self.count:08d}{'0' * 56}", {s.name: s for s in servers}))
+        self.world.files(CheckedList(self.count, f"{self.count:08d}{'0' * 56}", {s.name: s for s in servers}))
 
     @rule()
     def broken(self) -> None:
@@ -54,11 +64,11 @@
     def confirm(self, cut: int) -> None:
         pending = self.world.machine.pending
         assert pending is not None
-        self.world.confirm(pending.listing.digest[:cut])
+        self.world.confirm(pending.checked_list.digest[:cut])
 
     @rule(whole=st.booleans(), servers=st.lists(SERVERS, max_size=3), gone=st.lists(NAMES, max_size=2))
-    def discovery(self, whole: bool, servers: list[Server], gone: list[str]) -> None:
-        told = {s.name: s for s in servers} | {n: server(n, 1, 0, NodeState.GONE) for n in gone}
+    def discovery(self, whole: bool, servers: list[EndpointSpec], gone: list[str]) -> None:
+        told = {s.name: s for s in servers} | {n: server(n, 1, 0, EndpointStatus.GONE) for n in gone}
         self.world.discovery(whole, *told.values())
 
     @rule(name=NAMES, out=st.booleans())
@@ -76,108 +86,122 @@
 
 TestMachine = Machine.TestCase
 TestMachine.settings = settings(
-    max_examples=250, stateful_step_count=25, deadline=None, derandomize=True, database=None,
-    suppress_health_check=list(HealthCheck), phases=[Phase.generate],
-)  # fmt: skip
+    max_examples=250,
+    stateful_step_count=25,
+    deadline=None,
+    derandomize=True,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+    phases=[Phase.generate],
+)
 
 
 def test_a_list_is_held_until_just_that_one_is_confirmed() -> None:
-    m = Membership(Rules())
-    m.files(1, listing("11111111", A, B, C))
+    m = Membership(MembershipSettings())
+    m.apply_files(1, listing("11111111", A, B, C))
     small = listing("22222222", A)
-    assert not m.files(2, small) and set(m.members) == {"a", "b", "c"}
-    assert [p.code for p in m.complaint] == ["L301"]
+    assert not m.apply_files(2, small) and set(m.active_endpoints) == {"a", "b", "c"}
+    assert [p.code for p in m.rejection_problems] == ["L301"]
     for wrong in ("2222222", "11111111", ""):
-        with pytest.raises(NotPending):
+        with pytest.raises(NoPendingListError):
             m.confirm(3, wrong)
-    m.refused([])  # the files are no longer that list
-    with pytest.raises(NotPending):
+    m.reject_files([])  # the files are no longer that list
+    with pytest.raises(NoPendingListError):
         m.confirm(4, small.digest)
-    m.files(5, small)
-    assert set(m.members) == {"a", "b", "c"}
-    assert {x.id for x in m.confirm(6, small.digest[:8]).went} == {"b", "c"}
+    m.apply_files(5, small)
+    assert set(m.active_endpoints) == {"a", "b", "c"}
+    assert {x.id for x in m.confirm(6, small.digest[:8]).removed} == {"b", "c"}
 
 
 def test_a_name_with_a_new_address_is_another_server_also_after_it_left() -> None:
-    m = Membership(Rules(1.0, 60 * SECOND))
-    m.files(1, listing("11111111", A, B))
-    first = m.members["a"].id
-    m.files(2, listing("22222222", B))
-    moved = m.files(3, listing("33333333", server("a", 7), B)).came[0]
-    back = m.files(4, listing("44444444", A, B))
-    ids = {first, moved.id, back.came[0].id}
-    assert first == "a" and len(ids) == 3 and [x.id for x in back.went] == [moved.id]
+    m = Membership(MembershipSettings(1.0, 60 * SECOND))
+    m.apply_files(1, listing("11111111", A, B))
+    first = m.active_endpoints["a"].id
+    m.apply_files(2, listing("22222222", B))
+    moved = m.apply_files(3, listing("33333333", server("a", 7), B)).added[0]
+    back = m.apply_files(4, listing("44444444", A, B))
+    ids = {first, moved.id, back.added[0].id}
+    assert first == "a" and len(ids) == 3 and [x.id for x in back.removed] == [moved.id]
 
 
 def test_a_delta_against_another_list_is_not_believed() -> None:
     """While a list was loaded, a confirmation put another one in force."""
-    m = Membership(Rules(1.0))
-    m.files(1, listing("11111111", A, B))
-    stale = difference({}, {"a": A})
-    change = m.files(2, listing("22222222", A), stale, "somewhere else")
-    assert [x.id for x in change.went] == ["b"]
+    m = Membership(MembershipSettings(1.0))
+    m.apply_files(1, listing("11111111", A, B))
+    stale = diff_endpoints({}, {"a": A})
+    change = m.apply_files(2, listing("22222222", A), stale, "somewhere else")
+    assert [x.id for x in change.removed] == ["b"]
 
 
 def test_damping_holds_a_flapping_server_and_lets_it_in_again() -> None:
-    rules = Damping()
-    flaps, now = Flaps(rules), 0
-    held = [flaps.returned("a", now := now + SECOND) for _ in range(4)]
+    rules = FlapDampingSettings()
+    flaps, now = FlapDamper(rules), 0
+    held = [flaps.record_return("a", now := now + SECOND) for _ in range(4)]
     assert held == [False, False, False, True]
-    until = flaps.until("a")
-    assert not flaps.due(until - 2) and flaps.held == {"a"}
-    assert flaps.due(until) == ["a"] and not flaps.held
+    until = flaps.suppressed_until_us("a")
+    assert not flaps.release_due(until - 2) and flaps.suppressed == {"a"}
+    assert flaps.release_due(until) == ["a"] and not flaps.suppressed
     for _ in range(100):
-        flaps.returned("b", now)
-    assert flaps.until("b") - now <= rules.longest
-    assert flaps.due(now + 10 * rules.longest) and not flaps._at  # what has faded is forgotten
+        flaps.record_return("b", now)
+    assert flaps.suppressed_until_us("b") - now <= rules.max_suppression_us
+    assert (
+        flaps.release_due(now + 10 * rules.max_suppression_us) and not flaps._penalties
+    )  # what has faded is forgotten
 
 
 def test_who_is_held_depends_on_who_else_there_is() -> None:
     """Held for flapping, a server is let in as soon as nobody else would take its shard's work."""
-    m = Membership(Rules(1.0, 60 * SECOND, Damping(30 * SECOND, 1500.0, 1000.0, 4000.0)))
+    m = Membership(
+        MembershipSettings(1.0, 60 * SECOND, FlapDampingSettings(30 * SECOND, 1500.0, 1000.0, 4000.0))
+    )
     now = 1
     for _ in range(3):
-        m.discovery(now := now + SECOND, True, [A, B])
-        m.discovery(now := now + SECOND, True, [B])
-    m.discovery(now := now + SECOND, True, [A, B])
-    assert m.members["a"].held
-    assert [x.held for _, x in m.mark(now, "b", True, now).changed] == [False]
-    assert [x.held for _, x in m.mark(now, "b", False).changed] == [True]
-    gone = m.discovery(now, False, [server("b", 2, state=NodeState.GONE)])
-    assert ([x.id for x in gone.went], [x.held for _, x in gone.changed]) == (["b"], [False])
-    assert [x.held for _, x in m.discovery(now, False, [B]).changed] == [True]
+        m.apply_discovery(now := now + SECOND, True, [A, B])
+        m.apply_discovery(now := now + SECOND, True, [B])
+    m.apply_discovery(now := now + SECOND, True, [A, B])
+    assert m.active_endpoints["a"].suppressed
+    assert [x.suppressed for _, x in m.set_manual_drain(now, "b", True, now).changed] == [False]
+    assert [x.suppressed for _, x in m.set_manual_drain(now, "b", False).changed] == [True]
+    gone = m.apply_discovery(now, False, [server("b", 2, state=EndpointStatus.GONE)])
+    assert ([x.id for x in gone.removed], [x.suppressed for _, x in gone.changed]) == (["b"], [False])
+    assert [x.suppressed for _, x in m.apply_discovery(now, False, [B]).changed] == [True]
 
 
 def test_names_that_left_are_forgotten() -> None:
     """Of ever new servers the tables would grow for ever, ready or draining as they left."""
-    m, now = Membership(Rules()), 0
+    m, now = Membership(MembershipSettings()), 0
     for k in range(50):
-        state = NodeState.UP if k % 2 else NodeState.DRAINING
-        m.discovery(now := now + SECOND, True, [server(f"s{k}", k, state=state)])
-    m.tick(now + 200 * SECOND)
-    assert len(m._ids) == 1 and not m._left and not m._gone and len(m._willing) == 1
+        state = EndpointStatus.UP if k % 2 else EndpointStatus.DRAINING
+        m.apply_discovery(now := now + SECOND, True, [server(f"s{k}", k, state=state)])
+    m.advance_time(now + 200 * SECOND)
+    assert (
+        len(m._identities) == 1
+        and not m._not_ready_since_us
+        and not m._removed_us
+        and len(m._ready_names_by_shard) == 1
+    )
 
 
 @pytest.mark.parametrize("rules", [(0, 3, 1, 8), (1, 1, 1, 8), (1, 3, 0, 8), (1, 9, 1, 8)])
 def test_damping_that_makes_no_sense_is_refused(rules: tuple[int, float, float, float]) -> None:
     with pytest.raises(ValueError):
-        Damping(*rules)
+        FlapDampingSettings(*rules)
 
 
 def test_smooth_choice_keeps_proportions_and_mixes() -> None:
-    choice, weights, taken = Smooth(), {"a": 5.0, "b": 1.0, "c": 1.0}, ""
+    choice, weights, taken = SmoothWeightedRoundRobin(), {"a": 5.0, "b": 1.0, "c": 1.0}, ""
     for _ in range(70):
-        name = choice.best(weights)
-        choice.took(name, weights)
+        name = choice.select(weights)
+        choice.record_selection(name, weights)
         taken += name
     assert (taken.count("a"), taken.count("b"), taken.count("c")) == (50, 10, 10)
     assert "aaaaa" not in taken  # well mixed: never more in a row than its part asks for
-    choice.took("b", {"b": 1.0})
+    choice.record_selection("b", {"b": 1.0})
     assert set(choice._credit) == {"b"}
 
 
-def _weighted(name: str, shard: int, weight: float | None, units: float = 0.0) -> api.Node:
-    return api.Node(name, NodeState.UP, shard, 0, weight, units)
+def _weighted(name: str, shard: int, weight: float | None, units: float = 0.0) -> Endpoint:
+    return Endpoint(name, EndpointStatus.UP, shard, 0, weight, units)
 
 
 def test_weights_part_new_objects_and_leave_reads_alone() -> None:
@@ -185,10 +209,10 @@
     sent = []
     for k in range(40):
         acts = feed(h, T0 + k, ask(f"w{k}", T0 + k, "once", shard=-1, key=f"k{k}"))
-        sent += [a.node for a in acts if isinstance(a, api.Send)]
+        sent += [a.endpoint for a in acts if isinstance(a, Send)]
         for a in acts:
-            if isinstance(a, api.Send):
-                feed(h, T0 + k, api.Outcome(a.request, a.node, 0, api.Result.OK, 9_000, True))
+            if isinstance(a, Send):
+                feed(h, T0 + k, Outcome(a.request_id, a.endpoint, 0, AttemptResult.OK, 9_000, True))
     assert (sent.count("n0"), sent.count("n1"), sent.count("n2")) == (30, 10, 0)
     assert sends(feed(h, T0 + 99, ask("r", T0 + 99, shard=2))) == ["r"]  # its data is read all the same
 
@@ -197,7 +221,7 @@
     """The heavy one is full: waiting for it would hold up what the other can take at once."""
     h = head(T0, _weighted("n0", 0, 9.0, units=2.0), _weighted("n1", 1, 1.0))
     acts = feed(h, T0, *[ask(f"w{k}", cls="once", shard=-1, key=f"k{k}") for k in range(4)])
-    assert sorted(a.node for a in acts if isinstance(a, api.Send)) == ["n0", "n1", "n1", "n1"]
+    assert sorted(a.endpoint for a in acts if isinstance(a, Send)) == ["n0", "n1", "n1", "n1"]
 
 
 def test_a_servers_own_limit_lowers_its_bound_at_once() -> None:
--- a/tests/test_lists_watch.py
+++ b/tests/test_lists_watch.py
@@ -12,10 +12,10 @@
 
 from umberlead.common.counters import Counters
 from umberlead.membership import snapshot
-from umberlead.membership.flap_damping import Damping
-from umberlead.membership.machine import NotPending, Rules
-from umberlead.membership.model import Change
-from umberlead.membership.service import ListService, Unusable, Watched
+from umberlead.membership.flap_damping import FlapDampingSettings
+from umberlead.membership.machine import MembershipSettings, NoPendingListError
+from umberlead.membership.model import MembershipChange
+from umberlead.membership.service import NoUsableListError, WatchedListService, WatchedListSettings
 
 PATIENCE = 15.0  # s until what never comes fails a test
 
@@ -41,28 +41,39 @@
     """A folder, a service over it, and what it told."""
 
     def __init__(self, folder: Path, observer: Callable[[], Any] | None = None, saved: bool = True) -> None:
-        self.folder, self.log, self.told = folder, Log(), list[Change]()
+        self.folder, self.log, self.told = folder, Log(), list[MembershipChange]()
         self.main = folder / "lists" / "main.list"
         self.main.parent.mkdir(exist_ok=True)
         self.saved = folder / "saved" if saved else None
         self.observer = observer
         self.counters = Counters()
 
-    def open(self) -> ListService:
-        conf = Watched(
-            self.main, self.saved, 0.005, 0.05, Rules(1.0, 10**8, Damping(100_000, 7000.0, 1000.0))
+    def open(self) -> WatchedListService:
+        conf = WatchedListSettings(
+            self.main,
+            self.saved,
+            0.005,
+            0.05,
+            MembershipSettings(1.0, 10**8, FlapDampingSettings(100_000, 7000.0, 1000.0)),
         )
-        made = ListService(
-            conf, 0, asyncio.get_running_loop(), lambda: time.monotonic_ns() // 1000, self.counters, self.log,
-            self.told.append, lambda host: ("127.0.0.1",), self.observer,
-        )  # fmt: skip
-        made.begin()
-        made.open()
+        made = WatchedListService(
+            conf,
+            0,
+            asyncio.get_running_loop(),
+            lambda: time.monotonic_ns() // 1000,
+            self.counters,
+            self.log,
+            self.told.append,
+            lambda host: ("127.0.0.1",),
+            self.observer,
+        )
+        made.load_first_list()
+        made.start_watching()
         self.service = made
         return made
 
     def names(self) -> set[str]:
-        return set(self.service.machine.members)
+        return set(self.service.membership.active_endpoints)
 
     async def until(self, met: Callable[[], Any], what: str) -> None:
         end = time.monotonic() + PATIENCE
@@ -130,7 +141,9 @@
         other.write_text(sheet(5, "a", "e"))  # what it points to, written in place
         await bench.comes("a", "e")
         shutil.rmtree(bench.main.parent)  # the folder goes, and is made again
-        await bench.until(lambda: service.machine.complaint, "a missing file was not complained of")
+        await bench.until(
+            lambda: service.membership.rejection_problems, "a missing file was not complained of"
+        )
         assert bench.names() == {"a", "e"}
         bench.main.parent.mkdir()
         bench.main.write_text(sheet(6, "f"))
@@ -167,11 +180,11 @@
         service = bench.open()
         replace(bench.main, sheet(2, "a", "b").replace("shard", "shrad"))
         await bench.until(lambda: "list_refused" in bench.log.events(), "no complaint")
-        seen = service.loads
+        seen = service.load_count
         for _ in range(3):  # the same file touched again and again
             os.utime(bench.main)
-            await bench.until(lambda before=seen: service.loads > before, "not read again")  # type: ignore[misc]
-            seen = service.loads
+            await bench.until(lambda before=seen: service.load_count > before, "not read again")  # type: ignore[misc]
+            seen = service.load_count
         assert bench.names() == {"a"} and bench.log.events().count("list_refused") == 1
         pairs = next(p for e, p in bench.log.lines if e == "list_refused")
         assert (pairs["code"], pairs["at"], pairs["near"]) == ("L101", "main.list:3:33", "shard")
@@ -200,14 +213,14 @@
                 replace(bench.main, good)
             await asyncio.sleep(0.002)
         await bench.until(
-            lambda: service.machine.listing and service.machine.listing.version == 200, "never 200"
+            lambda: service.membership.file_list and service.membership.file_list.version == 200, "never 200"
         )
         service.close()
         seen: dict[str, Any] = {}
         for change in bench.told:
-            for member in change.went:
+            for member in change.removed:
                 del seen[member.id]
-            for member in (*change.came, *(after for _, after in change.changed)):
+            for member in (*change.added, *(after for _, after in change.changed)):
                 seen[member.id] = member
             assert set(seen) in ({"a"}, {"a", "b"}, {"a", "c"})
         assert bench.counters["list_changes"] > 5
@@ -227,7 +240,8 @@
         assert "list_from_snapshot" in bench.log.events()
         replace(bench.main, sheet(2, "c"))  # older than what the snapshot remembers
         await bench.until(
-            lambda: [p.code for p in service.machine.complaint] == ["L209"], "the version goes back"
+            lambda: [p.code for p in service.membership.rejection_problems] == ["L209"],
+            "the version goes back",
         )
         replace(bench.main, sheet(4, "c"))
         await bench.comes("c")
@@ -252,7 +266,7 @@
         bench.saved.write_bytes(bytes(data))
         bench.main.write_text("format 1\nserver\n")
         with pytest.raises(
-            Unusable, match=r"main.list:2:7: L101: expected a name.*its digest does not match"
+            NoUsableListError, match=r"main.list:2:7: L101: expected a name.*its digest does not match"
         ):
             Bench(tmp_path).open()
 
@@ -277,7 +291,7 @@
             await bench.until(lambda: bench.counters["list_snapshots_failed"], "no complaint")
             service.close()
         assert bench.saved is not None
-        found = snapshot.read(bench.saved)
+        found = snapshot.read_snapshot(bench.saved)
         assert found is not None and found[0].version == 1
 
     play(test)
@@ -303,7 +317,7 @@
         await bench.until(lambda: bench.counters["list_snapshots_saved"], "not saved")
         service.close()
         assert bench.saved is not None
-        found = snapshot.read(bench.saved)
+        found = snapshot.read_snapshot(bench.saved)
         assert found is not None and found[0].version == 1
 
     play(test)
@@ -314,12 +328,12 @@
         bench = Bench(tmp_path)
         bench.main.write_text(sheet(1, *"abcdef"))
         service = bench.open()
-        service.machine.rules = Rules(0.25)
+        service.membership.settings = MembershipSettings(0.25)
         replace(bench.main, sheet(2, *"abc"))
         await bench.until(lambda: "list_held" in bench.log.events(), "not held")
         assert bench.names() == set("abcdef")
         digest = service.status()["pending"]["confirm"]
-        with pytest.raises(NotPending):
+        with pytest.raises(NoPendingListError):
             service.confirm("0" * 16)
         assert service.confirm(digest) == 2
         assert bench.names() == set("abc") and "pending" not in service.status()
@@ -345,7 +359,7 @@
         assert len(bench.names()) == 20_000
         replace(bench.main, text(2, "weight 2"))
         stops, before = [0.0], time.monotonic()
-        while service.machine.generation < 2:
+        while service.membership.generation < 2:
             await asyncio.sleep(0.001)
             now = time.monotonic()
             stops.append(now - before)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -11,9 +11,9 @@
 from tests.exchange import CONTENT, Exchange
 from tests.helpers import T0
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
-from umberlead.net.client_connections import Clients
-from umberlead.net.node_connection import NodeConnection
+from umberlead.common.timer_wheel import TimerWheel
+from umberlead.net.client_connections import ClientGroup
+from umberlead.net.node_connection import EndpointConnection
 from umberlead.net.node_protocol import OutgoingRequest
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.streaming import (
@@ -24,7 +24,7 @@
 )
 from umberlead.net.timeouts import WRITE_STALL_TIMEOUT_US
 from umberlead.requests.types import Attempt, Reply
-from umberlead.scheduling.interface import Result
+from umberlead.scheduling.events import AttemptResult
 
 BODY = b"x" * 70_000
 
@@ -32,22 +32,27 @@
 class TestLongAnswers(unittest.TestCase):
     def setUp(self) -> None:
         self.now, self.ended = T0, []  # type: ignore[var-annotated]
-        self.wheel = Wheel(lambda: self.now, lambda delay, fn: mock.Mock(), 1000)
+        self.wheel = TimerWheel(lambda: self.now, lambda delay, fn: mock.Mock(), 1000)
         self.counters = Counters()
-        self.clients = Clients(9, lambda: self.now, self.counters, 0, 1 << 20, print)
+        self.clients = ClientGroup(9, lambda: self.now, self.counters, 0, 1 << 20, print)
         handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
         self.client = ServerConnection(handler, self.clients)
         self.client.connection_made(self._transport())
         self.client.data_received(b"GET /a HTTP/1.1\r\n\r\n")
         pool = mock.Mock(
-            held_bytes=0, memory_limit_bytes=1 << 20, max_reply_bytes=1 << 20, max_head_bytes=4096,
+            held_bytes=0,
+            memory_limit_bytes=1 << 20,
+            max_response_bytes=1 << 20,
+            max_header_bytes=4096,
             connect_timeout_us=250_000,
-            wheel=self.wheel, clock=lambda: self.now, counters=self.counters,
-        )  # fmt: skip
-        pool.engine.ended = self._ended
-        self.node = NodeConnection(pool, ("127.0.0.1", 1))
+            wheel=self.wheel,
+            clock=lambda: self.now,
+            counters=self.counters,
+        )
+        pool.lifecycle.attempt_ended = self._ended
+        self.node = EndpointConnection(pool, ("127.0.0.1", 1))
         self.node.transport, self.node.written = self._transport(), True
-        ask = mock.Mock(streams=True, payload=OutgoingRequest(b"GET", b"/a", []))
+        ask = mock.Mock(accepts_stream=True, payload=OutgoingRequest(b"GET", b"/a", []))
         self.node.attempt = Attempt(mock.Mock(ask=ask, answered=False), 0, "n0", T0, T0 + 10**6)
 
     def _transport(self) -> Any:
@@ -57,9 +62,9 @@
         made.get_write_buffer_size.return_value = 10
         return made
 
-    def _ended(self, attempt: Attempt, result: Result, reply: Reply) -> None:
+    def _ended(self, attempt: Attempt, result: AttemptResult, reply: Reply) -> None:
         self.ended.append(result)
-        self.client.relay(200, reply.length, reply.body, reply.rest, self.ended.append)
+        self.client.stream_response(200, reply.body_length, reply.body, reply.stream, self.ended.append)
 
     def _rank(self) -> tuple[bool, int] | None:
         assert self.node.stream is not None
@@ -79,7 +84,7 @@
         self.node.data_received(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(BODY), BODY)
         )
-        self.assertEqual(self.ended, [Result.OK, True])
+        self.assertEqual(self.ended, [AttemptResult.OK, True])
         head, _, body = self._out().partition(b"\r\n\r\n")
         self.assertEqual(head, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked")
         self.assertEqual(body, b"%x\r\n%s\r\n0\r\n\r\n" % (len(BODY), BODY))
@@ -89,7 +94,7 @@
         """Its attempt has ended by then, so it stood until the next read, or for 10 s."""
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.node.data_received(head + b"%x\r\n%s\r\nno size\r\n" % (len(BODY), BODY))
-        self.assertEqual(self.ended, [Result.OK, False])
+        self.assertEqual(self.ended, [AttemptResult.OK, False])
         client: Any = self.client.transport
         client.abort.assert_called_once()
         self.assertNotIn(b"0\r\n\r\n", self._out()[-5:])
@@ -103,7 +108,7 @@
         self.assertEqual(self.ended, [])
         self.now += 1000
         self.node.data_received(chunk)
-        self.assertEqual(self.ended, [Result.OK])
+        self.assertEqual(self.ended, [AttemptResult.OK])
         self.assertIn(b"c00\r\n" + b"x" * 3072, self._out())
 
     def test_a_reader_that_takes_its_time_stops_the_reading_and_is_not_cut_off(self) -> None:
@@ -114,26 +119,26 @@
         for _ in range(5):
             self.now += STREAM_IDLE_TIMEOUT_US - 1
             self.client.transport.get_write_buffer_size.return_value -= 1  # type: ignore[attr-defined]
-            self.wheel.turn()
-            self.clients.sweep()
-        self.assertEqual(self.ended, [Result.OK])
+            self.wheel.fire_due()
+            self.clients.close_expired()
+        self.assertEqual(self.ended, [AttemptResult.OK])
         self.client.resume_writing()
         node.resume_reading.assert_called_once()
         self.node.data_received(BODY)
-        self.assertEqual(self.ended, [Result.OK, True])
+        self.assertEqual(self.ended, [AttemptResult.OK, True])
 
     def test_neither_side_may_stand_still_for_ever(self) -> None:
         transport: Any = self.client.transport
         self.node.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 140000\r\n\r\n" + BODY)
         self.client.pause_writing()
-        self.clients.sweep()
+        self.clients.close_expired()
         self.now += WRITE_STALL_TIMEOUT_US
-        self.clients.sweep()
+        self.clients.close_expired()
         transport.abort.assert_called_once()
         self.client.resume_writing()
         self.now += STREAM_IDLE_TIMEOUT_US + 1000
-        self.wheel.turn()
-        self.assertEqual(self.ended, [Result.OK, False])
+        self.wheel.fire_due()
+        self.assertEqual(self.ended, [AttemptResult.OK, False])
 
     def test_past_its_request_s_time_what_may_be_a_small_one_may_pause_and_no_more(self) -> None:
         """Its client waits for its last byte: one that stopped ends a pause past that time at the latest."""
@@ -143,12 +148,12 @@
             self.node.data_received(chunk)
         for _ in range(3):
             self.now += SERVER_PAUSE_TIMEOUT_US - 1000
-            self.wheel.turn()
-            self.assertEqual(self.ended, [Result.OK])
+            self.wheel.fire_due()
+            self.assertEqual(self.ended, [AttemptResult.OK])
             self.node.data_received(chunk)
         self.now += SERVER_PAUSE_TIMEOUT_US + 1000
-        self.wheel.turn()
-        self.assertEqual(self.ended, [Result.OK, False])
+        self.wheel.fire_due()
+        self.assertEqual(self.ended, [AttemptResult.OK, False])
 
     def test_one_of_a_told_length_gives_its_place_up_last(self) -> None:
         self.node.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 140000\r\n\r\n" + BODY)
@@ -191,11 +196,11 @@
         match words:
             case ["places", which, number]:
                 front = await self._start()
-                of: Any = front.pool if which == "nodes" else front.groups[0]
+                of: Any = front.pool if which == "nodes" else front.client_groups[0]
                 of.max_connections = int(number)
             case ["over"]:
                 front, self.front = await self._start(), None
-                front.end()
+                front.release_resources()
             case [name, "has" | "whole", number]:
                 peer = self.peers[name]
                 while len((body := Body(peer.got)).got) < int(number) or (words[1] == "whole") > body.whole:
@@ -233,7 +238,7 @@
         f"client {name} platform\n{name} >\n{asked}| X-IO: volume=b4,units=1,shard={n}\n|\nn{n} <\n"
         f"| GET {{target}} HTTP/1.1\n| Host: service.internal\n{ask}| X-IO: volume=b4,units=1,shard={n}\n"
         f"| X-Budget: {{~}}\n|\nn{n} >\n| HTTP/1.1 200 OK\n{HEADS[way]}|\n" + piece(n, way, 0, first)
-    )  # fmt: skip
+    )
 
 
 def ended(n: int, way: str) -> str:
@@ -247,28 +252,46 @@
 def goes_on(names: str, ways: list[str], steps: int = 4) -> str:
     """Each gets 10,000 bytes more behind each of so many pauses of 5 s."""
     return "".join(
-        "clock 5000000\n" + "".join(
+        "clock 5000000\n"
+        + "".join(
             piece(n, way, at, at + 10_000) + f"{name} has {at + 10_000}\n"
             for n, (name, way) in enumerate(zip(names, ways, strict=True))
         )
         for at in range(70_000, 70_000 + steps * 10_000, 10_000)
-    )  # fmt: skip
+    )
 
 
 @pytest.mark.parametrize("way", HEADS)
 def test_one_that_moves_goes_through_past_its_request_s_time(way: str) -> None:
     """A long answer was cut off at the request's time while its server was still giving it."""
-    play(servers(1), begun("a", 0, way), "a has 70000\n", goes_on("a", [way]),
-         piece(0, way, 110_000, 120_000), ended(0, way),
-         "a whole 120000\ncounter node_answers_broke_off 0\n")  # fmt: skip
+    play(
+        servers(1),
+        begun("a", 0, way),
+        "a has 70000\n",
+        goes_on("a", [way]),
+        piece(0, way, 110_000, 120_000),
+        ended(0, way),
+        "a whole 120000\ncounter node_answers_broke_off 0\n",
+    )
 
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
 def test_one_that_comes_in_small_pieces_does_too(way: str) -> None:
-    play(servers(1), begun("a", 0, way, 1000), WELL.format("b"), f"clock {STREAMING_THRESHOLD_US + 1000}\n",
-         piece(0, way, 1000, 2000), "a has 2000\n",
-         f"clock {TIME - 100_000}\n", piece(0, way, 2000, 3000), "a has 3000\n",
-         "clock 100000\n", piece(0, way, 3000, 4000), ended(0, way), "a whole 4000\n")  # fmt: skip
+    play(
+        servers(1),
+        begun("a", 0, way, 1000),
+        WELL.format("b"),
+        f"clock {STREAMING_THRESHOLD_US + 1000}\n",
+        piece(0, way, 1000, 2000),
+        "a has 2000\n",
+        f"clock {TIME - 100_000}\n",
+        piece(0, way, 2000, 3000),
+        "a has 3000\n",
+        "clock 100000\n",
+        piece(0, way, 3000, 4000),
+        ended(0, way),
+        "a whole 4000\n",
+    )
 
 
 def test_a_reset_is_no_end() -> None:
@@ -278,58 +301,100 @@
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
 def test_one_that_floods_ends_at_the_size_that_the_protocol_has(way: str) -> None:
-    play("patch umberlead.net.streaming MAX_STREAM_BYTES 100000\n", servers(1), begun("a", 0, way),
-         "a has 70000\n",
-         piece(0, way, 70_000, 100_000), "a has 100000\ncounter node_answers_broke_off 0\n",
-         piece(0, way, 100_000, 120_000), "a cut\ncounter node_answers_broke_off 1\n")  # fmt: skip
+    play(
+        "patch umberlead.net.streaming MAX_STREAM_BYTES 100000\n",
+        servers(1),
+        begun("a", 0, way),
+        "a has 70000\n",
+        piece(0, way, 70_000, 100_000),
+        "a has 100000\ncounter node_answers_broke_off 0\n",
+        piece(0, way, 100_000, 120_000),
+        "a cut\ncounter node_answers_broke_off 1\n",
+    )
 
 
 @pytest.mark.parametrize("way", HEADS)
 def test_one_that_goes_on_does_not_keep_the_front_from_its_stop(way: str) -> None:
     """All else is answered, the process ends before SIGKILL, and the client sees that it has not all."""
-    play(servers(2), begun("a", 0, way), "a has 70000\n",
-         "client b platform\nb >\n& read b1 / 1\nn1 <\n& got b1 / 1\nsignal TERM\n", WELL.format("c"),
-         "clock 3510000\nb <\n& failing\n", piece(0, way, 70_000, 80_000),
-         "a has 80000\nclock 100000\nends\nover\na cut\n")  # fmt: skip
+    play(
+        servers(2),
+        begun("a", 0, way),
+        "a has 70000\n",
+        "client b platform\nb >\n& read b1 / 1\nn1 <\n& got b1 / 1\nsignal TERM\n",
+        WELL.format("c"),
+        "clock 3510000\nb <\n& failing\n",
+        piece(0, way, 70_000, 80_000),
+        "a has 80000\nclock 100000\nends\nover\na cut\n",
+    )
 
 
 def test_where_places_at_nodes_are_short_one_far_past_its_time_gives_way() -> None:
     """Those of no told length first, the oldest before the others; one that has an end stays."""
     ways = ["told", "chunked", "bare"]
     begin = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("abc", ways, strict=True))]
-    play(servers(5), "places nodes 3\n", *begin,
-         ASKS.format("x", 3), "x <\n& refused\n", "counter node_answers_broke_off 0\n",
-         goes_on("abc", ways), "counter node_answers_broke_off 0\n",
-         ASKS.format("d", 3), "b cut\n", SERVED.format("d", 3),
-         ASKS.format("e", 4), SERVED.format("e", 4), piece(2, "bare", 110_000, 115_000), "c has 115000\n",
-         piece(0, "told", 110_000, 120_000), "a whole 120000\ncounter node_answers_gave_way 1\n")  # fmt: skip
+    play(
+        servers(5),
+        "places nodes 3\n",
+        *begin,
+        ASKS.format("x", 3),
+        "x <\n& refused\n",
+        "counter node_answers_broke_off 0\n",
+        goes_on("abc", ways),
+        "counter node_answers_broke_off 0\n",
+        ASKS.format("d", 3),
+        "b cut\n",
+        SERVED.format("d", 3),
+        ASKS.format("e", 4),
+        SERVED.format("e", 4),
+        piece(2, "bare", 110_000, 115_000),
+        "c has 115000\n",
+        piece(0, "told", 110_000, 120_000),
+        "a whole 120000\ncounter node_answers_gave_way 1\n",
+    )
 
 
 def test_a_cap_that_comes_down_ends_no_more_connections_than_it_must() -> None:
-    play(servers(3), *(ASKS.format(a, n) + SERVED.format(a, n) for n, a in enumerate("abc")),
-         "places nodes 2\nclock 100000\nn0 eof\n", ASKS.format("d", 1), SERVED.format("d", 1),
-         ASKS.format("e", 2), SERVED.format("e", 2), "counter node_connections_opened 3\n")  # fmt: skip
+    play(
+        servers(3),
+        *(ASKS.format(a, n) + SERVED.format(a, n) for n, a in enumerate("abc")),
+        "places nodes 2\nclock 100000\nn0 eof\n",
+        ASKS.format("d", 1),
+        SERVED.format("d", 1),
+        ASKS.format("e", 2),
+        SERVED.format("e", 2),
+        "counter node_connections_opened 3\n",
+    )
 
 
 def test_where_clients_places_are_short_one_far_past_its_time_gives_way() -> None:
     ways = ["told", "chunked"]
     begin = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("ab", ways, strict=True))]
-    play(servers(2), *begin,
-         "places clients 2\nclient c platform\nc >\n| GET /healthz HTTP/1.1\n|\nc <\n"
-         "| HTTP/1.1 503 Service Unavailable\n| Retry-After: 0.5\n| Content-Length: {~}\n"
-         "| Connection: close\n|\n~ refused: too many connections\nc finish\n",
-         goes_on("ab", ways), "counter node_answers_broke_off 0\n",
-         "client d platform\nd >\n| GET /healthz HTTP/1.1\n|\nb cut\n",
-         "d <\n| HTTP/1.1 200 OK\n| Content-Length: 3\n| Connection: close\n|\n~ ok\n",
-         piece(0, "told", 110_000, 120_000), "a whole 120000\ncounter node_answers_gave_way 1\n")  # fmt: skip
+    play(
+        servers(2),
+        *begin,
+        "places clients 2\nclient c platform\nc >\n| GET /healthz HTTP/1.1\n|\nc <\n"
+        "| HTTP/1.1 503 Service Unavailable\n| Retry-After: 0.5\n| Content-Length: {~}\n"
+        "| Connection: close\n|\n~ refused: too many connections\nc finish\n",
+        goes_on("ab", ways),
+        "counter node_answers_broke_off 0\n",
+        "client d platform\nd >\n| GET /healthz HTTP/1.1\n|\nb cut\n",
+        "d <\n| HTTP/1.1 200 OK\n| Content-Length: 3\n| Connection: close\n|\n~ ok\n",
+        piece(0, "told", 110_000, 120_000),
+        "a whole 120000\ncounter node_answers_gave_way 1\n",
+    )
 
 
 def test_a_server_that_pauses_within_a_write_s_answer_is_heard_out() -> None:
     """It can't be tried again, so cutting it off wins nothing; one that stops for good is an error."""
-    play("set settings.bounds.dialTimeout 60000\nnode n0 0:script\nclient a platform\n",
-         "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n",
-         "n0 >\n| HTTP/1.1 200 OK\n| Content-Length: 3\n|\n= a\n", WELL.format("b"), "clock 100000\n",
-         "n0 >\n= bc\na <\n& three abc\n",
-         "clock 10000\na >\n& write a2 / 0\nn0 <\n& sent a2 / 0\n",
-         "n0 >\n| HTTP/1.1 200 OK\n| Content-Length: 3\n|\n= a\n",
-         WELL.format("c"), f"clock {SERVER_PAUSE_TIMEOUT_US}\na <\n& failed\n")  # fmt: skip
+    play(
+        "set settings.bounds.dialTimeout 60000\nnode n0 0:script\nclient a platform\n",
+        "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n",
+        "n0 >\n| HTTP/1.1 200 OK\n| Content-Length: 3\n|\n= a\n",
+        WELL.format("b"),
+        "clock 100000\n",
+        "n0 >\n= bc\na <\n& three abc\n",
+        "clock 10000\na >\n& write a2 / 0\nn0 <\n& sent a2 / 0\n",
+        "n0 >\n| HTTP/1.1 200 OK\n| Content-Length: 3\n|\n= a\n",
+        WELL.format("c"),
+        f"clock {SERVER_PAUSE_TIMEOUT_US}\na <\n& failed\n",
+    )
--- a/tests/test_long_crossings.py
+++ b/tests/test_long_crossings.py
@@ -61,11 +61,11 @@
                     self.peers[name].transport.write(bytes([byte]))
                     await asyncio.sleep(0)
             case ["clients", number]:
-                clients = (await self._start()).groups[0]
+                clients = (await self._start()).client_groups[0]
                 await self._until(lambda: len(clients.slots) == int(number))
             case [name, "unread"]:
                 conn = await self._known(name)
-                await self._until(lambda: conn.write_blocked and conn.source is None)
+                await self._until(lambda: conn.write_blocked and conn.body_source is None)
             case [name, "sends,", "then", "evict"]:
                 self._at_once(name, lines)
                 assert not await self._evict()
@@ -76,14 +76,14 @@
                 front = await self._start()
                 self._at_once(name, lines)
                 self.clock.added += int(number)
-                front.groups[0].sweep()
+                front.client_groups[0].close_expired()
             case _:
                 await super()._step(words, lines)
 
     async def _slow_client(self, name: str) -> None:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
-        sock.connect((await self._start()).servers[0].address)
+        sock.connect((await self._start()).listeners[0].address)
         loop = asyncio.get_running_loop()
         _, self.peers[name] = await loop.create_connection(Peer, sock=sock)
         self.peers[name].transport.pause_reading()
@@ -108,7 +108,7 @@
 
     async def _known(self, name: str) -> ServerConnection:
         """The front's end of a client's connection, which is accepted with its first bytes."""
-        clients = (await self._start()).groups[0]
+        clients = (await self._start()).client_groups[0]
         port = self.peers[name].transport.get_extra_info("sockname")[1]
 
         def found() -> list[ServerConnection]:
@@ -131,7 +131,7 @@
         assert os.write(self.peers[name].transport.get_extra_info("socket").fileno(), raw) == len(raw)
 
     async def _evict(self) -> bool:
-        clients = (await self._start()).groups[0]
+        clients = (await self._start()).client_groups[0]
         return clients.evict(clients.evictable())
 
 
@@ -164,36 +164,77 @@
 @pytest.mark.parametrize("half", HALVES)
 def test_what_is_half_read_is_refused_as_its_place_goes(half: str) -> None:
     """It was closed on without a word, as an idle connection is: a request taken, and lost."""
-    play(ALONE, "a >\n", HALVES[half], "a half read\nplaces clients 1\n", PAST_GRACE,
-         WELL_CLOSING.format("b"), NO_ROOM, "a eof\ncounter clients_evicted 1\nn0 ran PUT 0\n")  # fmt: skip
+    play(
+        ALONE,
+        "a >\n",
+        HALVES[half],
+        "a half read\nplaces clients 1\n",
+        PAST_GRACE,
+        WELL_CLOSING.format("b"),
+        NO_ROOM,
+        "a eof\ncounter clients_evicted 1\nn0 ran PUT 0\n",
+    )
 
 
 def test_a_cap_that_comes_down_refuses_what_is_half_read() -> None:
-    play(ALONE, "a >\n", PUT, "a half read\n", PAST_GRACE, "places clients 0\n", "clock 100000\n",
-         NO_ROOM, "a eof\n")  # fmt: skip
+    play(
+        ALONE,
+        "a >\n",
+        PUT,
+        "a half read\n",
+        PAST_GRACE,
+        "places clients 0\n",
+        "clock 100000\n",
+        NO_ROOM,
+        "a eof\n",
+    )
 
 
 def test_a_piece_that_is_here_keeps_its_connection() -> None:
     """It was not read yet as a place is asked for, in that turn: nothing gives way, and it is served."""
-    play(ALONE, "a >\n", PUT, "= ab\n", "a half read\n", PAST_GRACE, "a sends, then evict\n= cd\n", STORED,
-         "writes n0 PUT 1\ncounter clients_evicted 0\n")  # fmt: skip
+    play(
+        ALONE,
+        "a >\n",
+        PUT,
+        "= ab\n",
+        "a half read\n",
+        PAST_GRACE,
+        "a sends, then evict\n= cd\n",
+        STORED,
+        "writes n0 PUT 1\ncounter clients_evicted 0\n",
+    )
 
 
 def test_a_piece_that_comes_in_the_turn_of_the_eviction_is_refused_with_its_request() -> None:
     """The refusal is out before the connection is closed, a turn later: the piece finds no open request."""
-    play(ALONE, "a >\n", PUT, "= ab\n", "a half read\n", PAST_GRACE, "a evict, then sends\n= cd\n", NO_ROOM,
-         "n0 ran PUT 0\n")  # fmt: skip
+    play(
+        ALONE,
+        "a >\n",
+        PUT,
+        "= ab\n",
+        "a half read\n",
+        PAST_GRACE,
+        "a evict, then sends\n= cd\n",
+        NO_ROOM,
+        "n0 ran PUT 0\n",
+    )
 
 
 def test_a_request_in_single_bytes_outlives_the_drain() -> None:
     """Half read, it is not idle: the drain does not close on it, and its end is read and served."""
-    play(ALONE, WELL.format("b"), "a >\n| GET /healthz HTTP/1.1\n|\na <\n& well\nsignal TERM\n",
-         WELL.format("c"), "clock 1500000\na in bytes\n",
-         "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n| X-Call-Id: a1\n= X-Pla\n", "a half read\n",
-         "clock 1810000\nb eof\na in bytes\n",
-         "| n: gold\n| X-IO: volume=b4,units=1,shard=0\n| Content-Length: 4\n|\n= abcd\n",
-         "a <\n| HTTP/1.1 200 OK\n| Content-Length: 0\n| Connection: close\n|\n",
-         "writes n0 PUT 1\nends\n")  # fmt: skip
+    play(
+        ALONE,
+        WELL.format("b"),
+        "a >\n| GET /healthz HTTP/1.1\n|\na <\n& well\nsignal TERM\n",
+        WELL.format("c"),
+        "clock 1500000\na in bytes\n",
+        "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n| X-Call-Id: a1\n= X-Pla\n",
+        "a half read\n",
+        "clock 1810000\nb eof\na in bytes\n",
+        "| n: gold\n| X-IO: volume=b4,units=1,shard=0\n| Content-Length: 4\n|\n= abcd\n",
+        "a <\n| HTTP/1.1 200 OK\n| Content-Length: 0\n| Connection: close\n|\n",
+        "writes n0 PUT 1\nends\n",
+    )
 
 
 # Uploads in pieces at the edge of the pace
@@ -220,34 +261,70 @@
 
 def test_an_upload_just_slower_gets_a_whole_answer_before_its_end() -> None:
     """24,000 bytes behind each second: its 2.5 s are used up after 7 s."""
-    play(upload(250_000, 6, 24_000), "clock 700000\n", WELL_KEPT, "counter bad_requests_408 0\n",
-         "clock 400000\n", TOO_LATE, LINGERED, "n0 ran PUT 0\n")  # fmt: skip
+    play(
+        upload(250_000, 6, 24_000),
+        "clock 700000\n",
+        WELL_KEPT,
+        "counter bad_requests_408 0\n",
+        "clock 400000\n",
+        TOO_LATE,
+        LINGERED,
+        "n0 ran PUT 0\n",
+    )
 
 
 def test_an_upload_whose_end_is_here_as_its_time_is_over_is_read_first() -> None:
     """A front that stood still, or was busy, sees the time before the piece: it was refused though whole."""
-    play(upload(168_000, 6, 24_000), "clock 700000\n", "a sends, then sweep 400000\n@ 144000 168000\n",
-         STORED, "writes n0 PUT 1\n")  # fmt: skip
+    play(
+        upload(168_000, 6, 24_000),
+        "clock 700000\n",
+        "a sends, then sweep 400000\n@ 144000 168000\n",
+        STORED,
+        "writes n0 PUT 1\n",
+    )
 
 
 def test_a_piece_that_is_no_end_wins_no_more_than_one_look() -> None:
-    play(upload(250_000, 6, 24_000), "clock 700000\n", "a sends, then sweep 400000\n= x\n",
-         "counter bad_requests_408 0\n", "a sends, then sweep 100000\n= x\n", "counter bad_requests_408 1\n",
-         TOO_LATE, LINGERED)  # fmt: skip
+    play(
+        upload(250_000, 6, 24_000),
+        "clock 700000\n",
+        "a sends, then sweep 400000\n= x\n",
+        "counter bad_requests_408 0\n",
+        "a sends, then sweep 100000\n= x\n",
+        "counter bad_requests_408 1\n",
+        TOO_LATE,
+        LINGERED,
+    )
 
 
 def test_an_upload_larger_than_memory_allows_is_refused_with_its_head() -> None:
-    play(ALONE, "client b platform\nmemory 100000\n", "a >\n", HUGE.format(100_001), "@ 0 20000\n",
-         "a <\n& bad 413 Content Too Large / a body may have 100000 bytes\n", LINGERED,
-         "b >\n", HUGE.format(100_000), "@ 0 100000\nb <\n& done\nwrites n0 PUT 1\n")  # fmt: skip
+    play(
+        ALONE,
+        "client b platform\nmemory 100000\n",
+        "a >\n",
+        HUGE.format(100_001),
+        "@ 0 20000\n",
+        "a <\n& bad 413 Content Too Large / a body may have 100000 bytes\n",
+        LINGERED,
+        "b >\n",
+        HUGE.format(100_000),
+        "@ 0 100000\nb <\n& done\nwrites n0 PUT 1\n",
+    )
 
 
 def test_two_uploads_that_memory_does_not_hold_together_end_with_a_refusal_and_an_answer() -> None:
-    play(ALONE, "client b platform\nmemory 100000\n", "b >\n",
-         HUGE.format(70_000).replace("ask a1", "ask b1"), "@ 0 60000\nb half read\n", "a >\n",
-         HUGE.format(70_000), "@ 0 60000\n",
-         NO_ROOM.replace("too many connections", "too many bodies are held at present").replace("30", "45"),
-         "b >\n@ 60000 70000\nb <\n& done\nwrites n0 PUT 1\n")  # fmt: skip
+    play(
+        ALONE,
+        "client b platform\nmemory 100000\n",
+        "b >\n",
+        HUGE.format(70_000).replace("ask a1", "ask b1"),
+        "@ 0 60000\nb half read\n",
+        "a >\n",
+        HUGE.format(70_000),
+        "@ 0 60000\n",
+        NO_ROOM.replace("too many connections", "too many bodies are held at present").replace("30", "45"),
+        "b >\n@ 60000 70000\nb <\n& done\nwrites n0 PUT 1\n",
+    )
 
 
 # A server that pauses within an answer
@@ -259,9 +336,14 @@
 
 @pytest.mark.parametrize("first", [THREE, CHUNK])
 def test_a_read_whose_server_pauses_is_tried_again_and_answered_once(first: str) -> None:
-    play(ASKED.format("read", "got"), first, WELL.format("b"), "clock 400000\nn0 fresh\nn0 <\n& got a1 / 0\n",
-         "n0 >\n& x\na <\n& x\ncounter node_answers_cut_short 1\ncounter requests_served 1\n",
-         WELL_OF_A)  # fmt: skip
+    play(
+        ASKED.format("read", "got"),
+        first,
+        WELL.format("b"),
+        "clock 400000\nn0 fresh\nn0 <\n& got a1 / 0\n",
+        "n0 >\n& x\na <\n& x\ncounter node_answers_cut_short 1\ncounter requests_served 1\n",
+        WELL_OF_A,
+    )
 
 
 WELL_OF_A = "a >\n| GET /healthz HTTP/1.1\n|\na <\n& well\n"
@@ -270,30 +352,47 @@
 @pytest.mark.parametrize("pause", [400_000, 600_000])
 def test_the_last_try_of_a_read_is_heard_out(pause: int) -> None:
     """Nothing can be tried in its place: it was answered as failed though its 200 was on the way."""
-    play("set settings.bounds.maxAttempts 1\n", ASKED.format("read", "got"), THREE, WELL.format("b"),
-         f"clock {pause}\nn0 >\n= bc\na <\n& three abc\ncounter node_answers_cut_short 0\n")  # fmt: skip
+    play(
+        "set settings.bounds.maxAttempts 1\n",
+        ASKED.format("read", "got"),
+        THREE,
+        WELL.format("b"),
+        f"clock {pause}\nn0 >\n= bc\na <\n& three abc\ncounter node_answers_cut_short 0\n",
+    )
 
 
 @pytest.mark.parametrize("pause", [400_000, 600_000])
 def test_a_write_is_heard_out_and_never_sent_again(pause: int) -> None:
-    play(ASKED.format("write", "sent"), THREE, WELL.format("b"),
-         f"clock {pause}\nn0 >\n= bc\na <\n& three abc\ncounter attempts_sent 1\n")  # fmt: skip
+    play(
+        ASKED.format("write", "sent"),
+        THREE,
+        WELL.format("b"),
+        f"clock {pause}\nn0 >\n= bc\na <\n& three abc\ncounter attempts_sent 1\n",
+    )
 
 
 def test_a_write_whose_server_stops_is_an_error_and_never_sent_again() -> None:
-    play(ASKED.format("write", "sent"), THREE, WELL.format("b"),
-         "clock 700000\na <\n& failed\ncounter attempts_sent 1\n",
-         "counter node_answers_cut_short 1\n")  # fmt: skip
+    play(
+        ASKED.format("write", "sent"),
+        THREE,
+        WELL.format("b"),
+        "clock 700000\na <\n& failed\ncounter attempts_sent 1\n",
+        "counter node_answers_cut_short 1\n",
+    )
 
 
 def small(way: str, at: int) -> str:
     """A long answer of no told length with 3,000 bytes given, the last at that us from its request's time."""
     return (
-        servers(1) + begun("a", 0, way, 1000) + WELL.format("b") + f"clock {STREAMING_THRESHOLD_US + 1000}\n"
+        servers(1)
+        + begun("a", 0, way, 1000)
+        + WELL.format("b")
+        + f"clock {STREAMING_THRESHOLD_US + 1000}\n"
         + piece(0, way, 1000, 2000)
         + f"a has 2000\nclock {TIME - 15_000 - STREAMING_THRESHOLD_US - 1000 + at}\n"
-        + piece(0, way, 2000, 3000) + "a has 3000\n"
-    )  # fmt: skip
+        + piece(0, way, 2000, 3000)
+        + "a has 3000\n"
+    )
 
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
@@ -303,18 +402,37 @@
     """Before, across and after its request's time. One that paused for 0.6 s from 0.55 s before that time was
     cut off at that time, and one that paused later after half a second."""
     if at == 100_000:  # up to there it moves
-        play(small(way, -250_000), "clock 350000\n", piece(0, way, 3000, 4000), "a has 4000\n",
-             f"clock {pause}\n", piece(0, way, 4000, 5000), ended(0, way), "a whole 5000\n")  # fmt: skip
+        play(
+            small(way, -250_000),
+            "clock 350000\n",
+            piece(0, way, 3000, 4000),
+            "a has 4000\n",
+            f"clock {pause}\n",
+            piece(0, way, 4000, 5000),
+            ended(0, way),
+            "a whole 5000\n",
+        )
     else:
-        play(small(way, at), f"clock {pause}\n", piece(0, way, 3000, 4000), "a has 4000\n",
-             ended(0, way), "a whole 4000\n")  # fmt: skip
+        play(
+            small(way, at),
+            f"clock {pause}\n",
+            piece(0, way, 3000, 4000),
+            "a has 4000\n",
+            ended(0, way),
+            "a whole 4000\n",
+        )
 
 
 @pytest.mark.parametrize("at", [-2_000_000, -600_000, -160_000])
 def test_one_that_stopped_ends_at_its_request_s_time_or_once_no_pause_is_so_long(at: int) -> None:
     left = max(SERVER_PAUSE_TIMEOUT_US, -at)
-    play(small("chunked", at), f"clock {left - 100_000}\n", WELL.format("c"),
-         "counter node_answers_broke_off 0\n", "clock 150000\na cut\n")  # fmt: skip
+    play(
+        small("chunked", at),
+        f"clock {left - 100_000}\n",
+        WELL.format("c"),
+        "counter node_answers_broke_off 0\n",
+        "clock 150000\na cut\n",
+    )
 
 
 # A client that reads slowly behind a long answer
@@ -328,31 +446,61 @@
 @pytest.mark.parametrize("way", HEADS)
 def test_a_reader_that_rests_past_its_request_s_time_gets_all(way: str) -> None:
     """What it rests is not the server's: neither its silence nor its place are counted meanwhile."""
-    play(slowly(way), "holds 1\n", "clock 9000000\n" * 3, WELL.format("b"), "a reads\na has 70000\nholds 0\n",
-         f"clock {STREAM_IDLE_TIMEOUT_US - 1_000_000}\n", piece(0, way, 70_000, 120_000), ended(0, way),
-         "a whole 120000\ncounter node_answers_broke_off 0\n")  # fmt: skip
+    play(
+        slowly(way),
+        "holds 1\n",
+        "clock 9000000\n" * 3,
+        WELL.format("b"),
+        "a reads\na has 70000\nholds 0\n",
+        f"clock {STREAM_IDLE_TIMEOUT_US - 1_000_000}\n",
+        piece(0, way, 70_000, 120_000),
+        ended(0, way),
+        "a whole 120000\ncounter node_answers_broke_off 0\n",
+    )
 
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
 def test_a_small_one_s_server_may_pause_as_its_reader_goes_on(way: str) -> None:
     """Held back from before its request's time to past it: that time is the later by so much."""
-    play(slowly(way, 30_000), WELL.format("b"), f"clock {STREAMING_THRESHOLD_US + 1000}\n",
-         piece(0, way, 30_000, 60_000),
-         "holds 1\nclock 9000000\n", WELL.format("c"), "a reads\na has 60000\nholds 0\nclock 600000\n",
-         piece(0, way, 60_000, 61_000), ended(0, way), "a whole 61000\n")  # fmt: skip
+    play(
+        slowly(way, 30_000),
+        WELL.format("b"),
+        f"clock {STREAMING_THRESHOLD_US + 1000}\n",
+        piece(0, way, 30_000, 60_000),
+        "holds 1\nclock 9000000\n",
+        WELL.format("c"),
+        "a reads\na has 60000\nholds 0\nclock 600000\n",
+        piece(0, way, 60_000, 61_000),
+        ended(0, way),
+        "a whole 61000\n",
+    )
 
 
 def test_a_server_that_is_lost_while_its_reader_rests_is_seen_as_that_reads_on() -> None:
-    play(slowly("told"), "holds 1\nn0 reset\nclock 9000000\n", WELL.format("b"), "a reads\na cut\n",
-         "counter node_answers_broke_off 1\n")  # fmt: skip
-    play(slowly("told"), "holds 1\nclock 9000000\n", WELL.format("b"), "a reads\na has 70000\nholds 0\n",
-         f"clock {STREAM_IDLE_TIMEOUT_US + 100_000}\na cut\ncounter node_answers_broke_off 1\n")  # fmt: skip
+    play(
+        slowly("told"),
+        "holds 1\nn0 reset\nclock 9000000\n",
+        WELL.format("b"),
+        "a reads\na cut\n",
+        "counter node_answers_broke_off 1\n",
+    )
+    play(
+        slowly("told"),
+        "holds 1\nclock 9000000\n",
+        WELL.format("b"),
+        "a reads\na has 70000\nholds 0\n",
+        f"clock {STREAM_IDLE_TIMEOUT_US + 100_000}\na cut\ncounter node_answers_broke_off 1\n",
+    )
 
 
 def test_a_reader_that_never_reads_ends_and_its_server_is_not_blamed() -> None:
-    play(slowly("told"), "holds 1\nclock 100000\n",
-         f"clock {WRITE_STALL_TIMEOUT_US - 1_000_000}\n", WELL.format("b"),
-         "holds 1\nclock 1200000\na reads\na cut\ncounter node_answers_broke_off 0\n")  # fmt: skip
+    play(
+        slowly("told"),
+        "holds 1\nclock 100000\n",
+        f"clock {WRITE_STALL_TIMEOUT_US - 1_000_000}\n",
+        WELL.format("b"),
+        "holds 1\nclock 1200000\na reads\na cut\ncounter node_answers_broke_off 0\n",
+    )
 
 
 # Places that are short
@@ -367,18 +515,39 @@
         for at in (70_000, 80_000, 90_000)
     )
     left = TIME + UNSIZED_EVICTION_AGE_US - 15_000_000
-    play(servers(2), begun("a", 0, "chunked"), "a has 70000\nplaces nodes 1\n", moves,
-         f"clock {left - 200_000}\n", REFUSED.format("x", 1), "counter node_answers_gave_way 0\n",
-         piece(0, "chunked", 100_000, 110_000), "a has 110000\n",
-         "clock 200000\n", ASKS.format("d", 1), "a cut\n", SERVED.format("d", 1))  # fmt: skip
+    play(
+        servers(2),
+        begun("a", 0, "chunked"),
+        "a has 70000\nplaces nodes 1\n",
+        moves,
+        f"clock {left - 200_000}\n",
+        REFUSED.format("x", 1),
+        "counter node_answers_gave_way 0\n",
+        piece(0, "chunked", 100_000, 110_000),
+        "a has 110000\n",
+        "clock 200000\n",
+        ASKS.format("d", 1),
+        "a cut\n",
+        SERVED.format("d", 1),
+    )
 
 
 def test_one_that_its_reader_holds_keeps_its_place_for_that_time() -> None:
     """Its server is not late for that; once it is let go on its time runs on."""
-    play(slowly("chunked"), "holds 1\nplaces nodes 1\n", "clock 9000000\n" * 3, REFUSED.format("x", 1),
-         "counter node_answers_gave_way 0\na reads\na has 70000\nholds 0\n", REFUSED.format("y", 1),
-         "clock 9000000\n", piece(0, "chunked", 70_000, 80_000), "a has 80000\nclock 9000000\n",
-         ASKS.format("d", 1), "a cut\n", SERVED.format("d", 1))  # fmt: skip
+    play(
+        slowly("chunked"),
+        "holds 1\nplaces nodes 1\n",
+        "clock 9000000\n" * 3,
+        REFUSED.format("x", 1),
+        "counter node_answers_gave_way 0\na reads\na has 70000\nholds 0\n",
+        REFUSED.format("y", 1),
+        "clock 9000000\n",
+        piece(0, "chunked", 70_000, 80_000),
+        "a has 80000\nclock 9000000\n",
+        ASKS.format("d", 1),
+        "a cut\n",
+        SERVED.format("d", 1),
+    )
 
 
 # Shutdown and hand-over
@@ -390,9 +559,22 @@
 @pytest.mark.parametrize("way", HEADS)
 def test_a_long_answer_goes_on_behind_the_drain_and_the_end_comes_with_it(beside: str, way: str) -> None:
     """Nothing is cut before the process must end, and it doesn't wait until then."""
-    play(servers(1), begun("a", 0, way), "a has 70000\n", beside, "signal TERM\n", well_stopping(beside),
-         DRAIN, piece(0, way, 70_000, 80_000), "a has 80000\n", piece(0, way, 80_000, 120_000), ended(0, way),
-         "a whole 120000\n", END, "ends\n")  # fmt: skip
+    play(
+        servers(1),
+        begun("a", 0, way),
+        "a has 70000\n",
+        beside,
+        "signal TERM\n",
+        well_stopping(beside),
+        DRAIN,
+        piece(0, way, 70_000, 80_000),
+        "a has 80000\n",
+        piece(0, way, 80_000, 120_000),
+        ended(0, way),
+        "a whole 120000\n",
+        END,
+        "ends\n",
+    )
 
 
 def well_stopping(beside: str) -> str:
@@ -402,17 +584,37 @@
 @pytest.mark.parametrize("beside", ["", "beside\n"])
 def test_an_upload_in_pieces_is_served_by_the_process_that_took_it(beside: str) -> None:
     closing = "a <\n| HTTP/1.1 200 OK\n| Content-Length: 0\n| Connection: close\n|\n"
-    play(ALONE, "a >\n", PUT, "= a\na half read\n", beside, "signal TERM\n", well_stopping(beside),
-         "clock 1000000\na >\n= b\nclock 1000000\na >\n= cd\n",
-         closing if beside else STORED, "writes n0 PUT 1\n", "clock 1400000\nends\n")  # fmt: skip
+    play(
+        ALONE,
+        "a >\n",
+        PUT,
+        "= a\na half read\n",
+        beside,
+        "signal TERM\n",
+        well_stopping(beside),
+        "clock 1000000\na >\n= b\nclock 1000000\na >\n= cd\n",
+        closing if beside else STORED,
+        "writes n0 PUT 1\n",
+        "clock 1400000\nends\n",
+    )
 
 
 def test_what_its_reader_has_not_read_as_the_process_ends_is_seen_to_break_off() -> None:
     """All of it came from the server; to a client of HTTP/1.0 the process's end was the answer's."""
     for version, cut in (("1.0", "a reads a reset\n"), ("1.1", "a reads\na cut\n")):
-        play(slowly("chunked", 30_000, version), WELL.format("b"), f"clock {STREAMING_THRESHOLD_US + 1000}\n",
-             piece(0, "chunked", 30_000, 60_000) + "| 0\n|\n", "a unread\nsignal TERM\n",
-             WELL.format("c"), DRAIN, FINISH, END, "ends\nover\n", cut)  # fmt: skip
+        play(
+            slowly("chunked", 30_000, version),
+            WELL.format("b"),
+            f"clock {STREAMING_THRESHOLD_US + 1000}\n",
+            piece(0, "chunked", 30_000, 60_000) + "| 0\n|\n",
+            "a unread\nsignal TERM\n",
+            WELL.format("c"),
+            DRAIN,
+            FINISH,
+            END,
+            "ends\nover\n",
+            cut,
+        )
 
 
 # A connection that carried a long answer
@@ -421,18 +623,38 @@
 def test_a_connection_serves_a_short_request_by_that_one_s_time() -> None:
     """Nothing of the long answer's time, nor of its reader's, is left on it."""
     brief = begun("c", 0, "chunked", 1000).replace(str(TIME / 1e6), "0.5")
-    play(slowly("told"), "holds 1\nclock 9000000\n", WELL.format("b"), "a reads\na has 70000\nholds 0\n",
-         piece(0, "told", 70_000, 120_000), "a whole 120000\nclock 10000\n", brief, WELL.format("d"),
-         f"clock {STREAMING_THRESHOLD_US + 1000}\n", piece(0, "chunked", 1000, 2000), "c has 2000\n",
-         "counter node_connections_opened 1\ncounter node_connections_reused 1\n",
-         "clock 550000\n", WELL.format("e"), "counter node_answers_broke_off 0\n",
-         "clock 150000\nc cut\n")  # fmt: skip
+    play(
+        slowly("told"),
+        "holds 1\nclock 9000000\n",
+        WELL.format("b"),
+        "a reads\na has 70000\nholds 0\n",
+        piece(0, "told", 70_000, 120_000),
+        "a whole 120000\nclock 10000\n",
+        brief,
+        WELL.format("d"),
+        f"clock {STREAMING_THRESHOLD_US + 1000}\n",
+        piece(0, "chunked", 1000, 2000),
+        "c has 2000\n",
+        "counter node_connections_opened 1\ncounter node_connections_reused 1\n",
+        "clock 550000\n",
+        WELL.format("e"),
+        "counter node_answers_broke_off 0\n",
+        "clock 150000\nc cut\n",
+    )
 
 
 def test_a_long_answer_is_not_cut_by_a_shorter_request_at_its_server() -> None:
-    play(servers(1), begun("a", 0, "chunked", 1000), WELL.format("b"),
-         f"clock {STREAMING_THRESHOLD_US + 1000}\n",
-         piece(0, "chunked", 1000, 2000), "a has 2000\n", "client c platform\nc >\n",
-         "| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n| X-Budget: 0.5\n& ask c1 / 0\n|\n",
-         "until attempts_written 2\nclock 500000\nc <\n& refused\n", "clock 5000000\n", WELL.format("d"),
-         "counter node_answers_broke_off 0\na has 2000\n")  # fmt: skip
+    play(
+        servers(1),
+        begun("a", 0, "chunked", 1000),
+        WELL.format("b"),
+        f"clock {STREAMING_THRESHOLD_US + 1000}\n",
+        piece(0, "chunked", 1000, 2000),
+        "a has 2000\n",
+        "client c platform\nc >\n",
+        "| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n| X-Budget: 0.5\n& ask c1 / 0\n|\n",
+        "until attempts_written 2\nclock 500000\nc <\n& refused\n",
+        "clock 5000000\n",
+        WELL.format("d"),
+        "counter node_answers_broke_off 0\na has 2000\n",
+    )
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -5,8 +5,8 @@
 import pytest
 
 from benchmarks.news import FAILURES, SECOND, Before, Fleet, World
-from umberlead.recovery.backoff import BOUND, LIMIT, TURN
-from umberlead.recovery.discovery_pacing import SILENCE, Pacing
+from umberlead.recovery.backoff import MAX_CALL_GAP_US, MAX_NOTIFICATION_DELAY_US, SERVICE_QUEUE_TIMEOUT_US
+from umberlead.recovery.discovery_pacing import SILENCE_TIMEOUT_US, WatchPacing
 
 FLEETS = (1, 2, 5, 30, 200)
 RATE = 7.0  # calls a second, as the herd+vast day showed
@@ -18,11 +18,15 @@
     fronts: int, failing: str
 ) -> None:
     """Of the 6 s a watch that fell silent leaves 3, and the fleet's calls need one turn each."""
-    left = BOUND - SILENCE if failing in ("silent", "half a list") else BOUND
+    left = (
+        MAX_NOTIFICATION_DELAY_US - SILENCE_TIMEOUT_US
+        if failing in ("silent", "half a list")
+        else MAX_NOTIFICATION_DELAY_US
+    )
     rate = max(RATE, 1.25 * fronts * SECOND / left)
     for seed in range(3):
         told = Fleet(World(fronts, rate, failing=failing, until=20 * SECOND), seed=seed).told()
-        assert told[-1] <= BOUND, (seed, told[-1])
+        assert told[-1] <= MAX_NOTIFICATION_DELAY_US, (seed, told[-1])
 
 
 @pytest.mark.parametrize("failing", ["hung", "silent", "reset"])
@@ -32,15 +36,15 @@
     world = World(fronts, failing=failing, restarted=0.5, known=True, until=20 * SECOND)
     for seed in range(3):
         told = Fleet(world, seed=seed).told()
-        assert told[-1] <= (SILENCE if failing == "silent" else 0) + 1_000_000
+        assert told[-1] <= (SILENCE_TIMEOUT_US if failing == "silent" else 0) + 1_000_000
 
 
 @pytest.mark.parametrize("retry_after", [0, 30 * SECOND])
 def test_a_no_is_no_reason_to_be_late(retry_after: int) -> None:
     world = World(5, RATE, failing="no", down=12 * SECOND, retry_after=retry_after, until=60 * SECOND)
     for seed in range(5):
-        assert Fleet(world, seed=seed).told()[-1] <= BOUND
-        assert retry_after == 0 or Fleet(world, Before, seed).told()[-1] > BOUND
+        assert Fleet(world, seed=seed).told()[-1] <= MAX_NOTIFICATION_DELAY_US
+        assert retry_after == 0 or Fleet(world, Before, seed).told()[-1] > MAX_NOTIFICATION_DELAY_US
 
 
 @pytest.mark.parametrize("pushed", [False, True])
@@ -66,23 +70,23 @@
 def test_whatever_fails_the_next_call_follows_the_last_sign_of_life_in_time(fleet: int) -> None:
     """Any order of failures of calls that were not turned away after their turn."""
     chance = random.Random(fleet)
-    pacing, now = Pacing(fleet, chance=chance), 10 * SECOND
+    pacing, now = WatchPacing(fleet, rng=chance), 10 * SECOND
     for _ in range(2_000):
-        call, how = pacing.call(now), chance.choice(FAILURES)
+        call, how = pacing.start_call(now), chance.choice(FAILURES)
         sign, silent = now, how in ("hung dial", "hung", "half a list", "silent")
         if how not in ("hung dial", "refused"):
-            call.up = now
+            call.connected_us = now
         if how in ("no", "half a list", "silent"):
             sign = now = now + chance.randrange(900_000)
-            pacing.heard(call, now)
-            pacing.head(call, 503 if how == "no" else 200)
+            pacing.record_activity(call, now)
+            pacing.record_status(call, 503 if how == "no" else 200)
             call.partial = how == "half a list"
         if how in ("silent", "reset"):
-            pacing.listed(call)
+            pacing.record_list(call)
         if how == "no":
-            call.asked, sign = chance.choice([0, 30 * SECOND]), call.began
+            call.retry_after_us, sign = chance.choice([0, 30 * SECOND]), call.started_us
         if silent:
-            now = max(now, pacing.due(call))
-        now += pacing.again(call, now, silent)
-        assert now - sign <= LIMIT, how
-    assert LIMIT + TURN < BOUND
+            now = max(now, pacing.gives_up_at_us(call))
+        now += pacing.next_call_delay_us(call, now, silent)
+        assert now - sign <= MAX_CALL_GAP_US, how
+    assert MAX_CALL_GAP_US + SERVICE_QUEUE_TIMEOUT_US < MAX_NOTIFICATION_DELAY_US
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -17,11 +17,11 @@
 from umberlead import config
 from umberlead import resource_limits as limits
 from umberlead.common.counters import Counters
-from umberlead.common.slot_table import Slots
-from umberlead.common.timer_wheel import Wheel
+from umberlead.common.slot_table import SlotTable
+from umberlead.common.timer_wheel import TimerWheel
 from umberlead.frontends.object_api import ranges
 from umberlead.frontends.object_api.handler import Manifest
-from umberlead.telemetry import Syslog, rfc5424
+from umberlead.telemetry import SyslogWriter, format_rfc5424
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -51,30 +51,30 @@
     def setUp(self) -> None:
         self.clock, self.log = Clock(), list[tuple[int, str]]()
         clock = self.clock
-        self.wheel = Wheel(lambda: clock.now, lambda d, f: Alarm(clock, clock.now + d, f), 2000)
+        self.wheel = TimerWheel(lambda: clock.now, lambda d, f: Alarm(clock, clock.now + d, f), 2000)
 
     def note(self, name: str) -> None:
         self.log.append((self.clock.now, name))
 
     def test_order_is_by_tick_then_as_set(self) -> None:
         for when, name in ((1_005_000, "c"), (1_000_500, "a"), (1_006_000, "d"), (1_001_900, "b")):
-            self.wheel.at(when, self.note, name)
-        self.wheel.at(1_003_000, self.note, "off").cancel()
+            self.wheel.call_at(when, self.note, name)
+        self.wheel.call_at(1_003_000, self.note, "off").cancel()
         self.clock.run(1_010_000)
         self.assertEqual(self.log, [(1_002_000, "a"), (1_002_000, "b"), (1_006_000, "c"), (1_006_000, "d")])
 
     def test_one_alarm_is_set_however_often_it_is_overtaken(self) -> None:
         for when in range(1_900_000, 1_100_000, -50_000):
-            self.wheel.at(when, self.note, "x")
+            self.wheel.call_at(when, self.note, "x")
         self.assertEqual(len(self.clock.alarms), 1)
 
     def test_what_a_deadline_sets_comes_later_and_one_that_raises_stops_no_other(self) -> None:
         def fail() -> None:
-            self.wheel.at(0, self.note, "next")
+            self.wheel.call_at(0, self.note, "next")
             raise ZeroDivisionError
 
-        self.wheel.at(1_001_000, fail)
-        self.wheel.at(1_001_000, self.note, "same")
+        self.wheel.call_at(1_001_000, fail)
+        self.wheel.call_at(1_001_000, self.note, "same")
         with self.assertRaises(ZeroDivisionError):
             self.clock.run(1_010_000)
         self.clock.run(1_010_000)
@@ -83,7 +83,7 @@
 
 class TestSlots(unittest.TestCase):
     def test_numbers_are_used_again_and_freed_once(self) -> None:
-        slots: Slots[str] = Slots()
+        slots: SlotTable[str] = SlotTable()
         self.assertEqual([slots.add("a"), slots.add("b")], [0, 1])
         slots.free(0)
         self.assertEqual((slots.add("c"), list(slots), slots.get(7)), (0, ["c", "b"], None))
@@ -94,7 +94,7 @@
 class TestSyslog(unittest.TestCase):
     def test_line_is_rfc_5424_with_escaped_structured_data(self) -> None:
         when = datetime(2026, 2, 3, 4, 5, 6, 7000, UTC)
-        line = rfc5424("warning", when, "h", "umberlead", 9, "link lost", {"a b": 'x"]\\', "n": 1})
+        line = format_rfc5424("warning", when, "h", "umberlead", 9, "link lost", {"a b": 'x"]\\', "n": 1})
         head = "<132>1 2026-02-03T04:05:06.007000Z h umberlead 9 link_lost "
         self.assertEqual(line, head + r'[umberlead@32473 a_b="x\"\]\\" n="1"] link lost')
 
@@ -102,17 +102,17 @@
         with tempfile.TemporaryDirectory() as folder, socket.socket(socket.AF_UNIX) as server:
             server.bind(f"{folder}/log")
             server.listen()
-            log = Syslog(f"unix://{folder}/log", Counters())
-            log.put("one é")
-            log.put("two")
+            log = SyslogWriter(f"unix://{folder}/log", Counters())
+            log.enqueue("one é")
+            log.enqueue("two")
             peer, _ = server.accept()
             log.close(5)
             with peer, peer.makefile("rb") as lines:
                 self.assertEqual(lines.read(13), "6 one é3 two".encode())
         counters = Counters()
-        dead = Syslog("unix:///nowhere/at/all", counters)
+        dead = SyslogWriter("unix:///nowhere/at/all", counters)
         for _ in range(2100):
-            dead.put("x")
+            dead.enqueue("x")
         self.assertGreaterEqual(counters["log_lines_dropped"], 99)
         dead.close(0)
 
@@ -120,21 +120,33 @@
 class TestRanges(unittest.TestCase):
     def test_headers(self) -> None:
         for header, want in {
-            "bytes=0-0": [(0, 1)], "bytes=5-": [(5, 10)], "bytes=-3": [(7, 10)], "bytes=-99": [(0, 10)],
-            "bytes=2-99": [(2, 10)], "bytes=10-": [], "bytes=-0": [], "bytes=0-1, 8-9": [(0, 2), (8, 10)],
-            "bytes=0-1,20-": [(0, 2)], "bytes=3-2": None, "bytes=a-b": None, "lines=0-1": None,
-            "bytes=": None, "bytes=-": None, "bytes=0-,0-": None, "bytes=" + ",".join(["0-0"] * 33): None,
-        }.items():  # fmt: skip
-            self.assertEqual(ranges.parse(header, 10), want, header)
-        self.assertEqual(ranges.parse("bytes=0-", 0), [])
+            "bytes=0-0": [(0, 1)],
+            "bytes=5-": [(5, 10)],
+            "bytes=-3": [(7, 10)],
+            "bytes=-99": [(0, 10)],
+            "bytes=2-99": [(2, 10)],
+            "bytes=10-": [],
+            "bytes=-0": [],
+            "bytes=0-1, 8-9": [(0, 2), (8, 10)],
+            "bytes=0-1,20-": [(0, 2)],
+            "bytes=3-2": None,
+            "bytes=a-b": None,
+            "lines=0-1": None,
+            "bytes=": None,
+            "bytes=-": None,
+            "bytes=0-,0-": None,
+            "bytes=" + ",".join(["0-0"] * 33): None,
+        }.items():
+            self.assertEqual(ranges.parse_ranges(header, 10), want, header)
+        self.assertEqual(ranges.parse_ranges("bytes=0-", 0), [])
 
     def test_pieces_cover_every_range_once(self) -> None:
         made = Manifest("b", "k", 25, "", 0, 4, [("p", 10), ("q", 3), ("r", 12)])
-        content = {p[0]: p for p in made.pieces(0, 25)}
+        content = {p[0]: p for p in made.block_ranges(0, 25)}
         self.assertEqual(sum(p[3] for p in content.values()), 25)
         for begin in range(25):
             for end in range(begin + 1, 26):
-                got = list(made.pieces(begin, end))
+                got = list(made.block_ranges(begin, end))
                 self.assertEqual(sum(hi - lo for _, lo, hi, _ in got), end - begin)
                 self.assertTrue(all(0 <= lo < hi <= whole for _, lo, hi, whole in got))
 
@@ -143,13 +155,25 @@
     def test_all_that_is_dealt_out_stays_within_what_is_granted(self) -> None:
         for sockets in (256, 384, 1024):
             for memory in (32 << 20, 80 << 20, 192 << 20):
-                of = limits.deal(sockets, memory, 14, 26 << 20)
-                self.assertLessEqual(of.clients * 9 // 8 + of.nodes + 14 + limits.MORE, sockets)
-                self.assertGreater(of.clients, sockets // 3)  # so many clients may hold for requests
-                heads = of.head * of.clients
-                self.assertLess(26 << 20, memory - of.bodies - of.answers - heads - of.names * 160)
+                of = limits.divide_resources(sockets, memory, 14, 26 << 20)
+                self.assertLessEqual(
+                    of.client_connections * 9 // 8
+                    + of.endpoint_connections
+                    + 14
+                    + limits.RESERVED_DESCRIPTORS_COUNT,
+                    sockets,
+                )
+                self.assertGreater(
+                    of.client_connections, sockets // 3
+                )  # so many clients may hold for requests
+                heads = of.max_head_bytes * of.client_connections
+                self.assertLess(
+                    26 << 20,
+                    memory - of.request_body_bytes - of.response_bytes - heads - of.remembered_call_ids * 160,
+                )
         self.assertLess(
-            limits.deal(256, 32 << 20, 14, 26 << 20).bodies, limits.deal(256, 64 << 20, 14, 26 << 20).bodies
+            limits.divide_resources(256, 32 << 20, 14, 26 << 20).request_body_bytes,
+            limits.divide_resources(256, 64 << 20, 14, 26 << 20).request_body_bytes,
         )
 
 
@@ -184,7 +208,7 @@
     def test_a_file_that_is_replaced_names_discovery_anew_and_what_waits_for_a_restart(self) -> None:
         old = self.load(lambda _: None)
         new = self.load(lambda c: c.update(discovery="127.0.0.1:2", listen="127.0.0.1:9", seed="ff"))
-        self.assertEqual(config.changes(old, new), (["discovery"], ["listen"]))
+        self.assertEqual(config.changed_fields(old, new), (["discovery"], ["listen"]))
 
     def test_the_process_reloads_takes_no_polling_thread_and_ends_with_0(self) -> None:
         text = (ROOT / "tests" / "exchanges" / "base.toml").read_text().replace("= 15000000", "= 100000")
@@ -194,9 +218,12 @@
             file.flush()
             env = {k: v for k, v in os.environ.items() if k != "UV_USE_IO_URING"}
             with subprocess.Popen(
-                [sys.executable, "-m", "umberlead"], cwd=ROOT, env=env | {"UMBERLEAD_CONFIG": file.name},
-                stderr=subprocess.PIPE, text=True,
-            ) as ran:  # fmt: skip
+                [sys.executable, "-m", "umberlead"],
+                cwd=ROOT,
+                env=env | {"UMBERLEAD_CONFIG": file.name},
+                stderr=subprocess.PIPE,
+                text=True,
+            ) as ran:
                 assert ran.stderr is not None
                 polling = 0
                 for word, number in (("limits", signal.SIGHUP), ("reloaded", signal.SIGTERM)):
@@ -211,7 +238,9 @@
     def test_operators_file_is_sound_and_a_wrong_one_ends_the_program(self) -> None:
         path = ROOT / "deploy" / "objects.toml"
         made = config.load({"UMBERLEAD_CONFIG": str(path)})
-        self.assertEqual(made.objects and made.objects.buckets, {"scans": "priority", "exports": "basic"})
+        self.assertEqual(
+            made.object_api and made.object_api.plan_by_bucket, {"scans": "priority", "exports": "basic"}
+        )
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write(path.read_text().replace('class = "image-read"', 'class = "none"'))
             file.flush()
--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -26,8 +26,8 @@
 from umberlead.emulator.virtual import Front, Virtual
 from umberlead.expect.language import parse
 from umberlead.load.clients import Try
-from umberlead.requests.types import Answer, Attempt, Kind, Reply
-from umberlead.scheduling.interface import Result as Ended
+from umberlead.requests.types import Answer, AnswerKind, Attempt, Reply
+from umberlead.scheduling.events import AttemptResult
 
 PATIENCE = 20.0
 SHORT = """format 1
@@ -97,7 +97,7 @@
 
 def _copy(front: Front, attempt: Attempt, wait: int) -> None:
     """The request of an attempt once more, past the engine."""
-    out = attempt.carried
+    out = attempt.transport_state
     if isinstance(out, virtual._Out):
         again = virtual._Out(attempt, out.node)
         again.over = again.written = True
@@ -116,23 +116,23 @@
 def _elsewhere(front: Rogue, attempt: Attempt) -> None:
     """To a server of another shard."""
     names = sorted(front.world.stage.nodes)
-    attempt.node = names[(names.index(attempt.node) + 1) % len(names)]
+    attempt.endpoint = names[(names.index(attempt.endpoint) + 1) % len(names)]
     Front.start(front, attempt)
 
 
 def _invented(front: Rogue, attempt: Attempt) -> None:
-    front.engine.ended(attempt, Ended.OK, Reply(200, b"made up"))
+    front.engine.attempt_ended(attempt, AttemptResult.OK, Reply(200, b"made up"))
 
 
 def _renamed(front: Rogue, attempt: Attempt) -> None:
-    of, block = attempt.ticket.ask.payload
-    attempt.ticket.ask.payload = (virtual.Try(of.of, 99, of.at, of.until), block)
+    of, block = attempt.request.request.payload
+    attempt.request.request.payload = (virtual.Try(of.of, 99, of.at, of.until), block)
     Front.start(front, attempt)
 
 
 def _other_block(front: Rogue, attempt: Attempt) -> None:
-    of, _ = attempt.ticket.ask.payload
-    attempt.ticket.ask.payload = (of, "0" * 16)
+    of, _ = attempt.request.request.payload
+    attempt.request.request.payload = (of, "0" * 16)
     Front.start(front, attempt)
 
 
@@ -150,7 +150,7 @@
     """Sends to the newest server, whether its list has named that or not."""
 
     def start(self, attempt: Attempt) -> None:
-        attempt.node = max(self.world.stage.nodes)
+        attempt.endpoint = max(self.world.stage.nodes)
         super().start(attempt)
 
 
@@ -197,8 +197,8 @@
 
 def _harmless(world: Virtual, of: Any, answer: Answer) -> None:
     """Failed uploads are told as refused."""
-    if answer.kind is Kind.FAILED:
-        answer.kind = Kind.REFUSED
+    if answer.kind is AnswerKind.FAILED:
+        answer.kind = AnswerKind.REJECTED
     Virtual.answered(world, of, answer)
 
 
@@ -216,22 +216,31 @@
 
     def start(self, attempt: Attempt) -> None:
         super().start(attempt)
-        if attempt.carried.node.warmth(self.world.now) < 1:
+        if attempt.transport_state.node.warmth(self.world.now) < 1:
             for k in range(80):
                 _copy(self, attempt, 1000 + k)
 
 
 PLANTED: dict[str, Any] = {
-    "upload-twice": _started(_copies(1500)), "two-out": _started(_copies(1500)),
-    "sent-after-answer": _started(_copies(1_900_000)), "sent-after-time": _started(_copies(7_000_000)),
-    "wrong-shard": _started(_elsewhere), "answer-invented": _started(_invented),
-    "too-many-attempts": _started(_copies(100_000, 200_000, 300_000)), "unknown-request": _started(_renamed),
-    "request-altered": _started(_other_block), "sent-to-draining": Deaf,
-    "never-listed": Ahead, "no-answer": Silent, "cold-pushed-over": Overfeeds,
-    "two-answers": _answering(_twice_answered), "answer-altered": _answering(_altered),
-    "answer-of-another": _answering(_of_another), "refused-though-run": _answering(_harmless),
+    "upload-twice": _started(_copies(1500)),
+    "two-out": _started(_copies(1500)),
+    "sent-after-answer": _started(_copies(1_900_000)),
+    "sent-after-time": _started(_copies(7_000_000)),
+    "wrong-shard": _started(_elsewhere),
+    "answer-invented": _started(_invented),
+    "too-many-attempts": _started(_copies(100_000, 200_000, 300_000)),
+    "unknown-request": _started(_renamed),
+    "request-altered": _started(_other_block),
+    "sent-to-draining": Deaf,
+    "never-listed": Ahead,
+    "no-answer": Silent,
+    "cold-pushed-over": Overfeeds,
+    "two-answers": _answering(_twice_answered),
+    "answer-altered": _answering(_altered),
+    "answer-of-another": _answering(_of_another),
+    "refused-though-run": _answering(_harmless),
     "upload-resent": _started(_to_the_drained),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", sorted(PLANTED))
@@ -407,8 +416,10 @@
     of.tell({"name": "b", "status": "ready"})
     of.tell({"name": "a", "status": "gone"})
     assert json.loads(of.whole()) == {
-        "index": 4, "snapshot": True, "endpoints": [{"name": "b", "status": "ready"}]
-    }  # fmt: skip
+        "index": 4,
+        "snapshot": True,
+        "endpoints": [{"name": "b", "status": "ready"}],
+    }
 
 
 # The command
--- a/tests/test_rooms_front.py
+++ b/tests/test_rooms_front.py
@@ -11,19 +11,19 @@
 
 from umberlead import config
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
+from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.judge import Judge
 from umberlead.emulator.loop import Alarm, Loop
 from umberlead.emulator.plan import plan
 from umberlead.emulator.virtual import Virtual
 from umberlead.expect.language import parse
-from umberlead.requests.lifecycle import Engine
-from umberlead.requests.types import Answer, Attempt, IncomingRequest, Kind
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import Effect, NodeState, Result
-from umberlead.zones.integration import Joined, bounded, rules_of
-from umberlead.zones.model import SECOND, State
+from umberlead.requests.lifecycle import RequestLifecycle
+from umberlead.requests.types import Answer, AnswerKind, Attempt, IncomingRequest
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
+from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings
+from umberlead.zones.integration import ZoneIntegration, with_retry_budget, zone_settings
+from umberlead.zones.model import MICROSECONDS_PER_S, ZoneState
 
 HEAD = "format 1\nscenario s seed 3\nfleet servers 12 fronts 3 rooms 3 copies {copies}\n"
 HEAD += "day seconds 24 load 35% excess 50% retries 1\n"
@@ -53,7 +53,7 @@
     world = played("at 6s dark room 1 for 6s")
     for made in states(world):
         assert made["rooms_lost"] >= 1 and made["rooms_return"] >= 1 and made["rooms_trials"] >= 4
-    assert all(f.rooms.director.rooms.state("1") is State.WELL for f in world.fronts)
+    assert all(f.rooms.router.zone_health.state("1") is ZoneState.HEALTHY for f in world.fronts)
     lived = [r for r in world.stage.records.lives if r.what == "fallen"]
     assert not lived
 
@@ -61,10 +61,12 @@
 def test_what_only_the_dark_room_has_is_refused_at_once() -> None:
     world = played("at 6s dark room 1 for 8s", copies=1)
     of, dark = world.stage.records, {b.shard for b in world.plan.births if b.room == 1}
-    asked = {a.id: a for a in of.asked if a.shard in dark and 9 * SECOND < a.at < 13 * SECOND}
-    took = [
-        a.at - asked[a.id].at for a in of.answered if a.id in asked and a.kind == "refused"
-    ]  # fmt: skip
+    asked = {
+        a.id: a
+        for a in of.asked
+        if a.shard in dark and 9 * MICROSECONDS_PER_S < a.at < 13 * MICROSECONDS_PER_S
+    }
+    took = [a.at - asked[a.id].at for a in of.answered if a.id in asked and a.kind == "refused"]
     assert len(took) > 50
     assert sum(t < 5_000 for t in took) / len(took) > 0.85  # but for trials, which learn it the slow way
     came = Counter(c.id for c in of.came if c.id in asked)
@@ -86,7 +88,7 @@
 
 def test_a_room_that_flaps_is_left_alone_for_longer() -> None:
     world = played("at 2s dark room 1 for 4s", "at 12s dark room 1 for 5s")
-    assert max(f.rooms.director.rooms.rooms["1"].losses for f in world.fronts) >= 2
+    assert max(f.rooms.router.zone_health.zones["1"].failures for f in world.fronts) >= 2
 
 
 def test_never_spilling_refuses_what_would_have_to_move() -> None:
@@ -103,23 +105,27 @@
 @pytest.mark.parametrize("gossip", ["liars", "mute"])
 def test_peers_that_lie_or_say_nothing_lose_no_room_by_themselves(gossip: str) -> None:
     world = played("at 5s slow 5 n03 for 10s", gossip=gossip)
-    assert world.talk is not None and any(m.alive() for m in world.talk.members)
+    assert world.talk is not None and any(m.alive_members() for m in world.talk.members)
     assert all(not made["rooms_lost"] for made in states(world))
     if gossip == "liars":
-        assert any(r.peers for f in world.fronts for r in f.rooms.director.rooms.rooms.values())
+        assert any(r.peer_states for f in world.fronts for r in f.rooms.router.zone_health.zones.values())
 
 
 # One engine by hand
 
 
-SETTINGS = api.Settings(
+SETTINGS = Settings(
     classes=(
-        api.RequestClass("read", 300_000, 2_000_000, Effect.SAFE),
-        api.RequestClass("upload", 600_000, 3_000_000, Effect.UNSAFE),
+        RequestClass("read", 300_000, 2_000_000, Repeatability.IDEMPOTENT),
+        RequestClass("upload", 600_000, 3_000_000, Repeatability.AT_MOST_ONCE),
     ),
-    plans=(api.Plan("basic", rate=50.0),), mean_units=1.0, max_units=6.0, shards=2, max_attempts=3,
-    may_cancel=True,
-)  # fmt: skip
+    plans=(Plan("basic", usual_units_per_second=50.0),),
+    mean_request_units=1.0,
+    max_request_units=6.0,
+    shard_count=2,
+    max_attempts=3,
+    cancellation_allowed=True,
+)
 
 
 class Hand:
@@ -133,39 +139,41 @@
             loop.at(loop.now + delay, made)
             return made
 
-        wheel = Wheel(lambda: loop.now, alarm, 2000)
+        wheel = TimerWheel(lambda: loop.now, alarm, 2000)
         self.lines: list[tuple[str, dict[str, Any]]] = []
-        self.engine = Engine(
+        self.engine = RequestLifecycle(
             SETTINGS, 1, lambda: loop.now, wheel, loop.soon, Counters(), lambda *w, **p: None
-        )  # fmt: skip
-        self.engine.carrier = self
-        rules = rules_of(config.Rooms(own="a", near=("b",)))
-        self.rooms = Joined(
+        )
+        self.engine.transport = self
+        rules = zone_settings(config.ZoneConfig(own_zone="a", nearby_zones=("b",)))
+        self.rooms = ZoneIntegration(
             rules, self.engine, 1, lambda: loop.now, None, lambda event, **p: self.lines.append((event, p))
-        )  # fmt: skip
+        )
         nodes = [
-            api.Node(f"{r}{s}{k}", NodeState.UP, s, room=r) for r in "ab" for s in (0, 1) for k in (0, 1)
+            Endpoint(f"{r}{s}{k}", EndpointStatus.UP, s, zone=r) for r in "ab" for s in (0, 1) for k in (0, 1)
         ]
-        self.engine.listed(api.NodeList(True, (*nodes, api.Node("only", NodeState.UP, 2, room="a"))))
+        self.engine.apply_endpoint_list(
+            EndpointList(True, (*nodes, Endpoint("only", EndpointStatus.UP, 2, zone="a")))
+        )
         self.out: list[Attempt] = []
         self.stopped: list[Attempt] = []
         self.answers: dict[str, Answer] = {}
         self.run(0)
 
     def start(self, attempt: Attempt) -> None:
-        attempt.carried = self
+        attempt.transport_state = self
         self.out.append(attempt)
 
-    def stop(self, attempt: Attempt, why: Result) -> None:
+    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         self.stopped.append(attempt)
         self.loop.soon(lambda: self.end(attempt, why))
 
-    def unwanted(self, attempt: Attempt) -> bool:
+    def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False
 
-    def end(self, attempt: Attempt, result: Result) -> None:
+    def end(self, attempt: Attempt, result: AttemptResult) -> None:
         self.out.remove(attempt)
-        self.engine.ended(attempt, result)
+        self.engine.attempt_ended(attempt, result)
 
     def run(self, wait: int) -> None:
         for _ in range(max(wait // 100_000, 1)):
@@ -175,14 +183,16 @@
     def ask(self, name: str, cls: str = "read", shard: int = 0) -> None:
         until = self.loop.now + (2_000_000 if cls == "read" else 3_000_000)
         ask = IncomingRequest(cls, "basic", "v", name, shard, 1.0, until, None)
-        self.engine.take(ask, lambda answer: self.answers.__setitem__(name, answer))
+        self.engine.accept(ask, lambda answer: self.answers.__setitem__(name, answer))
         self.run(0)
 
     def lose(self) -> None:
         """Room a, by two broken attempts at each of its servers."""
         for name in ("a00", "a01", "a10", "a11", "only"):
             for k in range(2):
-                self.rooms.director.ended(self.loop.now, f"{name}{k}", name, Result.NO_LINK, 1, "read", False)
+                self.rooms.router.record_outcome(
+                    self.loop.now, f"{name}{k}", name, AttemptResult.CONNECT_FAILED, 1, "read", False
+                )
         self.rooms.tick()
         self.run(0)
 
@@ -203,10 +213,10 @@
     of = Hand()
     of.ask("r")
     of.ask("u", "upload")
-    assert {a.node[0] for a in of.out} == {"a"}
+    assert {a.endpoint[0] for a in of.out} == {"a"}
     of.lose()
-    assert [a.ticket.ask.key for a in of.stopped] == ["r"]  # an upload may have run: it stays
-    assert [(a.ticket.ask.key, a.node[0]) for a in of.out] == [("u", "a"), ("r", "b")]
+    assert [a.request.request.key for a in of.stopped] == ["r"]  # an upload may have run: it stays
+    assert [(a.request.request.key, a.endpoint[0]) for a in of.out] == [("u", "a"), ("r", "b")]
 
 
 def test_what_waits_for_a_lost_room_alone_is_refused_when_the_room_is() -> None:
@@ -214,33 +224,35 @@
     for k in range(200):
         of.ask(f"q{k}", shard=2)
     waiting = [name for name in (f"q{k}" for k in range(200)) if name not in of.answers]
-    sent = {a.ticket.ask.key for a in of.out}
+    sent = {a.request.request.key for a in of.out}
     assert len(sent) < len(waiting)
     of.lose()
     refused = {n for n in waiting if n in of.answers}
     assert refused == set(waiting) - sent
-    assert all(of.answers[n].kind is Kind.REFUSED and of.answers[n].retry_after > 0 for n in refused)
+    assert all(
+        of.answers[n].kind is AnswerKind.REJECTED and of.answers[n].retry_after_us > 0 for n in refused
+    )
     of.ask("later", shard=2)
     assert of.answers["later"].reason == "room a is lost"
 
 
 def test_an_evacuated_room_is_left_at_once_and_taken_again_when_cleared() -> None:
     of = Hand()
-    assert of.rooms.by_hand("a", "evacuate") and not of.rooms.by_hand("x", "evacuate")
+    assert of.rooms.set_override("a", "evacuate") and not of.rooms.set_override("x", "evacuate")
     of.run(0)
     of.ask("r")
-    assert [a.node[0] for a in of.out] == ["b"]
-    assert of.rooms.shown()["rooms"]["a"]["by_hand"] == "evacuate"
-    assert of.rooms.by_hand("a", "")
+    assert [a.endpoint[0] for a in of.out] == ["b"]
+    assert of.rooms.status()["rooms"]["a"]["by_hand"] == "evacuate"
+    assert of.rooms.set_override("a", "")
     of.run(0)
     of.ask("s")
-    assert of.out[-1].node[0] == "a"
+    assert of.out[-1].endpoint[0] == "a"
 
 
 def test_the_door_shows_states_evidence_and_spill() -> None:
     of = Hand()
     of.lose()
-    shown = of.rooms.shown()
+    shown = of.rooms.status()
     assert shown["own"] == "a" and shown["rooms"]["a"]["state"] == "lost"
     assert sorted(shown["rooms"]["a"]["servers_down"]) == ["a00", "a01", "a10", "a11", "only"]
     assert shown["spill"]["mode"] == "learnt" and json.dumps(shown)
@@ -264,15 +276,15 @@
 )
 def test_a_bad_table_names_its_key(table: dict[str, Any], why: str, tmp_path: Path) -> None:
     with pytest.raises(config.ConfigError) as caught:
-        config.rooms_of(config.Keys(table, "rooms"), tmp_path)
+        config.parse_zones(config.Keys(table, "rooms"), tmp_path)
     assert why in str(caught.value)
 
 
 def test_the_bound_on_retries_is_kept_where_the_operator_gave_one() -> None:
-    assert bounded(SETTINGS, 0.1).budget_share == 0.1
-    assert bounded(SETTINGS, 0) is SETTINGS
-    own = api.Settings(SETTINGS.classes, SETTINGS.plans, budget_window=5, budget_share=0.3)
-    assert bounded(own, 0.1) is own
+    assert with_retry_budget(SETTINGS, 0.1).retry_budget_ratio == 0.1
+    assert with_retry_budget(SETTINGS, 0) is SETTINGS
+    own = Settings(SETTINGS.classes, SETTINGS.plans, retry_budget_window_us=5, retry_budget_ratio=0.3)
+    assert with_retry_budget(own, 0.1) is own
 
 
 def test_a_front_without_rooms_loads_none_of_it() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -8,34 +8,35 @@
 
 from tests.helpers import T0, ask, end, feed, head, nodes, sends, settings, up
 from umberlead.common.counters import Counters
-from umberlead.net.client_connections import Clients
+from umberlead.net.client_connections import ClientGroup
 from umberlead.net.server_connection import ServerConnection
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.scheduler import KEPT, Head
+from umberlead.scheduling.actions import Action, Reject, Send
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointStatus, ManualDrain, Outcome
+from umberlead.scheduling.scheduler import KEPT, Scheduler
 
 
 class TestServiceDays(unittest.TestCase):
     def test_nodes_and_volumes_that_went_are_forgotten(self) -> None:
-        head = Head(settings(), 1, T0)
+        head = Scheduler(settings(), 1, T0)
         now = T0
         for n in range(40):
             now += KEPT // 10
-            gone = [api.Node(f"n{n - 1}", api.NodeState.GONE, 0)] if n else []
+            gone = [Endpoint(f"n{n - 1}", EndpointStatus.GONE, 0)] if n else []
             head.handle(now, [nodes(up(f"n{n}"), *gone, whole=False)])
             for act in head.handle(now, [ask(f"r{n}", now, volume=f"v{n}")]):
-                if isinstance(act, api.Send):
-                    done = api.Outcome(act.request, act.node, 0, api.Result.OK, 10_000, True)
+                if isinstance(act, Send):
+                    done = Outcome(act.request_id, act.endpoint, 0, AttemptResult.OK, 10_000, True)
                     head.handle(now + 10_000, [done])
-        lane = head.lanes[0]
-        self.assertEqual((list(head.nodes), list(head.by_shard[0])), (["n39"], ["n39"]))
-        self.assertLess(len(head.volumes), 30)
-        self.assertLess(len(lane.last) + len(lane.live), 30)
-        self.assertEqual(head.items, {})
+        lane = head.queues[0]
+        self.assertEqual((list(head.endpoints), list(head.by_shard[0])), (["n39"], ["n39"]))
+        self.assertLess(len(head.rate_limits), 30)
+        self.assertLess(len(lane.finish_tags) + len(lane.valid_tag_numbers), 30)
+        self.assertEqual(head.requests, {})
 
     def test_a_connection_that_breaks_under_a_request_rests_no_node(self) -> None:
         h = head(T0, up())
         feed(h, T0, ask("a"), ask("b"))
-        self.assertEqual(sends(feed(h, T0 + 1000, end("a", api.Result.RESET))), ["a"])
+        self.assertEqual(sends(feed(h, T0 + 1000, end("a", AttemptResult.RESET))), ["a"])
 
     def test_a_new_object_goes_where_answers_come_soonest(self) -> None:
         h = head(T0, up("n0", 0), up("n1", 1))
@@ -43,17 +44,19 @@
             feed(h, T0 + k, ask(f"r{k}", T0 + k, shard=shard))
             feed(h, T0 + k, end(f"r{k}", node=f"n{shard}", elapsed=took))
         acts = feed(h, T0 + 9, *[ask(f"w{k}", T0 + 9, "once", shard=-1) for k in range(3)])
-        self.assertEqual([a.node for a in acts if isinstance(a, api.Send)], ["n1"] * 3)
+        self.assertEqual([a.endpoint for a in acts if isinstance(a, Send)], ["n1"] * 3)
 
     def test_what_a_node_has_no_use_for_goes_where_its_object_was_stored_or_is_refused(self) -> None:
         """Each such answer took the node's bound to one request and rested it for half a second."""
         h = head(T0, up("n0", 0), up("n1", 1))
-        feed(h, T0, api.ByHand("n0", True, T0), ask("w", cls="once", shard=-1, key="k"))
-        feed(h, T0, end("w", node="n1"), api.ByHand("n0", False, T0))
+        feed(h, T0, ManualDrain("n0", True, T0), ask("w", cls="once", shard=-1, key="k"))
+        feed(h, T0, end("w", node="n1"), ManualDrain("n0", False, T0))
         feed(h, T0, ask("a", shard=0, key="k"), ask("b", shard=0, key="other", volume="v2"))
-        gone = [replace(end(r, api.Result.MOOT), astray=True) for r in "ab"]
+        gone = [replace(end(r, AttemptResult.NOT_SENT), misdirected=True) for r in "ab"]
         acts = feed(h, T0 + 1, *gone, ask("c", T0 + 1, shard=0, volume="v3"))
-        self.assertEqual({a.request: a.node for a in acts if isinstance(a, api.Send)}, {"a": "n1", "c": "n0"})
+        self.assertEqual(
+            {a.request_id: a.endpoint for a in acts if isinstance(a, Send)}, {"a": "n1", "c": "n0"}
+        )
         self.assertEqual(refused(acts), ["b"])
 
     def test_what_is_hopeless_goes_by_size(self) -> None:
@@ -63,18 +66,24 @@
             feed(h, T0 + k, ask(f"r{k}", T0 + k))
             feed(h, T0 + k, end(f"r{k}", elapsed=150_000))
         later = T0 + 100
-        h.patience["read"] = 2_200_000  # so the clients below come 200 ms late
+        h.longest_timeouts_us["read"] = 2_200_000  # so the clients below come 200 ms late
         small = feed(h, later, ask("s", later, units=1.0))
         self.assertEqual(sends(small), ["s"])
         self.assertEqual(refused(feed(h, later, ask("l", later, units=4.0, volume="w"))), ["l"])
 
 
-COLD = {"heads": 60, "shards": 60, "cold_units": 8.0, "cold_share": 0.17, "cold_multiple": 4.0}
-COLD |= {"cold_window": 3_000_000, "warm_up": 16_000_000, "mean_units": 2.0}
+COLD = {
+    "front_count": 60,
+    "shard_count": 60,
+    "cold_start_units": 8.0,
+    "cold_capacity_ratio": 0.17,
+    "cold_overload_factor": 4.0,
+}
+COLD |= {"cold_window_us": 3_000_000, "warm_up_us": 16_000_000, "mean_request_units": 2.0}
 
 
 class TestWarmingNodes(unittest.TestCase):
-    def _head(self, of: dict[int, int], **more: Any) -> Head:
+    def _head(self, of: dict[int, int], **more: Any) -> Scheduler:
         """A head 20 s after its start that was asked so many units of each shard."""
         h = head(T0, *[up(f"n{k}", k) for k in of], **(COLD | more))
         now = T0 + 20_000_000
@@ -89,32 +98,34 @@
         cold, and refused the rest: 2986 of 4444 refusals on a day on which half of the nodes were
         replaced."""
         h = self._head({0: 100, 1: 50, 2: 50})
-        parts = [round(h.part(shard) * 60) for shard in (0, 1, 2, 3, -1)]
+        parts = [round(h.traffic_share(shard) * 60) for shard in (0, 1, 2, 3, -1)]
         self.assertEqual(parts, [20, 15, 15, 1, 1])  # the first is held at a third
-        self.assertEqual(Head(settings(**COLD), 1, T0).part(5), 1 / 60)  # nothing is known yet
+        self.assertEqual(Scheduler(settings(**COLD), 1, T0).traffic_share(5), 1 / 60)  # nothing is known yet
 
     def test_parts_of_all_heads_add_up_to_one_in_the_mean(self) -> None:
         """However traffic lies: fronts of few shards and of many, busy and quiet ones."""
         chance, heads = random.Random(5), 40
         made = []
         for _ in range(heads):
-            h = Head(settings(**(COLD | {"heads": heads, "shards": 40})), 1, T0)
+            h = Scheduler(settings(**(COLD | {"front_count": heads, "shard_count": 40})), 1, T0)
             for shard in chance.sample(range(40), chance.randint(4, 20)):
-                h.asked[shard] = chance.uniform(5, 60) * chance.choice([0.3, 1, 3])
+                h.demand_by_shard[shard] = chance.uniform(5, 60) * chance.choice([0.3, 1, 3])
             made.append(h)
-        whole = [sum(h.part(shard) for h in made if shard in h.asked) for shard in range(40)]
+        whole = [
+            sum(h.traffic_share(shard) for h in made if shard in h.demand_by_shard) for shard in range(40)
+        ]
         self.assertLess(abs(sum(whole) / 40 - 1), 0.35)
-        self.assertLess(max(whole), COLD["cold_multiple"])
+        self.assertLess(max(whole), COLD["cold_overload_factor"])
 
     def test_the_first_rest_at_a_warming_node_follows_what_was_learnt_since(self) -> None:
         """Worked out once as the list came, it stood for what a front knows at its start, which is nothing:
         a front that was restarted sent nothing to warming nodes for up to 44 s."""
         now = T0 + 20_000_000
         h = head(T0, up("n0", 0, T0), **COLD)
-        h.nodes["n0"].by = 1.0
-        before = h.nodes["n0"].ready(T0 + 3_000_000, 2.0)
-        h.asked[0] = 80.0
-        after = h.nodes["n0"].ready(T0 + 3_000_000, 2.0)
+        h.endpoints["n0"].first_send_jitter = 1.0
+        before = h.endpoints["n0"].ready_at_us(T0 + 3_000_000, 2.0)
+        h.demand_by_shard[0] = 80.0
+        after = h.endpoints["n0"].ready_at_us(T0 + 3_000_000, 2.0)
         self.assertGreater(before - T0, 15_000_000)
         self.assertEqual(after, T0 + 3_000_000)
         self.assertLess(after, now)
@@ -123,34 +134,35 @@
 class TestUnreadAnswers(unittest.TestCase):
     def test_an_answer_that_is_not_read_counts_as_held_until_its_client_reads_or_goes(self) -> None:
         """Uncounted, clients that ask for large answers and read slowly take the process over its limit."""
-        clients = Clients(9, lambda: T0, Counters(), 0, 300_000, print)
+        clients = ClientGroup(9, lambda: T0, Counters(), 0, 300_000, print)
         handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
-        handler.request = lambda conn, _: conn.reply(200, (), b"x" * 200_000)
+        handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x" * 200_000)
         conns = [ServerConnection(handler, clients) for _ in range(2)]
         for conn in conns:
             transport = mock.Mock()
             transport.get_write_buffer_size.return_value = 200_000
             transport.writelines.side_effect = lambda _, c=conn: c.pause_writing()
             conn.connection_made(transport)
-            self.assertTrue(clients.has_memory_for(200_000))
+            self.assertTrue(clients.has_buffer_for(200_000))
             conn.data_received(b"GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n")
             self.assertEqual(
-                (conn.served, len(conn.pipelined), clients.has_memory_for(200_000)), (1, 1, False)
+                (conn.served_count, len(conn.pipelined_requests), clients.has_buffer_for(200_000)),
+                (1, 1, False),
             )
-            conn.pipelined.clear()
+            conn.pipelined_requests.clear()
             if conn is conns[0]:
                 conn.resume_writing()
             else:
                 conn.connection_lost(None)
-            self.assertEqual(clients.held_bytes, 0)
+            self.assertEqual(clients.buffered_bytes, 0)
 
 
 class TestPlaces(unittest.TestCase):
     def setUp(self) -> None:
         self.now = T0
-        self.clients = Clients(8, lambda: self.now, Counters(), 0, 1 << 20, print)
+        self.clients = ClientGroup(8, lambda: self.now, Counters(), 0, 1 << 20, print)
         self.handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
-        self.handler.request = lambda conn, _: conn.reply(200, (), b"x")
+        self.handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x")
 
     def _connect(self) -> ServerConnection:
         conn = ServerConnection(self.handler, self.clients)
@@ -174,7 +186,7 @@
         self.assertEqual(sum(conn.evicted for conn in idle), 3)
         for conn in idle + conns:
             conn.connection_lost(None)
-        self.assertEqual((self.clients.evicting, len(self.clients.slots)), (0, 0))
+        self.assertEqual((self.clients.evicting_count, len(self.clients.slots)), (0, 0))
 
     def test_with_many_connections_the_first_answer_ends_its_own_until_the_front_stops(self) -> None:
         """Kept by clients that ask once, they filled what clients may hold for as long as idle ones stand."""
@@ -189,8 +201,8 @@
         )
 
 
-def refused(acts: list[api.Action]) -> list[str]:
-    return [a.request for a in acts if isinstance(a, api.Refuse)]
+def refused(acts: list[Action]) -> list[str]:
+    return [a.request_id for a in acts if isinstance(a, Reject)]
 
 
 if __name__ == "__main__":
