--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -23,15 +23,16 @@
 
 from umberlead import config
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
+from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.loop import Alarm, Loop
-from umberlead.front import Front
-from umberlead.frontends.admin_api import figures
-from umberlead.frontends.platform import ask_of
-from umberlead.net.http_message import Message
-from umberlead.requests.lifecycle import Engine
-from umberlead.requests.types import NEVER_RAN, Answer, Attempt, InFlightRequest, Kind
-from umberlead.scheduling.interface import Effect, Node, NodeList, NodeState, Result
+from umberlead.front import FrontProcess
+from umberlead.frontends.admin_api import format_counters
+from umberlead.frontends.platform import parse_request
+from umberlead.net.http_message import HttpRequest
+from umberlead.requests.lifecycle import RequestLifecycle
+from umberlead.requests.types import RESULTS_WITHOUT_EFFECT, Answer, AnswerKind, Attempt, InFlightRequest
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
+from umberlead.scheduling.settings import Repeatability
 
 ROOT = Path(__file__).parent.parent
 SEGMENT = "-._~!$&'()*+,;=:@"  # beside letters and digits, what a path's segment holds as it is (RFC 3986)
@@ -41,51 +42,90 @@
 
 # Figures by path: least and most that is drawn. `*` stands for each of a list.
 FIGURES: dict[str, tuple[float, float]] = {
-    "settings.instances": (1, 200), "settings.tick": (1, 250_000),
-    "settings.bounds.maxAttempts": (1, 5), "settings.bounds.dialTimeout": (0, 2 * SECOND),
-    "settings.bounds.keepalive": (50_000, 120 * SECOND), "settings.bounds.maxRetryAfter": (0, 30 * SECOND),
-    "settings.extra.meanUnits": (0.5, 9.0), "settings.extra.maxUnits": (1, 64),
-    "settings.extra.nShards": (0, 40), "settings.extra.fairWorth": (0.0, 1.0),
-    "settings.extra.idleWorth": (0.0, 1.0), "settings.extra.coldUnits": (0.0, 300.0),
-    "settings.guarantees.graceToAnswer": (0, SECOND), "settings.guarantees.coldShare": (0.0, 1.0),
-    "settings.guarantees.fallMultiple": (1.0, 9.0), "settings.guarantees.overloadFor": (0, 5 * SECOND),
-    "settings.guarantees.warmUp": (0, 30 * SECOND), "settings.guarantees.orderPause": (0, SECOND),
-    "settings.guarantees.resendSpan": (0, 10 * SECOND), "settings.guarantees.freeResends": (0, 10),
+    "settings.instances": (1, 200),
+    "settings.tick": (1, 250_000),
+    "settings.bounds.maxAttempts": (1, 5),
+    "settings.bounds.dialTimeout": (0, 2 * SECOND),
+    "settings.bounds.keepalive": (50_000, 120 * SECOND),
+    "settings.bounds.maxRetryAfter": (0, 30 * SECOND),
+    "settings.extra.meanUnits": (0.5, 9.0),
+    "settings.extra.maxUnits": (1, 64),
+    "settings.extra.nShards": (0, 40),
+    "settings.extra.fairWorth": (0.0, 1.0),
+    "settings.extra.idleWorth": (0.0, 1.0),
+    "settings.extra.coldUnits": (0.0, 300.0),
+    "settings.guarantees.graceToAnswer": (0, SECOND),
+    "settings.guarantees.coldShare": (0.0, 1.0),
+    "settings.guarantees.fallMultiple": (1.0, 9.0),
+    "settings.guarantees.overloadFor": (0, 5 * SECOND),
+    "settings.guarantees.warmUp": (0, 30 * SECOND),
+    "settings.guarantees.orderPause": (0, SECOND),
+    "settings.guarantees.resendSpan": (0, 10 * SECOND),
+    "settings.guarantees.freeResends": (0, 10),
     "settings.guarantees.resendRatio": (0.0, 0.5),
-    "settings.grades.*.aim": (50_000, 60 * SECOND), "settings.grades.*.hardLimit": (50_000, 60 * SECOND),
-    "settings.grades.*.memorySpan": (0, 9 * SECOND), "settings.grades.*.credit": (0.0, 9.0),
+    "settings.grades.*.aim": (50_000, 60 * SECOND),
+    "settings.grades.*.hardLimit": (50_000, 60 * SECOND),
+    "settings.grades.*.memorySpan": (0, 9 * SECOND),
+    "settings.grades.*.credit": (0.0, 9.0),
     "settings.grades.*.lateWorth": (0.0, 1.0),
-    "settings.plans.*.weight": (0.01, 99.0), "settings.plans.*.usualRate": (0.0, 90.0),
-    "settings.plans.*.reservation": (0.0, 90.0), "settings.plans.*.valueFactor": (0.0, 3.0),
-    "settings.plans.*.neverOver": (1e-9, 90.0), "settings.plans.*.mostAtOnce": (20.0, 180.0),
+    "settings.plans.*.weight": (0.01, 99.0),
+    "settings.plans.*.usualRate": (0.0, 90.0),
+    "settings.plans.*.reservation": (0.0, 90.0),
+    "settings.plans.*.valueFactor": (0.0, 3.0),
+    "settings.plans.*.neverOver": (1e-9, 90.0),
+    "settings.plans.*.mostAtOnce": (20.0, 180.0),
     "settings.plans.*.capSlack": (0.0, 20.0),
-    "limits.sockets": (32, 4096), "limits.memory_mb": (16, 2048), "limits.cores": (0.1, 4.0),
-    "known.index": (0, 10**9), "known.endpoints.*.since_ms": (0, 2 * 10**12),
+    "limits.sockets": (32, 4096),
+    "limits.memory_mb": (16, 2048),
+    "limits.cores": (0.1, 4.0),
+    "known.index": (0, 10**9),
+    "known.endpoints.*.since_ms": (0, 2 * 10**12),
     "known.endpoints.*.group": (-1, 9),
-}  # fmt: skip
+}
 ABOVE = {  # 0 is none
-    "settings.instances", "settings.tick", "settings.bounds.maxAttempts", "settings.bounds.keepalive",
-    "settings.extra.meanUnits", "settings.extra.maxUnits", "settings.grades.*.aim", "limits.cores",
-    "settings.grades.*.hardLimit", "settings.plans.*.weight", "limits.sockets", "limits.memory_mb",
-}  # fmt: skip
+    "settings.instances",
+    "settings.tick",
+    "settings.bounds.maxAttempts",
+    "settings.bounds.keepalive",
+    "settings.extra.meanUnits",
+    "settings.extra.maxUnits",
+    "settings.grades.*.aim",
+    "limits.cores",
+    "settings.grades.*.hardLimit",
+    "settings.plans.*.weight",
+    "limits.sockets",
+    "limits.memory_mb",
+}
 MUST = {"settings.grades.*.aim", "settings.grades.*.hardLimit"}
 WORDS = {
-    "settings.discovery": ("push", "ask"), "settings.grades.*.group": ("all", "zone", "cell"),
+    "settings.discovery": ("push", "ask"),
+    "settings.grades.*.group": ("all", "zone", "cell"),
     "settings.grades.*.effect": ("idempotent", "deduplicated", "at_most_once"),
     "known.endpoints.*.status": ("ready", "draining"),
     "settings.loadReport.how": ("answers", "probe", "none"),
-}  # fmt: skip
+}
 FLAGS = (
-    "settings.bounds.cancel", "settings.bounds.retryAfter", "settings.callers.marksRetry",
-    "settings.grades.*.sequential", "known.snapshot",
-)  # fmt: skip
+    "settings.bounds.cancel",
+    "settings.bounds.retryAfter",
+    "settings.callers.marksRetry",
+    "settings.grades.*.sequential",
+    "known.snapshot",
+)
 UNREAD = {  # told, and of no use here yet
-    "settings.bounds.probes": True, "settings.bounds.peers": True, "settings.bounds.secondCopies": True,
-    "settings.extra.tellsElsewhere": True, "settings.extra.classWrites": [False, True, False],
-    "settings.zone": "one", "settings.shapes": ["box-fast"], "settings.slotNo": 0,
-    "settings.guarantees.drainGrace": 2_000_000, "settings.new": {"key": [1, {"a": None}]},
-    "peers": {"n1": "127.0.0.1:9"}, "peers_all": "127.0.0.1:8", "peer_listen": "127.0.0.1:7",
-}  # fmt: skip
+    "settings.bounds.probes": True,
+    "settings.bounds.peers": True,
+    "settings.bounds.secondCopies": True,
+    "settings.extra.tellsElsewhere": True,
+    "settings.extra.classWrites": [False, True, False],
+    "settings.zone": "one",
+    "settings.shapes": ["box-fast"],
+    "settings.slotNo": 0,
+    "settings.guarantees.drainGrace": 2_000_000,
+    "settings.new": {"key": [1, {"a": None}]},
+    "peers": {"n1": "127.0.0.1:9"},
+    "peers_all": "127.0.0.1:8",
+    "peer_listen": "127.0.0.1:7",
+}
 
 
 def places(path: str, counts: dict[str, int]) -> Iterator[list[str | int]]:
@@ -121,12 +161,15 @@
     """A whole configuration; what may be missing is, now and then."""
     counts = {"grades": draw(st.integers(1, 6)), "plans": draw(st.integers(1, 8)), "endpoints": 2}
     conf: dict[str, Any] = {
-        "name": "n3", "listen": "127.0.0.1:8080", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
+        "name": "n3",
+        "listen": "127.0.0.1:8080",
+        "discovery": "127.0.0.1:8500",
+        "seed": "8c1f30d27a5be964",
         "known": {
             "endpoints": [{"name": "s", "address": "127.0.0.1:1"}, {"name": "t", "address": "[::1]:2"}]
         },
         "settings": {key: [{} for _ in range(counts[key])] for key in ("grades", "plans")},
-    }  # fmt: skip
+    }
     for key, kind in (("grades", NAMES), ("plans", NAMES.map(str.strip).filter(bool))):
         names = draw(st.lists(kind, min_size=counts[key], max_size=counts[key], unique=True))
         for row, name in zip(conf["settings"][key], names, strict=True):
@@ -172,7 +215,7 @@
     def nested(value: Any) -> bool:
         return isinstance(value, dict) or isinstance(value, list) and any(map(nested, value))
 
-    return {k: word(v) for k, v in config.flat(told).items() if not nested(v)}
+    return {k: word(v) for k, v in config.flatten(told).items() if not nested(v)}
 
 
 class Day:
@@ -182,16 +225,23 @@
     def __init__(self, made: config.Config, seed: int, zones: tuple[str, ...] = ("a", "b")) -> None:
         self.zones, self.s, self.loop, self.chance = zones, made.settings, Loop(), random.Random(seed)
         self.start_at, self.faults, loop = self.loop.now, list[str](), self.loop
-        self.wheel = Wheel(lambda: loop.now, self._alarm, made.tick)
-        self.engine = Engine(
-            made.settings, seed, lambda: loop.now, self.wheel, loop.soon, Counters(),
+        self.wheel = TimerWheel(lambda: loop.now, self._alarm, made.tick_us)
+        self.engine = RequestLifecycle(
+            made.settings,
+            seed,
+            lambda: loop.now,
+            self.wheel,
+            loop.soon,
+            Counters(),
             lambda event, **told: self.faults.append(f"{event} {told}"),
-        )  # fmt: skip
-        self.engine.carrier = self
-        self.nodes: dict[str, Node] = {}
-        self.tries: dict[bytes, list[tuple[int, Node, list[Result]]]] = defaultdict(list)  # by request
-        self.answers, self.gone = dict[bytes, Kind](), set[bytes]()
-        self.effects: dict[bytes, Effect] = {}
+        )
+        self.engine.transport = self
+        self.nodes: dict[str, Endpoint] = {}
+        self.tries: dict[bytes, list[tuple[int, Endpoint, list[AttemptResult]]]] = defaultdict(
+            list
+        )  # by request
+        self.answers, self.gone = dict[bytes, AnswerKind](), set[bytes]()
+        self.effects: dict[bytes, Repeatability] = {}
         self.resent: list[int] = []
         self.asked: list[int] = []
         self.spent: dict[str, tuple[float, int]] = {}
@@ -203,62 +253,71 @@
 
     # The list
 
-    def told(self, *nodes: Node, whole: bool = False) -> None:
-        self.nodes |= {n.node: n for n in nodes}
-        self.engine.listed(NodeList(whole, nodes))
+    def told(self, *nodes: Endpoint, whole: bool = False) -> None:
+        self.nodes |= {n.name: n for n in nodes}
+        self.engine.apply_endpoint_list(EndpointList(whole, nodes))
 
     # The carrier
 
     def start(self, attempt: Attempt) -> None:
-        ticket, now, s = attempt.ticket, self.loop.now, self.s
-        cls, node = self.engine.classes[ticket.ask.class_name], self.nodes[attempt.node]
-        tries = self.tries[ticket.ask.name]
-        assert not ticket.answered and now < ticket.ask.give_up, "after its answer or its time"
+        ticket, now, s = attempt.request, self.loop.now, self.s
+        cls, node = self.engine.classes[ticket.request.class_name], self.nodes[attempt.endpoint]
+        tries = self.tries[ticket.request.call_id]
+        assert not ticket.answered and now < ticket.request.deadline_us, "after its answer or its time"
         assert len(tries) < s.max_attempts and all(end for *_, end in tries), "too many, or two at once"
-        assert node.state is NodeState.UP and ticket.ask.shard in (-1, node.shard), "no node for it"
-        ran = [(at, n) for at, n, end in tries if end[0] not in NEVER_RAN]
+        assert node.status is EndpointStatus.UP and ticket.request.shard in (-1, node.shard), "no node for it"
+        ran = [(at, n) for at, n, end in tries if end[0] not in RESULTS_WITHOUT_EFFECT]
         if ran:
             at, first = ran[0]
-            assert cls.effect is not Effect.UNSAFE, "may have run"
-            if cls.effect is Effect.KEYED:
-                assert now - at < cls.memory, "may have run, and is forgotten"
-                assert cls.group != "zone" or node.room == first.room, "where repeats are not dropped"
-                assert cls.group != "cell" or node.shard == first.shard, "where repeats are not dropped"
+            assert cls.repeatability is not Repeatability.AT_MOST_ONCE, "may have run"
+            if cls.repeatability is Repeatability.IDEMPOTENT_BY_KEY:
+                assert now - at < cls.deduplication_window_us, "may have run, and is forgotten"
+                assert (
+                    cls.deduplication_scope != "zone" or node.zone == first.zone
+                ), "where repeats are not dropped"
+                assert (
+                    cls.deduplication_scope != "cell" or node.shard == first.shard
+                ), "where repeats are not dropped"
         if tries:
             self.resent.append(now)
-            since = now - s.budget_window
-            most = s.budget_free + s.budget_share * sum(at > since for at in self.asked)
-            assert not s.budget_window or sum(at > since for at in self.resent) <= most, "over the budget"
-        elif (plan := next(p for p in s.plans if p.name == ticket.ask.plan)).limit_rate:
-            have, at = self.spent.get(ticket.ask.volume, (plan.limit_burst, self.start_at))
-            have = min(have + plan.limit_rate * (now - at) / SECOND, plan.limit_burst) - ticket.ask.units
-            assert have >= -plan.limit_slack - 1e-6, "over the limit"
-            self.spent[ticket.ask.volume] = have, now
-        row: tuple[int, Node, list[Result]] = (now, node, [])
+            since = now - s.retry_budget_window_us
+            most = s.retry_budget_min_retries + s.retry_budget_ratio * sum(at > since for at in self.asked)
+            assert (
+                not s.retry_budget_window_us or sum(at > since for at in self.resent) <= most
+            ), "over the budget"
+        elif (plan := next(p for p in s.plans if p.name == ticket.request.plan)).limit_units_per_second:
+            have, at = self.spent.get(ticket.request.volume, (plan.limit_burst_units, self.start_at))
+            have = (
+                min(have + plan.limit_units_per_second * (now - at) / SECOND, plan.limit_burst_units)
+                - ticket.request.units
+            )
+            assert have >= -plan.limit_slack_units - 1e-6, "over the limit"
+            self.spent[ticket.request.volume] = have, now
+        row: tuple[int, Endpoint, list[AttemptResult]] = (now, node, [])
         tries.append(row)
-        attempt.carried = (now + self.chance.choice((0, 0, 5000, 300_000)), row)
-        result = self.chance.choices(list(Result), weights=[50, 10, 8, 8, 8, 8, 0, 8])[0]
-        if result is not Result.TIMEOUT:  # silence: the engine stops it
+        attempt.transport_state = (now + self.chance.choice((0, 0, 5000, 300_000)), row)
+        result = self.chance.choices(list(AttemptResult), weights=[50, 10, 8, 8, 8, 8, 0, 8])[0]
+        if result is not AttemptResult.TIMEOUT:  # silence: the engine stops it
             wait = int(self.chance.expovariate(1 / 60_000)) + 1
             self.loop.at(now + wait, lambda: self._end(attempt, result))
 
-    def _end(self, attempt: Attempt, result: Result) -> None:
-        if attempt.ticket.out is attempt:
-            attempt.carried[1][2].append(result)
-            ask = attempt.ticket.ask
+    def _end(self, attempt: Attempt, result: AttemptResult) -> None:
+        if attempt.request.attempt is attempt:
+            attempt.transport_state[1][2].append(result)
+            ask = attempt.request.request
             if (
-                result is Result.MOOT and not attempt.number and ask.volume in self.spent
+                result is AttemptResult.NOT_SENT and not attempt.number and ask.volume in self.spent
             ):  # it never came there
                 have, at = self.spent[ask.volume]
                 self.spent[ask.volume] = have + ask.units, at
-            self.engine.ended(attempt, result)
+            self.engine.attempt_ended(attempt, result)
 
-    def stop(self, attempt: Attempt, why: Result) -> None:
+    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         self.loop.soon(lambda: self._end(attempt, why))
 
-    def unwanted(self, attempt: Attempt) -> bool:
-        if waits := self.loop.now < attempt.carried[0]:
-            self.stop(attempt, Result.MOOT)
+    def cancel_if_unsent(self, attempt: Attempt) -> bool:
+        if waits := self.loop.now < attempt.transport_state[0]:
+            self.stop(attempt, AttemptResult.NOT_SENT)
         return waits
 
     # Clients
@@ -266,40 +325,50 @@
     def ask(self, class_name: str, plan: str, shard: int, leaves: bool) -> None:
         name = b"r%d" % len(self.asked)
         cls = self.engine.classes[class_name]
-        budget = self.chance.choice((*[cls.deadline] * 6, cls.deadline // 3 + 1, 16_000)) / SECOND
-        most = max(self.s.max_units, 1)
-        units = self.chance.choice((most, *[min(most, self.s.mean_units)] * 3)) * self.chance.uniform(0.1, 1)
+        budget = self.chance.choice((*[cls.timeout_us] * 6, cls.timeout_us // 3 + 1, 16_000)) / SECOND
+        most = max(self.s.max_request_units, 1)
+        units = self.chance.choice((most, *[min(most, self.s.mean_request_units)] * 3)) * self.chance.uniform(
+            0.1, 1
+        )
         io = f"volume={[p.name for p in self.s.plans].index(plan):x},units={units:.4f}"
         headers = {
-            b"x-call-id": name, b"x-plan": plan.encode(), b"x-budget": f"{budget:.6f}".encode(),
+            b"x-call-id": name,
+            b"x-plan": plan.encode(),
+            b"x-budget": f"{budget:.6f}".encode(),
             b"x-io": f"{io},shard={shard},hosts={self.chance.randint(1, 4)}".encode(),
-        }  # fmt: skip
+        }
         target = f"/{quote(class_name, safe=SEGMENT)}?block={self.chance.randrange(9):016x}"
-        ask = ask_of(Message(b"PUT", target.encode(), headers, received=self.loop.now), self.engine, MARGIN)
+        ask = parse_request(
+            HttpRequest(b"PUT", target.encode(), headers, received_us=self.loop.now), self.engine, MARGIN
+        )
         assert (ask.class_name, ask.plan) == (class_name, plan)
         self.asked.append(self.loop.now)
-        self.effects[name] = cls.effect
+        self.effects[name] = cls.repeatability
 
         def done(answer: Answer) -> None:
             assert name not in self.answers and name not in self.gone, "answered twice, or a client that left"
             self.answers[name] = answer.kind
             # Its client waits for the margin longer than the front was told.
-            assert self.loop.now <= ask.give_up + MARGIN, "late"
-            ran = any(end and end[0] not in NEVER_RAN for *_, end in self.tries[name])
-            assert answer.kind is not Kind.REFUSED or not ran or cls.effect is Effect.SAFE, "it may have run"
-
-        ticket = self.engine.take(ask, done)
+            assert self.loop.now <= ask.deadline_us + MARGIN, "late"
+            ran = any(end and end[0] not in RESULTS_WITHOUT_EFFECT for *_, end in self.tries[name])
+            assert (
+                answer.kind is not AnswerKind.REJECTED
+                or not ran
+                or cls.repeatability is Repeatability.IDEMPOTENT
+            ), "it may have run"
+
+        ticket = self.engine.accept(ask, done)
         if leaves and not ticket.answered:
             self.loop.at(self.loop.now + self.chance.randrange(100_000), lambda: self._leave(ticket, name))
 
     def _leave(self, ticket: InFlightRequest, name: bytes) -> None:
         if not ticket.answered:
             self.gone.add(name)
-            self.engine.gone(ticket)
+            self.engine.client_left(ticket)
 
     def play(self) -> None:
         """Six seconds of requests of all classes and plans, while servers come, drain and go."""
-        loop, chance, shards = self.loop, self.chance, min(self.s.shards or 3, 3)
+        loop, chance, shards = self.loop, self.chance, min(self.s.shard_count or 3, 3)
         rooms = self.zones
         starts = (
             0,
@@ -309,7 +378,7 @@
             loop.now + 50_000,
         )  # long ago, a moment ago, and by another clock
         listed = [
-            Node(f"n{k}", NodeState.UP, k % shards, chance.choice(starts), room=chance.choice(rooms))
+            Endpoint(f"n{k}", EndpointStatus.UP, k % shards, chance.choice(starts), zone=chance.choice(rooms))
             for k in range(4)
         ]
         self.told(*listed, whole=True)
@@ -318,17 +387,17 @@
             words = cls.name, plan.name, chance.randrange(-1, shards), k % 9 == 8
             loop.at(at, lambda words=words: self.ask(*words))  # type: ignore[misc]
 
-        def later(wait: int, node: Node) -> None:
+        def later(wait: int, node: Endpoint) -> None:
             loop.at(loop.now + wait, lambda: self.told(node))
 
-        later(2_000_000, Node("n0", NodeState.DRAINING, 0))
-        later(2_700_000, Node("n9", NodeState.UP, 0, loop.now + 2_690_000, room=rooms[-1]))
-        later(3_500_000, Node("n0", NodeState.GONE, 0))
-        loop.run(loop.now + 7 * SECOND + max(c.deadline for c in self.s.classes))
+        later(2_000_000, Endpoint("n0", EndpointStatus.DRAINING, 0))
+        later(2_700_000, Endpoint("n9", EndpointStatus.UP, 0, loop.now + 2_690_000, zone=rooms[-1]))
+        later(3_500_000, Endpoint("n0", EndpointStatus.GONE, 0))
+        loop.run(loop.now + 7 * SECOND + max(c.timeout_us for c in self.s.classes))
         assert not self.faults, self.faults[0]
         assert len(self.asked) == 3 * len(self.s.classes) * len(self.s.plans)
         assert len(self.answers) + len(self.gone) == len(self.asked)
-        assert not len(self.engine.tickets) and not self.engine.head.items
+        assert not len(self.engine.open_requests) and not self.engine.scheduler.requests
 
 
 EXAMPLES_PER_ROUND = 150
@@ -337,8 +406,8 @@
 
 def _covers_all_ends(seen: Counts[Any]) -> bool:
     """Whether enough requests ended in each way, and enough of each effect were sent once and again."""
-    ends = all(seen[kind] > 500 for kind in Kind)
-    return ends and all(seen[effect, 1] > 200 and seen[effect, 2] > 50 for effect in Effect)
+    ends = all(seen[kind] > 500 for kind in AnswerKind)
+    return ends and all(seen[effect, 1] > 200 and seen[effect, 2] > 50 for effect in Repeatability)
 
 
 def test_whatever_a_customer_may_be_told_is_taken_and_served_under() -> None:
@@ -370,16 +439,16 @@
 def served_under(conf: dict[str, Any], seed: int) -> Day:
     made = load(conf)
     told = conf["settings"]
-    assert [(c.name, c.aim, c.deadline) for c in made.settings.classes] == [
+    assert [(c.name, c.latency_objective_us, c.timeout_us) for c in made.settings.classes] == [
         (g["name"], int(float(g["aim"])), int(float(g["hardLimit"]))) for g in told["grades"]
     ]
-    assert [(p.name, p.weight, p.limit_rate) for p in made.settings.plans] == [
+    assert [(p.name, p.weight, p.limit_units_per_second) for p in made.settings.plans] == [
         (p["name"], float(p.get("weight", 1)), float(p.get("neverOver", 0))) for p in told["plans"]
     ]
-    assert config.settings_of(on_the_wire(told)) == made.settings
+    assert config.parse_settings(on_the_wire(told)) == made.settings
     day = Day(made, seed, tuple(told.get("azs", ("a", "b"))))
     day.play()
-    for line in figures(day.engine).decode().splitlines():  # whatever the classes are called
+    for line in format_counters(day.engine).decode().splitlines():  # whatever the classes are called
         assert len(line.split(":")) == 2 and len(line.split("|")) == 2 and line.isascii()
     return day
 
@@ -387,17 +456,41 @@
 # What is broken
 
 NO_FIGURE: tuple[Any, ...] = (
-    "soon", "", [], {}, [1], [{}], True, False, "nan", "inf", float("nan"), float("inf"), -float("inf"), -2,
+    "soon",
+    "",
+    [],
+    {},
+    [1],
+    [{}],
+    True,
+    False,
+    "nan",
+    "inf",
+    float("nan"),
+    float("inf"),
+    -float("inf"),
+    -2,
     10**400,
-)  # fmt: skip
+)
 NO_FLAG: tuple[Any, ...] = ("maybe", "", 2, -1, [], {}, [True], float("nan"))
 NO_TEXT: tuple[Any, ...] = ([], {}, True, [""], [{}])
 NO_WORD: tuple[Any, ...] = ("often", "", 5, *NO_TEXT)
 NO_TABLE: tuple[Any, ...] = (5, 0, "", "x", [], [1], True)
 NO_ADDRESS = (
-    "here", "", ":80", "h:", "h:65536", "h:-1", "[]:80", "a b:80", "h:8 0", "é:80", 5, f"h:{'9' * 5000}",
+    "here",
+    "",
+    ":80",
+    "h:",
+    "h:65536",
+    "h:-1",
+    "[]:80",
+    "a b:80",
+    "h:8 0",
+    "é:80",
+    5,
+    f"h:{'9' * 5000}",
     *NO_TEXT,
-)  # fmt: skip
+)
 
 
 def whole() -> dict[str, Any]:
@@ -405,11 +498,14 @@
     counts = {"grades": 2, "plans": 2, "endpoints": 2}
     rows = [{"name": "a", "address": "127.0.0.1:1"}, {"name": "b", "address": "127.0.0.1:2"}]
     conf: dict[str, Any] = {
-        "name": "n3", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:8500", "seed": "8c",
+        "name": "n3",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:8500",
+        "seed": "8c",
         "management": "h:1",
         "known": {"endpoints": copy.deepcopy(rows)},
         "settings": {key: [{"name": "a"}, {"name": "b"}] for key in ("grades", "plans")},
-    }  # fmt: skip
+    }
     for path, (low, high) in FIGURES.items():
         for at in places(path, counts):
             put(conf, at, (low + high) // 2)
@@ -448,18 +544,21 @@
 
 
 TEXTS = {
-    "no json": b"{", "no object": b"[]", "too deep": b"[" * 100_000, "no text": b"\xff{}",
+    "no json": b"{",
+    "no object": b"[]",
+    "too deep": b"[" * 100_000,
+    "no text": b"\xff{}",
     "deep": b'{"a":' * 900 + b"1" + b"}" * 900,  # it can be read, and has nothing that is needed
-}  # fmt: skip
+}
 
 
 def test_what_is_wrong_is_named_and_a_reload_of_it_changes_nothing(tmp_path: Path) -> None:
     path, loop, count, missed = tmp_path / "c.json", asyncio.new_event_loop(), 0, []
     with mock.patch.dict(os.environ, {"EDGE_CONFIG": str(path)}, clear=True):
         path.write_text(json.dumps(whole()))
-        front = Front(config.load(), loop)
+        front = FrontProcess(config.load(), loop)
         front.log = mock.Mock()
-        sound, before = front.conf, front.pool.addresses.copy()
+        sound, before = front.config, front.pool.addresses.copy()
         cases = [(key, key.replace("*", "1"), value) for key, value in broken()]
         for _, key, value in cases:
             conf = whole()
@@ -478,13 +577,13 @@
             if name != "deep" and front.log.error.call_args.kwargs["key"] != "EDGE_CONFIG":
                 missed.append((name, text[:9], front.log.error.call_args))
         assert not missed, (len(missed), missed[:20])
-        assert front.conf is sound and front.pool.addresses == before and not front.servers
+        assert front.config is sound and front.pool.addresses == before and not front.listeners
         assert front.counters["reloads_refused"] == front.counters["reloads"] == count > 800
         new = whole()
         put(new, ["settings", "bounds", "keepalive"], 31_000_000)
         path.write_text(json.dumps(new))
         front.reload()  # and one that is sound is taken after all that
-        assert front.conf.keepalive == 31_000_000
+        assert front.config.keepalive_us == 31_000_000
         front.syslog.close()
     loop.close()
 
@@ -505,7 +604,7 @@
     memories = []
     for zones in (None, ["a", "b"], ["a"]):
         conf["settings"]["azs"] = zones
-        memories.append(load(conf).settings.classes[0].memory)
+        memories.append(load(conf).settings.classes[0].deduplication_window_us)
     assert memories == [0, 0, 5_000_000]
 
 
@@ -514,7 +613,7 @@
     conf = whole()
     conf["settings"]["guarantees"]["warmUp"] = 0
     day = Day(load(conf), 1)
-    day.told(Node("n0", NodeState.UP, 0, day.loop.now + 9 * SECOND), whole=True)
+    day.told(Endpoint("n0", EndpointStatus.UP, 0, day.loop.now + 9 * SECOND), whole=True)
     day.ask("a", "a", 0, False)
     day.loop.run(day.loop.now + SECOND)
-    assert not day.faults and "n0" in day.engine.head.nodes
+    assert not day.faults and "n0" in day.engine.scheduler.endpoints
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -5,22 +5,32 @@
 import pytest
 
 from tests.helpers import T0, ask, end, feed, head, sends, settings, up
-from umberlead.scheduling.interface import Node, NodeState, Result, Settings
-from umberlead.scheduling.send_window import LEAST_REQUESTS, SendWindow, window_units
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointStatus
+from umberlead.scheduling.settings import Settings
+from umberlead.scheduling.slow_start import MIN_WINDOW_REQUESTS, SendWindow, max_window_units
 
 WINDOW_US = 3_000_000
 WARM_UP_US = 16_000_000
 START = 1_000_000_000
-COLD = {"cold_share": 0.2, "cold_multiple": 4.0, "cold_window": WINDOW_US, "warm_up": WARM_UP_US}
+COLD = {
+    "cold_capacity_ratio": 0.2,
+    "cold_overload_factor": 4.0,
+    "cold_window_us": WINDOW_US,
+    "warm_up_us": WARM_UP_US,
+}
 
 
-def _node() -> Node:
-    return Node("n0", NodeState.UP, 0, START)
+def _node() -> Endpoint:
+    return Endpoint("n0", EndpointStatus.UP, 0, START)
 
 
 def _bound_units(s: Settings, age_us: int) -> float:
-    n = s.cold_units / s.mean_units * (1 + (1 / s.cold_share - 1) * age_us / WARM_UP_US)
-    return s.mean_units * (n + 2 * math.sqrt(n) + 2)
+    n = (
+        s.cold_start_units
+        / s.mean_request_units
+        * (1 + (1 / s.cold_capacity_ratio - 1) * age_us / WARM_UP_US)
+    )
+    return s.mean_request_units * (n + 2 * math.sqrt(n) + 2)
 
 
 def test_a_window_holds_what_was_sent_in_it_and_says_when_there_is_room() -> None:
@@ -40,35 +50,35 @@
 @pytest.mark.parametrize("age", [0, 4_000_000, 15_000_000])
 @pytest.mark.parametrize("heads", [1, 5, 10])
 def test_even_parts_of_few_heads_stay_below_the_bound(heads: int, age: int) -> None:
-    s = settings(cold_units=60.0, heads=heads, **COLD)
-    whole = heads * window_units(s, _node(), START + age, 1 / heads)
+    s = settings(cold_start_units=60.0, front_count=heads, **COLD)
+    whole = heads * max_window_units(s, _node(), START + age, 1 / heads)
     assert 0.8 * _bound_units(s, age) < whole < 0.9 * _bound_units(s, age)
 
 
 def test_a_busy_head_has_a_fifth_at_most_and_one_of_many_two_requests() -> None:
-    s = settings(cold_units=60.0, heads=10, **COLD)
-    even = window_units(s, _node(), START, 0.1)
-    assert window_units(s, _node(), START, 0.15) == pytest.approx(1.5 * even)
-    assert window_units(s, _node(), START, 0.33) == pytest.approx(2 * even)
-    many = settings(cold_units=40.0, heads=200, **COLD)
-    assert window_units(many, _node(), START, 0.33) == pytest.approx(0.85 * 0.2 * _bound_units(many, 0))
-    assert window_units(many, _node(), START, 0.005) == LEAST_REQUESTS * many.mean_units
+    s = settings(cold_start_units=60.0, front_count=10, **COLD)
+    even = max_window_units(s, _node(), START, 0.1)
+    assert max_window_units(s, _node(), START, 0.15) == pytest.approx(1.5 * even)
+    assert max_window_units(s, _node(), START, 0.33) == pytest.approx(2 * even)
+    many = settings(cold_start_units=40.0, front_count=200, **COLD)
+    assert max_window_units(many, _node(), START, 0.33) == pytest.approx(0.85 * 0.2 * _bound_units(many, 0))
+    assert max_window_units(many, _node(), START, 0.005) == MIN_WINDOW_REQUESTS * many.mean_request_units
 
 
-def _windows(heads: int, cold_units: float, result: Result) -> list[tuple[float, float]]:
+def _windows(heads: int, cold_units: float, result: AttemptResult) -> list[tuple[float, float]]:
     """What all heads, each asked without end, sent in the window that ends with an arrival, and the bound."""
-    s = settings(cold_units=cold_units, heads=heads, **COLD)
+    s = settings(cold_start_units=cold_units, front_count=heads, **COLD)
     began = T0 + WINDOW_US
     made = [
-        head(T0, up("n0", started=began - 1), heads=heads, cold_units=cold_units, **COLD)
+        head(T0, up("n0", started=began - 1), front_count=heads, cold_start_units=cold_units, **COLD)
         for _ in range(heads)
     ]
     sent = list[tuple[int, float]]()
     for at in range(began, began + 2 * WINDOW_US, 20_000):
         for k, h in enumerate(made):
-            out = sends(feed(h, at, ask(f"{k}-{at}", at, give_up=at + 300_000)))
+            out = sends(feed(h, at, ask(f"{k}-{at}", at, deadline_us=at + 300_000)))
             while out:
-                sent.append((at, s.mean_units))
+                sent.append((at, s.mean_request_units))
                 out += sends(feed(h, at + 5_000, end(out.pop(), result, elapsed=5_000)))
     return [
         (sum(units for t, units in sent if at - WINDOW_US < t <= at), _bound_units(s, at - began))
@@ -77,13 +87,13 @@
 
 
 @pytest.mark.parametrize("heads, cold_units", [(1, 12.0), (5, 40.0), (10, 60.0), (30, 90.0)])
-@pytest.mark.parametrize("result", [Result.OK, Result.FULL])
+@pytest.mark.parametrize("result", [AttemptResult.OK, AttemptResult.REJECTED])
 def test_windows_of_heads_that_are_asked_without_end_hold(
-    heads: int, cold_units: float, result: Result
+    heads: int, cold_units: float, result: AttemptResult
 ) -> None:
     """A quick server, or one that turns all away: what all send stays below the bound at every arrival."""
     windows = _windows(heads, cold_units, result)
     assert windows
     assert all(got <= bound for got, bound in windows), max(got / bound for got, bound in windows)
-    if result is Result.OK:
+    if result is AttemptResult.OK:
         assert max(got / bound for got, bound in windows) > 0.6
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,21 +15,37 @@
 
 def client(id_: str = "a", **changed: Any) -> ClientRecord:
     row: dict[str, Any] = {
-        "id": id_, "front": "f0", "kind": "fresh", "class_name": "store", "budget": 1.0, "used": 0,
+        "id": id_,
+        "front": "f0",
+        "kind": "fresh",
+        "class_name": "store",
+        "budget": 1.0,
+        "used": 0,
         "behind": 0,
-        "connected": 10 * SECOND, "sent_first": 10 * SECOND, "sent_last": 10 * SECOND,
-        "ended": 11 * SECOND, "end": "answered", "status": 200,
-    }  # fmt: skip
+        "connected": 10 * SECOND,
+        "sent_first": 10 * SECOND,
+        "sent_last": 10 * SECOND,
+        "ended": 11 * SECOND,
+        "end": "answered",
+        "status": 200,
+    }
     return ClientRecord(**(row | changed))
 
 
 def node(id_: str = "a", first: float = 10.1, **changed: Any) -> NodeRecord:
     at = int(first * SECOND)
     row: dict[str, Any] = {
-        "id": id_, "node": "s0#0", "class_name": "store", "units": 1.0, "budget": 0.8, "first": at,
+        "id": id_,
+        "node": "s0#0",
+        "class_name": "store",
+        "units": 1.0,
+        "budget": 0.8,
+        "first": at,
         "last": at,
-        "late": 0, "ran": True, "closed": at + 1,
-    }  # fmt: skip
+        "late": 0,
+        "ran": True,
+        "closed": at + 1,
+    }
     return NodeRecord(**(row | changed))
 
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -16,7 +16,7 @@
 from tests.exchange import Clock, Peer
 from tests.test_client_leaves import DONE, Leaving, asks
 from tests.test_crossings import ANSWER, BEGIN, NOTHING_GOES, OPEN, SERVED, STOPPED, told, well
-from umberlead.front import Front
+from umberlead.front import FrontProcess
 from umberlead.net import discovery, server_connection
 
 
@@ -84,7 +84,7 @@
         super().__init__(of)
         self.clock: StandingClock = StandingClock()
         self.read = Counter[int]()
-        for of_ in (server_connection.ServerConnection, discovery._Stream):
+        for of_ in (server_connection.ServerConnection, discovery._WatchStream):
             take = of_.data_received
 
             def counted(link: Any, data: bytes, take: Any = take) -> None:
@@ -93,15 +93,17 @@
 
             self.patches.enter_context(mock.patch.object(of_, "data_received", counted))
 
-    async def _start(self) -> Front:
+    async def _start(self) -> FrontProcess:
         front = await super()._start()
         if self.clock.stood is None:
             self.clock.stood = self.clock() - self.clock.added
         return front
 
-    def _link(self, front: Front, name: str) -> Any:
+    def _link(self, front: FrontProcess, name: str) -> Any:
         """The front's end of a client's, or of discovery's, connection."""
-        return self._conn(name) if name in self.peers else front.watch and front.watch.stream
+        return (
+            self._conn(name) if name in self.peers else front.discovery_watch and front.discovery_watch.stream
+        )
 
     async def _step(self, words: list[str], lines: list[str]) -> None:
         raw = b"".join(self._bytes(line, False) for line in lines) if len(words) > 1 else b""
@@ -148,10 +150,10 @@
                 assert got.status != 200 or got.body == b"whole", peer.got
             case [name, "behind", *what]:
                 front = await self._start()
-                listener = front.servers[0]
+                listener = front.listeners[0]
                 made_ = socket.create_connection(listener.address)
                 made_.sendall(raw)
-                while not listener.accepting:
+                while not listener.accepting_count:
                     listener._accept_batch()
                 for each in what:
                     getattr(front, each)()
@@ -307,7 +309,7 @@
     play(
         "node n0 0\nclient a platform\n",
         well("a"),
-        "c behind stop drain\n",
+        "c behind stop drain_connections\n",
         asks("c", 1).partition("\n")[2],
         SERVED.format("c"),
         "writes n0 PUT 1\n",
@@ -318,7 +320,7 @@
     play(
         "node n0 0\nclient a platform\n",
         well("a"),
-        "c behind stop drain finish\n",
+        "c behind stop drain_connections answer_open_requests\n",
         asks("c", 1).partition("\n")[2],
         STOPPED.format("c"),
         "clock 110000\nends\nn0 ran PUT 0\n",
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -14,12 +14,12 @@
 from tests.test_attempts import Dials, Wire
 from tests.test_descriptors import ENTRY, TEXT, Process, Servers, _read, _run, _served
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
-from umberlead.net.node_pool import Pool
+from umberlead.common.timer_wheel import TimerWheel
+from umberlead.net.node_pool import EndpointPool
 from umberlead.net.node_protocol import OutgoingRequest
-from umberlead.requests.lifecycle import Engine
+from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import IncomingRequest
-from umberlead.scheduling.interface import NodeList
+from umberlead.scheduling.events import EndpointList
 
 FRONTS = 24
 
@@ -75,17 +75,17 @@
 
     def __init__(self) -> None:
         self.dials = Dials(False)
-        self.fronts: list[tuple[Engine, Pool]] = []
+        self.fronts: list[tuple[RequestLifecycle, EndpointPool]] = []
         self.answers: list[Any] = []
         self.soon: list[Any] = []
         now = lambda: self.dials.now  # noqa: E731
         for number in range(FRONTS):
-            wheel, counters = Wheel(now, self.dials.alarm, 2000), Counters()
-            of = settings(heads=FRONTS, max_attempts=3)
-            engine = Engine(of, number, now, wheel, self.soon.append, counters, print)
+            wheel, counters = TimerWheel(now, self.dials.alarm, 2000), Counters()
+            of = settings(front_count=FRONTS, max_attempts=3)
+            engine = RequestLifecycle(of, number, now, wheel, self.soon.append, counters, print)
             loop: Any = self.dials
-            pool = Pool(engine, loop, wheel, now, counters, 100, 250_000, 15_000_000, "s", print)
-            engine.carrier, pool.may_write = pool, engine.guard.may_write
+            pool = EndpointPool(engine, loop, wheel, now, counters, 100, 250_000, 15_000_000, "s", print)
+            engine.transport, pool.write_denial = pool, engine.guard.may_write
             self.fronts.append((engine, pool))
 
     async def turns(self) -> None:
@@ -97,13 +97,13 @@
     def listed(self, names: list[str]) -> None:
         for engine, pool in self.fronts:
             pool.addresses |= {name: (name, 1) for name in names}
-            engine.listed(NodeList(False, tuple(up(name) for name in names)))
+            engine.apply_endpoint_list(EndpointList(False, tuple(up(name) for name in names)))
 
-    def ask(self, engine: Engine, name: str) -> None:
+    def ask(self, engine: RequestLifecycle, name: str) -> None:
         payload = OutgoingRequest(b"GET", b"/read", [])
-        engine.take(
+        engine.accept(
             IncomingRequest(
-                "read", "gold", "v", None, 0, 2.0, self.dials.now + 2_000_000, payload, name=name.encode()
+                "read", "gold", "v", None, 0, 2.0, self.dials.now + 2_000_000, payload, call_id=name.encode()
             ),
             self.answers.append,
         )
--- a/tests/test_standing_requests.py
+++ b/tests/test_standing_requests.py
@@ -11,7 +11,7 @@
 from tests.test_client_leaves import DONE, asks, block
 from tests.test_crossings import well
 from tests.test_standing import Standing, play
-from umberlead.net.node_connection import NodeConnection
+from umberlead.net.node_connection import EndpointConnection
 
 # Requests in pieces
 
@@ -171,7 +171,7 @@
             front, peer = await self._start(), await self.nodes["n0"].peer()
             kept = front.pool._take_idle
 
-            def crossed(*how: Any) -> NodeConnection | None:
+            def crossed(*how: Any) -> EndpointConnection | None:
                 peer.transport.write(b"HTTP/1.1 2")
                 return kept(*how)
 
@@ -192,8 +192,12 @@
             if words != ["undelayed"]:
                 return await super()._step(words, lines)
             front = await self._start()
-            assert front.watch is not None and front.watch.stream is not None
-            links: list[Any] = [front.watch.stream, *front.pool.slots, *front.groups[0].slots]
+            assert front.discovery_watch is not None and front.discovery_watch.stream is not None
+            links: list[Any] = [
+                front.discovery_watch.stream,
+                *front.pool.slots,
+                *front.client_groups[0].slots,
+            ]
             assert len(links) == 3
             for link in links:
                 sock = link.transport.get_extra_info("socket")
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,7 +18,7 @@
 
 from tests.exchange import PATIENCE
 from umberlead import config
-from umberlead.front import Front
+from umberlead.front import FrontProcess
 
 ROOT = Path(__file__).resolve().parent.parent
 # Modules of the deploy file's folders that the platform's front has no use for.
@@ -43,9 +43,12 @@
     known = [{"name": "n0", "address": "127.0.0.1:9", "group": 0}]
     file.write_text(json.dumps({"settings": settings, "known": {"endpoints": known}}))
     return {
-        "EDGE_CONFIG": str(file), "EDGE_NAME": "f", "EDGE_LISTEN": "127.0.0.1:0",
-        "EDGE_DISCOVERY": discovery, "TMPDIR": str(folder),
-    }  # fmt: skip
+        "EDGE_CONFIG": str(file),
+        "EDGE_NAME": "f",
+        "EDGE_LISTEN": "127.0.0.1:0",
+        "EDGE_DISCOVERY": discovery,
+        "TMPDIR": str(folder),
+    }
 
 
 def test_a_front_of_the_platform_loads_nothing_that_only_others_need(tmp_path: Path) -> None:
@@ -102,10 +105,10 @@
     def __init__(self, env: dict[str, str]) -> None:
         self.now = 1_000_000_000
         with (
-            mock.patch("umberlead.front.module_clock", lambda: lambda: self.now),
-            mock.patch("umberlead.front.held", lambda: (4, 0)),
+            mock.patch("umberlead.front.unix_anchored_clock", lambda: lambda: self.now),
+            mock.patch("umberlead.front.descriptors_and_memory_in_use", lambda: (4, 0)),
         ):
-            self.front = Front(config.load(env), asyncio.get_running_loop())
+            self.front = FrontProcess(config.load(env), asyncio.get_running_loop())
         self.task = asyncio.create_task(self.front.run())
 
     async def until(self, what: Any) -> None:
@@ -118,13 +121,13 @@
 
     async def move(self, us: int) -> None:
         self.now += us
-        self.front.wheel.turn()
+        self.front.wheel.fire_due()
         for _ in range(10):  # what that sets in motion comes some turns later
             await asyncio.sleep(0)
 
     async def ready(self) -> None:
-        await self.until(lambda: self.front.servers)
-        reader, writer = await asyncio.open_connection(*self.front.servers[0].address)
+        await self.until(lambda: self.front.listeners)
+        reader, writer = await asyncio.open_connection(*self.front.listeners[0].address)
         writer.write(b"GET /healthz HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n")
         said = await asyncio.wait_for(reader.read(), PATIENCE)
         assert said.startswith(b"HTTP/1.1 200 "), said
@@ -133,7 +136,7 @@
     async def end(self) -> None:
         self.task.cancel()
         await asyncio.wait([self.task])
-        self.front.end()
+        self.front.release_resources()
 
 
 WAYS: dict[
@@ -167,13 +170,14 @@
             try:
                 # called, or refused already: a watch that broke has no stream
                 await start.until(
-                    lambda: front.watch and (front.watch.stream or front.counters["discovery_breaks"])
+                    lambda: front.discovery_watch
+                    and (front.discovery_watch.stream or front.counters["discovery_breaks"])
                 )
                 if way != "full":
                     await start.until(lambda: calls or front.counters["discovery_breaks"])
                 if from_:
                     await start.move(from_ - 2000)  # a tick before
-                    assert not front.servers
+                    assert not front.listeners
                     if way == "late":
                         calls[0].transport.write(ANSWER % b"200 OK" + LIST)
                     else:
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -10,19 +10,19 @@
 
 import pytest
 
-from umberlead.handover.process_claims import Claim, Use
-from umberlead.handover.process_registry import LEAVING_WEIGHT, ProcessRegistry, write_all
+from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim
+from umberlead.handover.process_registry import LEAVING_PROCESS_SHARE, ProcessRegistry, write_all
 from umberlead.handover.shared_state import SharedState
 
-CLAIM = Claim(20, (Use(10, 5, 3, 100),))
-Seen = list[list[Claim | None]]
+CLAIM = DescriptorClaim(20, (ConnectionUse(10, 5, 3, 100),))
+Seen = list[list[DescriptorClaim | None]]
 
 
 def published(state: SharedState) -> Seen:
     """Publish `CLAIM`; what was seen of the others' claims."""
     seen: Seen = []
 
-    def decide(others: list[Claim | None]) -> Claim:
+    def decide(others: list[DescriptorClaim | None]) -> DescriptorClaim:
         seen.append(others)
         return CLAIM
 
@@ -42,9 +42,13 @@
 
     fails = mock.Mock(side_effect=OSError(code, ""))
     with (
-        mock.patch("os.open", open_), mock.patch("os.pwrite", fails), mock.patch("os.write", fails),
-        mock.patch("os.unlink", fails), mock.patch("os.utime", fails), mock.patch("os.mkdir", fails),
-    ):  # fmt: skip
+        mock.patch("os.open", open_),
+        mock.patch("os.pwrite", fails),
+        mock.patch("os.write", fails),
+        mock.patch("os.unlink", fails),
+        mock.patch("os.utime", fails),
+        mock.patch("os.mkdir", fails),
+    ):
         yield
 
 
@@ -56,41 +60,41 @@
     assert old.publish(lambda _: CLAIM)
     with disk_takes_nothing(code):
         new = SharedState(tmp_path)
-        assert (old.others(), new.others()) == (1, 1)
+        assert (old.count_siblings(), new.count_siblings()) == (1, 1)
         assert old.share() + new.share() <= 1.0
-        old.leaves()
-        assert (new.others(), old.others()) == (1, 1) and old.share() + new.share() <= 1.0
-        old.leave()
-        assert (new.others(), new.share()) == (0, 1.0)
+        old.announce_leaving()
+        assert (new.count_siblings(), old.count_siblings()) == (1, 1) and old.share() + new.share() <= 1.0
+        old.deregister()
+        assert (new.count_siblings(), new.share()) == (0, 1.0)
     assert published(new) == [[]]
     late = SharedState(tmp_path)
-    assert (late.others(), new.others()) == (1, 1)
+    assert (late.count_siblings(), new.count_siblings()) == (1, 1)
     assert published(late) == [[CLAIM]]
-    late.leave()
-    new.leave()
+    late.deregister()
+    new.deregister()
 
 
 def test_a_folder_that_can_t_even_be_made_is_tried_again_with_each_look(tmp_path: Path) -> None:
     root = tmp_path / "state"
     with disk_takes_nothing(errno.ENOSPC):
         first = SharedState(root)
-        assert first.others() == 0 and first.fault and first.publish(lambda _: CLAIM)
-    assert first.others() == 0 and first.fault == ""
+        assert first.count_siblings() == 0 and first.error and first.publish(lambda _: CLAIM)
+    assert first.count_siblings() == 0 and first.error == ""
     second = SharedState(root)
-    assert (first.others(), second.others()) == (1, 1)
+    assert (first.count_siblings(), second.count_siblings()) == (1, 1)
     for process in (first, second):
-        process.leave()
+        process.deregister()
 
 
 def test_a_folder_that_never_can_be_written_is_none(tmp_path: Path) -> None:
     with disk_takes_nothing(errno.EROFS):
         only = SharedState(tmp_path / "state")
-        assert only.root is None and only.fault and (only.others(), only.share()) == (0, 1.0)
+        assert only.root is None and only.error and (only.count_siblings(), only.share()) == (0, 1.0)
         assert only.publish(lambda others: CLAIM)
-        only.override("n0", True)
-        assert list(only.overrides()) == ["n0"]
-        only.leaves()
-        only.leave()
+        only.set_drain_override("n0", True)
+        assert list(only.drain_overrides()) == ["n0"]
+        only.announce_leaving()
+        only.deregister()
 
 
 @pytest.mark.parametrize("code", [errno.EIO, errno.EMFILE])
@@ -99,25 +103,25 @@
 ) -> None:
     """A server out by hand came back, and each of two processes took itself for the only one."""
     one, other = SharedState(tmp_path), SharedState(tmp_path)
-    one.override("n0", True)
-    seen = one.others(), one.share(), one.overrides()
+    one.set_drain_override("n0", True)
+    seen = one.count_siblings(), one.share(), one.drain_overrides()
     for name in ("os.listdir", "builtins.open", "os.stat"):
         with mock.patch(name, side_effect=OSError(code, "")):
-            assert (one.others(), one.share(), one.overrides()) == seen, name
+            assert (one.count_siblings(), one.share(), one.drain_overrides()) == seen, name
     for process in (one, other):
-        process.leave()
+        process.deregister()
 
 
 def test_an_override_that_can_t_be_kept_is_a_fault_and_changes_nothing(tmp_path: Path) -> None:
     state = SharedState(tmp_path)
-    state.override("n0", True)
+    state.set_drain_override("n0", True)
     with disk_takes_nothing(errno.ENOSPC):
         with pytest.raises(OSError):
-            state.override("n1", True)
+            state.set_drain_override("n1", True)
         with pytest.raises(OSError):
-            state.override("n0", False)
-    assert list(state.overrides()) == ["n0"]
-    state.leave()
+            state.set_drain_override("n0", False)
+    assert list(state.drain_overrides()) == ["n0"]
+    state.deregister()
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
@@ -125,10 +129,10 @@
     """The buffered word that it leaves was written again at the close, and ended the process with 1."""
     state, other = SharedState(tmp_path), SharedState(tmp_path)
     with disk_takes_nothing(code):
-        state.leaves()
-        state.leave()
-    assert other.others() == 0
-    other.leave()
+        state.announce_leaving()
+        state.deregister()
+    assert other.count_siblings() == 0
+    other.deregister()
 
 
 def test_little_written_at_a_time_is_written_whole(tmp_path: Path) -> None:
@@ -137,14 +141,14 @@
     with mock.patch("os.pwrite", lambda file, data, at: real(file, bytes(data)[:7], at)):
         one, other = SharedState(tmp_path), SharedState(tmp_path)
         assert one.publish(lambda _: CLAIM)
-        one.leaves()
-    assert other.others() == 1 and other.share() == 1 / (1 + LEAVING_WEIGHT)
+        one.announce_leaving()
+    assert other.count_siblings() == 1 and other.share() == 1 / (1 + LEAVING_PROCESS_SHARE)
     assert published(other) == [[CLAIM]]
-    path = tmp_path / "claims" / other._registry.others[0]  # type: ignore[union-attr]
+    path = tmp_path / "claims" / other._registry.siblings[0]  # type: ignore[union-attr]
     path.write_bytes(path.read_bytes()[:100])  # a kill in the middle of it
     assert published(other) == [[None]]
     for process in (one, other):
-        process.leave()
+        process.deregister()
 
 
 def test_a_file_that_can_t_be_written_to_its_end_is_a_fault(tmp_path: Path) -> None:
@@ -165,7 +169,7 @@
         for registry in made:
             registry.register(lambda name: None)
         names = {first.name, *(registry.name for registry in made)}
-        assert len(names) == 3 and first.look() == 2
+        assert len(names) == 3 and first.refresh() == 2
         third = ProcessRegistry(tmp_path / "fronts")
         with pytest.raises(OSError):
             third.register(lambda name: None)
--- a/tests/test_volumes.py
+++ b/tests/test_volumes.py
@@ -15,17 +15,17 @@
 
 from tests.exchange import Exchange
 from tests.helpers import READ, T0, ask, end, feed, head, settings, up
-from umberlead.handover.process_registry import LEAVING_WEIGHT
+from umberlead.handover.process_registry import LEAVING_PROCESS_SHARE
 from umberlead.handover.shared_state import SharedState
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import Result
-from umberlead.scheduling.pending_request import Item
-from umberlead.scheduling.rate_limits import CAME, Volumes
+from umberlead.scheduling.events import AttemptResult, Outcome
+from umberlead.scheduling.pending_request import PendingRequest
+from umberlead.scheduling.rate_limits import RESULTS_OF_DELIVERY, RateLimits
 from umberlead.scheduling.scheduler import KEPT
+from umberlead.scheduling.settings import Plan, RequestClass
 
 RATE, BURST, SLACK, LOOK, TICK = 20.0, 40.0, 6.0, 100_000, 10_000
-GOLD = api.Plan("gold", limit_rate=RATE, limit_burst=BURST, limit_slack=SLACK)
-SET = settings(plans=(GOLD,), max_units=6.0)
+GOLD = Plan("gold", limit_units_per_second=RATE, limit_burst_units=BURST, limit_slack_units=SLACK)
+SET = settings(plans=(GOLD,), max_request_units=6.0)
 
 
 class Rule:
@@ -43,16 +43,16 @@
     """One process of a front: it looks for others every 0.1 s, at times later, and sends all it may."""
 
     def __init__(self, root: Path, rng: random.Random, born: int) -> None:
-        self.volumes, self.shared, self.rng = Volumes(SET, born), SharedState(root), rng
+        self.volumes, self.shared, self.rng = RateLimits(SET, born), SharedState(root), rng
         self.part, self.looks = 0.0, born + rng.randrange(TICK, LOOK)
         self.serves = False
-        self.queue, self.out = deque[Item](), list[tuple[int, Item, Result]]()
+        self.queue, self.out = deque[PendingRequest](), list[tuple[int, PendingRequest, AttemptResult]]()
 
     def look(self, now: int) -> None:
-        self.shared.others()
+        self.shared.count_siblings()
         if (part := self.shared.share()) != self.part:
             self.part = part
-            self.volumes.share(now, part)
+            self.volumes.set_process_share(now, part)
         self.serves, self.looks = True, now + LOOK + self.rng.choice([0, 0, 50_000])
 
     def turn(self, now: int, writers: int, surge: bool, rule: Rule, unit: float) -> None:
@@ -63,32 +63,49 @@
             return
         for due, item, result in [o for o in self.out if o[0] <= now]:
             self.out.remove((due, item, result))
-            self.volumes.ended(item, api.Outcome("", "", item.tries - 1, result, 0, False))
+            self.volumes.record_outcome(item, Outcome("", "", item.attempt_count - 1, result, 0, False))
             self.queue.appendleft(item)
-        while self.queue and self.queue[0].req.give_up < now:
+        while self.queue and self.queue[0].request.deadline_us < now:
             self.queue.popleft()
         for _ in range(30 if surge and writers and len(self.queue) < 30 else bool(writers)):
-            req = ask("r", now, units=min(unit + self.rng.randrange(3), 6.0), writers=writers)
-            self.volumes.asked(req, GOLD, now)
+            req = ask("r", now, units=min(unit + self.rng.randrange(3), 6.0), volume_front_count=writers)
+            self.volumes.record_request(req, GOLD, now)
             if surge:
-                self.queue.append(Item(req, READ, 0, now, now, 0))
-        while self.queue and not self.volumes.wait(self.queue[0], now):
+                self.queue.append(PendingRequest(req, READ, 0, now, now, 0))
+        while self.queue and not self.volumes.wait_us(self.queue[0], now):
             item = self.queue.popleft()
-            if item.paid is None:
-                rule.charged.append((now, item.req.units))
+            if item.charged_attempt is None:
+                rule.charged.append((now, item.request.units))
             self.volumes.charge(item)
-            item.tries += 1
-            fate = self.rng.choices([Result.OK, Result.MOOT, Result.NO_LINK, Result.RESET, Result.FULL],
-                                    [80, 3, 3, 3, 3])[0] if item.tries < 3 else Result.OK  # fmt: skip
-            if (fate in CAME or fate is Result.RESET and self.rng.random() < 0.5) and not item.done:
+            item.attempt_count += 1
+            fate = (
+                self.rng.choices(
+                    [
+                        AttemptResult.OK,
+                        AttemptResult.NOT_SENT,
+                        AttemptResult.CONNECT_FAILED,
+                        AttemptResult.RESET,
+                        AttemptResult.REJECTED,
+                    ],
+                    [80, 3, 3, 3, 3],
+                )[0]
+                if item.attempt_count < 3
+                else AttemptResult.OK
+            )
+            if (
+                fate in RESULTS_OF_DELIVERY or fate is AttemptResult.RESET and self.rng.random() < 0.5
+            ) and not item.done:
                 item.done = True  # it has come once
-                rule.came(now, item.req.units)
-            if fate is not Result.OK:
+                rule.came(now, item.request.units)
+            if fate is not AttemptResult.OK:
                 self.out.append((now + self.rng.randrange(1, 250_000), item, fate))
 
 
-CHANGE = st.tuples(st.sampled_from(["surge", "quiet", "upgrade", "kill", "join", "part"]), st.integers(0, 2),
-                   st.integers(5, 400))  # fmt: skip
+CHANGE = st.tuples(
+    st.sampled_from(["surge", "quiet", "upgrade", "kill", "join", "part"]),
+    st.integers(0, 2),
+    st.integers(5, 400),
+)
 
 
 @runs(max_examples=100, deadline=None, phases=(Phase.generate, Phase.target))  # smaller ones say no more
@@ -118,7 +135,7 @@
                 elif kind == "join" and front not in works and now > parted + 2_100_000:
                     works.add(front)  # a new one; one for one would be seen by none
                     for gone in alive[front]:
-                        gone.shared.leave()
+                        gone.shared.deregister()
                     alive[front] = [Process(roots[front], rng, now)]
                 elif kind == "part" and len(works) > 1:
                     works.discard(front)
@@ -127,18 +144,20 @@
                     new = Process(roots[front], rng, now)
                     for old in alive[front]:
                         leaves = now + rng.randrange(100_000, 600_000)
-                        plan += [(leaves, 0, "leaves", front, old),
-                                 (leaves + rng.randrange(3_600_000), 1, "ends", front, old)]  # fmt: skip
+                        plan += [
+                            (leaves, 0, "leaves", front, old),
+                            (leaves + rng.randrange(3_600_000), 1, "ends", front, old),
+                        ]
                     alive[front].append(new)
                 elif kind == "born":
                     alive[front].append(Process(roots[front], rng, now))
                 elif kind == "leaves" and of in alive[front]:
-                    of.shared.leaves()
+                    of.shared.announce_leaving()
                     of.look(now)
                 elif kind == "ends" and of in alive[front] or kind == "kill":
                     for gone in [of] if of else alive[front][:]:
                         alive[front].remove(gone)
-                        gone.shared.leave()
+                        gone.shared.deregister()
                     if kind == "kill":
                         plan.append((now + 200_000, 0, "born", front, None))
             if not plan and now > over - 3_500_000:
@@ -147,7 +166,7 @@
                 for process in alive[front]:
                     process.turn(now, len(works) if front in works else 0, surge, rule, unit)
         for process in [p for each in alive for p in each]:
-            process.shared.leave()
+            process.shared.deregister()
     target(-rule.lowest)
     assert rule.lowest >= -SLACK
     assert sum(u for t, u in rule.charged if t > over - 3_000_000) >= 3 * RATE - 6.0 * fronts - 1.0
@@ -155,26 +174,34 @@
 
 @pytest.mark.parametrize(
     ("result", "astray", "spent"),
-    [(r, False, 2.0) for r in (Result.ERROR, Result.FULL, Result.MOOT)]
-    + [(r, False, 4.0) for r in (Result.NO_LINK, Result.RESET, Result.TIMEOUT, Result.CANCELLED)]
-    + [(Result.MOOT, True, 2.0)],
+    [(r, False, 2.0) for r in (AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.NOT_SENT)]
+    + [
+        (r, False, 4.0)
+        for r in (
+            AttemptResult.CONNECT_FAILED,
+            AttemptResult.RESET,
+            AttemptResult.TIMEOUT,
+            AttemptResult.CANCELLED,
+        )
+    ]
+    + [(AttemptResult.NOT_SENT, True, 2.0)],
 )
 def test_a_further_attempt_is_charged_unless_an_earlier_one_took_the_units(
-    result: Result, astray: bool, spent: float
+    result: AttemptResult, astray: bool, spent: float
 ) -> None:
     """A node that turned a request away as astray had it whole: nothing is given back."""
-    slow = api.Plan("gold", limit_rate=1e-9, limit_burst=16.0, limit_slack=16.0)
-    patient = api.RequestClass("read", 1_900_000, 2_000_000)
+    slow = Plan("gold", limit_units_per_second=1e-9, limit_burst_units=16.0, limit_slack_units=16.0)
+    patient = RequestClass("read", 1_900_000, 2_000_000)
     h = head(T0, up(), plans=(slow,), classes=(patient,))
     feed(h, T0, ask("a"))
-    feed(h, T0 + 1000, replace(end("a", result), astray=astray))
+    feed(h, T0 + 1000, replace(end("a", result), misdirected=astray))
     feed(h, T0 + 600_000)
-    assert h.volumes["v"].limit.have == pytest.approx(8.0 - spent, abs=1e-6)
-    assert not h.items if astray else h.items["a"].tries == 2
+    assert h.rate_limits["v"].limit.available_units == pytest.approx(8.0 - spent, abs=1e-6)
+    assert not h.requests if astray else h.requests["a"].attempt_count == 2
 
 
 def test_a_volume_is_forgotten_once_its_store_is_full_and_comes_back_with_no_more() -> None:
-    slow = api.Plan("gold", limit_rate=0.25, limit_burst=16.0, limit_slack=4.0)
+    slow = Plan("gold", limit_units_per_second=0.25, limit_burst_units=16.0, limit_slack_units=4.0)
     h = head(T0, up(), plans=(slow,))
     late = T0 + 80_000_000
     feed(h, late, ask("a", late, units=8.0))
@@ -182,41 +209,41 @@
     seen = []
     for k in range(1, 5):
         feed(h, late + k * KEPT)
-        seen.append("v" in h.volumes)
+        seen.append("v" in h.rate_limits)
     assert seen == [True, True, True, False]  # silent for long enough after 20 s, and full after 32 s
     feed(h, late + 5 * KEPT, ask("b", late + 5 * KEPT))
-    assert h.volumes["v"].limit.have == 14.0
+    assert h.rate_limits["v"].limit.available_units == 14.0
 
 
 def test_a_part_follows_the_count_of_fronts() -> None:
     """More at once, and what those who join may have is given up, spent or not; fewer once nobody sends what
     it took before."""
-    volumes, now = Volumes(SET, T0), T0 + 10_000_000
+    volumes, now = RateLimits(SET, T0), T0 + 10_000_000
     shares = []
     told = ((0, 1), (1, 2), (2, 1), (1_999_999, 2), (3_000_000, 1), (4_999_999, 1), (5_000_000, 1))
     for at, writers in told:
-        volumes.asked(ask("r", writers=writers), GOLD, now + at)
+        volumes.record_request(ask("r", volume_front_count=writers), GOLD, now + at)
         limit = volumes["v"].limit
-        limit.fill(now + at)
-        shares.append((limit.most, limit.have == limit.most))
+        limit.refill(now + at)
+        shares.append((limit.capacity_units, limit.available_units == limit.capacity_units))
     half, whole = (BURST / 2, True), (BURST, False)
     assert shares == [(BURST, True), half, half, half, half, half, whole]
-    limit.have = 1.0
-    volumes.asked(ask("r", writers=4), GOLD, now + at)
-    assert limit.have == 1.0 - BURST * 3 / 4
+    limit.available_units = 1.0
+    volumes.record_request(ask("r", volume_front_count=4), GOLD, now + at)
+    assert limit.available_units == 1.0 - BURST * 3 / 4
 
 
 def test_parts_of_processes_never_add_up_to_more_than_one(tmp_path: Path) -> None:
     old, new = SharedState(tmp_path), SharedState(tmp_path)
-    assert [(s.others(), s.share()) for s in (old, new)] == [(1, 0.5), (1, 0.5)]
-    old.leaves()
-    assert (old.share(), new.share()) == (LEAVING_WEIGHT / (1 + LEAVING_WEIGHT), 0.5)
-    assert (new.others(), new.share()) == (1, 1 / (1 + LEAVING_WEIGHT))
+    assert [(s.count_siblings(), s.share()) for s in (old, new)] == [(1, 0.5), (1, 0.5)]
+    old.announce_leaving()
+    assert (old.share(), new.share()) == (LEAVING_PROCESS_SHARE / (1 + LEAVING_PROCESS_SHARE), 0.5)
+    assert (new.count_siblings(), new.share()) == (1, 1 / (1 + LEAVING_PROCESS_SHARE))
     with mock.patch("builtins.open", side_effect=OSError(24, "")):  # no descriptor is free
-        assert (new.others(), new.share()) == (1, 1 / (1 + LEAVING_WEIGHT))
-    old.leave()
-    assert (new.others(), new.share()) == (0, 1.0)
-    new.leave()
+        assert (new.count_siblings(), new.share()) == (1, 1 / (1 + LEAVING_PROCESS_SHARE))
+    old.deregister()
+    assert (new.count_siblings(), new.share()) == (0, 1.0)
+    new.deregister()
 
 
 def test_a_front_that_another_process_stands_beside_sends_half() -> None:
@@ -224,8 +251,11 @@
     block = "& block b{0} / PUT /write / 000000000000000{0} / {1}\n"
     Exchange(
         "set settings.plans.0.neverOver 0.5\nset settings.plans.0.mostAtOnce 8.0\n"
-        "node n0 0\nclient z platform\nclock 100000000\nclient a platform\na >\n" + block.format(1, 1) +
-        "a <\n& done\nbeside\na >\n" + block.format(2, 4) + "a <\n& done\n"
+        "node n0 0\nclient z platform\nclock 100000000\nclient a platform\na >\n"
+        + block.format(1, 1)
+        + "a <\n& done\nbeside\na >\n"
+        + block.format(2, 4)
+        + "a <\n& done\n"
         "a >\n" + block.format(3, 1) + "until requests_taken 3\nclock 2000000\ncounter attempts_sent 2\n"
         "clock 2100000\na <\n& done\ncounter attempts_sent 3\n"
-    ).play()  # fmt: skip
+    ).play()
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -4,23 +4,35 @@
 
 from benchmarks.cold_ramp import play
 from tests.helpers import settings
-from umberlead.scheduling.interface import Node, NodeState
-from umberlead.scheduling.slow_start import SERVED, rest, warm
+from umberlead.scheduling.events import Endpoint, EndpointStatus
+from umberlead.scheduling.slow_start import SERVED_IN_TIME_RATIO, available_capacity_ratio, pacing_delay_us
 
-S = settings(cold_units=14.0, cold_share=0.17, cold_multiple=4.0, cold_window=3_000_000, warm_up=16_000_000)
+S = settings(
+    cold_start_units=14.0,
+    cold_capacity_ratio=0.17,
+    cold_overload_factor=4.0,
+    cold_window_us=3_000_000,
+    warm_up_us=16_000_000,
+)
 START = 1_000_000_000
 
 
-def _node(started: int = START) -> Node:
-    return Node("n", NodeState.UP, 0, started)
+def _node(started: int = START) -> Endpoint:
+    return Endpoint("n", EndpointStatus.UP, 0, started)
 
 
 def test_capacity_grows_evenly_from_the_cold_share_and_is_whole_for_who_started_long_ago() -> None:
-    assert warm(S, _node(), START) == pytest.approx(0.17)
-    assert warm(S, _node(), START + 8_000_000) == pytest.approx(0.585)
-    assert warm(S, _node(), START + 16_000_000) == warm(S, _node(0), START) == 1.0
-    assert warm(S, _node(), START - 5_000_000) == pytest.approx(0.17)  # the lists' clock may be ahead
-    assert warm(settings(), _node(), START) == 1.0  # where nothing is told of cold nodes
+    assert available_capacity_ratio(S, _node(), START) == pytest.approx(0.17)
+    assert available_capacity_ratio(S, _node(), START + 8_000_000) == pytest.approx(0.585)
+    assert (
+        available_capacity_ratio(S, _node(), START + 16_000_000)
+        == available_capacity_ratio(S, _node(0), START)
+        == 1.0
+    )
+    assert available_capacity_ratio(S, _node(), START - 5_000_000) == pytest.approx(
+        0.17
+    )  # the lists' clock may be ahead
+    assert available_capacity_ratio(settings(), _node(), START) == 1.0  # where nothing is told of cold nodes
 
 
 @pytest.mark.parametrize("age", [0, 4_000_000, 12_000_000])
@@ -31,15 +43,19 @@
     """A node of 18 units a second at full power, as on zone+vast: at each age the heads' sum is at most nine
     tenths of what it can do, where the whole of what it bears would be one and a half times that."""
     now, full = START + age, 18.0
-    rate = sum(1 / (rest(S, _node(), now, 1.0, part) / 1e6) for part in parts)
-    bears = 14.0 / 3 * warm(S, _node(), now) / 0.17
-    assert rate == pytest.approx(SERVED * bears) and rate < full * warm(S, _node(), now)
-    assert bears > full * warm(S, _node(), now)
+    rate = sum(1 / (pacing_delay_us(S, _node(), now, 1.0, part) / 1e6) for part in parts)
+    bears = 14.0 / 3 * available_capacity_ratio(S, _node(), now) / 0.17
+    assert rate == pytest.approx(SERVED_IN_TIME_RATIO * bears) and rate < full * available_capacity_ratio(
+        S, _node(), now
+    )
+    assert bears > full * available_capacity_ratio(S, _node(), now)
 
 
 def test_a_warm_node_rests_for_nobody_and_units_add_up() -> None:
-    assert rest(S, _node(), START + 16_000_000, 6.0, 0.025) == 0.0
-    assert rest(S, _node(), START, 6.0, 0.1) == pytest.approx(6 * rest(S, _node(), START, 1.0, 0.1))
+    assert pacing_delay_us(S, _node(), START + 16_000_000, 6.0, 0.025) == 0.0
+    assert pacing_delay_us(S, _node(), START, 6.0, 0.1) == pytest.approx(
+        6 * pacing_delay_us(S, _node(), START, 1.0, 0.1)
+    )
 
 
 def test_cold_servers_hold_under_the_sum_of_all_processes() -> None:
--- a/umberlead/commands/play.py
+++ b/umberlead/commands/play.py
@@ -30,11 +30,11 @@
     quiet: bool,
 ) -> None:
     """Stand in for every chunk server of the list PATH, on loopback."""
-    from umberlead.commands.lists import _good
+    from umberlead.commands.lists import _checked_list_or_exit
     from umberlead.standins import fleet
     from umberlead.standins.chunkserver import Model
 
-    servers = list(_good(path, names=True).servers.values())
+    servers = list(_checked_list_or_exit(path, names=True).servers.values())
     model = Model(unit=unit_ms / 1000, errors=errors, resets=resets, synthetic=synthetic)
     try:
         fleet.main(servers, model, record, seed, quiet, emulated)
@@ -54,21 +54,21 @@
     Every object read is compared byte for byte with what was stored. Exit code 1: one was not the same, or
     the front did not end well."""
     from umberlead import config as read
-    from umberlead.commands.lists import _good
+    from umberlead.commands.lists import _checked_list_or_exit
     from umberlead.load import showing
 
     try:
-        conf = read.operator(str(config))
+        conf = read.load_operator_file(str(config))
     except read.ConfigError as fault:
         click.echo(f"{config}: {fault}", err=True)
         sys.exit(2)
-    if conf.lists is None or conf.objects is None:
-        key = "membership" if conf.lists is None else "objects"
+    if conf.watched_lists is None or conf.object_api is None:
+        key = "membership" if conf.watched_lists is None else "objects"
         click.echo(f"{config}: {key}: the demo needs a watched list and an object front", err=True)
         sys.exit(2)
-    servers = list(_good(conf.lists.main, names=True).servers.values())
+    servers = list(_checked_list_or_exit(conf.watched_lists.manifest_path, names=True).servers.values())
     try:
-        sound = showing.main(config, servers, sorted(conf.objects.buckets), seconds, rate, seed)
+        sound = showing.main(config, servers, sorted(conf.object_api.plan_by_bucket), seconds, rate, seed)
     except (OSError, showing.NoFront) as fault:
         click.echo(f"demo: {fault}", err=True)
         sys.exit(2)
--- a/umberlead/common/slot_table.py
+++ b/umberlead/common/slot_table.py
@@ -6,7 +6,7 @@
 T = TypeVar("T")
 
 
-class Slots(Generic[T]):
+class SlotTable(Generic[T]):
     def __init__(self) -> None:
         self._rows: list[T | None] = []
         self._free: list[int] = []
--- a/umberlead/common/timer_wheel.py
+++ b/umberlead/common/timer_wheel.py
@@ -8,17 +8,17 @@
 class Timer:
     """A deadline that can be called off."""
 
-    __slots__ = ("what", "args")
+    __slots__ = ("callback", "args")
 
     def __init__(self, what: Callable[..., None], args: tuple[Any, ...]) -> None:
-        self.what: Callable[..., None] | None = what
+        self.callback: Callable[..., None] | None = what
         self.args = args
 
     def cancel(self) -> None:
-        self.what, self.args = None, ()
+        self.callback, self.args = None, ()
 
 
-class Wheel:
+class TimerWheel:
     """`clock` tells whole microseconds; `alarm(delay, fn)` calls `fn` after so many of them
     and returns what can be cancelled."""
 
@@ -32,7 +32,7 @@
         self._armed: int | None = None
         self._handle: Any = None
 
-    def at(self, when: int, what: Callable[..., None], *args: Any) -> Timer:
+    def call_at(self, when: int, what: Callable[..., None], *args: Any) -> Timer:
         """Call `what` at the first tick at or past `when`, never within this call."""
         tick = max(-(-when // self._tick), self._turned + 1)
         timer = Timer(what, args)
@@ -43,17 +43,17 @@
         self._arm()
         return timer
 
-    def after(self, delay: int, what: Callable[..., None], *args: Any) -> Timer:
-        return self.at(self._clock() + delay, what, *args)
+    def call_after(self, delay: int, what: Callable[..., None], *args: Any) -> Timer:
+        return self.call_at(self._clock() + delay, what, *args)
 
     def _arm(self) -> None:
         if self._ticks and (self._armed is None or self._ticks[0] < self._armed):
             if self._handle is not None:  # overtaken: left alone, each such alarm would set another for ever
                 self._handle.cancel()
             self._armed = self._ticks[0]
-            self._handle = self._alarm(max(self._armed * self._tick - self._clock(), 0), self.turn)
+            self._handle = self._alarm(max(self._armed * self._tick - self._clock(), 0), self.fire_due)
 
-    def turn(self) -> None:
+    def fire_due(self) -> None:
         """Fire what is due, in order."""
         now = self._clock() // self._tick
         try:
@@ -62,8 +62,8 @@
                 bucket = self._buckets[tick]
                 self._turned = max(self._turned, tick)  # what is set from here on goes to a later bucket
                 for timer in bucket:
-                    if timer.what is not None:
-                        what, args = timer.what, timer.args
+                    if timer.callback is not None:
+                        what, args = timer.callback, timer.args
                         timer.cancel()
                         what(*args)
                 heapq.heappop(self._ticks)
--- a/umberlead/emulator/judge.py
+++ b/umberlead/emulator/judge.py
@@ -149,9 +149,10 @@
     def _over(self, row: Came) -> int:
         """When an attempt that a server took was out no longer: answered, broken, or left by its front."""
         ends = [
-            e.at for e in self.ended.get(row.id, []) if e.server == row.server and e.at >= row.at
-            and AFTER[e.word] is not None
-        ]  # fmt: skip
+            e.at
+            for e in self.ended.get(row.id, [])
+            if e.server == row.server and e.at >= row.at and AFTER[e.word] is not None
+        ]
         leaves = [at for at in self.left.get((row.id, row.server), []) if at >= row.at]
         return min([*ends, *leaves, 1 << 62])
 
@@ -165,7 +166,7 @@
         2 root N + 2 are chance. What it turns away counts too. Over two thirds of the window must have come
         from fronts that had been told of it since its start."""
         s, asked = checked(self.plan), self.plan.day.requests
-        if s.cold_units <= 0 or not asked:
+        if s.cold_start_units <= 0 or not asked:
             return
         mean = sum(r.work for r in asked) / len(asked)
         told: dict[tuple[int, str], list[int]] = defaultdict(list)
@@ -178,14 +179,14 @@
         starts = [life for life in self.of.lives if life.what == "cold"]
         for life in starts:
             again = [o.at for o in starts if o.server == life.server and o.at > life.at]
-            end = min([life.at + s.warm_up, *again])
+            end = min([life.at + s.warm_up_us, *again])
             window: deque[Came] = deque()
             for row in (r for r in came[life.server] if life.at <= r.at < end):
                 window.append(row)
-                while window[0].at <= row.at - s.cold_window:
+                while window[0].at <= row.at - s.cold_window_us:
                     window.popleft()
-                grown = 1 + (1 / s.cold_share - 1) * (row.at - life.at) / s.warm_up
-                n, got = s.cold_units / s.mean_units * grown, sum(r.work for r in window) / mean
+                grown = 1 + (1 / s.cold_capacity_ratio - 1) * (row.at - life.at) / s.warm_up_us
+                n, got = s.cold_start_units / s.mean_request_units * grown, sum(r.work for r in window) / mean
                 if got > n + 2 * math.sqrt(n) + 2:
                     knew = [
                         r for r in window if any(life.at <= t <= r.at for t in told[r.front, life.server])
--- a/umberlead/emulator/latency.py
+++ b/umberlead/emulator/latency.py
@@ -29,6 +29,7 @@
     """`latency.CLASS.pN` in ms, for classes of which anything was served."""
     return {
         f"latency.{name}.p{part:g}": of.get_value_at_percentile(part) / 1000
-        for name, of in histograms(plan, records).items() if of.get_total_count()
+        for name, of in histograms(plan, records).items()
+        if of.get_total_count()
         for part in PARTS
-    }  # fmt: skip
+    }
--- a/umberlead/emulator/node.py
+++ b/umberlead/emulator/node.py
@@ -53,16 +53,30 @@
     cores = int(node.one("cores"))
     pause, every = node.range("pause_ms"), node.range("pause_every_s")
     return Traits(
-        cores, node.draw("speed", chance), round(node.draw("queue_per_core", chance) * cores),
-        node.draw("thrash", chance), node.draw("thrash_at", chance), (pause[0] * 1000, pause[1] * 1000),
-        (every[0] * SECOND, every[1] * SECOND), node.draw("error_rate", chance), node.draw("seek", chance),
-        node.whole("remembers", chance), node.draw("defer", chance), node.draw("flush_s", chance) * SECOND,
-        cold.draw("from", chance), cold.draw("warm_s", chance) * SECOND, cold.one("multiple"),
-        int(cold.one("window_s") * SECOND), links.draw("handshake_us", chance),
-        links.draw("handshake_rtts", chance), round(links.draw("cap_per_core", chance) * cores),
-        links.draw("full_tax", chance), reports.draw("period_ms", chance) * 1000,
-        reports.draw("delay_ms", chance) * 1000, reports.draw("noise", chance),
-    )  # fmt: skip
+        cores,
+        node.draw("speed", chance),
+        round(node.draw("queue_per_core", chance) * cores),
+        node.draw("thrash", chance),
+        node.draw("thrash_at", chance),
+        (pause[0] * 1000, pause[1] * 1000),
+        (every[0] * SECOND, every[1] * SECOND),
+        node.draw("error_rate", chance),
+        node.draw("seek", chance),
+        node.whole("remembers", chance),
+        node.draw("defer", chance),
+        node.draw("flush_s", chance) * SECOND,
+        cold.draw("from", chance),
+        cold.draw("warm_s", chance) * SECOND,
+        cold.one("multiple"),
+        int(cold.one("window_s") * SECOND),
+        links.draw("handshake_us", chance),
+        links.draw("handshake_rtts", chance),
+        round(links.draw("cap_per_core", chance) * cores),
+        links.draw("full_tax", chance),
+        reports.draw("period_ms", chance) * 1000,
+        reports.draw("delay_ms", chance) * 1000,
+        reports.draw("noise", chance),
+    )
 
 
 @dataclass(slots=True)
--- a/umberlead/emulator/outcomes.py
+++ b/umberlead/emulator/outcomes.py
@@ -1,16 +1,27 @@
 """How a server's ends look to a front, after the platform's protocol: shared by the drivers and the judge."""
 
-from umberlead.scheduling.interface import Result
+from umberlead.scheduling.events import AttemptResult
 
 # Turned away, or broken off before its last byte: it never ran.
 AT_ONCE = {
-    "full": Result.FULL, "draining": Result.FULL, "astray": Result.MOOT, "early": Result.NO_LINK,
-    "gone": Result.NO_LINK, "fallen": Result.RESET,
-}  # fmt: skip
+    "full": AttemptResult.REJECTED,
+    "draining": AttemptResult.REJECTED,
+    "astray": AttemptResult.NOT_SENT,
+    "early": AttemptResult.CONNECT_FAILED,
+    "gone": AttemptResult.CONNECT_FAILED,
+    "fallen": AttemptResult.RESET,
+}
 NEVER_RAN = frozenset(("full", "draining", "astray", "early", "gone"))
 # Run to its end; None: silence.
 AFTER = {
-    "ok": Result.OK, "lag": Result.OK, "surplus": Result.OK, "error": Result.ERROR, "spoilt": Result.ERROR,
-    "reset": Result.RESET, "half": Result.RESET, "lost": Result.RESET, "silence": None,
-}  # fmt: skip
+    "ok": AttemptResult.OK,
+    "lag": AttemptResult.OK,
+    "surplus": AttemptResult.OK,
+    "error": AttemptResult.ERROR,
+    "spoilt": AttemptResult.ERROR,
+    "reset": AttemptResult.RESET,
+    "half": AttemptResult.RESET,
+    "lost": AttemptResult.RESET,
+    "silence": None,
+}
 KEEPS = frozenset(("ok", "lag", "error", "full", "draining", "astray"))  # its connection stays
--- a/umberlead/emulator/plan.py
+++ b/umberlead/emulator/plan.py
@@ -11,8 +11,8 @@
 from umberlead.emulator.settings import settings
 from umberlead.expect.model import Fleet, Happening, Scenario
 from umberlead.load.day import SECOND, Day, Wave, draw
-from umberlead.membership.model import Problem
-from umberlead.scheduling.interface import Settings
+from umberlead.membership.model import ListProblem
+from umberlead.scheduling.settings import Settings
 
 BESIDE = ("rooms", "gossip")  # told to fronts beside their settings
 AFTER = 8 * SECOND  # a day runs on until all is answered
@@ -22,7 +22,7 @@
 class BadScript(ValueError):
     """A scenario that can't be played; `problems` name the places."""
 
-    def __init__(self, problems: list[Problem]) -> None:
+    def __init__(self, problems: list[ListProblem]) -> None:
         super().__init__("\n".join(map(str, problems)))
         self.problems = problems
 
@@ -134,9 +134,9 @@
 ) -> Plan:
     """`seed` goes before the script's; `alter` changes what fronts are told, and nothing else. BadScript for
     what makes no sense."""
-    fleet, problems = of.fleet, list[Problem]()
+    fleet, problems = of.fleet, list[ListProblem]()
     if fleet is None or not fleet.seconds:
-        raise BadScript([Problem("E120", of.place, f"scenario {of.name} has no fleet, or no day for it")])
+        raise BadScript([ListProblem("E120", of.place, f"scenario {of.name} has no fleet, or no day for it")])
     seed = of.seed if seed is None else seed
     chance = random.Random(f"{seed}/fleet")
     kinds = [traits(figures, chance) for _ in range(fleet.servers)]
@@ -152,31 +152,47 @@
             waves.append(Wave(h.at, h.until, h.more[0], h.word, h.value))
             if h.word not in classes:
                 known = ", ".join(sorted(classes))
-                problems.append(Problem("E121", h.place, f"there is no class {h.word}; known are {known}"))
+                problems.append(
+                    ListProblem("E121", h.place, f"there is no class {h.word}; known are {known}")
+                )
         if h.at >= fleet.seconds * SECOND:
-            problems.append(Problem("E122", h.place, f"the day ends after {fleet.seconds:g} s"))
+            problems.append(ListProblem("E122", h.place, f"the day ends after {fleet.seconds:g} s"))
         for name in h.servers:
             if name not in {b.name for b in births}:
                 last = births[-1].name
                 problems.append(
-                    Problem("E123", h.place, f"there is no server {name}; known are n00 to {last}")
+                    ListProblem("E123", h.place, f"there is no server {name}; known are n00 to {last}")
                 )
         if h.what in ("cut", "dark") and h.value >= fleet.rooms:
-            problems.append(Problem("E124", h.place, f"there is no room {h.value:g}; rooms count from 0"))
+            problems.append(ListProblem("E124", h.place, f"there is no room {h.value:g}; rooms count from 0"))
     if problems:
         raise BadScript(problems)
     speed = sum(t.speed for t in kinds) / len(kinds)
     day = draw(
-        figures, seconds=fleet.seconds, load=fleet.load, shards=shards, fronts=fleet.fronts,
-        speed=speed, seed=seed, waves=tuple(waves), excess=fleet.excess, copies=fleet.copies,
-    )  # fmt: skip
+        figures,
+        seconds=fleet.seconds,
+        load=fleet.load,
+        shards=shards,
+        fronts=fleet.fronts,
+        speed=speed,
+        seed=seed,
+        waves=tuple(waves),
+        excess=fleet.excess,
+        copies=fleet.copies,
+    )
     if fleet.retries is not None:
         day.retries = fleet.retries
     links = figures.links
     made = Plan(
-        of.name, seed, figures, fleet, day, settings(figures, day, fleet.fronts, shards), births,
+        of.name,
+        seed,
+        figures,
+        fleet,
+        day,
+        settings(figures, day, fleet.fronts, shards),
+        births,
         [n % fleet.rooms for n in range(fleet.fronts)],
-    )  # fmt: skip
+    )
     for a in range(fleet.rooms):
         for b in range(a, fleet.rooms):
             way = links.draw("same_room_ms" if a == b else "cross_room_ms", chance)
@@ -339,9 +355,11 @@
     from umberlead import config
 
     told = {k: v for k, v in made.told.items() if k not in BESIDE}
-    settings = config.settings_of(config.flat(told))
+    settings = config.parse_settings(config.flatten(told))
     if "rooms" in made.told:
-        from umberlead.zones.integration import bounded
+        from umberlead.zones.integration import with_retry_budget
 
-        settings = bounded(settings, config.rooms_of(config.Keys(made.told["rooms"], "rooms")).retry_part)
+        settings = with_retry_budget(
+            settings, config.parse_zones(config.Keys(made.told["rooms"], "rooms")).retry_budget_ratio
+        )
     return settings
--- a/umberlead/emulator/price.py
+++ b/umberlead/emulator/price.py
@@ -52,9 +52,12 @@
 
     def rows(self) -> dict[str, Any]:
         made: dict[str, Any] = {
-            "service": self.figure, "whole": self.whole, "worst_10s": self.worst_10s,
-            "worst_class": self.worst_class, "waste": self.waste,
-        }  # fmt: skip
+            "service": self.figure,
+            "whole": self.whole,
+            "worst_10s": self.worst_10s,
+            "worst_class": self.worst_class,
+            "waste": self.waste,
+        }
         made |= {f"class.{k}": v for k, v in self.classes.items()}
         made |= {f"plan.{k}": v for k, v in self.plans.items()}
         made |= {f"count.{k}": float(v) for k, v in self.counts.items()}
@@ -206,8 +209,9 @@
             want[r.at // SECOND] += due[r.number]
         spans = [
             sum(got[k : k + WINDOW]) / sum(want[k : k + WINDOW])
-            for k in range(max(seconds - WINDOW, 0) + 1) if sum(want[k : k + WINDOW])
-        ]  # fmt: skip
+            for k in range(max(seconds - WINDOW, 0) + 1)
+            if sum(want[k : k + WINDOW])
+        ]
         whole = sum(got) / sum(want) if sum(want) else 0.0
         worst, classes = min(spans, default=0.0), part(lambda r: r.class_name)
         asked = sum(r.work for r in day.requests)
@@ -220,7 +224,7 @@
         )
         made = Service(
             figure - worth.one("waste") * waste, whole, worst, least, waste, classes, part(lambda r: r.plan)
-        )  # fmt: skip
+        )
         made.seconds = [g / w if w else 1.0 for g, w in zip(got, want, strict=True)][:seconds]
         count = len(day.requests)
         made.counts = {
--- a/umberlead/emulator/records.py
+++ b/umberlead/emulator/records.py
@@ -105,6 +105,12 @@
     def sort(self) -> None:
         """By time; what is at the same time stays in its order."""
         for rows in (
-            self.asked, self.answered, self.came, self.ended, self.left, self.told, self.lives,
-        ):  # fmt: skip
+            self.asked,
+            self.answered,
+            self.came,
+            self.ended,
+            self.left,
+            self.told,
+            self.lives,
+        ):
             rows.sort(key=lambda r: r.at)
--- a/umberlead/emulator/rehearsal.py
+++ b/umberlead/emulator/rehearsal.py
@@ -18,7 +18,7 @@
 from umberlead.expect.language import parse
 from umberlead.expect.model import Expectation, Life, Outcome, Scenario, Step, Verdict
 from umberlead.expect.verdict import judged
-from umberlead.membership.model import Place, Problem
+from umberlead.membership.model import FilePosition, ListProblem
 
 Progress = Callable[[float], None]
 
@@ -45,11 +45,16 @@
     def text(self) -> str:
         """JSON with no trace of when or where it ran."""
         made = {
-            "scenario": self.scenario, "seed": self.seed, "driver": self.driver,
+            "scenario": self.scenario,
+            "seed": self.seed,
+            "driver": self.driver,
             "service": {k: round(v, 6) for k, v in self.rows.items()},
-            "seconds": [round(v, 6) for v in self.seconds], "breaches": self.breaches, "shown": self.shown,
-            "expectations": [list(v) for v in self.verdicts], "faults": self.faults,
-        }  # fmt: skip
+            "seconds": [round(v, 6) for v in self.seconds],
+            "breaches": self.breaches,
+            "shown": self.shown,
+            "expectations": [list(v) for v in self.verdicts],
+            "faults": self.faults,
+        }
         return json.dumps(made, indent=1) + "\n"
 
 
@@ -58,13 +63,13 @@
     try:
         suite, problems = parse(path.read_text(), path.name)
     except (OSError, UnicodeDecodeError) as fault:
-        raise BadScript([Problem("E100", Place(str(path)), str(fault))]) from None
+        raise BadScript([ListProblem("E100", FilePosition(str(path)), str(fault))]) from None
     made = [s for s in suite.scenarios if s.fleet is not None]
     if not made and not problems:
-        problems = [Problem("E120", Place(path.name), "no scenario has a fleet")]
+        problems = [ListProblem("E120", FilePosition(path.name), "no scenario has a fleet")]
     for of in made:
         if of.fleet is not None and not of.fleet.seconds:
-            problems.append(Problem("E120", of.place, f"scenario {of.name} has no day"))
+            problems.append(ListProblem("E120", of.place, f"scenario {of.name} has no day"))
     if problems:
         raise BadScript(problems)
     return made
@@ -136,7 +141,14 @@
         (v.expectation.text, v.outcome.value, v.why) for v in _verdicts(of, made, records, priced.figure)
     ]
     return Result(
-        of.name, made.seed, "sockets" if sockets else "virtual",
-        priced.rows() | latency.rows(made, records), priced.seconds,
-        by_name(breaches), [b.words() for b in breaches[:20]], verdicts, faults[:20], late,
-    )  # fmt: skip
+        of.name,
+        made.seed,
+        "sockets" if sockets else "virtual",
+        priced.rows() | latency.rows(made, records),
+        priced.seconds,
+        by_name(breaches),
+        [b.words() for b in breaches[:20]],
+        verdicts,
+        faults[:20],
+        late,
+    )
--- a/umberlead/emulator/settings.py
+++ b/umberlead/emulator/settings.py
@@ -20,32 +20,45 @@
         "instances": fronts,
         "tick": 2000,
         "bounds": {
-            "maxAttempts": 3, "cancel": True, "dialTimeout": int(of.links.one("timeout_ms") * 1000),
+            "maxAttempts": 3,
+            "cancel": True,
+            "dialTimeout": int(of.links.one("timeout_ms") * 1000),
             "keepalive": int(of.links.one("idle_s") * SECOND),
         },
         "extra": {
-            "meanUnits": sum(asked) / max(len(asked), 1) or 1.0, "maxUnits": float(day.most_units),
-            "nShards": shards, "fairWorth": of.worth.one("share"), "idleWorth": of.worth.one("spare"),
+            "meanUnits": sum(asked) / max(len(asked), 1) or 1.0,
+            "maxUnits": float(day.most_units),
+            "nShards": shards,
+            "fairWorth": of.worth.one("share"),
+            "idleWorth": of.worth.one("spare"),
             "coldUnits": COLD_ALWAYS * bears,
         },
         "guarantees": {
-            "coldShare": of.cold.one("least"), "fallMultiple": of.cold.one("multiple"),
+            "coldShare": of.cold.one("least"),
+            "fallMultiple": of.cold.one("multiple"),
             "overloadFor": int(of.cold.one("window_s") * SECOND),
             "warmUp": int(of.cold.one("longest_s") * SECOND),
         },
         "loadReport": {"fields": ["inflight", "latency_ms"]},
         "grades": [
             {
-                "name": k.name, "aim": k.aim, "hardLimit": k.deadline, "effect": k.effect, "credit": k.worth,
+                "name": k.name,
+                "aim": k.aim,
+                "hardLimit": k.deadline,
+                "effect": k.effect,
+                "credit": k.worth,
                 "lateWorth": k.late_worth,
             }
             for k in day.kinds
         ],
         "plans": [
             {
-                "name": g.name, "weight": g.one("weight"), "usualRate": rates.get(g.name, 0.0),
-                "reservation": g.one("reserve") * rates.get(g.name, 0.0), "valueFactor": g.one("price"),
+                "name": g.name,
+                "weight": g.one("weight"),
+                "usualRate": rates.get(g.name, 0.0),
+                "reservation": g.one("reserve") * rates.get(g.name, 0.0),
+                "valueFactor": g.one("price"),
             }
             for g in of.plans
         ],
-    }  # fmt: skip
+    }
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -37,8 +37,11 @@
 STATUS = {"up": "ready", "draining": "draining", "gone": "gone"}
 KINDS = {200: "served", 429: "refused", 503: "refused"}
 WORDS = {
-    "full": b"503 Full", "draining": b"503 Draining", "astray": b"504 Astray", "error": b"500 Error",
-}  # fmt: skip
+    "full": b"503 Full",
+    "draining": b"503 Draining",
+    "astray": b"504 Astray",
+    "error": b"500 Error",
+}
 
 
 class NoStart(RuntimeError):
@@ -483,10 +486,15 @@
     def _entry(self, front: int, name: str, shard: int, state: str, started: int) -> dict[str, Any]:
         since = int(self.unix * 1000 + started / 1000) if started else 0
         return {
-            "name": name, "address": f"127.0.0.1:{self.ports[name, front]}",
-            "zone": str(self.stage_room[name]), "type": "node", "group": shard,
-            "status": STATUS[state], "weight": 1.0, "since_ms": since,
-        }  # fmt: skip
+            "name": name,
+            "address": f"127.0.0.1:{self.ports[name, front]}",
+            "zone": str(self.stage_room[name]),
+            "type": "node",
+            "group": shard,
+            "status": STATUS[state],
+            "weight": 1.0,
+            "since_ms": since,
+        }
 
     unix = 0.0  # of the day's start
 
@@ -494,19 +502,28 @@
         agent = await self.loop.create_server(lambda: _AtDiscovery(front.agent), "127.0.0.1", 0)
         self.servers["discovery", front.number] = agent
         conf: dict[str, Any] = {
-            "name": f"f{front.number}", "listen": "127.0.0.1:0", "management": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{_port(agent)}", "seed": f"{self.plan.seed * 1000 + front.number:x}",
+            "name": f"f{front.number}",
+            "listen": "127.0.0.1:0",
+            "management": "127.0.0.1:0",
+            "discovery": f"127.0.0.1:{_port(agent)}",
+            "seed": f"{self.plan.seed * 1000 + front.number:x}",
             "log": {"level": "info"} | ({"collector": collector} if collector else {}),
             "settings": {k: v for k, v in self.plan.told.items() if k not in BESIDE},
-        }  # fmt: skip
+        }
         if "rooms" in self.plan.told:
             conf["rooms"] = rooms_told(self.plan, front.number)
         path = folder / f"front-{front.number}.toml"
         path.write_text(tomli_w.dumps(conf))
         front.process = await asyncio.create_subprocess_exec(
-            self.python, "-B", "-m", "umberlead", cwd=self.root, stdout=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.PIPE, env=os.environ | {"UMBERLEAD_CONFIG": str(path)},
-        )  # fmt: skip
+            self.python,
+            "-B",
+            "-m",
+            "umberlead",
+            cwd=self.root,
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ | {"UMBERLEAD_CONFIG": str(path)},
+        )
         front.reader = self.loop.create_task(self._read(front))
 
     async def _read(self, front: FrontProcess) -> None:
--- a/umberlead/emulator/virtual.py
+++ b/umberlead/emulator/virtual.py
@@ -2,12 +2,11 @@
 pools and the list are this file's; decisions are the fronts' own."""
 
 from collections.abc import Callable, Iterator
-from dataclasses import fields
 from functools import partial
 from typing import Any
 
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
+from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.loop import START, Alarm, Loop
 from umberlead.emulator.node import FOREVER, Job, Node
 from umberlead.emulator.outcomes import AFTER, AT_ONCE, KEEPS
@@ -17,29 +16,23 @@
 from umberlead.emulator.world import Stage
 from umberlead.load.clients import Try
 from umberlead.load.day import Request
-from umberlead.requests.lifecycle import Engine
+from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, Attempt, IncomingRequest, Reply
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import NodeState, Result
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
+from umberlead.scheduling.settings import Settings
 
 MARGIN = 15_000  # us of a request's time that a front keeps to itself, as it does on sockets
 RETIRE = 0.6  # of the idle time at which a front closes a kept connection itself
 SWEEP = 1_000_000
 TICK = 100_000  # us between looks of what decides by rooms
-KNOWN = {f.name for f in fields(api.Node)}
-STATES = {"up": NodeState.UP, "draining": NodeState.DRAINING, "gone": NodeState.GONE}
-
-
-def roomed(room: str) -> dict[str, Any]:
-    """A node's room, where this version's interface has one."""
-    return {"room": room} if "room" in KNOWN else {}
+STATES = {"up": EndpointStatus.UP, "draining": EndpointStatus.DRAINING, "gone": EndpointStatus.GONE}
 
 
 def room_table(plan: Plan, front: int) -> Any:
     """A front's [rooms], its own room and the others by distance filled in; through the one reader."""
     from umberlead import config
 
-    return config.rooms_of(config.Keys(rooms_told(plan, front), "rooms"))
+    return config.parse_zones(config.Keys(rooms_told(plan, front), "rooms"))
 
 
 class _Out:
@@ -55,23 +48,23 @@
 class Front:
     """One front: its engine, and the links that carry its attempts."""
 
-    def __init__(self, number: int, world: "Virtual", settings: api.Settings) -> None:
+    def __init__(self, number: int, world: "Virtual", settings: Settings) -> None:
         self.number, self.world = number, world
         loop = world.loop
-        self.wheel = Wheel(lambda: loop.now, self._alarm, 2000)
+        self.wheel = TimerWheel(lambda: loop.now, self._alarm, 2000)
         seed = world.plan.seed * 1000 + number
-        self.engine = Engine(
+        self.engine = RequestLifecycle(
             settings, seed, lambda: loop.now, self.wheel, loop.soon, Counters(), self._log
-        )  # fmt: skip
-        self.engine.carrier = self
+        )
+        self.engine.transport = self
         self.rooms: Any = None
         if "rooms" in world.plan.told:
-            from umberlead.zones.integration import Joined, rules_of
+            from umberlead.zones.integration import ZoneIntegration, zone_settings
 
-            rules = rules_of(room_table(world.plan, number))
-            self.rooms = Joined(rules, self.engine, seed, lambda: loop.now, None, self._log)
+            rules = zone_settings(room_table(world.plan, number))
+            self.rooms = ZoneIntegration(rules, self.engine, seed, lambda: loop.now, None, self._log)
         self.idle: dict[str, list[tuple[int, Node]]] = {}
-        self.timeout = settings.link_timeout
+        self.timeout = settings.connect_timeout_us
         self.retire = int(world.plan.told["bounds"]["keepalive"] * RETIRE)
         self._news: dict[str, int] = {}  # when what it was told of a server was true
 
@@ -91,14 +84,14 @@
         until = START + of.until
         ask = IncomingRequest(
             r.class_name, r.plan, r.volume, block, shard, r.units, until - MARGIN, (of, block), r.hosts
-        )  # fmt: skip
-        ticket = self.engine.take(ask, lambda answer: self.world.answered(of, answer))
+        )
+        ticket = self.engine.accept(ask, lambda answer: self.world.answered(of, answer))
         if not ticket.answered:
             self.world.loop.at(max(until, now), partial(self._left, of, ticket))
 
     def _left(self, of: Try, ticket: Any) -> None:
         if not ticket.answered:
-            self.engine.gone(ticket)
+            self.engine.client_left(ticket)
         self.world.left(of)
 
     # Links
@@ -121,20 +114,24 @@
                 resting.pop(0)[1].disconnect()
 
     def start(self, attempt: Attempt) -> None:
-        world, name, now = self.world, attempt.node, self.world.loop.now
+        world, name, now = self.world, attempt.endpoint, self.world.loop.now
         node = world.stage.nodes.get(name)
         if node is None:
-            return self.engine.ended(attempt, Result.MOOT)
-        out = attempt.carried = _Out(attempt, node)
+            return self.engine.attempt_ended(attempt, AttemptResult.NOT_SENT)
+        out = attempt.transport_state = _Out(attempt, node)
         way = world.plan.way(self.number, int(node.room))
         cut = world.plan.cut_off(now - START, self.number, int(node.room))
         if self._kept(name) is not None:
             out.linked = True
             return self._write(out, way, cut)
         if cut:
-            return world.loop.at(now + self.timeout, lambda: self._end(out, Result.NO_LINK, None, False))
+            return world.loop.at(
+                now + self.timeout, lambda: self._end(out, AttemptResult.CONNECT_FAILED, None, False)
+            )
         if not node.connect():
-            return world.loop.at(now + 2 * way, lambda: self._end(out, Result.NO_LINK, None, False))
+            return world.loop.at(
+                now + 2 * way, lambda: self._end(out, AttemptResult.CONNECT_FAILED, None, False)
+            )
         out.linked = True
         up = now + int(2 * way * node.of.rtts)
         return world.loop.at(up, lambda: self._write(out, way, False))
@@ -146,19 +143,19 @@
         if not cut:
             self.world.loop.at(self.world.loop.now + way, lambda: self.world.arrived(self, out, way))
 
-    def _end(self, out: _Out, result: Result, reply: Reply | None, keep: bool) -> None:
+    def _end(self, out: _Out, result: AttemptResult, reply: Reply | None, keep: bool) -> None:
         if out.over:
             return
         out.over = True
-        name = out.attempt.node
+        name = out.attempt.endpoint
         if keep and self.world.stage.nodes.get(name) is out.node:
             self.idle.setdefault(name, []).append((self.world.loop.now, out.node))
         elif out.linked:
             out.node.disconnect()
-        self.engine.ended(out.attempt, result, reply)
+        self.engine.attempt_ended(out.attempt, result, reply)
 
-    def stop(self, attempt: Attempt, why: Result) -> None:
-        out: _Out = attempt.carried
+    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
+        out: _Out = attempt.transport_state
         if out.over:
             return
         out.over = True
@@ -167,14 +164,14 @@
         if out.written:
             out.left = True  # the server sees the end behind the request, which may still be under way
             if out.arrived:
-                self.world.stage.left(self.world.now, out.node, attempt.ticket.ask.payload[0].id)
-        result = why if out.written or why is Result.MOOT else Result.NO_LINK
-        self.world.loop.soon(lambda: self.engine.ended(attempt, result))
+                self.world.stage.left(self.world.now, out.node, attempt.request.request.payload[0].id)
+        result = why if out.written or why is AttemptResult.NOT_SENT else AttemptResult.CONNECT_FAILED
+        self.world.loop.soon(lambda: self.engine.attempt_ended(attempt, result))
 
-    def unwanted(self, attempt: Attempt) -> bool:
-        if attempt.carried.over or attempt.carried.written:
+    def cancel_if_unsent(self, attempt: Attempt) -> bool:
+        if attempt.transport_state.over or attempt.transport_state.written:
             return False
-        self.stop(attempt, Result.MOOT)
+        self.stop(attempt, AttemptResult.NOT_SENT)
         return True
 
     # The list
@@ -188,8 +185,8 @@
         shard = self.world.stage.nodes[notice.server].shard
         started = notice.started and notice.started + START
         node = self.world.stage.nodes[notice.server]
-        made = api.Node(notice.server, STATES[notice.state], shard, started, **roomed(node.room))
-        self.engine.listed(api.NodeList(False, (made,)))
+        made = Endpoint(notice.server, STATES[notice.state], shard, started, zone=node.room)
+        self.engine.apply_endpoint_list(EndpointList(False, (made,)))
 
 
 class Talk:
@@ -197,30 +194,30 @@
     them does: "liars" hold every room lost whatever they see, "mute" ones say nothing."""
 
     def __init__(self, world: "Virtual", kind: str) -> None:
-        from umberlead.gossip.messages import Keys
+        from umberlead.gossip.messages import GossipKeys
         from umberlead.gossip.swim import Gossip
 
         self.world, self.kind = world, kind
-        keys, join = Keys([b"rehearsals' own key" * 2]), ["0:1", "1:1"]
+        keys, join = GossipKeys([b"rehearsals' own key" * 2]), ["0:1", "1:1"]
         self.members = [
             Gossip(f"f{n}", f"{n}:1", join, keys, world.plan.seed * 1000 + n, world.loop.now)
             for n in range(len(world.fronts))
         ]
         for front, member in zip(world.fronts, self.members, strict=True):
-            member.heard = partial(self._heard, front)
+            member.on_observation = partial(self._heard, front)
 
     def _heard(self, front: Front, peer: str, room: str, state: Any) -> None:
-        front.rooms.director.rooms.peer(self.world.loop.now, peer, room, state)
+        front.rooms.router.zone_health.record_peer_state(self.world.loop.now, peer, room, state)
 
     def tick(self) -> None:
-        from umberlead.zones.model import State
+        from umberlead.zones.model import ZoneState
 
         for front, member in zip(self.world.fronts, self.members, strict=True):
             if self.kind == "mute" and front.number % 3 == 0:
                 continue
-            held = front.rooms.director.rooms.rooms
+            held = front.rooms.router.zone_health.zones
             lies = self.kind == "liars" and front.number % 3 == 0
-            member.words = {n: State.LOST if lies else room.state for n, room in held.items()}
+            member.observations = {n: ZoneState.DOWN if lies else room.state for n, room in held.items()}
             self._send(front.number, member.tick(self.world.loop.now))
 
     def _send(self, source: int, rows: list[tuple[str, bytes]]) -> None:
@@ -233,7 +230,7 @@
             loop.at(loop.now + way, partial(self._got, to, data))
 
     def _got(self, to: int, data: bytes) -> None:
-        self._send(to, self.members[to].got(self.world.loop.now, data))
+        self._send(to, self.members[to].receive(self.world.loop.now, data))
 
 
 class Virtual:
@@ -260,12 +257,12 @@
             else:
                 self._birth(birth)
         first = tuple(
-            api.Node(b.name, NodeState.UP, b.shard, **roomed(str(b.room))) for b in plan.births if not b.at
+            Endpoint(b.name, EndpointStatus.UP, b.shard, zone=str(b.room)) for b in plan.births if not b.at
         )
         for front in self.fronts:
-            front.engine.listed(api.NodeList(True, first))
+            front.engine.apply_endpoint_list(EndpointList(True, first))
             for node in first:
-                self.stage.told(0, front.number, node.node, "up")
+                self.stage.told(0, front.number, node.name, "up")
         for turn in plan.turns:
             loop.at(START + turn.at, partial(self._turn, turn))
         for notice in plan.notices:
@@ -338,26 +335,32 @@
 
     def _hand(self, hand: Hand) -> None:
         for front in self.fronts:
-            front.engine.by_hand(hand.server, hand.out, self.loop.now)
+            front.engine.set_manual_drain(hand.server, hand.out, self.loop.now)
 
     def _reset(self, job: Job) -> None:
         front, out = job.token
         way = self.plan.way(job.front, int(out.node.room))
         if not self._cut(front, out.node):
-            self.loop.at(self.loop.now + way, lambda: front._end(out, Result.RESET, None, False))
+            self.loop.at(self.loop.now + way, lambda: front._end(out, AttemptResult.RESET, None, False))
 
     def _cut(self, front: Front, node: Node) -> bool:
         return self.plan.cut_off(self.now, front.number, int(node.room))
 
     def arrived(self, front: Front, out: _Out, way: int) -> None:
         """A request's last byte is at the server, whoever still waits for it."""
-        ask = out.attempt.ticket.ask
+        ask = out.attempt.request.request
         of, block = ask.payload
         node = out.node
         word, job = self.stage.came(
-            self.now, node, front.number, of.id, ask.class_name, block, ask.shard,
+            self.now,
+            node,
+            front.number,
+            of.id,
+            ask.class_name,
+            block,
+            ask.shard,
             block if of.of.write else "",
-        )  # fmt: skip
+        )
         job.token, out.arrived = (front, out), True
         if out.left:
             self.stage.left(self.now, node, of.id)
@@ -368,8 +371,8 @@
                 self._reset(lost)
         if self._cut(front, node):
             return
-        if word == "astray" and hasattr(out.attempt, "astray"):  # early versions know no such end
-            out.attempt.astray = True
+        if word == "astray":
+            out.attempt.misdirected = True
         result, keep = AT_ONCE[word], word in KEEPS
         self.loop.at(self.loop.now + way, lambda: front._end(out, result, self._reply(node, job, ""), keep))
 
@@ -392,7 +395,7 @@
         result = AFTER[job.end]
         if result is None or self._cut(front, node):
             return
-        reply = self._reply(node, job, body if result is Result.OK else "")
+        reply = self._reply(node, job, body if result is AttemptResult.OK else "")
         way = self.plan.way(front.number, int(node.room))
         at = max(START + job.answer_at, self.loop.now) + way
         self.loop.at(at, lambda: front._end(out, result, reply, job.end in KEEPS))
@@ -401,8 +404,8 @@
         """What an answer tells: loads always, the meter's figures with what was served."""
         reply = Reply(200 if body else 503, body.encode(), node.report(self.now))
         if body and job.volume:
-            reply.used = self.stage.meter.percent(self.now, job.volume) + 1
-            reply.elsewhere = node.elsewhere(job.volume, job.front, job.units)
+            reply.used_rate_percent = self.stage.meter.percent(self.now, job.volume) + 1
+            reply.units_elsewhere = node.elsewhere(job.volume, job.front, job.units)
         return reply
 
 
--- a/umberlead/emulator/world.py
+++ b/umberlead/emulator/world.py
@@ -69,10 +69,21 @@
         self.tries[of.id] = self.open[of.id] = of
         self.records.asked.append(
             Asked(
-                at, of.id, r.number, r.front, r.class_name, r.plan, r.volume, r.block, shard, r.units,
-                r.write, of.until, r.block if r.write else "",
+                at,
+                of.id,
+                r.number,
+                r.front,
+                r.class_name,
+                r.plan,
+                r.volume,
+                r.block,
+                shard,
+                r.units,
+                r.write,
+                of.until,
+                r.block if r.write else "",
             )
-        )  # fmt: skip
+        )
         return r.block, shard
 
     def answer(self, at: int, of: Try, kind: str, body: str = "", behind: int = 0) -> Try | None:
--- a/umberlead/expect/altered.py
+++ b/umberlead/expect/altered.py
@@ -9,8 +9,9 @@
 from dataclasses import dataclass
 
 from umberlead.expect.reach import Shape, TooMany, walk
-from umberlead.membership.model import Listing, Server
-from umberlead.scheduling.interface import NodeState, Settings
+from umberlead.membership.model import CheckedList, EndpointSpec
+from umberlead.scheduling.events import EndpointStatus
+from umberlead.scheduling.settings import Settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +23,7 @@
     answers: frozenset[str] = frozenset()  # kinds that occur
 
     @staticmethod
-    def of(shape: Shape, settings: Settings, listing: Listing) -> "Reach":
+    def of(shape: Shape, settings: Settings, listing: CheckedList) -> "Reach":
         servers, attempts, answers = set[str](), 0, set[str]()
         for life in walk(shape, settings, listing):
             sent = life.sent()
@@ -48,15 +49,18 @@
 
     def row(self) -> dict[str, object]:
         return {
-            "what": self.what, "gained": list(self.gained), "lost": list(self.lost), "notes": list(self.notes)
-        }  # fmt: skip
+            "what": self.what,
+            "gained": list(self.gained),
+            "lost": list(self.lost),
+            "notes": list(self.notes),
+        }
 
 
-Side = tuple[Settings, Listing]
+Side = tuple[Settings, CheckedList]
 
 
-def _of_shard(listing: Listing, shard: int) -> dict[str, Server]:
-    return {n: s for n, s in listing.servers.items() if s.shard == shard}
+def _of_shard(listing: CheckedList, shard: int) -> dict[str, EndpointSpec]:
+    return {n: s for n, s in listing.endpoints.items() if s.shard == shard}
 
 
 def differences(old: Side, new: Side) -> list[Difference]:
@@ -76,10 +80,31 @@
                 yield Difference(f"{kind} {name}", notes=("is new" if a is None else "is gone",))
             elif a != b:
                 changed = [f for f in a.__dataclass_fields__ if getattr(a, f) != getattr(b, f)]
-                notes = tuple(f"{f} {_told(getattr(a, f))} -> {_told(getattr(b, f))}" for f in changed)
+                notes = tuple(
+                    f"{PRINTED_FIELDS.get(f, f)} {_told(getattr(a, f))} -> {_told(getattr(b, f))}"
+                    for f in changed
+                )
                 yield Difference(f"{kind} {name}", notes=notes)
 
 
+# What the command prints for the fields of classes and plans: operators know them by these words.
+PRINTED_FIELDS = {
+    "latency_objective_us": "aim",
+    "timeout_us": "deadline",
+    "repeatability": "effect",
+    "deduplication_scope": "group",
+    "deduplication_window_us": "memory",
+    "priority_weight": "worth",
+    "late_priority_weight": "late_worth",
+    "usual_units_per_second": "rate",
+    "reserved_units_per_second": "reserve",
+    "priority_factor": "price",
+    "limit_units_per_second": "limit_rate",
+    "limit_burst_units": "limit_burst",
+    "limit_slack_units": "limit_slack",
+}
+
+
 def _told(value: object) -> str:
     return str(getattr(value, "value", value))
 
@@ -97,19 +122,19 @@
         yield Difference("new objects", tuple(gained), tuple(lost), (*notes[:8], *more))
 
 
-def _parts(listing: Listing) -> dict[str, float]:
+def _parts(listing: CheckedList) -> dict[str, float]:
     """Who takes new objects, and which part of them while all can."""
     takes = {
         n: 1.0 if s.weight is None else s.weight
-        for n, s in listing.servers.items()
-        if s.state is NodeState.UP and s.weight != 0
+        for n, s in listing.endpoints.items()
+        if s.state is EndpointStatus.UP and s.weight != 0
     }
     whole = sum(takes.values())
     return {n: w / whole for n, w in takes.items()}
 
 
 def _shards(old: Side, new: Side) -> Iterator[Difference]:
-    shards = sorted({s.shard for _, listing in (old, new) for s in listing.servers.values()})
+    shards = sorted({s.shard for _, listing in (old, new) for s in listing.endpoints.values()})
     if old[0] == new[0]:
         shards = [n for n in shards if _of_shard(old[1], n) != _of_shard(new[1], n)]
     classes = [c.name for c in old[0].classes if c.name in {k.name for k in new[0].classes}]
@@ -146,12 +171,12 @@
     ]
 
 
-def _reach(shape: Shape, settings: Settings, listing: Listing) -> Reach:
+def _reach(shape: Shape, settings: Settings, listing: CheckedList) -> Reach:
     """Only the shard's own servers can matter, and others would only be carried along."""
     own = _of_shard(listing, shape.shard)
     if not own:
         return Reach()
     try:
-        return Reach.of(shape, settings, Listing(listing.version, listing.digest, own))
+        return Reach.of(shape, settings, CheckedList(listing.version, listing.digest, own))
     except TooMany as fault:
         raise TooMany(f"{fault}: the difference can't be told") from None
--- a/umberlead/expect/language.py
+++ b/umberlead/expect/language.py
@@ -20,9 +20,14 @@
     Scenario,
     Selector,
     Suite,
-)  # fmt: skip
-from umberlead.membership.grammar import WORDS, Bad, fault_of, keywords_of
-from umberlead.membership.model import Place, Problem
+)
+from umberlead.membership.grammar import (
+    TERMINAL_DESCRIPTIONS,
+    InvalidValueError,
+    describe_syntax_error,
+    keyword_by_terminal,
+)
+from umberlead.membership.model import FilePosition, ListProblem
 
 FORMAT = 1
 LINES_MOST = 20_000  # statements of a suite, foreach written out: a suite that explodes is an error
@@ -110,13 +115,28 @@
 %ignore COMMENT
 %ignore /[ \t]+/
 """
-WORDS |= {
-    "DECIMAL": "a number", "PERCENT": "a share such as 25%", "TIME": "a time such as 300ms or 2.5s",
-    "NUMBERS": "shards such as 0..3,7", "RESULT": "an outcome",
-}  # fmt: skip
-FLEET_ONLY = frozenset((
-    "surge", "costly", "neighbour", "lag", "deploy", "kill", "cut", "dark", "collector", "lists", "clock",
-))  # fmt: skip
+TERMINAL_DESCRIPTIONS |= {
+    "DECIMAL": "a number",
+    "PERCENT": "a share such as 25%",
+    "TIME": "a time such as 300ms or 2.5s",
+    "NUMBERS": "shards such as 0..3,7",
+    "RESULT": "an outcome",
+}
+FLEET_ONLY = frozenset(
+    (
+        "surge",
+        "costly",
+        "neighbour",
+        "lag",
+        "deploy",
+        "kill",
+        "cut",
+        "dark",
+        "collector",
+        "lists",
+        "clock",
+    )
+)
 FOREACH = re.compile(r"\s*foreach\s+([a-z][a-z0-9_]*)\s+in\s+([^:#]+?)\s*:\s*(.*)")
 RANGE = re.compile(r"([0-9]{1,7})\.\.([0-9]{1,7})")
 
@@ -148,7 +168,7 @@
         found: dict[str, Any] = {}
         for key, value, token in got:
             if key in found:
-                raise Bad(token, f"{key} is given twice")
+                raise InvalidValueError(token, f"{key} is given twice")
             found[key] = value
         return Selector(**found)
 
@@ -172,7 +192,7 @@
 setattr(_Read, "class", _Read._one("class_name"))  # a keyword here, a word of the language there
 _parser = Lark(GRAMMAR, parser="lalr", lexer="contextual", maybe_placeholders=True)
 _read = _Read()
-_keywords = keywords_of(_parser)
+_keywords = keyword_by_terminal(_parser)
 
 
 def _parsed(text: str) -> Any:
@@ -180,10 +200,10 @@
     try:
         return _read.transform(_parser.parse(text))
     except UnexpectedInput as fault:
-        return ("!", *fault_of(text, fault, _keywords))
+        return ("!", *describe_syntax_error(text, fault, _keywords))
     except VisitError as fault:
-        if isinstance(fault.orig_exc, Bad):
-            return "!", fault.orig_exc.column, fault.orig_exc.why, ""
+        if isinstance(fault.orig_exc, InvalidValueError):
+            return "!", fault.orig_exc.column, fault.orig_exc.reason, ""
         raise
 
 
@@ -214,18 +234,18 @@
     """Statements to a suite, names looked up as they come."""
 
     def __init__(self, file: str) -> None:
-        self.suite, self.problems = Suite(file), list[Problem]()
+        self.suite, self.problems = Suite(file), list[ListProblem]()
         self.count = 0
         self.closed = False
 
-    def bad(self, place: Place, why: str, near: str = "", code: str = "E101") -> None:
-        self.problems.append(Problem(code, place, why, near))
+    def bad(self, place: FilePosition, why: str, near: str = "", code: str = "E101") -> None:
+        self.problems.append(ListProblem(code, place, why, near))
 
     @property
     def scenario(self) -> Scenario | None:
         return self.suite.scenarios[-1] if self.suite.scenarios else None
 
-    def take(self, got: Tree[Token], place: Place, text: str) -> None:
+    def take(self, got: Tree[Token], place: FilePosition, text: str) -> None:
         kind = str(got.data)
         if self.count == 1 and kind != "format":
             self.bad(place, f"the first statement must be 'format {FORMAT}'")
@@ -240,17 +260,17 @@
             except ValueError as fault:
                 self.bad(place, str(fault))
 
-    def on_format(self, words: list[Any], place: Place, text: str) -> None:
+    def on_format(self, words: list[Any], place: FilePosition, text: str) -> None:
         if int(words[0]) != FORMAT:
             raise ValueError(f"format {words[0]} is unknown; this program reads format {FORMAT}")
 
-    def on_config(self, words: list[Any], place: Place, text: str) -> None:
+    def on_config(self, words: list[Any], place: FilePosition, text: str) -> None:
         self.suite.config = (str(words[0]), place)
 
-    def on_list(self, words: list[Any], place: Place, text: str) -> None:
+    def on_list(self, words: list[Any], place: FilePosition, text: str) -> None:
         self.suite.listed = (str(words[0]), place)
 
-    def on_group(self, words: list[Any], place: Place, text: str) -> None:
+    def on_group(self, words: list[Any], place: FilePosition, text: str) -> None:
         name = f"@{str(words[0]).lstrip('@')}"
         if name in self.suite.groups:
             raise ValueError(f"group {name} is given twice")
@@ -267,7 +287,7 @@
                 made[word] = None
         return tuple(made)
 
-    def on_collection(self, words: list[Any], place: Place, text: str) -> None:
+    def on_collection(self, words: list[Any], place: FilePosition, text: str) -> None:
         name, plan, shards, volumes, hosts = words
         if str(name) in self.suite.collections:
             raise ValueError(f"collection {name} is given twice")
@@ -276,13 +296,13 @@
             raise ValueError("volumes and hosts must be at least 1")
         self.suite.collections[made.name] = made
 
-    def on_scenario(self, words: list[Any], place: Place, text: str) -> None:
+    def on_scenario(self, words: list[Any], place: FilePosition, text: str) -> None:
         name = str(words[0])
         if any(s.name == name for s in self.suite.scenarios):
             raise ValueError(f"scenario {name} is given twice")
         self.suite.scenarios.append(Scenario(name, place, int(words[1] or 1)))
 
-    def on_fleet(self, words: list[Any], place: Place, text: str) -> None:
+    def on_fleet(self, words: list[Any], place: FilePosition, text: str) -> None:
         assert self.scenario is not None
         of = self.scenario
         if of.fleet is not None:
@@ -300,7 +320,7 @@
             raise ValueError("copies stand in rooms of their own, and servers are a multiple of them")
         of.fleet = Fleet(servers, fronts, rooms, copies=copies, place=place)
 
-    def on_day(self, words: list[Any], place: Place, text: str) -> None:
+    def on_day(self, words: list[Any], place: FilePosition, text: str) -> None:
         assert self.scenario is not None
         of = self.scenario.fleet
         if of is None:
@@ -311,7 +331,7 @@
         retries = None if words[3] is None else int(words[3])
         self.scenario.fleet = replace(of, seconds=seconds, load=load, excess=excess, retries=retries)
 
-    def on_load(self, words: list[Any], place: Place, text: str) -> None:
+    def on_load(self, words: list[Any], place: FilePosition, text: str) -> None:
         if self.scenario is not None and self.scenario.fleet is not None:
             raise ValueError("a fleet's load is its day's")
         name, cls, rate, begin, end, units, new = words
@@ -334,7 +354,7 @@
         assert self.scenario is not None
         self.scenario.loads.append(made)
 
-    def on_at(self, words: list[Any], place: Place, text: str) -> None:
+    def on_at(self, words: list[Any], place: FilePosition, text: str) -> None:
         when, tree = micros(words[0]), words[1]
         assert self.scenario is not None
         kind, of = str(tree.data), tree.children
@@ -375,7 +395,7 @@
             made = replace(made, until=when + micros(of[-1]))
         self.scenario.happenings.append(made)
 
-    def on_expect(self, words: list[Any], place: Place, text: str) -> None:
+    def on_expect(self, words: list[Any], place: FilePosition, text: str) -> None:
         tree = words[0]
         kind, of = str(tree.data), tree.children
         assert self.scenario is not None
@@ -411,26 +431,28 @@
         else:
             add(f"may-{of[1]}", of[0], servers=self.names(of[2:]))
 
-    def on_end(self, words: list[Any], place: Place, text: str) -> None:
+    def on_end(self, words: list[Any], place: FilePosition, text: str) -> None:
         self.closed = True
         if int(words[0]) != self.count - 1:
             raise ValueError(f"the file ends after {words[0]} statements, but has {self.count - 1}")
 
 
-def parse(text: str, file: str) -> tuple[Suite, list[Problem]]:
+def parse(text: str, file: str) -> tuple[Suite, list[ListProblem]]:
     """A suite, and all of its problems. Statements count as written, foreach as one."""
     of, total = _Builder(file), 0
     lines = text.split("\n")
     if lines.pop():
         of.bad(
-            Place(file, len(lines) + 1), "the last line has no line end: perhaps half written", code="E103"
+            FilePosition(file, len(lines) + 1),
+            "the last line has no line end: perhaps half written",
+            code="E103",
         )
     for number, row in enumerate(lines, 1):
         plain = row.split("#")[0]
         if not plain.strip():
             continue
         of.count += 1
-        place = Place(file, number, len(row) - len(row.lstrip()) + 1)
+        place = FilePosition(file, number, len(row) - len(row.lstrip()) + 1)
         if of.closed:
             of.bad(place, "something stands behind the closing line")
             continue
@@ -443,7 +465,7 @@
                 got = _parsed(line)
                 if isinstance(got, tuple):
                     where = f" in {line.strip()!r}" if line != plain else ""
-                    of.bad(Place(file, number, got[1]), got[2] + where, got[3])
+                    of.bad(FilePosition(file, number, got[1]), got[2] + where, got[3])
                     break
                 if str(got.data) == "scenario":
                     of.on_scenario(got.children, place, line)
@@ -453,6 +475,8 @@
             of.bad(place, str(fault))
     if not of.closed:
         of.bad(
-            Place(file, len(lines) + 1), "there is no closing line 'end N': perhaps half written", code="E102"
+            FilePosition(file, len(lines) + 1),
+            "there is no closing line 'end N': perhaps half written",
+            code="E102",
         )
     return of.suite, of.problems
--- a/umberlead/expect/model.py
+++ b/umberlead/expect/model.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from umberlead.membership.model import Place
+from umberlead.membership.model import FilePosition
 
 SECOND = 1_000_000
 
@@ -28,7 +28,7 @@
     end: int
     units: float = 1.0
     new: bool = False  # writes of new objects, which any server may take
-    place: Place = field(default=Place(""), compare=False)
+    place: FilePosition = field(default=FilePosition(""), compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     servers: tuple[str, ...] = ()
     value: float = 0.0
     word: str = ""
-    place: Place = field(default=Place(""), compare=False)
+    place: FilePosition = field(default=FilePosition(""), compare=False)
     until: int = 0  # 0: for good
     more: tuple[float, ...] = ()
 
@@ -59,7 +59,7 @@
     load: float = 0.0
     excess: float = 1.0
     retries: int | None = None
-    place: Place = field(default=Place(""), compare=False)
+    place: FilePosition = field(default=FilePosition(""), compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,13 +94,13 @@
     tolerance: float = 0.0
     after: int = 0
     text: str = ""
-    place: Place = field(default=Place(""), compare=False)
+    place: FilePosition = field(default=FilePosition(""), compare=False)
 
 
 @dataclass(slots=True)
 class Scenario:
     name: str
-    place: Place
+    place: FilePosition
     seed: int = 1
     loads: list[Load] = field(default_factory=list)
     happenings: list[Happening] = field(default_factory=list)
@@ -111,8 +111,8 @@
 @dataclass(slots=True)
 class Suite:
     file: str
-    config: tuple[str, Place] | None = None
-    listed: tuple[str, Place] | None = None
+    config: tuple[str, FilePosition] | None = None
+    listed: tuple[str, FilePosition] | None = None
     collections: dict[str, Collection] = field(default_factory=dict)
     groups: dict[str, tuple[str, ...]] = field(default_factory=dict)
     scenarios: list[Scenario] = field(default_factory=list)
--- a/umberlead/expect/reach.py
+++ b/umberlead/expect/reach.py
@@ -12,10 +12,19 @@
 from umberlead.expect.model import Collection, Expectation, Life, Load, Outcome, Selector, Verdict
 from umberlead.expect.verdict import sent_again
 from umberlead.expect.world import QUIET, START, Modelled, World
-from umberlead.membership.model import Listing
-from umberlead.scheduling.interface import Result, Settings
-
-ENDS = (Result.OK, Result.ERROR, Result.FULL, Result.TIMEOUT, Result.NO_LINK, Result.RESET, Result.MOOT)
+from umberlead.membership.model import CheckedList
+from umberlead.scheduling.events import AttemptResult
+from umberlead.scheduling.settings import Settings
+
+ENDS = (
+    AttemptResult.OK,
+    AttemptResult.ERROR,
+    AttemptResult.REJECTED,
+    AttemptResult.TIMEOUT,
+    AttemptResult.CONNECT_FAILED,
+    AttemptResult.RESET,
+    AttemptResult.NOT_SENT,
+)
 BRANCHES_MOST = 5000  # of one shape: with more the walk is cut off, and says so
 
 
@@ -36,23 +45,23 @@
 class _Scripted(World):
     """Attempts end as a list says; past its end they wait."""
 
-    def __init__(self, settings: Settings, listing: Listing, ends: tuple[Result, ...]) -> None:
+    def __init__(self, settings: Settings, listing: CheckedList, ends: tuple[AttemptResult, ...]) -> None:
         super().__init__(settings, listing, 1, explain=True)
         self.ends, self.used, self.asked = ends, 0, 0
 
-    def _drawn(self, model: Modelled) -> Result:
+    def _drawn(self, model: Modelled) -> AttemptResult:
         self.asked += 1
         if self.used < len(self.ends):
             self.used += 1
             return self.ends[self.used - 1]
-        return Result.OK
+        return AttemptResult.OK
 
 
-def walk(shape: Shape, settings: Settings, listing: Listing, units: float = 1.0) -> Iterator[Life]:
+def walk(shape: Shape, settings: Settings, listing: CheckedList, units: float = 1.0) -> Iterator[Life]:
     """The request's life under each sequence of outcomes."""
     collection = Collection("reach", shape.plan, (max(shape.shard, 0),))
     load = Load("reach", shape.class_name, 1.0, 0, 1, units, shape.shard < 0)
-    stack: list[tuple[Result, ...]] = [(end,) for end in ENDS]
+    stack: list[tuple[AttemptResult, ...]] = [(end,) for end in ENDS]
     seen = 0
     while stack:
         ends = stack.pop()
@@ -61,7 +70,7 @@
             raise TooMany(f"{shape.words()}: more than {BRANCHES_MOST} sequences of outcomes")
         world = _Scripted(settings, listing, ends)
         life = world.take(collection, "reach.0", load, shape.shard, 0, "0" * 16)
-        tickets = world.engine.tickets
+        tickets = world.engine.open_requests
         world.loop.run(START + QUIET, lambda: bool(life.answers()) and not len(tickets))  # noqa: B023
         yield life
         if world.asked > len(ends):  # it was sent once more than the sequence says: each way that can end
@@ -69,12 +78,12 @@
 
 
 def shapes(
-    of: Selector, settings: Settings, listing: Listing, collections: dict[str, Collection]
+    of: Selector, settings: Settings, listing: CheckedList, collections: dict[str, Collection]
 ) -> list[Shape]:
     """All shapes that fit: each class and plan, and each shard of the list or of the collection named."""
     classes = [c.name for c in settings.classes if of.class_name in ("", c.name)]
     plans = [p.name for p in settings.plans if of.plan in ("", p.name)]
-    shards = sorted({s.shard for s in listing.servers.values()})
+    shards = sorted({s.shard for s in listing.endpoints.values()})
     if of.collection:
         collection = collections[of.collection]
         plans = [p for p in plans if p == collection.plan]
@@ -100,7 +109,7 @@
 def proved(
     of: Expectation,
     settings: Settings,
-    listing: Listing,
+    listing: CheckedList,
     collections: dict[str, Collection],
     scenario: str,
     walked: dict[Shape, list[Life]],
--- a/umberlead/expect/report.py
+++ b/umberlead/expect/report.py
@@ -52,12 +52,18 @@
 def rows(played: list[Played], left: dict[str, list[str]]) -> dict[str, Any]:
     verdicts = [
         {
-            "scenario": v.scenario, "line": v.expectation.place.line, "rule": v.expectation.rule,
-            "text": v.expectation.text, "outcome": v.outcome.value, "why": v.why, "requests": v.requests,
+            "scenario": v.scenario,
+            "line": v.expectation.place.line,
+            "rule": v.expectation.rule,
+            "text": v.expectation.text,
+            "outcome": v.outcome.value,
+            "why": v.why,
+            "requests": v.requests,
             "witness": life(v.witness) if v.witness is not None else [],
         }
-        for of in played for v in of.verdicts
-    ]  # fmt: skip
+        for of in played
+        for v in of.verdicts
+    ]
     return counted(played) | {"untouched": left, "verdicts": verdicts}
 
 
--- a/umberlead/expect/running.py
+++ b/umberlead/expect/running.py
@@ -120,7 +120,7 @@
     """What no scenario's requests met, by kind."""
     met = {pair for of in played for pair in of.touched}
     known = {
-        "server": sorted(ready.listing.servers),
+        "server": sorted(ready.listing.endpoints),
         "class": [c.name for c in ready.settings.classes],
         "plan": [p.name for p in ready.settings.plans],
         "outcome": ["ok", "error", "full", "timeout", "no_link", "reset", "astray"],
--- a/umberlead/expect/suggest.py
+++ b/umberlead/expect/suggest.py
@@ -6,18 +6,19 @@
 from collections import defaultdict
 from pathlib import Path
 
-from umberlead.membership.model import Listing
-from umberlead.scheduling.interface import Effect, NodeState, Settings
+from umberlead.membership.model import CheckedList
+from umberlead.scheduling.events import EndpointStatus
+from umberlead.scheduling.settings import Repeatability, Settings
 
 RATE_MOST = 40.0  # requests a second of one class and plan
 DRAINS_MOST = 3  # servers whose drain is rehearsed
 LASTS = 4  # s of load
 
 
-def suite(settings: Settings, listing: Listing, config: str, listed: str) -> str:
+def suite(settings: Settings, listing: CheckedList, config: str, listed: str) -> str:
     """The suite's text; `config` and `listed` are written into it as they are to be found from its folder."""
     by_shard: dict[int, list[str]] = defaultdict(list)
-    for name, server in sorted(listing.servers.items()):
+    for name, server in sorted(listing.endpoints.items()):
         by_shard[server.shard].append(name)
     shards = sorted(by_shard)
     lines = ["format 1", f"config {config}", f"list {listed}"]
@@ -25,8 +26,8 @@
     lines += [
         f"collection {p.name}-all plan {p.name} shards {_ranges(shards)} volumes 4" for p in settings.plans
     ]
-    once = [c.name for c in settings.classes if c.effect is Effect.UNSAFE]
-    rest = [c.name for c in settings.classes if c.effect is not Effect.UNSAFE]
+    once = [c.name for c in settings.classes if c.repeatability is Repeatability.AT_MOST_ONCE]
+    rest = [c.name for c in settings.classes if c.repeatability is not Repeatability.AT_MOST_ONCE]
 
     lines += [
         "",
@@ -38,15 +39,15 @@
     lines += [f"expect may class {c} sent once" for c in once]
 
     lines += ["", "# An ordinary moment: each request has its one answer.", "scenario calm seed 1"]
-    lines += _loads(settings, len(listing.servers), once) + ["expect answered-once"]
+    lines += _loads(settings, len(listing.endpoints), once) + ["expect answered-once"]
     lines += [f"expect class {c} sent once" for c in once]
 
-    ready = {n: [s for s in by_shard[n] if listing.servers[s].state is NodeState.UP] for n in shards}
+    ready = {n: [s for s in by_shard[n] if listing.endpoints[s].state is EndpointStatus.UP] for n in shards}
     drains = [names[0] for names in ready.values() if len(names) > 1][:DRAINS_MOST]
     for name in drains:
-        shard = listing.servers[name].shard
+        shard = listing.endpoints[name].shard
         lines += ["", f"# Its shard has other servers: nothing new goes to {name} once it drains."]
-        lines += [f"scenario drain-{name} seed 1", *_loads(settings, len(listing.servers), once)]
+        lines += [f"scenario drain-{name} seed 1", *_loads(settings, len(listing.endpoints), once)]
         lines += [f"at 1s drain {name}", "expect answered-once", f"expect shard {shard} only @shard-{shard}"]
         lines += [f"expect never {name} after 1s"]
     count = sum(1 for line in lines if line and not line.startswith("#"))
--- a/umberlead/expect/suites.py
+++ b/umberlead/expect/suites.py
@@ -8,16 +8,16 @@
 from umberlead.expect.language import parse
 from umberlead.expect.model import Suite
 from umberlead.expect.verdict import contradictions
-from umberlead.membership.loading import Loader
-from umberlead.membership.model import Listing, Place, Problem
-from umberlead.membership.name_resolution import Resolver
-from umberlead.scheduling.interface import Settings
+from umberlead.membership.loading import ListLoader
+from umberlead.membership.model import CheckedList, FilePosition, ListProblem
+from umberlead.membership.name_resolution import NameResolver
+from umberlead.scheduling.settings import Settings
 
 
 class Unreadable(ValueError):
     """The suite, its configuration or a list can't be used; `problems` tell where."""
 
-    def __init__(self, problems: list[Problem]) -> None:
+    def __init__(self, problems: list[ListProblem]) -> None:
         super().__init__("\n".join(map(str, problems)))
         self.problems = problems
 
@@ -28,15 +28,17 @@
 
     suite: Suite
     settings: Settings
-    listing: Listing
-    lists: dict[str, Listing] = field(default_factory=dict)
+    listing: CheckedList
+    lists: dict[str, CheckedList] = field(default_factory=dict)
 
 
-def _list(path: Path, problems: list[Problem]) -> Listing | None:
-    loader = Loader(path, 0, Resolver(lambda host: (host,)))  # a name stands for itself: nothing is sent
-    verdict = loader.load(None).verdict
+def _list(path: Path, problems: list[ListProblem]) -> CheckedList | None:
+    loader = ListLoader(
+        path, 0, NameResolver(lambda host: (host,))
+    )  # a name stands for itself: nothing is sent
+    verdict = loader.load(None).check_result
     problems += verdict.problems
-    return verdict.listing
+    return verdict.checked_list
 
 
 def load(path: Path, conf: Path | None = None, listed: Path | None = None) -> Ready:
@@ -44,29 +46,33 @@
     try:
         suite, problems = parse(path.read_text(), path.name)
     except (OSError, UnicodeDecodeError) as fault:
-        raise Unreadable([Problem("E100", Place(str(path)), str(fault))]) from None
-    settings, listing, lists = None, None, dict[str, Listing]()
+        raise Unreadable([ListProblem("E100", FilePosition(str(path)), str(fault))]) from None
+    settings, listing, lists = None, None, dict[str, CheckedList]()
     if conf is None and suite.config is not None:
         conf = path.parent / suite.config[0]
     if conf is None:
         problems.append(
-            Problem("E110", Place(path.name), "neither the suite nor the call names a configuration")
+            ListProblem(
+                "E110", FilePosition(path.name), "neither the suite nor the call names a configuration"
+            )
         )
     else:
         try:
-            settings = config.operator(str(conf)).settings
+            settings = config.load_operator_file(str(conf)).settings
         except config.ConfigError as fault:
-            problems.append(Problem("E110", Place(str(conf)), str(fault)))
+            problems.append(ListProblem("E110", FilePosition(str(conf)), str(fault)))
     if listed is None and suite.listed is not None:
         listed = path.parent / suite.listed[0]
     if listed is None:
-        problems.append(Problem("E111", Place(path.name), "neither the suite nor the call names a list"))
+        problems.append(
+            ListProblem("E111", FilePosition(path.name), "neither the suite nor the call names a list")
+        )
     else:
         listing = _list(listed, problems)
     for scenario in suite.scenarios:
         if scenario.fleet is not None:
             why = f"scenario {scenario.name} has a fleet: `umberlead rehearse` plays it"
-            problems.append(Problem("E130", scenario.place, why))
+            problems.append(ListProblem("E130", scenario.place, why))
         for happening in scenario.happenings:
             if happening.what == "list" and happening.word not in lists:
                 found = _list(path.parent / happening.word, problems)
@@ -79,25 +85,27 @@
     return Ready(suite, settings, listing, lists)
 
 
-def _unknown(suite: Suite, settings: Settings, listing: Listing, lists: dict[str, Listing]) -> list[Problem]:
+def _unknown(
+    suite: Suite, settings: Settings, listing: CheckedList, lists: dict[str, CheckedList]
+) -> list[ListProblem]:
     """Names that stand nowhere, expectations that contradict each other, and scenarios that expect
     nothing."""
-    found = list[Problem]()
-    servers = {n for of in (listing, *lists.values()) for n in of.servers}
+    found = list[ListProblem]()
+    servers = {n for of in (listing, *lists.values()) for n in of.endpoints}
     classes, plans = {c.name for c in settings.classes}, {p.name for p in settings.plans}
 
-    def check(place: Place, what: str, name: str, known: set[str]) -> None:
+    def check(place: FilePosition, what: str, name: str, known: set[str]) -> None:
         import difflib
 
         if name and name not in known:
             near = difflib.get_close_matches(name, known, 1, 0.6)
-            found.append(Problem("E112", place, f"there is no {what} {name}", near[0] if near else ""))
+            found.append(ListProblem("E112", place, f"there is no {what} {name}", near[0] if near else ""))
 
     for collection in suite.collections.values():
-        check(Place(suite.file), "plan", collection.plan, plans)
+        check(FilePosition(suite.file), "plan", collection.plan, plans)
     for scenario in suite.scenarios:
         if not scenario.expectations:
-            found.append(Problem("E113", scenario.place, f"scenario {scenario.name} expects nothing"))
+            found.append(ListProblem("E113", scenario.place, f"scenario {scenario.name} expects nothing"))
         for load_ in scenario.loads:
             check(load_.place, "class", load_.class_name, classes)
         for happening in scenario.happenings:
@@ -110,21 +118,27 @@
             for name in of.servers:
                 check(of.place, "server", name, servers)
         for a, b, why in contradictions(scenario.expectations):
-            found.append(Problem("E114", b.place, f"contradicts line {a.place.line}: {why}"))
+            found.append(ListProblem("E114", b.place, f"contradicts line {a.place.line}: {why}"))
     return found
 
 
-def side(path: Path, listed: Path | None = None) -> tuple[Settings, Listing, Path]:
+def side(path: Path, listed: Path | None = None) -> tuple[Settings, CheckedList, Path]:
     """A configuration, the list that it or the call names, and that list's path. `Unreadable`."""
     try:
-        made = config.operator(str(path))
+        made = config.load_operator_file(str(path))
     except config.ConfigError as fault:
-        raise Unreadable([Problem("E110", Place(str(path)), str(fault))]) from None
-    where = listed if listed is not None else made.lists.main if made.lists is not None else None
+        raise Unreadable([ListProblem("E110", FilePosition(str(path)), str(fault))]) from None
+    where = (
+        listed
+        if listed is not None
+        else made.watched_lists.manifest_path
+        if made.watched_lists is not None
+        else None
+    )
     if where is None:
         why = "it has no membership table, and --list names no list"
-        raise Unreadable([Problem("E111", Place(str(path)), why)])
-    problems: list[Problem] = []
+        raise Unreadable([ListProblem("E111", FilePosition(str(path)), why)])
+    problems: list[ListProblem] = []
     listing = _list(where, problems)
     if listing is None:
         raise Unreadable(problems)
--- a/umberlead/expect/verdict.py
+++ b/umberlead/expect/verdict.py
@@ -4,7 +4,7 @@
 
 from umberlead.expect.model import Expectation, Life, Outcome, Selector, Step, Verdict
 from umberlead.expect.proportion import Judged, judge, needed
-from umberlead.scheduling.interface import Settings
+from umberlead.scheduling.settings import Settings
 
 NEVER_RAN = frozenset(("full", "no_link", "astray"))
 
@@ -94,9 +94,16 @@
 
 
 RULES: dict[str, Callable[[Expectation, Life, Settings], str]] = {
-    "only": _routed, "never": _routed, "attempts": _attempts, "once": _once, "within": _within,
-    "prompt": _prompt, "served": _ends, "refused": _ends, "answered-once": _ends,
-}  # fmt: skip
+    "only": _routed,
+    "never": _routed,
+    "attempts": _attempts,
+    "once": _once,
+    "within": _within,
+    "prompt": _prompt,
+    "served": _ends,
+    "refused": _ends,
+    "answered-once": _ends,
+}
 
 
 def _share(of: Expectation, lives: list[Life], scenario: str) -> Verdict:
--- a/umberlead/expect/world.py
+++ b/umberlead/expect/world.py
@@ -14,17 +14,18 @@
 from typing import Any
 
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
+from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.loop import START, Alarm, Loop
 from umberlead.expect.model import Collection, Happening, Life, Load, Scenario, Step
-from umberlead.membership.flap_damping import Damping
-from umberlead.membership.list_merge import apply
-from umberlead.membership.machine import Membership, Rules
-from umberlead.membership.model import Change, Listing, Server, difference
-from umberlead.requests.lifecycle import Engine
+from umberlead.membership.flap_damping import FlapDampingSettings
+from umberlead.membership.list_merge import apply_change
+from umberlead.membership.machine import Membership, MembershipSettings
+from umberlead.membership.model import CheckedList, EndpointSpec, MembershipChange, diff_endpoints
+from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, Attempt, IncomingRequest
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import NodeState, Result
+from umberlead.scheduling.actions import Action, Fail, Reject, Send
+from umberlead.scheduling.events import AttemptResult, EndpointStatus
+from umberlead.scheduling.settings import Settings
 
 UNIT = 20_000  # us of work of a unit
 CORES = 2
@@ -33,10 +34,18 @@
 QUIET = 10_000_000  # us after the last load in which all must be answered
 TICK = 2000
 RESULTS = {
-    "error": Result.ERROR, "full": Result.FULL, "timeout": Result.TIMEOUT, "no-link": Result.NO_LINK,
-    "reset": Result.RESET, "astray": Result.MOOT, "half": Result.RESET, "spoilt": Result.ERROR,
-    "surplus": Result.OK, "early": Result.NO_LINK, "silence": Result.TIMEOUT,
-}  # fmt: skip
+    "error": AttemptResult.ERROR,
+    "full": AttemptResult.REJECTED,
+    "timeout": AttemptResult.TIMEOUT,
+    "no-link": AttemptResult.CONNECT_FAILED,
+    "reset": AttemptResult.RESET,
+    "astray": AttemptResult.NOT_SENT,
+    "half": AttemptResult.RESET,
+    "spoilt": AttemptResult.ERROR,
+    "surplus": AttemptResult.OK,
+    "early": AttemptResult.CONNECT_FAILED,
+    "silence": AttemptResult.TIMEOUT,
+}
 
 
 class NotListed(ValueError):
@@ -57,27 +66,27 @@
 class World:
     """One front and its servers."""
 
-    def __init__(self, settings: api.Settings, listing: Listing, seed: int, explain: bool = False) -> None:
+    def __init__(self, settings: Settings, listing: CheckedList, seed: int, explain: bool = False) -> None:
         self.settings, self.loop, self.chance = settings, Loop(), random.Random(seed)
         loop = self.loop
-        self.wheel = Wheel(lambda: loop.now, self._alarm, TICK)
-        self.engine = Engine(
+        self.wheel = TimerWheel(lambda: loop.now, self._alarm, TICK)
+        self.engine = RequestLifecycle(
             settings, seed, lambda: loop.now, self.wheel, loop.soon, Counters(), self._log
-        )  # fmt: skip
-        self.engine.carrier = self
+        )
+        self.engine.transport = self
         self.addresses: dict[str, Any] = {}  # as a pool has them
-        self.node_counts: set[Any] | None = None
+        self.endpoint_counts: set[Any] | None = None
         self.models: dict[str, Modelled] = {}
         self.names: dict[str, str] = {}  # of ids
         self.lives: list[Life] = []
         self._life: dict[int, Life] = {}  # by slot of the open ticket's payload
         self.faults: list[str] = []
-        self.machine = Membership(Rules(1.0, 10**12, Damping(1, 7000.0, 1000.0)))
-        self.told(self.machine.files(loop.now, listing))
-        self._now: dict[str, Server] = dict(listing.servers)
+        self.machine = Membership(MembershipSettings(1.0, 10**12, FlapDampingSettings(1, 7000.0, 1000.0)))
+        self.told(self.machine.apply_files(loop.now, listing))
+        self._now: dict[str, EndpointSpec] = dict(listing.endpoints)
         self._lists = 0
         if explain:
-            self.engine.observer = self._observe
+            self.engine.action_observer = self._observe
         self._notes: dict[str, str] = {}
 
     def _alarm(self, delay: int, what: Callable[[], None]) -> Alarm:
@@ -91,28 +100,28 @@
 
     # The list
 
-    def told(self, change: Change) -> None:
-        apply(change, self.engine, self)  # type: ignore[arg-type]
-        for member in change.came:
-            self.names[member.id] = member.server.name
+    def told(self, change: MembershipChange) -> None:
+        apply_change(change, self.engine, self)  # type: ignore[arg-type]
+        for member in change.added:
+            self.names[member.id] = member.endpoint.name
 
     def close_unlisted(self, addresses: set[Any]) -> None:
         """A pool would close its idle connections."""
 
-    def relist(self, servers: dict[str, Server]) -> None:
+    def relist(self, servers: dict[str, EndpointSpec]) -> None:
         self._lists += 1
         self._now = servers
-        listing = Listing(self._lists, f"{self._lists:064d}", dict(servers))
-        old = self.machine.listing.servers if self.machine.listing else {}
-        delta = difference(old, listing.servers)
-        change = self.machine.files(self.loop.now, listing, delta, "")
+        listing = CheckedList(self._lists, f"{self._lists:064d}", dict(servers))
+        old = self.machine.file_list.endpoints if self.machine.file_list else {}
+        delta = diff_endpoints(old, listing.endpoints)
+        change = self.machine.apply_files(self.loop.now, listing, delta, "")
         if self.machine.pending is not None:  # an expectation asks what happens then, not whether it may
             change = self.machine.confirm(self.loop.now, listing.digest)
         self.told(change)
 
-    def happen(self, of: Happening, lists: dict[str, Listing]) -> None:
+    def happen(self, of: Happening, lists: dict[str, CheckedList]) -> None:
         if of.what == "list":
-            return self.relist(dict(lists[of.word].servers))
+            return self.relist(dict(lists[of.word].endpoints))
         servers = dict(self._now)
         for name in of.servers:
             model = self.models.setdefault(name, Modelled())
@@ -121,14 +130,14 @@
                     f"{of.place}: {of.what} at {of.at / 1e6:g} s: no server {name} is listed then"
                 )
             if of.what == "drain":
-                servers[name] = replace(servers[name], state=NodeState.DRAINING)
+                servers[name] = replace(servers[name], state=EndpointStatus.DRAINING)
             elif of.what == "back":
                 model.alive, model.slow, model.mix = True, 1.0, {}
-                servers[name] = replace(servers.get(name) or self._first[name], state=NodeState.UP)
+                servers[name] = replace(servers.get(name) or self._first[name], state=EndpointStatus.UP)
             elif of.what == "leave":
                 servers.pop(name, None)
             elif of.what == "cold":
-                servers[name] = replace(servers[name], state=NodeState.UP, started=self.loop.now)
+                servers[name] = replace(servers[name], state=EndpointStatus.UP, started=self.loop.now)
             elif of.what == "slow":
                 model.slow = of.value
             elif of.what == "outcome":
@@ -137,7 +146,7 @@
                 model.slow = 1.0 if of.word == "slow" else model.slow
                 model.mix.pop(of.word, None)
             else:
-                self.told(self.machine.mark(self.loop.now, name, of.what == "out", self.loop.now))
+                self.told(self.machine.set_manual_drain(self.loop.now, name, of.what == "out", self.loop.now))
         if servers != self._now:
             self.relist(servers)
 
@@ -147,48 +156,67 @@
         cls = next(c for c in self.settings.classes if c.name == load.class_name)
         now = self.loop.now
         life = Life(
-            f"{collection.name}/{name}", now - START, collection.name, load.class_name, collection.plan,
-            shard, load.units, load.new,
-        )  # fmt: skip
+            f"{collection.name}/{name}",
+            now - START,
+            collection.name,
+            load.class_name,
+            collection.plan,
+            shard,
+            load.units,
+            load.new,
+        )
         life.steps.append(Step(now - START, "taken"))
         self.lives.append(life)
         ask = IncomingRequest(
-            load.class_name, collection.plan, volume, key, shard, load.units, now + cls.deadline, life,
+            load.class_name,
+            collection.plan,
+            volume,
+            key,
+            shard,
+            load.units,
+            now + cls.timeout_us,
+            life,
             collection.hosts,
-        )  # fmt: skip
-        self.engine.take(ask, lambda answer: self._answered(life, answer))
+        )
+        self.engine.accept(ask, lambda answer: self._answered(life, answer))
         return life
 
     def _answered(self, life: Life, answer: Answer) -> None:
         note = "" if answer.kind.value == "served" else self._notes.get(life.id, "")
         life.steps.append(Step(self.loop.now - START, "answered", "", answer.kind.value, note))
 
-    def _observe(self, now: int, acts: list[api.Action]) -> None:
+    def _observe(self, now: int, acts: list[Action]) -> None:
         """What the module saw of the candidates as it sent or refused."""
         for act in acts:
-            if isinstance(act, api.Send | api.Refuse | api.Fail):
-                ticket = self.engine.tickets.get(int(act.request.partition(".")[0]))
-                if ticket is not None and isinstance(ticket.ask.payload, Life):
-                    self._notes[ticket.ask.payload.id] = self._saw(ticket.ask.shard, ticket.ask.units)
+            if isinstance(act, Send | Reject | Fail):
+                ticket = self.engine.open_requests.get(int(act.request_id.partition(".")[0]))
+                if ticket is not None and isinstance(ticket.request.payload, Life):
+                    self._notes[ticket.request.payload.id] = self._saw(
+                        ticket.request.shard, ticket.request.units
+                    )
 
     def _saw(self, shard: int, units: float) -> str:
-        head, now = self.engine.head, self.loop.now
+        head, now = self.engine.scheduler, self.loop.now
         made = []
-        for node, view in list(head.nodes.items()):
-            if shard >= 0 and view.info.shard != shard:
+        for node, view in list(head.endpoints.items()):
+            if shard >= 0 and view.endpoint.shard != shard:
                 continue
             why = []
-            if node in head.taken_out:
+            if node in head.manual_drains:
                 why.append("out by hand")
-            if view.info.state is not NodeState.UP:
-                why.append(view.info.state.value)
-            if shard < 0 and view.info.weight == 0:
+            if view.endpoint.status is not EndpointStatus.UP:
+                why.append(view.endpoint.status.value)
+            if shard < 0 and view.endpoint.weight == 0:
                 why.append("weight 0")
-            if view.rest_until > now:
-                why.append(f"rests {(view.rest_until - now) / 1000:.0f} ms")
-            if view.out and view.out + units > min(view.bound, view.cap()):
-                why.append(f"{view.out:g} units out, bound {min(view.bound, view.cap()):.1f}")
-            if view.cold_cost(now, units) and view.ready(now, units) > now:
+            if view.ejected_until_us > now:
+                why.append(f"rests {(view.ejected_until_us - now) / 1000:.0f} ms")
+            if view.units_in_flight and view.units_in_flight + units > min(
+                view.concurrency_limit_units, view.max_concurrency_units()
+            ):
+                why.append(
+                    f"{view.units_in_flight:g} units out, bound {min(view.concurrency_limit_units, view.max_concurrency_units()):.1f}"
+                )
+            if view.slow_start_cost_us(now, units) and view.ready_at_us(now, units) > now:
                 why.append("warming up")
             made.append(f"{node}: {', '.join(why) or 'free'}")
         return "; ".join(made[:6]) or f"no server of shard {shard} is listed"
@@ -196,20 +224,20 @@
     # The carrier
 
     def start(self, attempt: Attempt) -> None:
-        life: Life = attempt.ticket.ask.payload
-        name = self.names.get(attempt.node, attempt.node)
+        life: Life = attempt.request.request.payload
+        name = self.names.get(attempt.endpoint, attempt.endpoint)
         note = self._notes.get(life.id, "")
         life.steps.append(Step(self.loop.now - START, "sent", name, str(attempt.number), note))
         model = self.models.setdefault(name, Modelled())
-        attempt.carried = model
+        attempt.transport_state = model
         end = self._drawn(model)
-        if end in (Result.NO_LINK, Result.FULL, Result.MOOT):
-            attempt.astray = end is Result.MOOT
+        if end in (AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED, AttemptResult.NOT_SENT):
+            attempt.misdirected = end is AttemptResult.NOT_SENT
             return self.loop.at(self.loop.now + WIRE, lambda: self._end(attempt, end))
-        if end is Result.TIMEOUT:
+        if end is AttemptResult.TIMEOUT:
             return None  # silence: the engine stops it
         job = lambda: self.loop.at(  # noqa: E731
-            self.loop.now + int(UNIT * model.slow * attempt.ticket.ask.units) + WIRE,
+            self.loop.now + int(UNIT * model.slow * attempt.request.request.units) + WIRE,
             lambda: self._worked(attempt, model, end),
         )
         if model.busy < CORES:
@@ -218,17 +246,17 @@
         elif len(model.waiting) < WAITING:
             model.waiting.append(job)
         else:
-            self.loop.at(self.loop.now + WIRE, lambda: self._end(attempt, Result.FULL))
+            self.loop.at(self.loop.now + WIRE, lambda: self._end(attempt, AttemptResult.REJECTED))
 
-    def _drawn(self, model: Modelled) -> Result:
+    def _drawn(self, model: Modelled) -> AttemptResult:
         draw = self.chance.random()
         for word, part in model.mix.items():
             if draw < part:
                 return RESULTS[word]
             draw -= part
-        return Result.OK
+        return AttemptResult.OK
 
-    def _worked(self, attempt: Attempt, model: Modelled, end: Result) -> None:
+    def _worked(self, attempt: Attempt, model: Modelled, end: AttemptResult) -> None:
         """A cancel stops nothing: the work is done whoever waits for it."""
         if model.waiting:
             model.waiting.popleft()()
@@ -236,27 +264,29 @@
             model.busy -= 1
         self._end(attempt, end)
 
-    def _end(self, attempt: Attempt, result: Result) -> None:
-        if attempt.ticket.out is attempt:
-            life: Life = attempt.ticket.ask.payload
-            name = self.names.get(attempt.node, attempt.node)
-            word = "astray" if attempt.astray else result.value
+    def _end(self, attempt: Attempt, result: AttemptResult) -> None:
+        if attempt.request.attempt is attempt:
+            life: Life = attempt.request.request.payload
+            name = self.names.get(attempt.endpoint, attempt.endpoint)
+            word = "astray" if attempt.misdirected else result.value
             life.steps.append(Step(self.loop.now - START, "ended", name, word))
-            self.engine.ended(attempt, result)
+            self.engine.attempt_ended(attempt, result)
 
-    def stop(self, attempt: Attempt, why: Result) -> None:
+    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         self.loop.soon(lambda: self._end(attempt, why))
 
-    def unwanted(self, attempt: Attempt) -> bool:
+    def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False  # what is sent is there at once
 
     # A scenario
 
-    _first: dict[str, Server] = {}
+    _first: dict[str, EndpointSpec] = {}
 
-    def play(self, of: Scenario, collections: dict[str, Collection], lists: dict[str, Listing]) -> list[Life]:
+    def play(
+        self, of: Scenario, collections: dict[str, Collection], lists: dict[str, CheckedList]
+    ) -> list[Life]:
         """All of a scenario's lives, to the last answer."""
-        self._first = dict(self.machine.listing.servers) if self.machine.listing else {}
+        self._first = dict(self.machine.file_list.endpoints) if self.machine.file_list else {}
         for happening in of.happenings:
             self.loop.at(START + happening.at, partial(self.happen, happening, lists))
             if happening.until:
--- a/umberlead/experiments/dataset.py
+++ b/umberlead/experiments/dataset.py
@@ -15,16 +15,27 @@
 KEYS = ("script", "scenario", "seed", "version", "configuration", "driver")
 MEASURES = pa.schema(
     [
-        ("script", pa.string()), ("scenario", pa.string()), ("seed", pa.int64()), ("version", pa.string()),
-        ("configuration", pa.string()), ("driver", pa.string()), ("measure", pa.string()),
-        ("second", pa.int32()), ("value", pa.float64()),
+        ("script", pa.string()),
+        ("scenario", pa.string()),
+        ("seed", pa.int64()),
+        ("version", pa.string()),
+        ("configuration", pa.string()),
+        ("driver", pa.string()),
+        ("measure", pa.string()),
+        ("second", pa.int32()),
+        ("value", pa.float64()),
     ]
-)  # fmt: skip
+)
 FAULTS = pa.schema([*list(MEASURES)[:6], ("fault", pa.string())])
 TABLES: dict[str, Any] = {
-    "asked": Asked, "answered": Answered, "came": Came, "ended": Ended, "left": Left, "told": Told,
+    "asked": Asked,
+    "answered": Answered,
+    "came": Came,
+    "ended": Ended,
+    "left": Left,
+    "told": Told,
     "lives": Life,
-}  # fmt: skip
+}
 
 
 def rows(cells: list[Cell]) -> list[dict[str, Any]]:
@@ -34,15 +45,19 @@
         run = cell.run
         for got in cell.results:
             key = {
-                "script": run.script.name, "scenario": got["scenario"], "seed": run.seed,
-                "version": run.version.name, "configuration": run.configuration.name, "driver": run.driver,
-            }  # fmt: skip
+                "script": run.script.name,
+                "scenario": got["scenario"],
+                "seed": run.seed,
+                "version": run.version.name,
+                "configuration": run.configuration.name,
+                "driver": run.driver,
+            }
             values = dict(got["service"]) | {f"breach.{k}": float(v) for k, v in got["breaches"].items()}
             values |= {"breaches": float(sum(got["breaches"].values())), "faults": float(len(got["faults"]))}
             made += [key | {"measure": k, "second": -1, "value": v} for k, v in values.items()]
             made += [
                 key | {"measure": "service", "second": n, "value": v} for n, v in enumerate(got["seconds"])
-            ]  # fmt: skip
+            ]
     return made
 
 
@@ -54,11 +69,17 @@
     )
     failed = [
         {
-            "script": c.run.script.name, "scenario": "", "seed": c.run.seed, "version": c.run.version.name,
-            "configuration": c.run.configuration.name, "driver": c.run.driver, "fault": c.fault,
+            "script": c.run.script.name,
+            "scenario": "",
+            "seed": c.run.seed,
+            "version": c.run.version.name,
+            "configuration": c.run.configuration.name,
+            "driver": c.run.driver,
+            "fault": c.fault,
         }
-        for c in cells if c.fault
-    ]  # fmt: skip
+        for c in cells
+        if c.fault
+    ]
     pq.write_table(pa.Table.from_pylist(failed, FAULTS), folder / "faults.parquet", compression="zstd")
 
 
--- a/umberlead/experiments/matrix.py
+++ b/umberlead/experiments/matrix.py
@@ -69,9 +69,11 @@
 
 def _seeds(value: Any, bad: Any) -> list[int]:
     if isinstance(value, dict) and set(value) == {"from", "to"}:
-        value = list(range(value["from"], value["to"] + 1)) if all(
-            isinstance(v, int) for v in value.values()
-        ) else None  # fmt: skip
+        value = (
+            list(range(value["from"], value["to"] + 1))
+            if all(isinstance(v, int) for v in value.values())
+            else None
+        )
     whole = isinstance(value, list) and value and all(isinstance(v, int) and v >= 0 for v in value)
     if not whole:
         raise bad("seeds", "must be a list of whole numbers, or { from = 1, to = 8 }")
@@ -123,10 +125,11 @@
         of = f"configuration.{n}"
         configurations.append(
             Configuration(
-                row["name"], _flat(row.get("settings", {}), bad, f"{of}.settings"),
+                row["name"],
+                _flat(row.get("settings", {}), bad, f"{of}.settings"),
                 _flat(row.get("figures", {}), bad, f"{of}.figures"),
             )
-        )  # fmt: skip
+        )
     versions = versions or [Version("here")]
     configurations = configurations or [Configuration("plain")]
     for key, names in (
@@ -143,9 +146,15 @@
     if not isinstance(measures, list) or not all(isinstance(m, str) for m in measures):
         raise bad("measures", "must be a list of names")
     made = Matrix(
-        str(got.get("name", path.stem)), files, _seeds(got.get("seeds"), bad), versions, configurations,
-        driver, baseline, measures,
-    )  # fmt: skip
+        str(got.get("name", path.stem)),
+        files,
+        _seeds(got.get("seeds"), bad),
+        versions,
+        configurations,
+        driver,
+        baseline,
+        measures,
+    )
     count = len(made.seeds) * len(files) * len(arms)
     if count > RUNS_MOST:
         raise bad("seeds", f"the matrix has {count} runs, more than {RUNS_MOST}")
--- a/umberlead/experiments/one.py
+++ b/umberlead/experiments/one.py
@@ -48,9 +48,13 @@
     figures, made = figures_with(order["figures"]), []
     for of in rehearsal.read(Path(order["script"])):
         result = rehearsal.rehearse(
-            of, figures, sockets=order["driver"] == "sockets", seed=order["seed"], root=Path(order["root"]),
+            of,
+            figures,
+            sockets=order["driver"] == "sockets",
+            seed=order["seed"],
+            root=Path(order["root"]),
             alter=lambda told: settings_with(told, order["settings"]),
-        )  # fmt: skip
+        )
         made.append(json.loads(result.text()) | {"late": result.late})
     return made
 
--- a/umberlead/experiments/report.py
+++ b/umberlead/experiments/report.py
@@ -79,15 +79,24 @@
     for n, (script, scenario) in enumerate(sorted({(r["script"], r["scenario"]) for r in rows})):
         chart = _time_chart(compare.over_time(rows, script, scenario))
         charts.append((f"{script}: {scenario}", _image(chart, folder / f"seconds-{n}.png")))
-    broken = {
-        arm: int(sum(days.values())) for arm, days in compare.by_arm(rows, "breaches").items()
-    }  # fmt: skip
-    page = Environment(autoescape=True).from_string(PAGE.read_text()).render(
-        name=name, baseline=baseline, days=ranking[0][1].n, ranking=ranking, broken=broken, faults=faults,
-        scripts=sorted({r["script"] for r in rows}), seeds=sorted({r["seed"] for r in rows}),
-        driver=", ".join(sorted({r["driver"] for r in rows})), charts=charts,
-        tables=[(m, compare.pairs(rows, m, baseline)) for m in measures],
-    )  # fmt: skip
+    broken = {arm: int(sum(days.values())) for arm, days in compare.by_arm(rows, "breaches").items()}
+    page = (
+        Environment(autoescape=True)
+        .from_string(PAGE.read_text())
+        .render(
+            name=name,
+            baseline=baseline,
+            days=ranking[0][1].n,
+            ranking=ranking,
+            broken=broken,
+            faults=faults,
+            scripts=sorted({r["script"] for r in rows}),
+            seeds=sorted({r["seed"] for r in rows}),
+            driver=", ".join(sorted({r["driver"] for r in rows})),
+            charts=charts,
+            tables=[(m, compare.pairs(rows, m, baseline)) for m in measures],
+        )
+    )
     path = folder / "report.html"
     path.write_text(page)
     return path
--- a/umberlead/experiments/running.py
+++ b/umberlead/experiments/running.py
@@ -27,15 +27,24 @@
 
 def _play(run: Run, root: Path) -> Cell:
     order = {
-        "script": str(run.script.resolve()), "seed": run.seed, "driver": run.driver, "root": str(root),
-        "settings": run.configuration.settings, "figures": run.configuration.figures,
-    }  # fmt: skip
+        "script": str(run.script.resolve()),
+        "seed": run.seed,
+        "driver": run.driver,
+        "root": str(root),
+        "settings": run.configuration.settings,
+        "figures": run.configuration.figures,
+    }
     env = os.environ | {"PYTHONPATH": str(root), "PYTHONHASHSEED": "0"}
     try:
         got = subprocess.run(
-            [sys.executable, "-B", "-m", "umberlead.experiments.one"], input=json.dumps(order), text=True,
-            capture_output=True, cwd=root, env=env, timeout=LONGEST,
-        )  # fmt: skip
+            [sys.executable, "-B", "-m", "umberlead.experiments.one"],
+            input=json.dumps(order),
+            text=True,
+            capture_output=True,
+            cwd=root,
+            env=env,
+            timeout=LONGEST,
+        )
     except subprocess.TimeoutExpired:
         return Cell(run, fault=f"not done after {LONGEST:g} s")
     if got.returncode:
--- a/umberlead/frontends/__init__.py
+++ b/umberlead/frontends/__init__.py
@@ -0,0 +1,1 @@
+"""The protocols that clients and operators speak to a front."""
--- a/umberlead/gossip/swim.py
+++ b/umberlead/gossip/swim.py
@@ -11,264 +11,323 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from umberlead.gossip.messages import Keys, Message, News, Word
-from umberlead.zones.model import SECOND, State
+from umberlead.gossip.messages import GossipKeys, GossipMessage, MemberUpdate, Observation
+from umberlead.zones.model import MICROSECONDS_PER_S, ZoneState
 
 ALIVE, SUSPECT, DEAD = 0, 1, 2
-PING, ANSWER, ASK = 0, 1, 2
-STATES = (State.WELL, State.GREY, State.LOST, State.RETURN)
-EVERY = SECOND
-WAIT = 300_000  # for an answer, and as long again for one through others
-DOUBT = 4 * SECOND  # a suspect has to deny it
-FORGET = 120 * SECOND  # the dead, and what is not proven
-THROUGH = 2
-WORDS_MOST = 16
-SPREAD = 6  # datagrams that carry a piece of news
-MEMBERS_MOST = 500
-SEEN = 64  # numbers of a session that are remembered, against repeats
+PING, ACK, PING_REQ = 0, 1, 2
+ZONE_STATES = (ZoneState.HEALTHY, ZoneState.DEGRADED, ZoneState.DOWN, ZoneState.RECOVERING)
+PROTOCOL_PERIOD_US = MICROSECONDS_PER_S
+ACK_TIMEOUT_US = 300_000  # for an answer, and as long again for one through others
+SUSPICION_TIMEOUT_US = 4 * MICROSECONDS_PER_S  # a suspect has to deny it
+MEMBER_RETENTION_US = 120 * MICROSECONDS_PER_S  # the dead, and what is not proven
+INDIRECT_PINGS_COUNT = 2
+MAX_OBSERVATIONS_COUNT = 16
+UPDATE_TRANSMISSIONS_COUNT = 6  # datagrams that carry a piece of news
+MAX_MEMBERS_COUNT = 500
+REPLAY_WINDOW_SIZE = 64  # numbers of a session that are remembered, against repeats
 
-Out = list[tuple[str, bytes]]
+Datagrams = list[tuple[str, bytes]]
 
 
 @dataclass(slots=True)
 class Peer:
     name: str
     address: str
-    life: int = 0
+    incarnation: int = 0
     state: int = ALIVE
-    since: int = 0
+    since_us: int = 0
     session: int = -1  # the proven one
-    number: int = -1  # the highest of it
-    seen: int = 0  # which below that, as bits
-    offered: int = -1  # a session that has yet to prove itself
+    highest_sequence: int = -1  # the highest of it
+    seen_bits: int = 0  # which below that, as bits
+    unproven_session: int = -1  # a session that has yet to prove itself
     nonce: int = 0  # that it must give back
-    asked: int = 0  # when it was asked to
-    doubted: int = 0  # when it was last told that it is suspected
+    challenged_us: int = 0  # when it was asked to
+    suspicion_sent_us: int = 0  # when it was last told that it is suspected
 
 
 class Gossip:
     def __init__(
-        self, name: str, address: str, join: list[str], keys: Keys, seed: int, now: int, octets: int = 20_000
+        self,
+        name: str,
+        address: str,
+        seed_addresses: list[str],
+        keys: GossipKeys,
+        seed: int,
+        now_us: int,
+        bytes_per_second: int = 20_000,
     ) -> None:
-        self.name, self.address, self.join, self.keys = name, address, join, keys
-        self.chance = random.Random(seed)
-        self.session = self.chance.getrandbits(53)
-        self.life, self._number = 0, 0
+        self.name, self.address, self.seed_addresses, self.keys = name, address, seed_addresses, keys
+        self.rng = random.Random(seed)
+        self.session = self.rng.getrandbits(53)
+        self.incarnation, self._number = 0, 0
         self.peers: dict[str, Peer] = {}
-        self.words: dict[str, State] = {}
-        self.heard: Callable[[str, str, State], None] = lambda name, room, state: None
-        self.left: Callable[[str], None] = lambda name: None
-        self.octets, self._store, self._filled = octets, float(octets), now
-        self._next = now
-        self._order: list[str] = []
-        self._waits: dict[int, tuple[str, int, bool]] = {}  # nonce: whom, when sent, asked through others
-        self._for: dict[int, tuple[str, int, int]] = {}  # nonce: who asked, their nonce, when
-        self._news: dict[str, int] = {}  # names whose news still spreads, and how often it has gone out
-        self.dropped = self.refused = 0
+        self.observations: dict[str, ZoneState] = {}
+        self.on_observation: Callable[[str, str, ZoneState], None] = lambda name, room, state: None
+        self.on_member_dead: Callable[[str], None] = lambda name: None
+        self.bytes_per_second, self._available_bytes, self._refilled_us = (
+            bytes_per_second,
+            float(bytes_per_second),
+            now_us,
+        )
+        self._next_ping_us = now_us
+        self._ping_order: list[str] = []
+        self._awaited_acks: dict[
+            int, tuple[str, int, bool]
+        ] = {}  # nonce: whom, when sent, asked through others
+        self._relayed_pings: dict[int, tuple[str, int, int]] = {}  # nonce: who asked, their nonce, when
+        self._pending_updates: dict[
+            str, int
+        ] = {}  # names whose news still spreads, and how often it has gone out
+        self.dropped = self.rejected = 0
 
     # What it sends
 
-    def _send(self, now: int, out: Out, address: str, kind: int, nonce: int, target: str = "") -> None:
+    def _send(
+        self, now_us: int, datagrams: Datagrams, address: str, kind: int, nonce: int, target: str = ""
+    ) -> None:
         """One datagram, if the octets allow it; pings go before news."""
-        news, rows = [News(self.name, self.address, self.life, ALIVE)], sorted(self._news, key=self._news.get)  # type: ignore[arg-type]
+        updates, pending_names = (
+            [MemberUpdate(self.name, self.address, self.incarnation, ALIVE)],
+            sorted(self._pending_updates, key=self._pending_updates.__getitem__),
+        )
         # Who is held gone hears it from whoever speaks to it, and can deny it.
-        news += [
-            News(p.name, p.address, p.life, p.state) for p in self.peers.values()
-            if p.address == address and p.state != ALIVE
-        ]  # fmt: skip
+        updates += [
+            MemberUpdate(peer.name, peer.address, peer.incarnation, peer.state)
+            for peer in self.peers.values()
+            if peer.address == address and peer.state != ALIVE
+        ]
         if self.peers:  # and one of all, so that whoever came late learns of everybody
-            any_ = self.chance.choice(list(self.peers.values()))
-            news.append(News(any_.name, any_.address, any_.life, any_.state))
-        for name in rows[:SPREAD]:
+            random_peer = self.rng.choice(list(self.peers.values()))
+            updates.append(
+                MemberUpdate(
+                    random_peer.name, random_peer.address, random_peer.incarnation, random_peer.state
+                )
+            )
+        for name in pending_names[:UPDATE_TRANSMISSIONS_COUNT]:
             peer = self.peers.get(name)
             if peer is not None:
-                news.append(News(peer.name, peer.address, peer.life, peer.state))
-            self._news[name] += 1
-            if self._news[name] >= SPREAD or peer is None:
-                del self._news[name]
-        words = [Word(room, STATES.index(state)) for room, state in self.words.items()]
-        words = self.chance.sample(words, min(len(words), WORDS_MOST))
+                updates.append(MemberUpdate(peer.name, peer.address, peer.incarnation, peer.state))
+            self._pending_updates[name] += 1
+            if self._pending_updates[name] >= UPDATE_TRANSMISSIONS_COUNT or peer is None:
+                del self._pending_updates[name]
+        observations = [
+            Observation(zone, ZONE_STATES.index(state)) for zone, state in self.observations.items()
+        ]
+        observations = self.rng.sample(observations, min(len(observations), MAX_OBSERVATIONS_COUNT))
         self._number += 1
         while True:
-            message = Message(
-                kind, self.name, self.address, self.session, self._number, nonce, target, news, words
-            )  # fmt: skip
+            message = GossipMessage(
+                kind,
+                self.name,
+                self.address,
+                self.session,
+                self._number,
+                nonce,
+                target,
+                updates,
+                observations,
+            )
             try:
-                data = self.keys.sealed(message)
+                data = self.keys.seal(message)
                 break
             except ValueError:  # long names: less at a time
-                if words:
-                    words = words[: len(words) // 2]
-                elif len(news) > 1:
-                    news.pop()
+                if observations:
+                    observations = observations[: len(observations) // 2]
+                elif len(updates) > 1:
+                    updates.pop()
                 else:
                     self.dropped += 1
                     return
-        self._store = min(self._store + self.octets * (now - self._filled) / SECOND, float(self.octets))
-        self._filled = now
-        if len(data) > self._store:
+        self._available_bytes = min(
+            self._available_bytes + self.bytes_per_second * (now_us - self._refilled_us) / MICROSECONDS_PER_S,
+            float(self.bytes_per_second),
+        )
+        self._refilled_us = now_us
+        if len(data) > self._available_bytes:
             self.dropped += 1
             return
-        self._store -= len(data)
-        out.append((address, data))
+        self._available_bytes -= len(data)
+        datagrams.append((address, data))
 
     def _nonce(self) -> int:
-        return self.chance.getrandbits(53)
+        return self.rng.getrandbits(53)
 
-    def _ping(self, now: int, out: Out, name: str, address: str) -> int:
+    def _ping(self, now_us: int, datagrams: Datagrams, name: str, address: str) -> int:
         nonce = self._nonce()
-        self._waits[nonce] = (name, now, False)
-        self._send(now, out, address, PING, nonce)
+        self._awaited_acks[nonce] = (name, now_us, False)
+        self._send(now_us, datagrams, address, PING, nonce)
         return nonce
 
-    def tick(self, now: int) -> Out:
+    def tick(self, now_us: int) -> Datagrams:
         """At least ten times a second."""
-        out: Out = []
-        for nonce, (name, at, through) in list(self._waits.items()):
-            if now - at < WAIT:
+        datagrams: Datagrams = []
+        for nonce, (name, sent_us, is_indirect) in list(self._awaited_acks.items()):
+            if now_us - sent_us < ACK_TIMEOUT_US:
                 continue
             peer = self.peers.get(name)
-            if peer is None or through or peer.state != ALIVE:
-                del self._waits[nonce]
-                if peer is not None and through and peer.state == ALIVE:
-                    self._set(now, peer, SUSPECT, peer.life)
+            if peer is None or is_indirect or peer.state != ALIVE:
+                del self._awaited_acks[nonce]
+                if peer is not None and is_indirect and peer.state == ALIVE:
+                    self._set_state(now_us, peer, SUSPECT, peer.incarnation)
                 continue
-            self._waits[nonce] = (name, now, True)
-            others = [
-                p for p in self.peers.values() if p.state == ALIVE and p.name != name and p.session >= 0
+            self._awaited_acks[nonce] = (name, now_us, True)
+            helpers = [
+                candidate
+                for candidate in self.peers.values()
+                if candidate.state == ALIVE and candidate.name != name and candidate.session >= 0
             ]
-            for other in self.chance.sample(others, min(THROUGH, len(others))):
-                self._send(now, out, other.address, ASK, nonce, name)
-        self._for = {n: row for n, row in self._for.items() if now - row[2] < 2 * WAIT}
+            for helper in self.rng.sample(helpers, min(INDIRECT_PINGS_COUNT, len(helpers))):
+                self._send(now_us, datagrams, helper.address, PING_REQ, nonce, name)
+        self._relayed_pings = {
+            relayed_nonce: relayed
+            for relayed_nonce, relayed in self._relayed_pings.items()
+            if now_us - relayed[2] < 2 * ACK_TIMEOUT_US
+        }
         for peer in list(self.peers.values()):
-            if peer.state == SUSPECT and now - peer.since >= DOUBT:
-                self._set(now, peer, DEAD, peer.life)
-                self.left(peer.name)
-            elif peer.state == SUSPECT and now - peer.doubted >= WAIT:
-                peer.doubted = now
-                self._send(now, out, peer.address, PING, self._nonce())  # it must hear of it to deny it
-            elif now - peer.since >= FORGET and (peer.state == DEAD or peer.session < 0):
+            if peer.state == SUSPECT and now_us - peer.since_us >= SUSPICION_TIMEOUT_US:
+                self._set_state(now_us, peer, DEAD, peer.incarnation)
+                self.on_member_dead(peer.name)
+            elif peer.state == SUSPECT and now_us - peer.suspicion_sent_us >= ACK_TIMEOUT_US:
+                peer.suspicion_sent_us = now_us
+                self._send(
+                    now_us, datagrams, peer.address, PING, self._nonce()
+                )  # it must hear of it to deny it
+            elif now_us - peer.since_us >= MEMBER_RETENTION_US and (peer.state == DEAD or peer.session < 0):
                 del self.peers[peer.name]
-        if now >= self._next:
-            self._next = now + int(EVERY * self.chance.uniform(0.8, 1.2))
-            self._turn(now, out)
-        return out
+        if now_us >= self._next_ping_us:
+            self._next_ping_us = now_us + int(PROTOCOL_PERIOD_US * self.rng.uniform(0.8, 1.2))
+            self._ping_next(now_us, datagrams)
+        return datagrams
 
-    def _turn(self, now: int, out: Out) -> None:
-        while self._order:
-            peer = self.peers.get(self._order.pop())
+    def _ping_next(self, now_us: int, datagrams: Datagrams) -> None:
+        while self._ping_order:
+            peer = self.peers.get(self._ping_order.pop())
             if peer is not None and peer.state != DEAD:
-                self._ping(now, out, peer.name, peer.address)
+                self._ping(now_us, datagrams, peer.name, peer.address)
                 return
-        self._order = list(self.peers)
-        self.chance.shuffle(self._order)
+        self._ping_order = list(self.peers)
+        self.rng.shuffle(self._ping_order)
         # Those named in the file are asked now and then whatever is held of them: a split heals so.
-        address = self.chance.choice(self.join) if self.join else ""
+        address = self.rng.choice(self.seed_addresses) if self.seed_addresses else ""
         if address and address != self.address:
-            self._ping(now, out, "", address)
+            self._ping(now_us, datagrams, "", address)
 
     # What it gets
 
-    def got(self, now: int, data: bytes) -> Out:
+    def receive(self, now_us: int, data: bytes) -> Datagrams:
         """A datagram, from whoever sent it."""
-        out: Out = []
-        message = self.keys.opened(data)
+        datagrams: Datagrams = []
+        message = self.keys.open(data)
         if message is None or message.name == self.name:
-            self.refused += 1
-            return out
+            self.rejected += 1
+            return datagrams
         peer = self.peers.get(message.name)
         if peer is None:
-            if len(self.peers) >= MEMBERS_MOST:
-                self.refused += 1
-                return out
-            peer = self.peers[message.name] = Peer(message.name, message.address, since=now)
-            self._news[message.name] = 0
+            if len(self.peers) >= MAX_MEMBERS_COUNT:
+                self.rejected += 1
+                return datagrams
+            peer = self.peers[message.name] = Peer(message.name, message.address, since_us=now_us)
+            self._pending_updates[message.name] = 0
         if message.kind == PING:  # answered whoever asks: that gives nothing away, and lets it prove itself
-            self._send(now, out, message.address, ANSWER, message.nonce)
-        if not self._proven(now, out, peer, message):
-            return out
-        if not self._fresh(peer, message.number):
-            self.refused += 1
-            return out
+            self._send(now_us, datagrams, message.address, ACK, message.nonce)
+        if not self._is_session_proven(now_us, datagrams, peer, message):
+            return datagrams
+        if not self._is_fresh(peer, message.sequence):
+            self.rejected += 1
+            return datagrams
         peer.address = message.address
         if peer.state == SUSPECT:
-            self._set(now, peer, ALIVE, peer.life)  # it speaks
-        if message.kind == ANSWER:
-            self._answered(now, out, message)
-        elif message.kind == ASK:
+            self._set_state(now_us, peer, ALIVE, peer.incarnation)  # it speaks
+        if message.kind == ACK:
+            self._on_ack(now_us, datagrams, message)
+        elif message.kind == PING_REQ:
             target = self.peers.get(message.target)
             if target is not None:
                 nonce = self._nonce()
-                self._for[nonce] = (message.name, message.nonce, now)
-                self._send(now, out, target.address, PING, nonce)
-        for news in message.news:
-            self._learn(now, news)
+                self._relayed_pings[nonce] = (message.name, message.nonce, now_us)
+                self._send(now_us, datagrams, target.address, PING, nonce)
+        for update in message.updates:
+            self._apply_update(now_us, update)
         if peer.state == ALIVE:
-            for word in message.words:
-                self.heard(peer.name, word.room, STATES[word.state])
-        return out
+            for observation in message.observations:
+                self.on_observation(peer.name, observation.zone, ZONE_STATES[observation.state])
+        return datagrams
 
-    def _proven(self, now: int, out: Out, peer: Peer, message: Message) -> bool:
+    def _is_session_proven(
+        self, now_us: int, datagrams: Datagrams, peer: Peer, message: GossipMessage
+    ) -> bool:
         if message.session == peer.session:
             return True
-        if message.kind == ANSWER:
-            waits = self._waits.get(message.nonce)
-            if message.nonce == peer.nonce or (waits is not None and waits[0] in (peer.name, "")):
+        if message.kind == ACK:
+            awaited = self._awaited_acks.get(message.nonce)
+            if message.nonce == peer.nonce or (awaited is not None and awaited[0] in (peer.name, "")):
                 # A nonce drawn here, not long ago: whoever gives it back lives now. A front that came back
                 # under its name begins anew.
-                peer.session, peer.number, peer.seen, peer.offered = message.session, -1, 0, -1
+                peer.session, peer.highest_sequence, peer.seen_bits, peer.unproven_session = (
+                    message.session,
+                    -1,
+                    0,
+                    -1,
+                )
                 return True
-        if message.session != peer.offered or now - peer.asked >= WAIT:
-            peer.offered, peer.nonce, peer.asked = message.session, self._nonce(), now
-            self._send(now, out, message.address, PING, peer.nonce)
+        if message.session != peer.unproven_session or now_us - peer.challenged_us >= ACK_TIMEOUT_US:
+            peer.unproven_session, peer.nonce, peer.challenged_us = message.session, self._nonce(), now_us
+            self._send(now_us, datagrams, message.address, PING, peer.nonce)
         return False
 
     @staticmethod
-    def _fresh(peer: Peer, number: int) -> bool:
-        if number > peer.number:
-            shift = number - peer.number
-            peer.seen = (
-                ((peer.seen << shift) | (1 << (shift - 1))) & ((1 << SEEN) - 1) if shift <= SEEN else 0
+    def _is_fresh(peer: Peer, sequence: int) -> bool:
+        if sequence > peer.highest_sequence:
+            shift = sequence - peer.highest_sequence
+            peer.seen_bits = (
+                ((peer.seen_bits << shift) | (1 << (shift - 1))) & ((1 << REPLAY_WINDOW_SIZE) - 1)
+                if shift <= REPLAY_WINDOW_SIZE
+                else 0
             )
-            peer.number = number
+            peer.highest_sequence = sequence
             return True
-        back = peer.number - number - 1
-        if back < 0 or back >= SEEN or peer.seen >> back & 1:
+        age = peer.highest_sequence - sequence - 1
+        if age < 0 or age >= REPLAY_WINDOW_SIZE or peer.seen_bits >> age & 1:
             return False
-        peer.seen |= 1 << back
+        peer.seen_bits |= 1 << age
         return True
 
-    def _answered(self, now: int, out: Out, message: Message) -> None:
-        self._waits.pop(message.nonce, None)
-        row = self._for.pop(message.nonce, None)
-        asker = self.peers.get(row[0]) if row else None
-        if row is not None and asker is not None:
-            self._send(now, out, asker.address, ANSWER, row[1])
+    def _on_ack(self, now_us: int, datagrams: Datagrams, message: GossipMessage) -> None:
+        self._awaited_acks.pop(message.nonce, None)
+        relayed = self._relayed_pings.pop(message.nonce, None)
+        requester = self.peers.get(relayed[0]) if relayed else None
+        if relayed is not None and requester is not None:
+            self._send(now_us, datagrams, requester.address, ACK, relayed[1])
 
-    def _learn(self, now: int, news: News) -> None:
+    def _apply_update(self, now_us: int, update: MemberUpdate) -> None:
         """The higher life holds; of one life the worse state."""
-        if news.name == self.name:
-            if news.state != ALIVE and news.life >= self.life:
-                self.life = news.life + 1
+        if update.name == self.name:
+            if update.state != ALIVE and update.incarnation >= self.incarnation:
+                self.incarnation = update.incarnation + 1
             return
-        peer = self.peers.get(news.name)
+        peer = self.peers.get(update.name)
         if peer is None:
-            if news.state == ALIVE and len(self.peers) < MEMBERS_MOST:
-                self.peers[news.name] = Peer(news.name, news.address, news.life, since=now)
-                self._news[news.name] = 0
+            if update.state == ALIVE and len(self.peers) < MAX_MEMBERS_COUNT:
+                self.peers[update.name] = Peer(
+                    update.name, update.address, update.incarnation, since_us=now_us
+                )
+                self._pending_updates[update.name] = 0
             return
-        if news.life > peer.life or (news.life == peer.life and news.state > peer.state):
-            was = peer.state
-            self._set(now, peer, news.state, news.life)
-            if news.state == DEAD and was != DEAD:
-                self.left(peer.name)
+        if update.incarnation > peer.incarnation or (
+            update.incarnation == peer.incarnation and update.state > peer.state
+        ):
+            previous_state = peer.state
+            self._set_state(now_us, peer, update.state, update.incarnation)
+            if update.state == DEAD and previous_state != DEAD:
+                self.on_member_dead(peer.name)
 
-    def _set(self, now: int, peer: Peer, state: int, life: int) -> None:
-        if (peer.state, peer.life) != (state, life):
+    def _set_state(self, now_us: int, peer: Peer, state: int, incarnation: int) -> None:
+        if (peer.state, peer.incarnation) != (state, incarnation):
             if peer.state != state:
-                peer.since = now
-            peer.state, peer.life = state, life
-            self._news[peer.name] = 0
+                peer.since_us = now_us
+            peer.state, peer.incarnation = state, incarnation
+            self._pending_updates[peer.name] = 0
 
-    def alive(self) -> list[str]:
-        return sorted(p.name for p in self.peers.values() if p.state == ALIVE and p.session >= 0)
+    def alive_members(self) -> list[str]:
+        return sorted(peer.name for peer in self.peers.values() if peer.state == ALIVE and peer.session >= 0)
