--- a/umberlead/gossip/udp_transport.py
+++ b/umberlead/gossip/udp_transport.py
@@ -4,14 +4,14 @@
 from typing import Any
 
 from umberlead import config
-from umberlead.gossip.messages import Keys
+from umberlead.gossip.messages import GossipKeys
 from umberlead.gossip.swim import Gossip
-from umberlead.zones.integration import Joined
+from umberlead.zones.integration import ZoneIntegration
 
-TICK = 0.1  # s
+TICK_SECONDS = 0.1  # s
 
 
-class Peers(asyncio.DatagramProtocol):
+class GossipProtocol(asyncio.DatagramProtocol):
     def __init__(self, gossip: Gossip, clock: Any) -> None:
         self.gossip, self.clock = gossip, clock
         self.transport: asyncio.DatagramTransport | None = None
@@ -20,13 +20,13 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: Any) -> None:
-        self.send(self.gossip.got(self.clock(), data))
+        self.send(self.gossip.receive(self.clock(), data))
 
-    def error_received(self, fault: Exception) -> None:
+    def error_received(self, error: Exception) -> None:
         """A peer's port that is closed: the ping's silence tells the same."""
 
-    def send(self, rows: list[tuple[str, bytes]]) -> None:
-        for address, data in rows:
+    def send(self, datagrams: list[tuple[str, bytes]]) -> None:
+        for address, data in datagrams:
             host, _, port = address.rpartition(":")
             if self.transport is not None and port.isdigit() and 0 < int(port) < 65536:
                 try:
@@ -35,22 +35,34 @@
                     continue
 
 
-async def start(
-    of: config.Peers, name: str, seed: int, rooms: Joined, clock: Any
-) -> tuple[Peers, asyncio.Task[None]]:
+async def start_gossip(
+    gossip_config: config.GossipConfig, name: str, seed: int, zones: ZoneIntegration, clock: Any
+) -> tuple[GossipProtocol, asyncio.Task[None]]:
     """The socket and its ticks. BadKeys where the keys can't be read, OSError where it can't listen."""
-    loop, keys = asyncio.get_running_loop(), Keys.read(of.keys)
-    gossip = Gossip(name, "", [f"{h}:{p}" for h, p in of.join], keys, seed, clock(), of.bytes_a_second)
-    transport, made = await loop.create_datagram_endpoint(lambda: Peers(gossip, clock), local_addr=of.listen)
+    loop, keys = asyncio.get_running_loop(), GossipKeys.read(gossip_config.keys_path)
+    gossip = Gossip(
+        name,
+        "",
+        [f"{host}:{port}" for host, port in gossip_config.seed_addresses],
+        keys,
+        seed,
+        clock(),
+        gossip_config.max_bytes_per_second,
+    )
+    transport, protocol = await loop.create_datagram_endpoint(
+        lambda: GossipProtocol(gossip, clock), local_addr=gossip_config.listen
+    )
     host, port = transport.get_extra_info("sockname")[:2]
     gossip.address = f"{host}:{port}"
-    gossip.heard = lambda peer, room, state: rooms.director.rooms.peer(clock(), peer, room, state)
+    gossip.on_observation = lambda peer, room, state: zones.router.zone_health.record_peer_state(
+        clock(), peer, room, state
+    )
 
-    async def ticks() -> None:
+    async def tick_periodically() -> None:
         while True:
-            held = rooms.director.rooms.rooms
-            gossip.words = {n: r.state for n, r in held.items()}
-            made.send(gossip.tick(clock()))
-            await asyncio.sleep(TICK)
+            zone_records = zones.router.zone_health.zones
+            gossip.observations = {zone_name: record.state for zone_name, record in zone_records.items()}
+            protocol.send(gossip.tick(clock()))
+            await asyncio.sleep(TICK_SECONDS)
 
-    return made, loop.create_task(ticks())
+    return protocol, loop.create_task(tick_periodically())
--- a/umberlead/handover/clock_anchors.py
+++ b/umberlead/handover/clock_anchors.py
@@ -32,7 +32,7 @@
                 boot, _, lines = file.read(MAX_BYTES).partition(b"\n")
         except OSError:
             return []
-        if boot != self._boot():
+        if boot != self._boot_id():
             return []
         return [int(anchor) for anchor in ANCHOR.findall(lines)][-MAX_ANCHORS:]
 
@@ -43,11 +43,11 @@
         lines = [b"%d\n" % anchor for anchor in [*self.read(), anchor_us][-MAX_ANCHORS:]]
         beside = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         with contextlib.suppress(OSError):
-            beside.write_bytes(self._boot() + b"\n" + b"".join(lines))
+            beside.write_bytes(self._boot_id() + b"\n" + b"".join(lines))
             beside.rename(self._path)
 
     @staticmethod
-    def _boot() -> bytes:
+    def _boot_id() -> bytes:
         try:
             return BOOT_ID.read_bytes().strip()
         except OSError:
--- a/umberlead/handover/descriptor_quota.py
+++ b/umberlead/handover/descriptor_quota.py
@@ -3,46 +3,49 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from umberlead.handover.process_claims import Claim, Use
-from umberlead.handover.quota_division import divide, settled
+from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim
+from umberlead.handover.quota_division import divide_quota, has_fair_quota
 from umberlead.handover.shared_state import SharedState
-from umberlead.net.client_connections import Clients
+from umberlead.net.client_connections import ClientGroup
 from umberlead.net.listener import Listener
-from umberlead.net.node_pool import Pool
-from umberlead.resource_limits import connections, with_surplus
+from umberlead.net.node_pool import EndpointPool
+from umberlead.resource_limits import connections_within, with_surplus
 
 SHORTAGE_LOOK_INTERVAL_US = 5_000  # between looks of a process that is short of places
-UNBOUNDED = 1_000_000  # more than any front's descriptors
+UNBOUNDED_COUNT = 1_000_000  # more than any front's descriptors
 
 
-class Places:
+class DescriptorQuota:
     """The kinds are operators' connections, those of each listener's clients, and those to chunk servers."""
 
     def __init__(
         self,
         shared: SharedState,
-        pool: Pool,
-        groups: Sequence[Clients],
-        doors: Sequence[tuple[Listener, Clients]],
+        pool: EndpointPool,
+        groups: Sequence[ClientGroup],
+        doors: Sequence[tuple[Listener, ClientGroup]],
         listeners: Sequence[Listener],
         clock: Callable[[], int],
         divide_now: Callable[[], None],
     ) -> None:
         """Begin without places; `clock` tells microseconds, and `divide_now` is to call `look`."""
         self.shared, self.pool = shared, pool
-        self.groups, self.doors, self.listeners = groups, doors, listeners
+        self.client_groups, self.admin_listeners, self.listeners = groups, doors, listeners
         self.settled = asyncio.Event()  # the others have let go of what this process needs to begin
         self._places: tuple[int, ...] = ()
         self.clock, self._divide_now = clock, divide_now
-        self.beside, self._looked = True, 0  # whether others may stand, and when that was looked at last
-        pool.on_shortage = self.short
+        self.has_siblings, self._looked = (
+            True,
+            0,
+        )  # whether others may stand, and when that was looked at last
+        pool.on_capacity_shortage = self.connection_refused_for_quota
 
-    def short(self) -> None:
+    def connection_refused_for_quota(self) -> None:
         """A connection is due and finds no place: what no process claims is there at once."""
-        if self.beside and self.clock() - self._looked >= SHORTAGE_LOOK_INTERVAL_US:
+        if self.has_siblings and self.clock() - self._looked >= SHORTAGE_LOOK_INTERVAL_US:
             self._divide_now()
 
-    def look(self, descriptors: int, fixed: int, alone: Sequence[int], open_requests: int) -> None:
+    def update(self, descriptors: int, fixed: int, alone: Sequence[int], open_requests: int) -> None:
         """Divide anew. Where the others can't be looked at now, no cap is raised.
 
         Args:
@@ -55,50 +58,50 @@
             self._places = (0,) * len(alone)
         places, self._looked = self._places, self.clock()
 
-        def decide(others: list[Claim | None]) -> Claim:
+        def decide(others: list[DescriptorClaim | None]) -> DescriptorClaim:
             nonlocal places
-            self.beside = bool(others)
+            self.has_siblings = bool(others)
             own = self._claim(fixed, self._places, open_requests)
-            places = divide(descriptors, alone, own, others)
+            places = divide_quota(descriptors, alone, own, others)
             lowered = tuple(map(min, places, self._places))
             if lowered != self._places:
                 self._apply(lowered)
                 own = self._claim(fixed, places, open_requests)  # what could go is gone
             uses = (
-                Use(most, use.standing, use.needed, use.may_need)
-                for most, use in zip(places, own.uses, strict=True)
+                ConnectionUse(most, use.open_connections, use.required, use.max_required)
+                for most, use in zip(places, own.connection_uses, strict=True)
             )
-            claim = Claim(fixed, tuple(uses))
-            if settled(descriptors, alone, claim, others):
+            claim = DescriptorClaim(fixed, tuple(uses))
+            if has_fair_quota(descriptors, alone, claim, others):
                 self.settled.set()
             return claim
 
         if self.shared.publish(decide):
             self._apply(places)
 
-    def _all_clients(self) -> list[Clients]:
-        return [*(group for _, group in self.doors), *self.groups]
+    def _all_clients(self) -> list[ClientGroup]:
+        return [*(group for _, group in self.admin_listeners), *self.client_groups]
 
-    def _claim(self, fixed: int, places: Sequence[int], open_requests: int) -> Claim:
+    def _claim(self, fixed: int, places: Sequence[int], open_requests: int) -> DescriptorClaim:
         *of_clients, of_nodes = places
         uses = [self._use_of(*kind) for kind in zip(self._all_clients(), of_clients, strict=True)]
-        busy = self.pool.busy_count()
-        bound = max(busy, open_requests) if self._closed() else UNBOUNDED
-        uses.append(Use(of_nodes, len(self.pool.slots), busy, bound))
-        return Claim(fixed, tuple(uses))
+        busy = self.pool.active_count()
+        bound = max(busy, open_requests) if self._closed() else UNBOUNDED_COUNT
+        uses.append(ConnectionUse(of_nodes, len(self.pool.slots), busy, bound))
+        return DescriptorClaim(fixed, tuple(uses))
 
-    def _use_of(self, clients: Clients, places: int) -> Use:
-        listeners = [*self.listeners, *(door for door, _ in self.doors)]
+    def _use_of(self, clients: ClientGroup, places: int) -> ConnectionUse:
+        listeners = [*self.listeners, *(door for door, _ in self.admin_listeners)]
         standing = len(clients.slots) + sum(
             one.pending_count() for one in listeners if one.clients is clients
         )
-        needed = with_surplus(clients.busy_count())
-        closed = self._closed() and clients in self.groups
-        return Use(places, standing, needed, max(standing, needed) if closed else UNBOUNDED)
+        needed = with_surplus(clients.active_count())
+        closed = self._closed() and clients in self.client_groups
+        return ConnectionUse(places, standing, needed, max(standing, needed) if closed else UNBOUNDED_COUNT)
 
     def _closed(self) -> bool:
         """No new clients are taken any more."""
-        return bool(self.listeners) and not any(one.is_open or one.accepting for one in self.listeners)
+        return bool(self.listeners) and not any(one.is_open or one.accepting_count for one in self.listeners)
 
     def _apply(self, places: tuple[int, ...]) -> None:
         before, self._places = self._places, places
@@ -106,8 +109,8 @@
             return
         *of_clients, self.pool.max_connections = places
         for clients, most in zip(self._all_clients(), of_clients, strict=True):
-            clients.max_connections = connections(most)
-            clients.enforce_limit()
-        self.pool.enforce_limit()
+            clients.max_connections = connections_within(most)
+            clients.evict_excess()
+        self.pool.evict_excess()
         for listener in self.listeners:
             listener.resume()
--- a/umberlead/handover/process_registry.py
+++ b/umberlead/handover/process_registry.py
@@ -14,8 +14,10 @@
 from pathlib import Path
 
 STANDING, LEAVING = b"standing", b"leaving "  # of one length: overwriting takes no more room
-LEAVING_WEIGHT = 0.25  # of another's share, for one that ends: its clients go over with their next answer
-SPARE_FILES = 2  # that are kept for processes which can make none
+LEAVING_PROCESS_SHARE = (
+    0.25  # of another's share, for one that ends: its clients go over with their next answer
+)
+SPARE_FILES_COUNT = 2  # that are kept for processes which can make none
 PERMANENT_ERRNOS = frozenset((errno.EROFS, errno.EACCES, errno.EPERM, errno.ENOTDIR, errno.ENOENT))
 
 
@@ -44,7 +46,7 @@
         """Begin without an entry: `register` makes one."""
         self.folder = folder
         self.name = ""
-        self.others: list[str] = []
+        self.siblings: list[str] = []
         self.listed_ns = 0
         self._weight = 1.0
         self._weights: list[float] = []
@@ -65,14 +67,14 @@
         try:
             name = secrets.token_hex(8)
             prepare(name)
-            self._hold(name, os.O_CREAT | os.O_EXCL, 0)
+            self._lock_entry(name, os.O_CREAT | os.O_EXCL, 0)
         except OSError:
             if not self._take_over(prepare):
                 raise
         with contextlib.suppress(OSError):
-            self._keep_spares(prepare)
+            self._create_spare_files(prepare)
 
-    def _hold(self, name: str, flags: int, waiting: int) -> None:
+    def _lock_entry(self, name: str, flags: int, waiting: int) -> None:
         descriptor = os.open(self.folder / name, os.O_RDWR | os.O_CLOEXEC | flags, 0o644)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | waiting)
@@ -90,7 +92,7 @@
             return False
         for name in names:
             try:
-                self._hold(name, 0, fcntl.LOCK_NB)
+                self._lock_entry(name, 0, fcntl.LOCK_NB)
             except OSError:  # another holds it
                 continue
             self.taken_over = True
@@ -99,10 +101,10 @@
             return True
         return False
 
-    def _keep_spares(self, prepare: Callable[[str], None]) -> None:
+    def _create_spare_files(self, prepare: Callable[[str], None]) -> None:
         """Make files for processes that can make none, unless there are some."""
         free = [name for name in os.listdir(self.folder) if name != self.name and not self._weight_of(name)]
-        for _ in range(SPARE_FILES - len(free)):
+        for _ in range(SPARE_FILES_COUNT - len(free)):
             name = secrets.token_hex(8)
             prepare(name)
             spare = os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o644)
@@ -111,14 +113,14 @@
             finally:
                 os.close(spare)
 
-    def look(self) -> int:
+    def refresh(self) -> int:
         """Look for the others and return how many stand; where that fails, those of the latest look."""
         with contextlib.suppress(OSError):
             listed_ns = os.stat(self.folder).st_mtime_ns
             names = [name for name in os.listdir(self.folder) if name != self.name]
             found = {name: weight for name in names if (weight := self._weight_of(name))}
-            self.others, self._weights, self.listed_ns = list(found), list(found.values()), listed_ns
-        return len(self.others)
+            self.siblings, self._weights, self.listed_ns = list(found), list(found.values()), listed_ns
+        return len(self.siblings)
 
     def _weight_of(self, name: str) -> float:
         """Return the weight of the process that holds a file; 0 where none does.
@@ -131,7 +133,7 @@
                 try:
                     fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
                 except BlockingIOError:
-                    return LEAVING_WEIGHT if file.read(len(LEAVING)) == LEAVING else 1.0
+                    return LEAVING_PROCESS_SHARE if file.read(len(LEAVING)) == LEAVING else 1.0
         except FileNotFoundError:
             pass
         return 0.0
@@ -147,9 +149,9 @@
         """Return this process's share, above 0 to 1, of what its front may do, as of the latest look."""
         return self._weight / (self._weight + sum(self._weights))
 
-    def leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Let the others know that this process was told to end; else they give it an even share."""
-        self._weight = LEAVING_WEIGHT
+        self._weight = LEAVING_PROCESS_SHARE
         if self.name:
             with contextlib.suppress(OSError):
                 write_all(self._descriptor, LEAVING)
--- a/umberlead/handover/shared_state.py
+++ b/umberlead/handover/shared_state.py
@@ -15,7 +15,7 @@
 
 from umberlead.handover.clock_anchors import ClockAnchors
 from umberlead.handover.drain_overrides import DrainOverrides
-from umberlead.handover.process_claims import Claim, parse
+from umberlead.handover.process_claims import DescriptorClaim, parse_claim
 from umberlead.handover.process_registry import PERMANENT_ERRNOS, ProcessRegistry, write_all
 
 CLAIM_BYTES = 256  # of a claim's file, whose size never changes: there is no moment without room for it
@@ -36,16 +36,16 @@
 
     def __init__(self, root: Path | None) -> None:
         """Register among the processes of the front; without a folder that can be written, later or never."""
-        self.root, self.fault = root, ""
+        self.root, self.error = root, ""
         self._claim, self._published = "", False
         if root is not None and (permanent := self._make_folders(root)):
-            self.root, self.fault = None, permanent
+            self.root, self.error = None, permanent
         root = self.root
         self._registry = None if root is None else ProcessRegistry(root / "fronts")
         self.clock_anchors = ClockAnchors(None if root is None else root / "clock")
         self._overrides = DrainOverrides(None if root is None else root / "offline")
         if self._registry is not None:
-            self.others()
+            self.count_siblings()
 
     @staticmethod
     def _make_folders(root: Path) -> str:
@@ -66,16 +66,16 @@
             assert self.root is not None
             self._make_folders(self.root)
             registry.register(self._prepare_claim)
-            self.fault = ""
+            self.error = ""
         except OSError as fault:
-            self.fault = str(fault)
+            self.error = str(fault)
 
-    def others(self) -> int:
+    def count_siblings(self) -> int:
         """Return how many processes stand beside this one, or stood at the latest look that could be made."""
         if self._registry is None:
             return 0
         self._register(self._registry)
-        return self._registry.look()
+        return self._registry.refresh()
 
     def share(self) -> float:
         """Return this process's share of what its front may send, as of the latest look at `others`.
@@ -88,7 +88,7 @@
         """Tell whether a process started or ended since the others were last looked at."""
         return self._registry is not None and self._registry.changed()
 
-    def publish(self, decide: Callable[[list[Claim | None]], Claim]) -> bool:
+    def publish(self, decide: Callable[[list[DescriptorClaim | None]], DescriptorClaim]) -> bool:
         """Publish the claim that `decide` makes of the others', None for each that has published nothing.
 
         No other process decides meanwhile. False where that can't be done now: one does, or there is no
@@ -102,9 +102,9 @@
         try:
             with registry.exclusive() as folder:
                 if registry.changed():
-                    self.others()
-                alone = not registry.others
-                claim = decide([self._claim_of(name) for name in registry.others])
+                    self.count_siblings()
+                alone = not registry.siblings
+                claim = decide([self._claim_of(name) for name in registry.siblings])
                 if not self._published:  # a start within one tick of the system's clock goes unseen otherwise
                     now = time.time_ns()
                     os.utime(folder, ns=(now, now))
@@ -118,7 +118,7 @@
             return alone or fault.errno in DISK_ERRNOS
         return True
 
-    def _claim_of(self, name: str) -> Claim | None:
+    def _claim_of(self, name: str) -> DescriptorClaim | None:
         assert self.root is not None
         try:
             file = os.open(self.root / "claims" / name, os.O_RDONLY)
@@ -130,15 +130,15 @@
                 data += piece
         finally:
             os.close(file)
-        return parse(data.decode("ascii", "replace")) if len(data) == CLAIM_BYTES else None
+        return parse_claim(data.decode("ascii", "replace")) if len(data) == CLAIM_BYTES else None
 
     def _prepare_claim(self, name: str) -> None:
         """Let the others see a process that will divide with them."""
-        self._write(name, Claim(0, ()).text())
+        self._write(name, DescriptorClaim(0, ()).to_text())
 
-    def _write_claim(self, claim: Claim) -> None:
+    def _write_claim(self, claim: DescriptorClaim) -> None:
         assert self._registry is not None
-        if (text := claim.text()) == self._claim or not self._registry.name:
+        if (text := claim.to_text()) == self._claim or not self._registry.name:
             return
         self._claim = ""  # until all of it is written
         self._write(self._registry.name, text)
@@ -152,16 +152,16 @@
         finally:
             os.close(file)
 
-    def leaves(self) -> None:
+    def announce_leaving(self) -> None:
         """Let the others know that this process was told to end."""
         if self._registry is not None:
-            self._registry.leaving()
+            self._registry.announce_leaving()
 
-    def overrides(self) -> dict[str, int]:
+    def drain_overrides(self) -> dict[str, int]:
         """Return the chunk servers that are out by hand, and since when in microseconds of Unix time."""
         return self._overrides.read()
 
-    def override(self, node: str, out: bool) -> None:
+    def set_drain_override(self, node: str, out: bool) -> None:
         """Take a chunk server out by hand, or put it back.
 
         Raises:
@@ -169,11 +169,11 @@
         """
         self._overrides.set(node, out)
 
-    def agent(self) -> bool | None:
+    def met_agent_before(self) -> bool | None:
         """Tell whether an earlier process met an agent in discovery's place; None: not known."""
         return True if self.root is not None and (self.root / "agent").exists() else None
 
-    def met_agent(self, agent: bool) -> None:
+    def record_agent(self, agent: bool) -> None:
         """Note it for the next process: only a hint, which that learns anew where it can't be kept."""
         if self.root is None:
             return
@@ -183,7 +183,7 @@
             else:
                 (self.root / "agent").unlink(missing_ok=True)
 
-    def leave(self) -> None:
+    def deregister(self) -> None:
         """Be seen no more: the process ends."""
         registry = self._registry
         if registry is None or not registry.name:
--- a/umberlead/load/day.py
+++ b/umberlead/load/day.py
@@ -113,12 +113,20 @@
 def _kinds(of: Figures, chance: random.Random) -> list[Kind]:
     made = [
         Kind(
-            g.name, g.draw("share", chance), g.draw("work_ms", chance) * 1000, g.draw("cv", chance),
-            g.draw("noise", chance), int(g.one("aim_ms") * 1000), int(g.one("deadline_ms") * 1000),
-            g.one("worth"), g.one("late_worth"), g.text("effect"), g.flag("write"),
+            g.name,
+            g.draw("share", chance),
+            g.draw("work_ms", chance) * 1000,
+            g.draw("cv", chance),
+            g.draw("noise", chance),
+            int(g.one("aim_ms") * 1000),
+            int(g.one("deadline_ms") * 1000),
+            g.one("worth"),
+            g.one("late_worth"),
+            g.text("effect"),
+            g.flag("write"),
         )
         for g in of.classes
-    ]  # fmt: skip
+    ]
     return made
 
 
@@ -172,12 +180,18 @@
             name = f"{len(day.volumes):04x}{chance.getrandbits(48):012x}"
             day.volumes.append(
                 Volume(
-                    name, g.name, g.one("size") * base, asks, surges,
-                    tuple(chance.sample(range(shards), nodes)), tuple(chance.sample(range(fronts), hosts)),
-                    tuple((k + 1) ** -skew for k in range(hosts)), shifts,
+                    name,
+                    g.name,
+                    g.one("size") * base,
+                    asks,
+                    surges,
+                    tuple(chance.sample(range(shards), nodes)),
+                    tuple(chance.sample(range(fronts), hosts)),
+                    tuple((k + 1) ** -skew for k in range(hosts)),
+                    shifts,
                     [f"{chance.getrandbits(64):016x}" for _ in range(200)],
                 )
-            )  # fmt: skip
+            )
     lift = load * can / sum(v.rate * v.asks for v in day.volumes)
     for v in day.volumes:
         v.rate *= lift
@@ -235,9 +249,19 @@
                 work *= w.by
         units = min(max(round(work / day.unit), 1), day.most_units)
         made = Request(
-            number, at, kind.name, v.plan, v.name, len(v.fronts), v.front(at, chance),
-            chance.choice(v.blocks), chance.choice(v.shards), units, work, kind.write,
-        )  # fmt: skip
+            number,
+            at,
+            kind.name,
+            v.plan,
+            v.name,
+            len(v.fronts),
+            v.front(at, chance),
+            chance.choice(v.blocks),
+            chance.choice(v.shards),
+            units,
+            work,
+            kind.write,
+        )
         if kind.write:
             made.shard, made.block = -1, f"{chance.getrandbits(64):016x}"
             latest = written.setdefault(n, [])
--- a/umberlead/load/platform.py
+++ b/umberlead/load/platform.py
@@ -56,11 +56,16 @@
         volume = chance.randrange(plan.volumes)
         made.append(
             Asked(
-                at, chance.randrange(fronts), f"{plan.seed:x}-{len(made):x}", chance.random() < plan.writes,
-                chance.randrange(plan.shards), volume, chance.choice(plan.units),
+                at,
+                chance.randrange(fronts),
+                f"{plan.seed:x}-{len(made):x}",
+                chance.random() < plan.writes,
+                chance.randrange(plan.shards),
+                volume,
+                chance.choice(plan.units),
                 f"{chance.getrandbits(64):016x}",
             )
-        )  # fmt: skip
+        )
 
 
 @dataclass(slots=True)
--- a/umberlead/load/showing.py
+++ b/umberlead/load/showing.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from umberlead.load.objects import PLACES, Objects, Tally
-from umberlead.membership.model import Server
+from umberlead.membership.model import EndpointSpec
 from umberlead.standins import fleet
 from umberlead.standins.chunkserver import Model, Record
 
@@ -31,12 +31,15 @@
     """A line a place: calls a second, in all, octets, latencies."""
     return [
         [
-            NAMES[p], f"{(tally.done[p] - before[p]) / took:.1f}/s", f"{tally.done[p]}",
-            f"{tally.octets[p] / 1e6:.1f} MB", f"{tally.percentile(p, 50):.0f} ms",
+            NAMES[p],
+            f"{(tally.done[p] - before[p]) / took:.1f}/s",
+            f"{tally.done[p]}",
+            f"{tally.octets[p] / 1e6:.1f} MB",
+            f"{tally.percentile(p, 50):.0f} ms",
             f"{tally.percentile(p, 99):.0f} ms",
         ]
         for p in PLACES
-    ]  # fmt: skip
+    ]
 
 
 def summary(tally: Tally) -> str:
@@ -100,7 +103,12 @@
 
 
 async def run(
-    config: Path, servers: list[Server], buckets: list[str], seconds: float | None, rate: float, seed: int
+    config: Path,
+    servers: list[EndpointSpec],
+    buckets: list[str],
+    seconds: float | None,
+    rate: float,
+    seed: int,
 ) -> bool:
     loop, done = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -112,9 +120,16 @@
         nodes = await fleet.start(servers, Model(), record, seed, emulated=True)
         log = open(path, "w")  # noqa: SIM115 (closed below, once the front has ended)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "umberlead", "run", str(config), stdin=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.PIPE, start_new_session=True,
-        )  # fmt: skip
+            sys.executable,
+            "-B",
+            "-m",
+            "umberlead",
+            "run",
+            str(config),
+            stdin=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+            start_new_session=True,
+        )
         try:
             address = await asyncio.wait_for(_listens(process, log), START_UP)
             print(f"objects at http://{address[0]}:{address[1]}/{buckets[0]}/NAME; the front's log: {path}")
@@ -160,7 +175,12 @@
 
 
 def main(
-    config: Path, servers: list[Server], buckets: list[str], seconds: float | None, rate: float, seed: int
+    config: Path,
+    servers: list[EndpointSpec],
+    buckets: list[str],
+    seconds: float | None,
+    rate: float,
+    seed: int,
 ) -> bool:
     """Until Ctrl-C, or for `seconds`. NoFront or OSError where it can't begin; False where bytes were
     wrong."""
--- a/umberlead/membership/files.py
+++ b/umberlead/membership/files.py
@@ -12,11 +12,11 @@
 
 from umberlead.membership import grammar
 from umberlead.membership.checks import manifest_problems
-from umberlead.membership.model import Parsed, Place, Problem
+from umberlead.membership.model import FilePosition, ListProblem, ParsedFile
 
-BYTES_MOST = 64 << 20  # of a whole set
-FILES_MOST = 1000
-DEPTH_MOST = 8
+MAX_SET_BYTES = 64 << 20  # of a whole set
+MAX_FILES_COUNT = 1000
+MAX_INCLUDE_DEPTH_COUNT = 8
 
 Signature = tuple[tuple[str, int, int, int, int, int], ...]
 
@@ -25,17 +25,17 @@
 class FileSet:
     """What was read. `folders` hold the files, by their real paths too: these are watched."""
 
-    files: list[Parsed] = field(default_factory=list)
+    parsed_files: list[ParsedFile] = field(default_factory=list)
     digest: str = ""
-    digests: dict[str, str] = field(default_factory=dict)
-    texts: dict[str, str] = field(default_factory=dict)
-    problems: list[Problem] = field(default_factory=list)
+    digest_by_file: dict[str, str] = field(default_factory=dict)
+    text_by_file: dict[str, str] = field(default_factory=dict)
+    problems: list[ListProblem] = field(default_factory=list)
     paths: list[Path] = field(default_factory=list)
-    folders: set[Path] = field(default_factory=set)
-    signature: Signature = ()
+    watched_folders: set[Path] = field(default_factory=set)
+    paths_signature: Signature = ()
 
 
-def _mark(path: Path) -> tuple[str, int, int, int, int, int]:
+def _path_signature(path: Path) -> tuple[str, int, int, int, int, int]:
     """What tells one content of a path from another, as far as the file system does. Where a symlink
     points to counts with the file's own inode."""
     try:
@@ -45,143 +45,153 @@
     return str(path), of.st_dev, of.st_ino, of.st_size, of.st_mtime_ns, of.st_ctime_ns
 
 
-def signature(paths: Iterable[Path], folders: Iterable[Path] = ()) -> Signature:
+def paths_signature(paths: Iterable[Path], folders: Iterable[Path] = ()) -> Signature:
     """Compared for being the same, never for being later: clocks go back."""
-    return tuple(_mark(path) for path in (*paths, *sorted(folders)))
+    return tuple(_path_signature(path) for path in (*paths, *sorted(folders)))
 
 
-class _Reader:
-    def __init__(self, main: Path) -> None:
-        self.main, self.made = main, FileSet()
-        self.size = 0
-        self.open: list[Path] = []  # the chain of includes
-        self.seen: set[Path] = set()
-        self.drop_ins: set[Path] = set()  # folders whose content decides which files there are
+class _SetReader:
+    def __init__(self, main_path: Path) -> None:
+        self.main_path, self.file_set = main_path, FileSet()
+        self.bytes_read = 0
+        self.include_chain: list[Path] = []  # the chain of includes
+        self.seen_paths: set[Path] = set()
+        self.drop_in_folders: set[Path] = set()  # folders whose content decides which files there are
 
-    def name(self, path: Path) -> str:
+    def relative_name(self, path: Path) -> str:
         """As messages and the manifest have it: from the main file's folder."""
-        return os.path.relpath(path, self.main.parent)
+        return os.path.relpath(path, self.main_path.parent)
 
-    def read(self, path: Path, at: Place) -> Parsed | None:
-        made, name = self.made, self.name(path)
+    def read_file(self, path: Path, at: FilePosition) -> ParsedFile | None:
+        made, name = self.file_set, self.relative_name(path)
         made.paths.append(path)
-        made.folders.add(path.parent)
+        made.watched_folders.add(path.parent)
         try:
             real = path.resolve()
-            made.folders.add(real.parent)
+            made.watched_folders.add(real.parent)
             if not stat.S_ISREG(os.stat(real).st_mode):  # a pipe would hold the thread for ever
-                self.bad("L401", at, f"{name} is no regular file")
+                self.add_problem("L401", at, f"{name} is no regular file")
                 return None
             with open(real, "rb") as file:
-                data = file.read(BYTES_MOST - self.size + 1)
+                data = file.read(MAX_SET_BYTES - self.bytes_read + 1)
         except OSError as fault:
-            self.bad("L401", at, f"{name}: {fault.strerror}")
+            self.add_problem("L401", at, f"{name}: {fault.strerror}")
             return None
-        self.size += len(data)
-        if self.size > BYTES_MOST:
-            self.bad("L402", at, f"the files hold more than {BYTES_MOST >> 20} MiB")
+        self.bytes_read += len(data)
+        if self.bytes_read > MAX_SET_BYTES:
+            self.add_problem("L402", at, f"the files hold more than {MAX_SET_BYTES >> 20} MiB")
             return None
         try:
             text = data.decode()
         except UnicodeDecodeError as fault:
             line = data.count(b"\n", 0, fault.start) + 1
-            self.bad("L401", Place(name, line), "the file is not UTF-8")
+            self.add_problem("L401", FilePosition(name, line), "the file is not UTF-8")
             return None
-        made.digests[name] = hashlib.sha256(data).hexdigest()
-        made.texts[name] = text
-        return grammar.parse(text, name)
+        made.digest_by_file[name] = hashlib.sha256(data).hexdigest()
+        made.text_by_file[name] = text
+        return grammar.parse_file(text, name)
 
-    def bad(self, code: str, at: Place, why: str) -> None:
-        self.made.problems.append(Problem(code, at, why))
+    def add_problem(self, code: str, at: FilePosition, why: str) -> None:
+        self.file_set.problems.append(ListProblem(code, at, why))
 
-    def take(self, path: Path, at: Place) -> None:
+    def read_with_includes(self, path: Path, at: FilePosition) -> None:
         """A file and what it includes."""
-        if path in self.open:
-            chain = " -> ".join(self.name(p) for p in [*self.open[self.open.index(path) :], path])
-            self.bad("L403", at, chain)
+        if path in self.include_chain:
+            chain = " -> ".join(
+                self.relative_name(p) for p in [*self.include_chain[self.include_chain.index(path) :], path]
+            )
+            self.add_problem("L403", at, chain)
             return None
-        if path in self.seen:
-            self.bad("L403", at, f"{self.name(path)} is included twice")
+        if path in self.seen_paths:
+            self.add_problem("L403", at, f"{self.relative_name(path)} is included twice")
             return None
-        if len(self.open) >= DEPTH_MOST or len(self.seen) >= FILES_MOST:
-            self.bad("L402", at, f"more than {DEPTH_MOST} levels or {FILES_MOST} files of includes")
+        if len(self.include_chain) >= MAX_INCLUDE_DEPTH_COUNT or len(self.seen_paths) >= MAX_FILES_COUNT:
+            self.add_problem(
+                "L402",
+                at,
+                f"more than {MAX_INCLUDE_DEPTH_COUNT} levels or {MAX_FILES_COUNT} files of includes",
+            )
             return None
-        self.seen.add(path)
-        parsed = self.read(path, at)
+        self.seen_paths.add(path)
+        parsed = self.read_file(path, at)
         if parsed is None:
             return None
-        self.made.files.append(parsed)
-        self.open.append(path)
+        self.file_set.parsed_files.append(parsed)
+        self.include_chain.append(path)
         for pattern, place in parsed.includes:
-            self.include(path.parent, pattern, place)
-        self.open.pop()
+            self.read_include(path.parent, pattern, place)
+        self.include_chain.pop()
         return None
 
-    def include(self, folder: Path, pattern: str, place: Place) -> None:
+    def read_include(self, folder: Path, pattern: str, place: FilePosition) -> None:
         if any(c in pattern for c in "*?["):
             base, _, last = pattern.rpartition("/")
             if any(c in base for c in "*?["):
-                self.bad("L404", place, f"{pattern}: only the last part may hold wildcards")
+                self.add_problem("L404", place, f"{pattern}: only the last part may hold wildcards")
                 return None
-            inside = _plain(folder / base)
-            self.drop_ins.add(inside)
-            self.made.folders.add(inside)
+            inside = _normalized(folder / base)
+            self.drop_in_folders.add(inside)
+            self.file_set.watched_folders.add(inside)
             if not inside.is_dir():  # made again in a moment, or a typo: never an empty list
-                self.bad("L404", place, f"there is no folder {base or '.'}")
+                self.add_problem("L404", place, f"there is no folder {base or '.'}")
                 return None
             for path in sorted(inside.glob(last)):
                 if not path.name.startswith("."):
-                    self.take(path, place)
+                    self.read_with_includes(path, place)
             return None
-        path = _plain(folder / pattern)
+        path = _normalized(folder / pattern)
         if not path.exists():
-            self.made.paths.append(path)
-            self.made.folders.add(path.parent)
-            self.bad("L404", place, f"there is no file {pattern}")
+            self.file_set.paths.append(path)
+            self.file_set.watched_folders.add(path.parent)
+            self.add_problem("L404", place, f"there is no file {pattern}")
             return None
-        return self.take(path, place)
+        return self.read_with_includes(path, place)
 
-    def manifest(self) -> None:
-        told = self.made.files[0].manifest if self.made.files else None
+    def check_manifest(self) -> None:
+        told = self.file_set.parsed_files[0].manifest if self.file_set.parsed_files else None
         if told is None:
             return
         text, place = told
-        path, digests = _plain(self.main.parent / text), dict(self.made.digests)
-        if path in self.seen:
-            self.bad("L406", place, f"{text} is a file of the set itself")
+        path, digests = _normalized(self.main_path.parent / text), dict(self.file_set.digest_by_file)
+        if path in self.seen_paths:
+            self.add_problem("L406", place, f"{text} is a file of the set itself")
             return None
-        parsed = self.read(path, place)
+        parsed = self.read_file(path, place)
         if parsed is not None:
-            self.made.problems += manifest_problems(self.name(self.main), parsed, digests, place)
+            self.file_set.problems += manifest_problems(
+                self.relative_name(self.main_path), parsed, digests, place
+            )
 
 
-def _plain(path: Path) -> Path:
+def _normalized(path: Path) -> Path:
     """Without `..`, so that one file has one name; symlinks stay, since they are what is swapped."""
     return Path(os.path.normpath(path))
 
 
-def read(main: Path) -> FileSet:
+def read_set(main_path: Path) -> FileSet:
     """The whole set, with every problem met on the way. Never raises for what files hold."""
-    main = _plain(main.absolute())
-    reader = _Reader(main)
-    reader.take(main, Place(main.name))
-    reader.manifest()
-    made = reader.made
-    made.signature = signature(made.paths, reader.drop_ins)
+    main_path = _normalized(main_path.absolute())
+    reader = _SetReader(main_path)
+    reader.read_with_includes(main_path, FilePosition(main_path.name))
+    reader.check_manifest()
+    made = reader.file_set
+    made.paths_signature = paths_signature(made.paths, reader.drop_in_folders)
     whole = hashlib.sha256()
-    for name, digest in sorted(made.digests.items()):
+    for name, digest in sorted(made.digest_by_file.items()):
         whole.update(f"{name}\0{digest}\0".encode())
     made.digest = whole.hexdigest()
     return made
 
 
-def read_steady(main: Path, tries: int = 3) -> FileSet:
+def read_stable_set(main_path: Path, max_attempts: int = 3) -> FileSet:
     """The set as it stood at one moment: read again where something moved meanwhile."""
-    made = read(main)
-    for _ in range(tries):
-        again = read(main)
-        if again.signature == made.signature and again.digest == made.digest:
+    made = read_set(main_path)
+    for _ in range(max_attempts):
+        again = read_set(main_path)
+        if again.paths_signature == made.paths_signature and again.digest == made.digest:
             return again
         made = again
-    made.problems.append(Problem("L407", Place(main.name), "the files change faster than they can be read"))
+    made.problems.append(
+        ListProblem("L407", FilePosition(main_path.name), "the files change faster than they can be read")
+    )
     return made
--- a/umberlead/membership/formatting.py
+++ b/umberlead/membership/formatting.py
@@ -2,49 +2,49 @@
 comments kept as they are. The meaning never changes, and laying out twice is laying out once."""
 
 from umberlead.membership import grammar
-from umberlead.membership.model import Server
-from umberlead.scheduling.interface import NodeState
+from umberlead.membership.model import EndpointSpec
+from umberlead.scheduling.events import EndpointStatus
 
 
-def _number(value: float) -> str:
+def _format_number(value: float) -> str:
     return f"{value:.9f}".rstrip("0").rstrip(".")
 
 
-def attributes(server: Server) -> list[str]:
+def endpoint_attributes(endpoint: EndpointSpec) -> list[str]:
     """As words, in the usual order."""
-    assert server.address is not None
-    host, port = server.address
-    made = [f"address {f'[{host}]' if ':' in host else host}:{port}", f"shard {server.shard}"]
-    if server.room:
-        made.append(f"room {server.room}")
-    if server.weight is not None:
-        made.append(f"weight {_number(server.weight)}")
-    if server.state is NodeState.DRAINING:
+    assert endpoint.address is not None
+    host, port = endpoint.address
+    made = [f"address {f'[{host}]' if ':' in host else host}:{port}", f"shard {endpoint.shard}"]
+    if endpoint.room:
+        made.append(f"room {endpoint.room}")
+    if endpoint.weight is not None:
+        made.append(f"weight {_format_number(endpoint.weight)}")
+    if endpoint.state is EndpointStatus.DRAINING:
         made.append("state draining")
-    if server.units:
-        made.append(f"max-units {_number(server.units)}")
+    if endpoint.units:
+        made.append(f"max-units {_format_number(endpoint.units)}")
     return made
 
 
-def statement(server: Server) -> str:
-    return " ".join([f"server {server.name}", *attributes(server)])
+def endpoint_statement(endpoint: EndpointSpec) -> str:
+    return " ".join([f"server {endpoint.name}", *endpoint_attributes(endpoint)])
 
 
-def _comment(text: str) -> str:
+def _extract_comment(text: str) -> str:
     _, found, comment = text.partition("#")
     return f"# {comment.strip()}".rstrip() if found else ""
 
 
-def _plain(kind: str, value: object, text: str) -> str:
+def _format_statement(kind: str, value: object, text: str) -> str:
     if kind == "file":
         assert isinstance(value, tuple)
         return f"file {value[0]} sha256 {value[1]}"
     return f"{kind} {value}"
 
 
-def _aligned(run: list[tuple[Server, str]]) -> list[str]:
+def _aligned_lines(run: list[tuple[EndpointSpec, str]]) -> list[str]:
     """A run of server lines: name, address and shard in columns, then what else there is."""
-    cells = [[f"server {s.name}", *attributes(s)] for s, _ in run]
+    cells = [[f"server {s.name}", *endpoint_attributes(s)] for s, _ in run]
     widths = [max(len(row[k]) for row in cells) for k in range(3)]
     lines = []
     for row, (_, comment) in zip(cells, run, strict=True):
@@ -54,24 +54,24 @@
     return lines
 
 
-def formatted(text: str) -> str:
+def format_list(text: str) -> str:
     """A file that parses without problems, laid out."""
-    made, run = list[str](), list[tuple[Server, str]]()
+    made, run = list[str](), list[tuple[EndpointSpec, str]]()
 
     def flush() -> None:
         if run:
-            made.extend(_aligned(run))
+            made.extend(_aligned_lines(run))
             run.clear()
 
     for row in text.split("\n")[:-1]:
         row = row.rstrip("\r")
-        got, comment = grammar.line(row), _comment(row)
+        got, comment = grammar.parse_line(row), _extract_comment(row)
         if got is not None and got[0] == "server":
             run.append((got[1], comment))
             continue
         flush()
         if got is not None:
-            line = _plain(got[0], got[1], row)
+            line = _format_statement(got[0], got[1], row)
             made.append(f"{line}  {comment}" if comment else line)
         elif comment:
             made.append(comment)
--- a/umberlead/membership/grammar.py
+++ b/umberlead/membership/grammar.py
@@ -12,13 +12,22 @@
 from lark import Lark, Token, Transformer
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, VisitError
 
-from umberlead.membership.model import SHARD_MOST, STATES, WEIGHT_MOST, Entry, Parsed, Place, Problem, Server
-from umberlead.scheduling.interface import NodeState
-
-FORMAT = 1
-LINES_KEPT = 100_000  # parsed lines remembered: more than the largest list has
-LINE_MOST = 4096  # characters
-FIRST_LINE = "format"
+from umberlead.membership.model import (
+    MAX_WEIGHT,
+    SHARD_INDEX_LIMIT,
+    STATE_BY_KEYWORD,
+    EndpointSpec,
+    EndpointStatement,
+    FilePosition,
+    ListProblem,
+    ParsedFile,
+)
+from umberlead.scheduling.events import EndpointStatus
+
+FORMAT_VERSION = 1
+MAX_CACHED_LINES = 100_000  # parsed lines remembered: more than the largest list has
+MAX_LINE_CHARACTERS_COUNT = 4096  # characters
+FIRST_KEYWORD = "format"
 
 GRAMMAR = r"""
 start: statement?
@@ -55,30 +64,36 @@
 %ignore /[ \t]+/
 """
 
-WORDS = {
-    "INT": "a whole number", "NUMBER": "a number", "HEX": "64 hex digits", "NAME": "a name", "PATH": "a file",
-    "HOSTNAME": "a host name", "HOSTPORT": "host:port", "CIDR": "a network such as 10.1.0.0/16",
+TERMINAL_DESCRIPTIONS = {
+    "INT": "a whole number",
+    "NUMBER": "a number",
+    "HEX": "64 hex digits",
+    "NAME": "a name",
+    "PATH": "a file",
+    "HOSTNAME": "a host name",
+    "HOSTPORT": "host:port",
+    "CIDR": "a network such as 10.1.0.0/16",
     "$END": "the end of the line",
-}  # fmt: skip
-ORDER = ("address", "shard", "room", "weight", "state", "max-units")  # as the formatter has it
+}
+ATTRIBUTE_ORDER = ("address", "shard", "room", "weight", "state", "max-units")  # as the formatter has it
 
 
-class Bad(ValueError):
+class InvalidValueError(ValueError):
     """A value out of its range: the column it stands at and what is wrong."""
 
     def __init__(self, token: Token, why: str) -> None:
         super().__init__(why)
-        self.column, self.why = token.column or 1, why
+        self.column, self.reason = token.column or 1, why
 
 
-def _within(token: Token, what: str, most: float, least: float = 0) -> float:
+def _number_in_range(token: Token, label: str, maximum: float, minimum: float = 0) -> float:
     value = float(token)
-    if not least <= value <= most:
-        raise Bad(token, f"{what} must be from {least} to {most}, not {token}")
+    if not minimum <= value <= maximum:
+        raise InvalidValueError(token, f"{label} must be from {minimum} to {maximum}, not {token}")
     return value
 
 
-class _Read(Transformer[Token, Any]):
+class _StatementTransformer(Transformer[Token, Any]):
     """A line's tree to (kind, values). Attributes become (name, value, column)."""
 
     def start(self, got: list[Any]) -> Any:
@@ -97,11 +112,11 @@
     include = _one("include")
     manifest = _one("manifest")
     end = _one("end", int)
-    shard = _one("shard", lambda t: int(_within(t, "shard", SHARD_MOST)))
+    shard = _one("shard", lambda t: int(_number_in_range(t, "shard", SHARD_INDEX_LIMIT)))
     room = _one("room")
-    state = _one("state", lambda t: STATES[str(t)])
-    weight = _one("weight", lambda t: _within(t, "weight", WEIGHT_MOST))
-    units = _one("max-units", lambda t: _within(t, "max-units", 1e6, 0.1))
+    state = _one("state", lambda t: STATE_BY_KEYWORD[str(t)])
+    weight = _one("weight", lambda t: _number_in_range(t, "weight", MAX_WEIGHT))
+    units = _one("max-units", lambda t: _number_in_range(t, "max-units", 1e6, 0.1))
 
     def digest(self, got: list[Token]) -> tuple[str, Any, int]:
         return "file", (str(got[0]), str(got[1])), got[0].column or 1
@@ -109,102 +124,119 @@
     def address(self, got: list[Token]) -> tuple[str, Any, int]:
         host, _, port = str(got[0]).rpartition(":")
         if not 0 < int(port) < 65536:
-            raise Bad(got[0], f"port must be from 1 to 65535, not {port}")
+            raise InvalidValueError(got[0], f"port must be from 1 to 65535, not {port}")
         return "address", (host.strip("[]").lower(), int(port)), got[0].column or 1
 
     def server(self, got: list[Any]) -> tuple[str, Any, int]:
         name, found = got[0], dict[str, Any]()
         for key, value, column in got[1:]:
             if key in found:
-                raise Bad(Token("NAME", key, column=column), f"{key} is given twice")
+                raise InvalidValueError(Token("NAME", key, column=column), f"{key} is given twice")
             found[key] = value
         for key in ("address", "shard"):
             if key not in found:
-                raise Bad(name, f"server {name} has no {key}")
-        made = Server(
-            str(name), found["address"], found["shard"], found.get("state", NodeState.UP),
-            found.get("room", ""), found.get("weight"), found.get("max-units", 0.0),
-        )  # fmt: skip
+                raise InvalidValueError(name, f"server {name} has no {key}")
+        made = EndpointSpec(
+            str(name),
+            found["address"],
+            found["shard"],
+            found.get("state", EndpointStatus.UP),
+            found.get("room", ""),
+            found.get("weight"),
+            found.get("max-units", 0.0),
+        )
         return "server", made, name.column or 1
 
 
-def keywords_of(parser: Lark) -> dict[str, str]:
+def keyword_by_terminal(parser: Lark) -> dict[str, str]:
     return {t.name: str(t.pattern.value) for t in parser.terminals if t.pattern.type == "str"}
 
 
 _parser = Lark(GRAMMAR, parser="lalr", lexer="contextual", propagate_positions=False)
-_read = _Read()
-_by_name = keywords_of(_parser)
-_lines: dict[str, Any] = {}
+_transformer = _StatementTransformer()
+_keywords = keyword_by_terminal(_parser)
+_parsed_lines: dict[str, Any] = {}
 
 
-def _word_at(text: str, column: int) -> str:
+def _token_at(text: str, column: int) -> str:
     return next(iter(text[column - 1 :].split("#")[0].split()), "")
 
 
-def _expected(fault: UnexpectedInput) -> list[str]:
+def _expected_terminals(fault: UnexpectedInput) -> list[str]:
     told = [getattr(fault, n, None) for n in ("accepts", "allowed", "expected")]
     names = {str(name) for name in next((t for t in told if t), ())}
     return sorted(names - {"COMMENT", "__IGNORE_0"})
 
 
-def fault_of(text: str, fault: UnexpectedInput, keywords: dict[str, str]) -> tuple[int, str, str]:
+def describe_syntax_error(
+    text: str, fault: UnexpectedInput, keywords: dict[str, str]
+) -> tuple[int, str, str]:
     """Column, what was expected, and the nearest known word; `keywords` by their terminals' names."""
     column = fault.column if isinstance(fault.column, int) and fault.column > 0 else len(text.rstrip()) + 1
     if isinstance(fault, UnexpectedEOF) or getattr(getattr(fault, "token", None), "type", "") == "$END":
         column = len(text.split("#")[0].rstrip()) + 1
-    word, names = _word_at(text, column), _expected(fault)
+    word, names = _token_at(text, column), _expected_terminals(fault)
     if isinstance(fault, UnexpectedCharacters):
         # A keyword with more behind it is a word of its own: what the line began with is what was meant.
-        column, word = _word_start(text, column)
+        column, word = _token_start(text, column)
     if word:  # that the line might have ended there is no help
         names = [n for n in names if n != "$END"] or names
     known = [keywords[n] for n in names if n in keywords]
-    wanted = [WORDS[n] for n in names if n in WORDS] + [repr(w) for w in sorted(known)]
+    wanted = [TERMINAL_DESCRIPTIONS[n] for n in names if n in TERMINAL_DESCRIPTIONS] + [
+        repr(w) for w in sorted(known)
+    ]
     near = difflib.get_close_matches(word.lower(), known, 1, 0.6) if word else []
     found = f"found {word!r}" if word else "the line ends"
     return column, f"expected {' or '.join(wanted) or 'nothing more'}, {found}", near[0] if near else ""
 
 
-def _word_start(text: str, column: int) -> tuple[int, str]:
+def _token_start(text: str, column: int) -> tuple[int, str]:
     at = column - 1
     while at > 0 and not text[at - 1].isspace():
         at -= 1
-    return at + 1, _word_at(text, at + 1)
+    return at + 1, _token_at(text, at + 1)
 
 
-def line(text: str) -> Any:
+def parse_line(text: str) -> Any:
     """One line as (kind, value, column), None where it is empty, or a `Problem`-like (column, why, near)
     under kind "!"."""
-    if text in _lines:
-        return _lines[text]
-    if len(text) > LINE_MOST:
-        return "!", (LINE_MOST + 1, f"the line is longer than {LINE_MOST} characters", ""), 0
+    if text in _parsed_lines:
+        return _parsed_lines[text]
+    if len(text) > MAX_LINE_CHARACTERS_COUNT:
+        return (
+            "!",
+            (
+                MAX_LINE_CHARACTERS_COUNT + 1,
+                f"the line is longer than {MAX_LINE_CHARACTERS_COUNT} characters",
+                "",
+            ),
+            0,
+        )
     try:
-        got = _read.transform(_parser.parse(text))
+        got = _transformer.transform(_parser.parse(text))
     except UnexpectedInput as fault:
-        return "!", fault_of(text, fault, _by_name), 0
+        return "!", describe_syntax_error(text, fault, _keywords), 0
     except VisitError as fault:
-        if not isinstance(fault.orig_exc, Bad):
+        if not isinstance(fault.orig_exc, InvalidValueError):
             raise
-        return "!", (fault.orig_exc.column, fault.orig_exc.why, ""), 0
-    if len(_lines) >= LINES_KEPT:
-        _lines.clear()
-    _lines[text] = got
+        return "!", (fault.orig_exc.column, fault.orig_exc.reason, ""), 0
+    if len(_parsed_lines) >= MAX_CACHED_LINES:
+        _parsed_lines.clear()
+    _parsed_lines[text] = got
     return got
 
 
-def parse(text: str, file: str) -> Parsed:
+def parse_file(text: str, file: str) -> ParsedFile:
     """All statements of a file, and every problem found on the way (not only the first)."""
-    made, count, closed = Parsed(file), 0, False
+    made, count, closed = ParsedFile(file), 0, False
 
     def bad(code: str, number: int, column: int, why: str, near: str = "") -> None:
-        made.problems.append(Problem(code, Place(file, number, column), why, near))
+        made.problems.append(ListProblem(code, FilePosition(file, number, column), why, near))
 
     lines = text.split("\n")
     last = lines.pop()
     for number, row in enumerate(lines, 1):
-        got = line(row.rstrip("\r"))
+        got = parse_line(row.rstrip("\r"))
         if got is None:
             continue
         kind, value, column = got
@@ -212,7 +244,7 @@
             bad("L101", number, *value)
             count += 1
             continue
-        place = Place(file, number, column)
+        place = FilePosition(file, number, column)
         if closed:
             bad("L105", number, column, f"{kind} stands behind the closing line")
         elif kind == "end":
@@ -221,7 +253,7 @@
                 bad("L102", number, column, f"the file ends after {value} statements, but has {count}")
         else:
             count += 1
-            _note(made, kind, value, place, count, bad)
+            _record_statement(made, kind, value, place, count, bad)
     if last:
         bad(
             "L103",
@@ -234,16 +266,18 @@
     return made
 
 
-def _note(made: Parsed, kind: str, value: Any, place: Place, count: int, bad: Callable[..., None]) -> None:
+def _record_statement(
+    made: ParsedFile, kind: str, value: Any, place: FilePosition, count: int, bad: Callable[..., None]
+) -> None:
     line_of = (place.line, place.column)
-    if kind == FIRST_LINE:
-        made.format = value
-        if value != FORMAT:
-            bad("L104", *line_of, f"format {value} is unknown; this program reads format {FORMAT}")
+    if kind == FIRST_KEYWORD:
+        made.format_version = value
+        if value != FORMAT_VERSION:
+            bad("L104", *line_of, f"format {value} is unknown; this program reads format {FORMAT_VERSION}")
         elif count != 1:
             bad("L104", *line_of, "format must be the first statement")
     elif count == 1:
-        bad("L104", *line_of, f"the first statement must be 'format {FORMAT}'")
+        bad("L104", *line_of, f"the first statement must be 'format {FORMAT_VERSION}'")
     if kind == "version":
         if made.version is not None:
             bad("L106", *line_of, "version is given twice")
@@ -261,4 +295,4 @@
     elif kind == "file":
         made.digests.append((*value, place))
     elif kind == "server":
-        made.entries.append(Entry(value, place))
+        made.endpoint_statements.append(EndpointStatement(value, place))
--- a/umberlead/membership/loading.py
+++ b/umberlead/membership/loading.py
@@ -9,75 +9,86 @@
 from pathlib import Path
 
 from umberlead.membership import files
-from umberlead.membership.checks import Before, Checks, Verdict, names
-from umberlead.membership.model import Delta, Listing, Place, Problem, difference
-from umberlead.membership.name_resolution import Resolver
-from umberlead.membership.watching import Poll
+from umberlead.membership.checks import CheckResult, CurrentList, ListChecker, host_names
+from umberlead.membership.model import CheckedList, FilePosition, ListDelta, ListProblem, diff_endpoints
+from umberlead.membership.name_resolution import NameResolver
+from umberlead.membership.watching import ChangeDetector
 
-PROBLEMS_MOST = 50  # told of one set
+MAX_REPORTED_PROBLEMS_COUNT = 50  # told of one set
 
 
 @dataclass(slots=True)
-class Loaded:
-    verdict: Verdict
+class LoadResult:
+    check_result: CheckResult
     digest: str
-    folders: set[Path]
-    base: str = ""  # the digest of the list that `delta` was taken against
-    delta: Delta | None = None
-    took: float = 0.0  # s
+    watched_folders: set[Path]
+    base_digest: str = ""  # the digest of the list that `delta` was taken against
+    delta: ListDelta | None = None
+    duration_seconds: float = 0.0  # s
 
 
-class Loader:
+class ListLoader:
     """One set of files, loaded again and again. For one thread at a time."""
 
     def __init__(
         self,
-        main: Path,
-        shards: int,
-        resolver: Resolver,
-        poll: Poll | None = None,
-        gate: Callable[[Path], list[Problem]] | None = None,
+        main_path: Path,
+        shard_count: int,
+        resolver: NameResolver,
+        change_detector: ChangeDetector | None = None,
+        gate: Callable[[Path], list[ListProblem]] | None = None,
     ) -> None:
         """`gate` has the last word on a list that is sound and new; it may take its time."""
-        self.main, self.resolver, self.gate = main, resolver, gate
-        self._judged: tuple[str, list[Problem]] = ("", [])  # the digest that the gate saw last, and its word
-        self.checks, self.poll = Checks(shards), poll or Poll()
+        self.main_path, self.resolver, self.gate = main_path, resolver, gate
+        self._gate_result: tuple[str, list[ListProblem]] = (
+            "",
+            [],
+        )  # the digest that the gate saw last, and its word
+        self.checker, self.change_detector = ListChecker(shard_count), change_detector or ChangeDetector()
 
-    def load(self, before: Listing | None) -> Loaded:
+    def load(self, current: CheckedList | None) -> LoadResult:
         """`before` is the list in force, for versions and the difference."""
         began = time.perf_counter()
-        got = files.read_steady(self.main)
-        self.poll.read(got)
-        resolved = self.resolver.resolve(names(got.files))
-        if got.files:
-            of = Before() if before is None else Before(before.version, before.digest)
-            verdict = self.checks.check(got.files, got.digest, of, resolved)
+        got = files.read_stable_set(self.main_path)
+        self.change_detector.record(got)
+        resolved = self.resolver.resolve(host_names(got.parsed_files))
+        if got.parsed_files:
+            of = CurrentList() if current is None else CurrentList(current.version, current.digest)
+            verdict = self.checker.check(got.parsed_files, got.digest, of, resolved)
         else:
-            verdict = Verdict(None, [])
+            verdict = CheckResult(None, [])
         if got.problems:
             # The set's own problems explain the rest: first what can't be read, then what it says.
-            verdict = Verdict(None, got.problems + verdict.problems)
-        if verdict.listing is None and not verdict.problems:
-            verdict = Verdict(None, [Problem("L401", Place(self.main.name), "nothing could be read")])
-        new = verdict.listing is not None and (before is None or before.digest != got.digest)
-        if self.gate is not None and new and (found := self._gated(got.digest)):
-            verdict = Verdict(None, found)
-        del verdict.problems[PROBLEMS_MOST:]
-        made = Loaded(verdict, got.digest, got.folders)
-        if verdict.listing is not None:
-            made.base = before.digest if before else ""
-            made.delta = difference(before.servers if before else {}, verdict.listing.servers)
-        made.took = time.perf_counter() - began
+            verdict = CheckResult(None, got.problems + verdict.problems)
+        if verdict.checked_list is None and not verdict.problems:
+            verdict = CheckResult(
+                None, [ListProblem("L401", FilePosition(self.main_path.name), "nothing could be read")]
+            )
+        new = verdict.checked_list is not None and (current is None or current.digest != got.digest)
+        if self.gate is not None and new and (found := self._gate_problems(got.digest)):
+            verdict = CheckResult(None, found)
+        del verdict.problems[MAX_REPORTED_PROBLEMS_COUNT:]
+        made = LoadResult(verdict, got.digest, got.watched_folders)
+        if verdict.checked_list is not None:
+            made.base_digest = current.digest if current else ""
+            made.delta = diff_endpoints(current.endpoints if current else {}, verdict.checked_list.endpoints)
+        made.duration_seconds = time.perf_counter() - began
         return made
 
-    def _gated(self, digest: str) -> list[Problem]:
+    def _gate_problems(self, digest: str) -> list[ListProblem]:
         """The gate's word on this set, asked once for each: what it judged is what was loaded."""
         assert self.gate is not None
-        if self._judged[0] != digest:
-            found = self.gate(self.main)
-            if files.read(self.main).digest != digest:  # it read the files itself, and they have moved on
+        if self._gate_result[0] != digest:
+            found = self.gate(self.main_path)
+            if (
+                files.read_set(self.main_path).digest != digest
+            ):  # it read the files itself, and they have moved on
                 return [
-                    Problem("L407", Place(self.main.name), "the files changed while their suite was played")
+                    ListProblem(
+                        "L407",
+                        FilePosition(self.main_path.name),
+                        "the files changed while their suite was played",
+                    )
                 ]
-            self._judged = (digest, found)
-        return list(self._judged[1])
+            self._gate_result = (digest, found)
+        return list(self._gate_result[1])
--- a/umberlead/membership/model.py
+++ b/umberlead/membership/model.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from umberlead.scheduling.interface import NodeState
+from umberlead.scheduling.events import EndpointStatus
 
 Address = tuple[str, int]
 
-STATES = {"ready": NodeState.UP, "draining": NodeState.DRAINING}
-WEIGHT_MOST = 1000.0
-SHARD_MOST = (1 << 20) - 1
+STATE_BY_KEYWORD = {"ready": EndpointStatus.UP, "draining": EndpointStatus.DRAINING}
+MAX_WEIGHT = 1000.0
+SHARD_INDEX_LIMIT = (1 << 20) - 1
 
 
 class Source(IntEnum):
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class FilePosition:
     """Where something stands in a file; lines and columns count from 1, 0 stands for the whole file."""
 
     file: str
@@ -32,37 +32,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
+class ListProblem:
     """Why a set of files can't be taken. `code` has an entry in docs/watched-lists.md."""
 
     code: str
-    place: Place
-    text: str
-    near: str = ""  # the nearest known word
+    position: FilePosition
+    message: str
+    suggestion: str = ""  # the nearest known word
 
     def __str__(self) -> str:
-        hint = f"; did you mean {self.near!r}?" if self.near else ""
-        return f"{self.place}: {self.code}: {self.text}{hint}"
+        hint = f"; did you mean {self.suggestion!r}?" if self.suggestion else ""
+        return f"{self.position}: {self.code}: {self.message}{hint}"
 
-    def row(self) -> dict[str, str | int]:
-        of = self.place
+    def to_json_row(self) -> dict[str, str | int]:
+        of = self.position
         made: dict[str, str | int] = {
             "code": self.code,
             "file": of.file,
             "line": of.line,
             "column": of.column,
         }
-        return made | {"text": self.text} | ({"near": self.near} if self.near else {})
+        return made | {"text": self.message} | ({"near": self.suggestion} if self.suggestion else {})
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class EndpointSpec:
     """A chunk server as one source lists it."""
 
     name: str
     address: Address | None  # an IP address and a port; None only from discovery, for what is not ready
     shard: int
-    state: NodeState = NodeState.UP
+    state: EndpointStatus = EndpointStatus.UP
     room: str = ""
     weight: float | None = None  # None: the list says nothing of it
     units: float = 0.0  # most units that one front has out there; 0: the design's bound alone
@@ -70,89 +70,93 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class EndpointStatement:
     """A server statement: as written, with its place."""
 
-    server: Server  # its address is still the host's name where a name stands there
-    place: Place
+    endpoint: EndpointSpec  # its address is still the host's name where a name stands there
+    position: FilePosition
 
 
 @dataclass(slots=True)
-class Parsed:
+class ParsedFile:
     """The statements of one file."""
 
     file: str
-    format: int | None = None
-    version: tuple[int, Place] | None = None
-    networks: list[tuple[str, Place]] = field(default_factory=list)
-    hosts: list[tuple[str, Place]] = field(default_factory=list)
-    includes: list[tuple[str, Place]] = field(default_factory=list)
-    manifest: tuple[str, Place] | None = None
-    digests: list[tuple[str, str, Place]] = field(default_factory=list)
-    entries: list[Entry] = field(default_factory=list)
-    problems: list[Problem] = field(default_factory=list)
+    format_version: int | None = None
+    version: tuple[int, FilePosition] | None = None
+    networks: list[tuple[str, FilePosition]] = field(default_factory=list)
+    hosts: list[tuple[str, FilePosition]] = field(default_factory=list)
+    includes: list[tuple[str, FilePosition]] = field(default_factory=list)
+    manifest: tuple[str, FilePosition] | None = None
+    digests: list[tuple[str, str, FilePosition]] = field(default_factory=list)
+    endpoint_statements: list[EndpointStatement] = field(default_factory=list)
+    problems: list[ListProblem] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class CheckedList:
     """A set of files that passed its checks: addresses resolved, names unique."""
 
     version: int
     digest: str  # of all of the set's bytes
-    servers: dict[str, Server]
+    endpoints: dict[str, EndpointSpec]
     files: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Delta:
+class ListDelta:
     """From one listing to the next."""
 
-    came: tuple[str, ...] = ()
-    went: tuple[str, ...] = ()
+    added: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
     changed: tuple[str, ...] = ()
-    withdrawn: int = 0  # servers that were ready, and take no new work in the next
-    ready: int = 0  # servers that were ready
-    lost: tuple[int, ...] = ()  # shards that had a ready server, and have none in the next
+    withdrawn_count: int = 0  # servers that were ready, and take no new work in the next
+    ready_count: int = 0  # servers that were ready
+    lost_shards: tuple[int, ...] = ()  # shards that had a ready server, and have none in the next
 
     @property
-    def names(self) -> tuple[str, ...]:
-        return (*self.went, *self.changed, *self.came)
+    def affected_names(self) -> tuple[str, ...]:
+        return (*self.removed, *self.changed, *self.added)
 
 
-def _served(servers: dict[str, Server]) -> set[int]:
-    return {s.shard for s in servers.values() if s.state is NodeState.UP}
+def _ready_shards(servers: dict[str, EndpointSpec]) -> set[int]:
+    return {s.shard for s in servers.values() if s.state is EndpointStatus.UP}
 
 
-def difference(old: dict[str, Server], new: dict[str, Server]) -> Delta:
+def diff_endpoints(old: dict[str, EndpointSpec], new: dict[str, EndpointSpec]) -> ListDelta:
     came = [n for n in new if n not in old]
     went = [n for n in old if n not in new]
     changed = [n for n, server in new.items() if n in old and old[n] is not server and old[n] != server]
-    ready = sum(s.state is NodeState.UP for s in old.values())
-    withdrawn = sum(old[n].state is NodeState.UP for n in went)
-    withdrawn += sum(old[n].state is NodeState.UP and new[n].state is not NodeState.UP for n in changed)
-    lost = sorted(_served(old) - _served(new)) if withdrawn or changed else []
-    return Delta(tuple(came), tuple(went), tuple(changed), withdrawn, ready, tuple(lost))
+    ready = sum(s.state is EndpointStatus.UP for s in old.values())
+    withdrawn = sum(old[n].state is EndpointStatus.UP for n in went)
+    withdrawn += sum(
+        old[n].state is EndpointStatus.UP and new[n].state is not EndpointStatus.UP for n in changed
+    )
+    lost = sorted(_ready_shards(old) - _ready_shards(new)) if withdrawn or changed else []
+    return ListDelta(tuple(came), tuple(went), tuple(changed), withdrawn, ready, tuple(lost))
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class ActiveEndpoint:
     """A server of the list in force under the id by which the engine knows it."""
 
     id: str
-    server: Server
+    endpoint: EndpointSpec
     source: Source
-    held: bool = False  # kept from new work because it flaps
+    suppressed: bool = False  # kept from new work because it flaps
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MembershipChange:
     """What an event made of the list in force. Members that went are named by id, as they were."""
 
     generation: int
-    came: tuple[Member, ...] = ()
-    changed: tuple[tuple[Member, Member], ...] = ()  # before, after
-    went: tuple[Member, ...] = ()
-    marks: tuple[tuple[str, bool, int], ...] = ()  # by id: out by hand, and since when in us of Unix time
+    added: tuple[ActiveEndpoint, ...] = ()
+    changed: tuple[tuple[ActiveEndpoint, ActiveEndpoint], ...] = ()  # before, after
+    removed: tuple[ActiveEndpoint, ...] = ()
+    manual_drains: tuple[
+        tuple[str, bool, int], ...
+    ] = ()  # by id: out by hand, and since when in us of Unix time
 
     def __bool__(self) -> bool:
-        return bool(self.came or self.changed or self.went or self.marks)
+        return bool(self.added or self.changed or self.removed or self.manual_drains)
--- a/umberlead/membership/name_resolution.py
+++ b/umberlead/membership/name_resolution.py
@@ -7,45 +7,50 @@
 
 Lookup = Callable[[str], Collection[str]]
 
-WITHIN = 0.3  # s for all names of a list: a removal must be in force 1 s after its file changed
-KEPT = 30.0  # s that an answer is good for
-STALE = 3600.0  # s that an old answer stands in for one that fails
-SIDE_BY_SIDE = 16
+RESOLVE_TIMEOUT_SECONDS = (
+    0.3  # s for all names of a list: a removal must be in force 1 s after its file changed
+)
+CACHE_SECONDS = 30.0  # s that an answer is good for
+MAX_STALE_SECONDS = 3600.0  # s that an old answer stands in for one that fails
+PARALLEL_LOOKUPS_COUNT = 16
 
 
-def system(host: str) -> Collection[str]:
+def system_lookup(host: str) -> Collection[str]:
     """The system's resolver; OSError where it knows nothing."""
     found = socket.getaddrinfo(host, None, type=socket.SOCK_STREAM)
     return sorted({str(of[4][0]) for of in found})
 
 
-class Resolver:
+class NameResolver:
     """Remembers answers. A name-server that is down changes nothing for names known before."""
 
     def __init__(
-        self, lookup: Lookup = system, clock: Callable[[], float] = time.monotonic, within: float = WITHIN
+        self,
+        lookup: Lookup = system_lookup,
+        clock: Callable[[], float] = time.monotonic,
+        timeout_seconds: float = RESOLVE_TIMEOUT_SECONDS,
     ) -> None:
-        self.lookup, self.clock, self.within = lookup, clock, within
-        self._known: dict[str, tuple[tuple[str, ...], float]] = {}
-        self._pool: ThreadPoolExecutor | None = None
+        self.lookup, self.clock, self.timeout_seconds = lookup, clock, timeout_seconds
+        self._cache: dict[str, tuple[tuple[str, ...], float]] = {}
+        self._executor: ThreadPoolExecutor | None = None
 
     def resolve(self, hosts: Collection[str]) -> dict[str, tuple[str, ...]]:
         """Addresses by name; a name that can't be resolved in time, now or lately, is absent."""
         now = self.clock()
-        due = [h for h in hosts if h not in self._known or self._known[h][1] + KEPT <= now]
+        due = [h for h in hosts if h not in self._cache or self._cache[h][1] + CACHE_SECONDS <= now]
         if due:
-            if self._pool is None:
-                self._pool = ThreadPoolExecutor(SIDE_BY_SIDE, "resolve")
-            asked = {self._pool.submit(self.lookup, host): host for host in due}
-            done, late = wait(asked, self.within)
+            if self._executor is None:
+                self._executor = ThreadPoolExecutor(PARALLEL_LOOKUPS_COUNT, "resolve")
+            asked = {self._executor.submit(self.lookup, host): host for host in due}
+            done, late = wait(asked, self.timeout_seconds)
             for call in late:
                 call.cancel()
             for call in done:
                 if call.exception() is None and (found := tuple(call.result())):
-                    self._known[asked[call]] = (found, now)
-        good = {h: self._known[h] for h in hosts if h in self._known}
-        return {h: found for h, (found, at) in good.items() if now - at <= STALE}
+                    self._cache[asked[call]] = (found, now)
+        good = {h: self._cache[h] for h in hosts if h in self._cache}
+        return {h: found for h, (found, at) in good.items() if now - at <= MAX_STALE_SECONDS}
 
     def close(self) -> None:
-        if self._pool is not None:
-            self._pool.shutdown(wait=False, cancel_futures=True)
+        if self._executor is not None:
+            self._executor.shutdown(wait=False, cancel_futures=True)
--- a/umberlead/membership/service.py
+++ b/umberlead/membership/service.py
@@ -15,172 +15,199 @@
 
 from umberlead.common.counters import Counters
 from umberlead.membership import snapshot
-from umberlead.membership.change_gate import Gate
-from umberlead.membership.loading import Loaded, Loader
-from umberlead.membership.machine import DIGEST_LEAST, Membership, NotPending, Rules
-from umberlead.membership.model import Change, Listing, Member, Problem, Server
-from umberlead.membership.name_resolution import Lookup, Resolver, system
-from umberlead.membership.watching import Watcher
-from umberlead.scheduling.interface import NodeState
-
-SWITCH = 0.0005  # s after which the loading thread gives way to the loop
-SAVE_PAUSE = 0.2  # s between two snapshots
-SAVE_AGAIN = 5.0  # s until a snapshot that failed is tried again
-PATIENCE = 0.25  # s that what may be half written is given before it is complained of
-NAMES_SHOWN = 8
-LONG = 2000  # servers from which a load is kept from the collector of cycles
+from umberlead.membership.change_gate import ChangeGate
+from umberlead.membership.loading import ListLoader, LoadResult
+from umberlead.membership.machine import (
+    MIN_DIGEST_PREFIX_SIZE,
+    Membership,
+    MembershipSettings,
+)
+from umberlead.membership.model import (
+    ActiveEndpoint,
+    CheckedList,
+    EndpointSpec,
+    ListProblem,
+    MembershipChange,
+)
+from umberlead.membership.name_resolution import Lookup, NameResolver, system_lookup
+from umberlead.membership.watching import FolderWatcher
+from umberlead.scheduling.events import EndpointStatus
+
+THREAD_SWITCH_INTERVAL_SECONDS = 0.0005  # s after which the loading thread gives way to the loop
+SAVE_INTERVAL_SECONDS = 0.2  # s between two snapshots
+SAVE_RETRY_SECONDS = 5.0  # s until a snapshot that failed is tried again
+INCOMPLETE_FILES_GRACE_SECONDS = 0.25  # s that what may be half written is given before it is complained of
+MAX_LOGGED_NAMES_COUNT = 8
+LARGE_LIST_ENDPOINTS_COUNT = 2000  # servers from which a load is kept from the collector of cycles
 
 
 @dataclass(frozen=True, slots=True)
-class Watched:
+class WatchedListSettings:
     """The configuration's table."""
 
-    main: Path
-    snapshot: Path | None = None
-    settle: float = 0.01  # s of a burst that are waited for
-    poll: float = 0.25  # s between comparisons of signatures
-    rules: Rules = Rules()
-    gate: Gate | None = None
+    main_path: Path
+    snapshot_path: Path | None = None
+    settle_seconds: float = 0.01  # s of a burst that are waited for
+    poll_interval_seconds: float = 0.25  # s between comparisons of signatures
+    membership: MembershipSettings = MembershipSettings()
+    gate: ChangeGate | None = None
 
 
-class Unusable(ValueError):
+class NoUsableListError(ValueError):
     """Neither the files nor a snapshot give a list to begin with."""
 
-    def __init__(self, problems: list[Problem], why: str) -> None:
-        first = f"{problems[0]}" if problems else why
+    def __init__(self, problems: list[ListProblem], reason: str) -> None:
+        first = f"{problems[0]}" if problems else reason
         more = f" (and {len(problems) - 1} more)" if len(problems) > 1 else ""
-        super().__init__(f"{first}{more}" + (f"; {why}" if why and problems else ""))
+        super().__init__(f"{first}{more}" + (f"; {reason}" if reason and problems else ""))
 
 
-def _short(names: list[str]) -> str:
-    return ",".join(names[:NAMES_SHOWN]) + (
-        f",+{len(names) - NAMES_SHOWN}" if len(names) > NAMES_SHOWN else ""
+def _abbreviated(names: list[str]) -> str:
+    return ",".join(names[:MAX_LOGGED_NAMES_COUNT]) + (
+        f",+{len(names) - MAX_LOGGED_NAMES_COUNT}" if len(names) > MAX_LOGGED_NAMES_COUNT else ""
     )
 
 
-class ListService:
+class WatchedListService:
     def __init__(
         self,
-        conf: Watched,
-        shards: int,
+        settings: WatchedListSettings,
+        shard_count: int,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], int],
         counters: Counters,
         log: Any,
-        apply: Callable[[Change], None],
-        lookup: Lookup = system,
-        observer: Callable[[], Any] | None = None,
+        apply_to_front: Callable[[MembershipChange], None],
+        lookup: Lookup = system_lookup,
+        new_observer: Callable[[], Any] | None = None,
     ) -> None:
-        self.conf, self.loop, self.clock, self.counters, self.log = conf, loop, clock, counters, log
-        self.machine = Membership(conf.rules)
-        self._apply = apply
-        self._loader = Loader(
-            conf.main, shards, Resolver(lookup), gate=conf.gate.judge if conf.gate is not None else None
+        self.settings, self.loop, self.clock, self.counters, self.log = settings, loop, clock, counters, log
+        self.membership = Membership(settings.membership)
+        self._apply_to_front = apply_to_front
+        self._loader = ListLoader(
+            settings.main_path,
+            shard_count,
+            NameResolver(lookup),
+            gate=settings.gate.evaluate if settings.gate is not None else None,
         )
-        made = {"observer": observer} if observer is not None else {}
-        self._watcher = Watcher(self._woken, log.warning, **made)
-        self._thread = ThreadPoolExecutor(1, "list")
-        self._saver = ThreadPoolExecutor(1, "list-save")
+        made = {"new_observer": new_observer} if new_observer is not None else {}
+        self._watcher = FolderWatcher(self._on_files_changed, log.warning, **made)
+        self._load_executor = ThreadPoolExecutor(1, "list")
+        self._save_executor = ThreadPoolExecutor(1, "list-save")
         self._wake = asyncio.Event()
-        self._task: asyncio.Task[None] | None = None
-        self._saving: asyncio.Task[None] | None = None
-        self._saved = ""  # digest of the list that the snapshot holds
-        self._told: tuple[Problem, ...] = ()  # what was last complained of
-        self._odd_since: float | None = None
+        self._watch_task: asyncio.Task[None] | None = None
+        self._save_task: asyncio.Task[None] | None = None
+        self._saved_digest = ""  # digest of the list that the snapshot holds
+        self._reported_problems: tuple[ListProblem, ...] = ()  # what was last complained of
+        self._incomplete_since_seconds: float | None = None
         self._closed = False
-        self.loads = 0
+        self.load_count = 0
 
     # Start and end
 
-    def begin(self) -> None:
+    def load_first_list(self) -> None:
         """The first list, before anything listens. Blocks; `Unusable` where there is none."""
-        sys.setswitchinterval(min(sys.getswitchinterval(), SWITCH))
-        saved, why = self._restore()
+        sys.setswitchinterval(min(sys.getswitchinterval(), THREAD_SWITCH_INTERVAL_SECONDS))
+        saved, why = self._restore_snapshot()
         if saved is not None:
-            self._take(self.machine.restore(self.clock(), saved), "snapshot")
+            self._apply_change(self.membership.restore(self.clock(), saved), "snapshot")
         got = self._loader.load(saved)
-        self._watcher.follow(got.folders)
-        self._judge(got, first=True)
-        if self.machine.listing is None:
+        self._watcher.watch_folders(got.watched_folders)
+        self._apply_load_result(got, is_first=True)
+        if self.membership.file_list is None:
             self.close()
-            raise Unusable(got.verdict.problems, why)
-        if self.machine.origin == "snapshot":
+            raise NoUsableListError(got.check_result.problems, why)
+        if self.membership.file_list_origin == "snapshot":
             self.counters.add("list_from_snapshot")
-            self.log.error("list_from_snapshot", generation=self.machine.generation, **self._blame())
+            self.log.error(
+                "list_from_snapshot", generation=self.membership.generation, **self._problem_fields()
+            )
 
-    def _restore(self) -> tuple[Listing | None, str]:
-        if self.conf.snapshot is None:
+    def _restore_snapshot(self) -> tuple[CheckedList | None, str]:
+        if self.settings.snapshot_path is None:
             return None, ""
         try:
-            found = snapshot.read(self.conf.snapshot)
-        except (snapshot.Damaged, OSError) as fault:
+            found = snapshot.read_snapshot(self.settings.snapshot_path)
+        except (snapshot.SnapshotDamagedError, OSError) as fault:
             self.counters.add("list_snapshots_damaged")
-            self.log.error("list_snapshot_damaged", path=str(self.conf.snapshot), why=str(fault))
-            return None, f"{self.conf.snapshot}: {fault}"
+            self.log.error("list_snapshot_damaged", path=str(self.settings.snapshot_path), why=str(fault))
+            return None, f"{self.settings.snapshot_path}: {fault}"
         if found is None:
             return None, ""
-        self._saved = found[0].digest
+        self._saved_digest = found[0].digest
         return found[0], ""
 
-    def open(self) -> None:
+    def start_watching(self) -> None:
         """Watch from here on."""
-        self._task = self.loop.create_task(self._run())
-        listing = self.machine.listing
-        unsaved = listing is not None and listing.digest != self._saved
-        if self.conf.snapshot is not None and unsaved and self.machine.origin == "files":
-            self._saving = self.loop.create_task(self._save())  # the disk may have been full for a moment
+        self._watch_task = self.loop.create_task(self._watch_files())
+        listing = self.membership.file_list
+        unsaved = listing is not None and listing.digest != self._saved_digest
+        if (
+            self.settings.snapshot_path is not None
+            and unsaved
+            and self.membership.file_list_origin == "files"
+        ):
+            self._save_task = self.loop.create_task(
+                self._save_latest()
+            )  # the disk may have been full for a moment
 
     def close(self) -> None:
         self._closed = True
         self._watcher.close()
-        if self.conf.gate is not None:
-            self.conf.gate.close()
-        for task in (self._task, self._saving):
+        if self.settings.gate is not None:
+            self.settings.gate.close()
+        for task in (self._watch_task, self._save_task):
             if task is not None:
                 task.cancel()
-        listing = self.machine.listing
-        if listing is not None and self.conf.snapshot is not None and listing.digest != self._saved:
+        listing = self.membership.file_list
+        if (
+            listing is not None
+            and self.settings.snapshot_path is not None
+            and listing.digest != self._saved_digest
+        ):
             try:
-                snapshot.write(self.conf.snapshot, snapshot.dump(listing, self.clock()))
+                snapshot.write(self.settings.snapshot_path, snapshot.encode_snapshot(listing, self.clock()))
             except OSError as fault:
                 self.log.error("list_snapshot_failed", why=str(fault))
-        self._thread.shutdown(wait=False, cancel_futures=True)
-        self._saver.shutdown(wait=False, cancel_futures=True)
+        self._load_executor.shutdown(wait=False, cancel_futures=True)
+        self._save_executor.shutdown(wait=False, cancel_futures=True)
         self._loader.resolver.close()
 
     # The watch
 
-    def _woken(self) -> None:
+    def _on_files_changed(self) -> None:
         """From the watcher's thread."""
         if not self._closed:
             self.loop.call_soon_threadsafe(self._wake.set)
 
-    def look(self) -> None:
+    def request_load(self) -> None:
         """Look at the files now, whatever the watch says: SIGHUP."""
         self._wake.set()
 
-    async def _run(self) -> None:
+    async def _watch_files(self) -> None:
         while not self._closed:
             try:
-                await asyncio.wait_for(self._wake.wait(), self.conf.poll)
-                await asyncio.sleep(self.conf.settle)  # the rest of a burst
+                await asyncio.wait_for(self._wake.wait(), self.settings.poll_interval_seconds)
+                await asyncio.sleep(self.settings.settle_seconds)  # the rest of a burst
                 due = True
             except TimeoutError:
-                due = await self.loop.run_in_executor(self._thread, self._loader.poll.differs)
+                due = await self.loop.run_in_executor(
+                    self._load_executor, self._loader.change_detector.has_changed
+                )
             self._wake.clear()
             if due:
-                got = await self.loop.run_in_executor(self._thread, self._load)
+                got = await self.loop.run_in_executor(self._load_executor, self._load_in_thread)
                 if not self._closed:
-                    self._judge(got)
-            self._tick()
+                    self._apply_load_result(got)
+            self._advance_time()
 
-    def _load(self) -> Loaded:
+    def _load_in_thread(self) -> LoadResult:
         """On the loading thread. A collection of cycles there holds the interpreter, and the loop with it, as
         long as it walks what a long list has made: 8 to 60 ms at 20,000 servers. Such a load makes no cycles,
         so none are looked for meanwhile, and what it made is set apart from later collections and goes by
         count. The loop's young cycles of that moment are set apart too: a few objects."""
-        listing = self.machine.listing
-        if listing is None or len(listing.servers) < LONG or not gc.isenabled():
+        listing = self.membership.file_list
+        if listing is None or len(listing.endpoints) < LARGE_LIST_ENDPOINTS_COUNT or not gc.isenabled():
             got = self._loader.load(listing)
         else:
             gc.disable()
@@ -189,186 +216,201 @@
             finally:
                 gc.freeze()
                 gc.enable()
-        self._watcher.follow(got.folders)
+        self._watcher.watch_folders(got.watched_folders)
         return got
 
-    def _tick(self) -> None:
-        self._take(self.machine.tick(self.clock()), "time")
+    def _advance_time(self) -> None:
+        self._apply_change(self.membership.advance_time(self.clock()), "time")
 
     # What was brought
 
-    def _judge(self, got: Loaded, first: bool = False) -> None:
-        self.loads += 1
+    def _apply_load_result(self, result: LoadResult, is_first: bool = False) -> None:
+        self.load_count += 1
         self.counters.add("list_loads")
-        machine, verdict = self.machine, got.verdict
-        if verdict.listing is None:
-            machine.refused(verdict.problems)
-            self._complain(verdict.passing and not first)
+        machine, verdict = self.membership, result.check_result
+        if verdict.checked_list is None:
+            machine.reject_files(verdict.problems)
+            self._report_problems(verdict.is_transient and not is_first)
             return
-        self._odd_since = None
-        before = machine.origin
-        change = machine.files(self.clock(), verdict.listing, got.delta, got.base)
+        self._incomplete_since_seconds = None
+        before = machine.file_list_origin
+        change = machine.apply_files(self.clock(), verdict.checked_list, result.delta, result.base_digest)
         if machine.pending is not None:
-            self._complain(False)
+            self._report_problems(False)
             return
-        if self._told:
-            self._told = ()
-            self.log.info("list_sound_again", version=verdict.listing.version)
+        if self._reported_problems:
+            self._reported_problems = ()
+            self.log.info("list_sound_again", version=verdict.checked_list.version)
         elif before == "snapshot" and not change:
-            self.log.info("list_files_as_saved", version=verdict.listing.version)
-        self._take(change, "files", round(got.took * 1000, 1))
+            self.log.info("list_files_as_saved", version=verdict.checked_list.version)
+        self._apply_change(change, "files", round(result.duration_seconds * 1000, 1))
 
-    def _complain(self, passing: bool) -> None:
+    def _report_problems(self, is_transient: bool) -> None:
         """Once for each state of the files; what may be half written is given a moment first."""
         now = time.monotonic()
-        if passing:
-            if self._odd_since is None:
-                self._odd_since = now
-            if now - self._odd_since < PATIENCE:
-                self.loop.call_later(PATIENCE / 4, self._wake.set)
+        if is_transient:
+            if self._incomplete_since_seconds is None:
+                self._incomplete_since_seconds = now
+            if now - self._incomplete_since_seconds < INCOMPLETE_FILES_GRACE_SECONDS:
+                self.loop.call_later(INCOMPLETE_FILES_GRACE_SECONDS / 4, self._wake.set)
                 return
-        told = self.machine.complaint
-        if told == self._told:
+        told = self.membership.rejection_problems
+        if told == self._reported_problems:
             return
-        self._told = told
-        event = "list_held" if self.machine.pending is not None else "list_refused"
+        self._reported_problems = told
+        event = "list_held" if self.membership.pending is not None else "list_refused"
         self.counters.add(event)
-        self.log.error(event, in_force=self.machine.generation, **self._blame())
+        self.log.error(event, in_force=self.membership.generation, **self._problem_fields())
 
-    def _blame(self) -> dict[str, Any]:
-        told = self.machine.complaint
+    def _problem_fields(self) -> dict[str, Any]:
+        told = self.membership.rejection_problems
         made: dict[str, Any] = {}
         if told:
-            made = {"code": told[0].code, "at": str(told[0].place), "why": told[0].text}
-            if told[0].near:
-                made["near"] = told[0].near
+            made = {"code": told[0].code, "at": str(told[0].position), "why": told[0].message}
+            if told[0].suggestion:
+                made["near"] = told[0].suggestion
             made["problems"] = len(told)
-        if self.machine.pending is not None:
-            made["confirm"] = self.machine.pending.listing.digest[:DIGEST_LEAST]
+        if self.membership.pending is not None:
+            made["confirm"] = self.membership.pending.checked_list.digest[:MIN_DIGEST_PREFIX_SIZE]
         return made
 
-    def _take(self, change: Change, why: str, took: float = 0.0) -> None:
+    def _apply_change(self, change: MembershipChange, reason: str, load_ms: float = 0.0) -> None:
         """In force from this turn on."""
         if not change:
             return
-        self._apply(change)
+        self._apply_to_front(change)
         self.counters.add("list_changes")
-        gone = [m.id for m in change.went]
+        gone = [m.id for m in change.removed]
         self.log.info(
-            "list_changed", generation=change.generation, by=why, version=self._version(),
-            came=_short([m.id for m in change.came]), went=_short(gone),
-            changed=_short([m.id for _, m in change.changed]),
-            held=_short([m.id for m in self._held(change)]), load_ms=took,
-        )  # fmt: skip
-        if self.conf.snapshot is not None and self._saving is None and self.machine.origin == "files":
-            if self._task is None:  # at the start there is time
-                return self._save_first()
-            self._saving = self.loop.create_task(self._save())
+            "list_changed",
+            generation=change.generation,
+            by=reason,
+            version=self._current_version(),
+            came=_abbreviated([m.id for m in change.added]),
+            went=_abbreviated(gone),
+            changed=_abbreviated([m.id for _, m in change.changed]),
+            held=_abbreviated([m.id for m in self._suppressed_endpoints(change)]),
+            load_ms=load_ms,
+        )
+        if (
+            self.settings.snapshot_path is not None
+            and self._save_task is None
+            and self.membership.file_list_origin == "files"
+        ):
+            if self._watch_task is None:  # at the start there is time
+                return self._save_now()
+            self._save_task = self.loop.create_task(self._save_latest())
 
     @staticmethod
-    def _held(change: Change) -> list[Member]:
-        return [m for m in (*change.came, *(m for _, m in change.changed)) if m.held]
+    def _suppressed_endpoints(change: MembershipChange) -> list[ActiveEndpoint]:
+        return [m for m in (*change.added, *(m for _, m in change.changed)) if m.suppressed]
 
-    def _version(self) -> int:
-        return self.machine.listing.version if self.machine.listing else -1
+    def _current_version(self) -> int:
+        return self.membership.file_list.version if self.membership.file_list else -1
 
     # The snapshot
 
-    def _save_first(self) -> None:
-        listing = self.machine.listing
-        assert listing is not None and self.conf.snapshot is not None
-        if listing.digest != self._saved:
+    def _save_now(self) -> None:
+        listing = self.membership.file_list
+        assert listing is not None and self.settings.snapshot_path is not None
+        if listing.digest != self._saved_digest:
             try:
-                snapshot.write(self.conf.snapshot, snapshot.dump(listing, self.clock()))
-                self._saved = listing.digest
+                snapshot.write(self.settings.snapshot_path, snapshot.encode_snapshot(listing, self.clock()))
+                self._saved_digest = listing.digest
             except OSError as fault:
-                self._not_saved(fault)
+                self._record_save_error(fault)
 
-    def _not_saved(self, fault: OSError) -> None:
+    def _record_save_error(self, error: OSError) -> None:
         self.counters.add("list_snapshots_failed")
-        self.log.error("list_snapshot_failed", path=str(self.conf.snapshot), why=str(fault))
+        self.log.error("list_snapshot_failed", path=str(self.settings.snapshot_path), why=str(error))
 
-    async def _save(self) -> None:
+    async def _save_latest(self) -> None:
         """The latest list, not each: a burst of changes is a few writes."""
-        path = self.conf.snapshot
+        path = self.settings.snapshot_path
         assert path is not None
         try:
-            while (listing := self.machine.listing) is not None and listing.digest != self._saved:
+            while (listing := self.membership.file_list) is not None and listing.digest != self._saved_digest:
                 now = self.clock()
                 try:
-                    await self.loop.run_in_executor(self._saver, _write, path, listing, now)
+                    await self.loop.run_in_executor(self._save_executor, _write_snapshot, path, listing, now)
                 except OSError as fault:
-                    self._not_saved(fault)
-                    await asyncio.sleep(SAVE_AGAIN)
+                    self._record_save_error(fault)
+                    await asyncio.sleep(SAVE_RETRY_SECONDS)
                 else:
-                    self._saved = listing.digest
+                    self._saved_digest = listing.digest
                     self.counters.add("list_snapshots_saved")
-                    await asyncio.sleep(SAVE_PAUSE)
+                    await asyncio.sleep(SAVE_INTERVAL_SECONDS)
         finally:
-            self._saving = None
+            self._save_task = None
 
     # From the front and its door
 
-    def discovered(self, whole: bool, servers: list[Server]) -> None:
-        self._take(self.machine.discovery(self.clock(), whole, servers), "discovery")
+    def apply_discovery(self, complete: bool, endpoints: list[EndpointSpec]) -> None:
+        self._apply_change(self.membership.apply_discovery(self.clock(), complete, endpoints), "discovery")
 
-    def mark(self, name: str, out: bool, at: int) -> None:
-        self._take(self.machine.mark(self.clock(), name, out, at), "hand")
+    def set_manual_drain(self, name: str, drained: bool, drained_us: int) -> None:
+        self._apply_change(self.membership.set_manual_drain(self.clock(), name, drained, drained_us), "hand")
 
     def confirm(self, digest: str) -> int:
         """The generation now in force; `NotPending` where no such list is held."""
-        change = self.machine.confirm(self.clock(), digest)
-        self._told = ()
+        change = self.membership.confirm(self.clock(), digest)
+        self._reported_problems = ()
         self.log.warning("list_confirmed", digest=digest, generation=change.generation)
-        self._take(change, "confirmed")
+        self._apply_change(change, "confirmed")
         return change.generation
 
     def status(self) -> dict[str, Any]:
         """What the door answers."""
-        machine, now = self.machine, self.clock()
-        listing, pending = machine.listing, machine.pending
-        members = list(machine.members.values())
+        machine, now = self.membership, self.clock()
+        listing, pending = machine.file_list, machine.pending
+        members = list(machine.active_endpoints.values())
         made: dict[str, Any] = {
             "generation": machine.generation,
-            "origin": machine.origin,
+            "origin": machine.file_list_origin,
             "version": listing.version if listing else None,
             "digest": listing.digest if listing else None,
-            "age_s": round((now - machine.since) / 1e6, 3),
+            "age_s": round((now - machine.file_list_changed_us) / 1e6, 3),
             "servers": len(members),
-            "ready": sum(m.server.state is NodeState.UP for m in members),
-            "held_for_flapping": sorted(m.id for m in members if m.held),
-            "out_by_hand": sorted(machine.marks),
-            "polling": self._watcher.polling,
-            "complaint": [p.row() for p in machine.complaint],
+            "ready": sum(m.endpoint.state is EndpointStatus.UP for m in members),
+            "held_for_flapping": sorted(m.id for m in members if m.suppressed),
+            "out_by_hand": sorted(machine.manual_drains),
+            "polling": self._watcher.is_polling,
+            "complaint": [p.to_json_row() for p in machine.rejection_problems],
         }
         if pending is not None:
             made["pending"] = {
-                "confirm": pending.listing.digest[:16],
-                "version": pending.listing.version,
-                "age_s": round((now - pending.since) / 1e6, 3),
-                "came": len(pending.delta.came),
-                "went": len(pending.delta.went),
+                "confirm": pending.checked_list.digest[:16],
+                "version": pending.checked_list.version,
+                "age_s": round((now - pending.since_us) / 1e6, 3),
+                "came": len(pending.delta.added),
+                "went": len(pending.delta.removed),
                 "changed": len(pending.delta.changed),
             }
         return made
 
-    def servers(self) -> list[dict[str, Any]]:
+    def endpoint_rows(self) -> list[dict[str, Any]]:
         rows = []
-        for name, m in sorted(self.machine.members.items()):
-            s = m.server
+        for name, m in sorted(self.membership.active_endpoints.items()):
+            s = m.endpoint
             rows.append(
                 {
-                    "name": name, "id": m.id, "shard": s.shard, "room": s.room, "weight": s.weight,
+                    "name": name,
+                    "id": m.id,
+                    "shard": s.shard,
+                    "room": s.room,
+                    "weight": s.weight,
                     "address": f"{s.address[0]}:{s.address[1]}" if s.address else None,
-                    "state": "draining" if s.state is not NodeState.UP else "ready",
-                    "source": m.source.name.lower(), "held": m.held, "by_hand": name in self.machine.marks,
+                    "state": "draining" if s.state is not EndpointStatus.UP else "ready",
+                    "source": m.source.name.lower(),
+                    "held": m.suppressed,
+                    "by_hand": name in self.membership.manual_drains,
                 }
-            )  # fmt: skip
+            )
         return rows
 
 
-def _write(path: Path, listing: Listing, saved: int) -> None:
-    snapshot.write(path, snapshot.dump(listing, saved))
+def _write_snapshot(path: Path, listing: CheckedList, saved: int) -> None:
+    snapshot.write(path, snapshot.encode_snapshot(listing, saved))
 
 
 __all__ = ["ListService", "NotPending", "Unusable", "Watched"]
--- a/umberlead/membership/snapshot.py
+++ b/umberlead/membership/snapshot.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from umberlead.membership.model import Listing, Server
-from umberlead.scheduling.interface import NodeState
+from umberlead.membership.model import CheckedList, EndpointSpec
+from umberlead.scheduling.events import EndpointStatus
 
-MAGIC, FORMAT = "umberlead-list", 1
-HEAD_MOST, BODY_MOST = 256, 256 << 20
+MAGIC, FORMAT_VERSION = "umberlead-list", 1
+MAX_HEADER_BYTES, MAX_BODY_BYTES = 256, 256 << 20
 
 
-class Damaged(ValueError):
+class SnapshotDamagedError(ValueError):
     """What stands there is no snapshot, or not all of one; the text tells why."""
 
 
@@ -40,37 +40,41 @@
     servers: list[_Row]
 
 
-def dump(listing: Listing, saved: int) -> bytes:
+def encode_snapshot(checked_list: CheckedList, saved_us: int) -> bytes:
     rows = []
-    for s in listing.servers.values():
+    for s in checked_list.endpoints.values():
         host, port = s.address or ("", 0)
         rows.append(_Row(s.name, host, port, s.shard, s.state.value, s.room, s.weight, s.units))
-    body = msgspec.msgpack.encode(_Body(listing.version, listing.digest, list(listing.files), saved, rows))
-    head = f"{MAGIC} {FORMAT} {len(body)} {hashlib.sha256(body).hexdigest()}\n"
+    body = msgspec.msgpack.encode(
+        _Body(checked_list.version, checked_list.digest, list(checked_list.files), saved_us, rows)
+    )
+    head = f"{MAGIC} {FORMAT_VERSION} {len(body)} {hashlib.sha256(body).hexdigest()}\n"
     return head.encode() + body
 
 
-def load(data: bytes) -> tuple[Listing, int]:
+def decode_snapshot(data: bytes) -> tuple[CheckedList, int]:
     """The list and when it was saved; `Damaged` if it is anything but a whole snapshot."""
     head, found, body = data.partition(b"\n")
-    words = head[:HEAD_MOST].decode("latin-1").split(" ")
+    words = head[:MAX_HEADER_BYTES].decode("latin-1").split(" ")
     if not found or len(words) != 4 or words[0] != MAGIC:
-        raise Damaged("it is no snapshot of a list")
-    if words[1] != str(FORMAT):
-        raise Damaged(f"its format is {words[1]}; this program reads {FORMAT}")
+        raise SnapshotDamagedError("it is no snapshot of a list")
+    if words[1] != str(FORMAT_VERSION):
+        raise SnapshotDamagedError(f"its format is {words[1]}; this program reads {FORMAT_VERSION}")
     if words[2] != str(len(body)):
-        raise Damaged(f"it holds {len(body)} bytes of {words[2]}")
+        raise SnapshotDamagedError(f"it holds {len(body)} bytes of {words[2]}")
     if hashlib.sha256(body).hexdigest() != words[3]:
-        raise Damaged("its digest does not match")
+        raise SnapshotDamagedError("its digest does not match")
     try:
         got: _Body = msgspec.msgpack.decode(body, type=_Body)
         servers = {
-            r.name: Server(r.name, (r.host, r.port), r.shard, NodeState(r.state), r.room, r.weight, r.units)
+            r.name: EndpointSpec(
+                r.name, (r.host, r.port), r.shard, EndpointStatus(r.state), r.room, r.weight, r.units
+            )
             for r in got.servers
         }
     except (msgspec.MsgspecError, ValueError) as fault:
-        raise Damaged(str(fault)) from None
-    return Listing(got.version, got.digest, servers, tuple(got.files)), got.saved
+        raise SnapshotDamagedError(str(fault)) from None
+    return CheckedList(got.version, got.digest, servers, tuple(got.files)), got.saved
 
 
 def write(path: Path, data: bytes) -> None:
@@ -97,10 +101,10 @@
         os.close(folder)
 
 
-def read(path: Path) -> tuple[Listing, int] | None:
+def read_snapshot(path: Path) -> tuple[CheckedList, int] | None:
     """None where there is none yet; `Damaged` or OSError where it can't be used."""
     try:
         data = path.read_bytes()
     except FileNotFoundError:
         return None
-    return load(data)
+    return decode_snapshot(data)
--- a/umberlead/net/client_connections.py
+++ b/umberlead/net/client_connections.py
@@ -5,13 +5,13 @@
 from typing import Any, Protocol
 
 from umberlead.common.counters import Counters
-from umberlead.common.slot_table import Slots
+from umberlead.common.slot_table import SlotTable
 from umberlead.net.close_reason import CloseReason
-from umberlead.net.http_message import Message
+from umberlead.net.http_message import HttpRequest
 from umberlead.net.relay import BodySource
-from umberlead.net.socket_state import DISCONNECT_EVENTS
+from umberlead.net.socket_state import DISCONNECT_POLL_EVENTS
 from umberlead.net.timeouts import idle_timeout_us
-from umberlead.resource_limits import HEAD_MOST
+from umberlead.resource_limits import MAX_HEAD_BYTES
 
 IDLE_EVICTION_THRESHOLD = 0.5  # of the places; beyond it new connections end with their first reply
 ACCEPT_GRACE_US = 100_000  # a new connection is not evicted: its request may be on the way
@@ -23,10 +23,10 @@
     transport: asyncio.Transport
     slot: int
     state_since_us: int
-    current: Message | None
-    source: BodySource | None
+    active_request: HttpRequest | None
+    body_source: BodySource | None
     write_blocked: bool
-    served: int
+    served_count: int
     ended: bool
     evicted: bool
 
@@ -36,10 +36,10 @@
     def on_timeout(self) -> None:
         """End it: it stayed in its state for too long."""
 
-    def write_stalled(self, now_us: int) -> bool:
+    def is_write_stalled(self, now_us: int) -> bool:
         """Tell whether the client has stopped reading what waits for it."""
 
-    def reading_paused(self) -> bool:
+    def is_reading_paused(self) -> bool:
         """Tell whether nothing is read, so that a client that leaves goes unseen."""
 
     def pending_events(self) -> int:
@@ -57,10 +57,10 @@
     def close_if_idle(self) -> None:
         """Close it where it has no request."""
 
-    def shut_down(self) -> None:
+    def begin_shutdown(self) -> None:
         """Refuse a request that is half read, or close it where it has none."""
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """End it in the middle of a reply."""
 
     def abort_evicted(self) -> None:
@@ -73,7 +73,7 @@
         """Return its place in the order of eviction, the smallest first."""
 
 
-class Clients:
+class ClientGroup:
     """The connections of one listener in their slots, their cap, and the memory of request bodies.
 
     Attributes:
@@ -97,55 +97,55 @@
         clock: Callable[[], int],
         counters: Counters,
         idle_timeout_us: int,
-        memory_limit_bytes: int,
+        buffer_limit_bytes: int,
         log: Callable[..., Any],
     ) -> None:
         """Begin without connections; `clock` tells microseconds."""
         self.log = log
         self.max_connections, self.clock, self.counters = max_connections, clock, counters
-        self.idle_timeout_us, self.memory_limit_bytes = idle_timeout_us, memory_limit_bytes
-        self.held_bytes, self.max_head_bytes = 0, HEAD_MOST
-        self.slots: Slots[ClientConnection] = Slots()
-        self.evicting = 0
-        self.on_shortage: Callable[[], None] = lambda: None
+        self.idle_timeout_us, self.buffer_limit_bytes = idle_timeout_us, buffer_limit_bytes
+        self.buffered_bytes, self.max_header_bytes = 0, MAX_HEAD_BYTES
+        self.slots: SlotTable[ClientConnection] = SlotTable()
+        self.evicting_count = 0
+        self.on_capacity_shortage: Callable[[], None] = lambda: None
         self.on_close: Callable[[bool, str, str], None] | None = None
-        self.stopping = self.close_after_reply = self.refusing = False
+        self.stopping = self.close_after_reply = self.rejecting = False
 
     @property
     def count(self) -> int:
         """How many connections have a place, without those that were evicted."""
-        return len(self.slots) - self.evicting
+        return len(self.slots) - self.evicting_count
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """End what has stayed too long: lingering, half sent, silent, or idle.
 
         When most places are taken an idle connection goes sooner. Where the cap came down, what is over it
         goes.
         """
         now_us = self.clock()
-        self.enforce_limit()
+        self.evict_excess()
         idle_us = idle_timeout_us(self.idle_timeout_us, len(self.slots), self.max_connections)
         for conn in self.slots:
-            if conn.reading_paused() and conn.pending_events() & DISCONNECT_EVENTS:
+            if conn.is_reading_paused() and conn.pending_events() & DISCONNECT_POLL_EVENTS:
                 conn.abort_disconnected()
             elif conn.write_blocked:
-                if conn.write_stalled(now_us):
+                if conn.is_write_stalled(now_us):
                     conn.record_close(CloseReason.WRITE_STALLED)
                     conn.transport.abort()
             elif conn.state_since_us + conn.timeout_us(idle_us) <= now_us:
                 conn.on_timeout()
 
-    def enforce_limit(self) -> None:
+    def evict_excess(self) -> None:
         """Evict what is over a cap that came down, as far as it can go."""
         evictable = self.evictable()
         for _ in range(self.count - self.max_connections):
             if not self.evict(evictable):
                 break
 
-    def busy_count(self) -> int:
+    def active_count(self) -> int:
         """Count the connections that can't be evicted now: they have a request, or are new."""
         before_us = self.clock() - ACCEPT_GRACE_US
-        return sum(conn.current is not None or not conn.is_evictable(before_us) for conn in self.slots)
+        return sum(conn.active_request is not None or not conn.is_evictable(before_us) for conn in self.slots)
 
     def above_idle_threshold(self) -> bool:
         """Tell whether the first reply on a connection ends it, since many stand.
@@ -160,12 +160,12 @@
 
         A connection that has asked nothing yet keeps none from a request that is here.
         """
-        busy = sum(conn.current is not None or conn.write_blocked for conn in self.slots)
+        busy = sum(conn.active_request is not None or conn.write_blocked for conn in self.slots)
         return busy >= self.max_connections
 
-    def has_memory_for(self, size_bytes: int) -> bool:
+    def has_buffer_for(self, size_bytes: int) -> bool:
         """Tell whether memory allows so many bytes more, should the client not read them."""
-        return self.held_bytes + size_bytes <= self.memory_limit_bytes
+        return self.buffered_bytes + size_bytes <= self.buffer_limit_bytes
 
     def drain(self) -> None:
         """Close connections without a request now, and the others with their next reply."""
@@ -173,22 +173,22 @@
         for conn in self.slots:
             conn.close_if_idle()
 
-    def finish(self) -> None:
+    def reject_new_requests(self) -> None:
         """Serve nothing any more.
 
         What comes is refused at once, also what is half read, and what waits behind a request gets a refusal
         of its own.
         """
-        self.refusing = self.close_after_reply = True
+        self.rejecting = self.close_after_reply = True
         for conn in self.slots:
-            conn.shut_down()
+            conn.begin_shutdown()
 
     def close(self) -> None:
         """Break off replies that are not read by now: the process ends, and clients see it at once."""
         for conn in self.slots:
             if conn.write_blocked:
-                conn.break_off()
-            conn.record_close(CloseReason.PROCESS_END)
+                conn.abort_response()
+            conn.record_close(CloseReason.PROCESS_EXIT)
 
     def evictable(self) -> Iterator[ClientConnection]:
         """Iterate over the connections that can be evicted, the first to go first.
@@ -201,7 +201,7 @@
         found.sort(key=lambda conn: conn.eviction_order())
         yield from found
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Evict a connection where all places are taken; False where none can go.
 
         A client that is evicted opens another connection when it needs one. Where all have an open request, a
@@ -222,9 +222,9 @@
             victim.abort_evicted()
             return True
         overdue = [
-            (rank, conn.slot, conn, conn.source)
+            (rank, conn.slot, conn, conn.body_source)
             for conn in self.slots
-            if conn.source and (rank := conn.source.eviction_rank()) is not None
+            if conn.body_source and (rank := conn.body_source.eviction_rank()) is not None
         ]
         if not overdue:
             return False
@@ -237,4 +237,4 @@
     def _mark_evicted(self, victim: ClientConnection) -> None:
         self.counters.add("clients_evicted")
         victim.evicted = True
-        self.evicting += 1
+        self.evicting_count += 1
--- a/umberlead/net/connection_state.py
+++ b/umberlead/net/connection_state.py
@@ -6,13 +6,13 @@
 from typing import Any, cast
 
 from umberlead.net import timeouts
-from umberlead.net.client_connections import Clients
+from umberlead.net.client_connections import ClientGroup
 from umberlead.net.close_reason import CloseReason
-from umberlead.net.http_message import Message, Rejection
+from umberlead.net.http_message import HttpRequest, RequestRejection
 from umberlead.net.pending_input import PendingInput
 from umberlead.net.relay import BodySource
 from umberlead.net.request_parser import RequestParser
-from umberlead.net.socket_state import DISCONNECT_EVENTS, SocketState
+from umberlead.net.socket_state import DISCONNECT_POLL_EVENTS, SocketState
 
 
 class ConnectionState:
@@ -42,39 +42,39 @@
     _parser: RequestParser
     _socket: SocketState
 
-    def __init__(self, clients: Clients) -> None:
+    def __init__(self, clients: ClientGroup) -> None:
         """Begin before the connection is made, among `clients`."""
         self.clients = clients
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.slot = -1
-        self.current: Message | None = None
+        self.active_request: HttpRequest | None = None
         self.ended = self.close_after_reply = False
-        self.served = 0
+        self.served_count = 0
         self.closed = self.evicted = self.client_disconnected = False
         self.state_since_us = 0
-        self.context: Any = None
-        self.waited_since_us = 0
+        self.handler_context: Any = None
+        self.backlog_since_us = 0
         self.close_reason: CloseReason | None = None
         self.rejected_target = b""
-        self.status = self.length = 0
+        self.response_status = self.response_length = 0
         self.chunked = False
-        self.source: BodySource | None = None
+        self.body_source: BodySource | None = None
         self.write_blocked = False
-        self._pending = PendingInput(clients)
-        self._rejection: Rejection | None = None  # sent once what came before it is answered
+        self._pending_input = PendingInput(clients)
+        self._rejection: RequestRejection | None = None  # sent once what came before it is answered
         self._unread_since_us = 0  # since when what is read next may have waited with the system
         self._resumed_us = 0  # when reading was resumed last
         self._unsent_bytes = self._unsent_since_us = 0  # at the latest look, and since when it is so
 
     @property
-    def pipelined(self) -> deque[Message]:
+    def pipelined_requests(self) -> deque[HttpRequest]:
         """Whole requests that wait behind the present one."""
-        return self._pending.requests
+        return self._pending_input.requests
 
     @property
-    def partial_request(self) -> Message | None:
+    def partial_request(self) -> HttpRequest | None:
         """The request that is being read."""
-        return self._parser.message
+        return self._parser.partial_request
 
     @property
     def accepts_requests(self) -> bool:
@@ -83,25 +83,29 @@
 
     def has_more_input(self) -> bool:
         """Tell whether the client has sent, or begun to send, what is not its turn yet."""
-        return bool(self._pending or self._parser.message is not None or self._rejection is not None)
+        return bool(
+            self._pending_input or self._parser.partial_request is not None or self._rejection is not None
+        )
 
-    def owes_answer(self) -> bool:
+    def owes_response(self) -> bool:
         """Tell whether a request was read, in part or whole, whose reply has not begun.
 
         One that is refused has its reply written, or waits for those before it.
         """
         if self.client_disconnected or self.ended:
             return False
-        waits = self.current is not None and self.source is None
-        return bool(waits or self.pipelined or self._rejection or self._parser.message is not None)
+        waits = self.active_request is not None and self.body_source is None
+        return bool(
+            waits or self.pipelined_requests or self._rejection or self._parser.partial_request is not None
+        )
 
     def call_ids(self) -> str:
         """Return the call ids of the requests that were read and have no answer, for the log."""
-        open_requests = [self.current, *self.pipelined, self._parser.message]
+        open_requests = [self.active_request, *self.pipelined_requests, self._parser.partial_request]
         ids = [m.headers.get(b"x-call-id", b"-") for m in open_requests if m is not None]
         return b",".join(ids).decode("latin-1")
 
-    def write_stalled(self, now_us: int) -> bool:
+    def is_write_stalled(self, now_us: int) -> bool:
         """Tell whether the client has read nothing of what waits for it here or with the system for long.
 
         One that takes minutes over a reply is served as long as it moves.
@@ -113,12 +117,12 @@
 
     def is_idle(self) -> bool:
         """Tell whether it has no request, and none is being read."""
-        busy = self.current is not None or self._parser.message is not None
-        return not (busy or self.pipelined or self.ended)
+        busy = self.active_request is not None or self._parser.partial_request is not None
+        return not (busy or self.pipelined_requests or self.ended)
 
     def is_evictable(self, before_us: int) -> bool:
         """Tell whether no request of it is open, and it is in its state since `before_us` or ends anyway."""
-        if self.current is not None or self.pipelined or self.write_blocked:
+        if self.active_request is not None or self.pipelined_requests or self.write_blocked:
             return False
         settled = self.ended or self.state_since_us <= before_us
         slow = settled or timeouts.is_slow_upload(self._parser.progress, before_us)
@@ -129,7 +133,12 @@
 
         One that is half read goes last: its end may be on the way, and then it is a request taken and lost.
         """
-        return self._parser.message is not None, not self.ended, self.served > 0, self.state_since_us
+        return (
+            self._parser.partial_request is not None,
+            not self.ended,
+            self.served_count > 0,
+            self.state_since_us,
+        )
 
     def pending_events(self) -> int:
         """Return the poll(2) events that were not taken yet."""
@@ -138,9 +147,9 @@
     def has_unread_request(self) -> bool:
         """Tell whether a request, or its begin, is here and not read yet: closed on, it would be lost."""
         events = self.pending_events()
-        return bool(events & select.POLLIN) and not events & DISCONNECT_EVENTS
+        return bool(events & select.POLLIN) and not events & DISCONNECT_POLL_EVENTS
 
-    def reading_paused(self) -> bool:
+    def is_reading_paused(self) -> bool:
         """Tell whether nothing is read, so that a client that leaves goes unseen."""
         open_ = not self.client_disconnected and not self.transport.is_closing()
         return open_ and not self.transport.is_reading()
@@ -148,10 +157,10 @@
     def timeout_us(self, idle_timeout_us: int) -> int:
         """Return how long it may stay in its present state."""
         return timeouts.connection_timeout_us(
-            answering=self.current is not None,
+            answering=self.active_request is not None,
             ended=self.ended,
             progress=self._parser.progress,
-            used=self.served > 0,
+            has_served=self.served_count > 0,
             state_since_us=self.state_since_us,
             idle_timeout_us=idle_timeout_us,
         )
--- a/umberlead/net/discovery.py
+++ b/umberlead/net/discovery.py
@@ -11,109 +11,118 @@
 import httptools
 
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Timer, Wheel
-from umberlead.config import Address, Listing, listing_of
-from umberlead.recovery.discovery_pacing import UNSURE, Pacing
+from umberlead.common.timer_wheel import Timer, TimerWheel
+from umberlead.config import Address, DiscoveryMessage, parse_discovery_message
+from umberlead.recovery.discovery_pacing import UNKNOWN_RESPONSE_TIMEOUT_US, WatchPacing
 
-STRINGS = re.compile(rb'"(?:[^"\\]|\\.)*"')
-LINE_MOST = 4 << 20
-READ_SIZE, READS_MOST = 64 << 10, 64  # bytes of one read ahead of the loop, and how many of them
+JSON_STRING_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"')
+MAX_LINE_BYTES = 4 << 20
+READ_BYTES, MAX_READS_COUNT = 64 << 10, 64  # bytes of one read ahead of the loop, and how many of them
 
 
-class _Stream(asyncio.Protocol):
-    def __init__(self, watch: "Watch") -> None:
+class _WatchStream(asyncio.Protocol):
+    def __init__(self, watch: "DiscoveryWatch") -> None:
         self.watch = watch
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.buffer = b""  # a line that has not ended yet
-        self.lines: list[bytes] = []  # of an object that has not ended yet: lists may come indented
-        self.depth = self.size = 0  # of its braces, and its bytes
-        self.call = watch.pacing.call(watch.clock())
-        self.check: Timer | None = None  # whether it still says something
-        self.dead = False
+        self.partial_line = b""  # a line that has not ended yet
+        self.object_lines: list[bytes] = []  # of an object that has not ended yet: lists may come indented
+        self.brace_depth = self.object_bytes = 0  # of its braces, and its bytes
+        self.call = watch.pacing.start_call(watch.clock())
+        self.silence_timer: Timer | None = None  # whether it still says something
+        self.ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.dead:
+        if self.ended:
             self.transport.abort()
             return
-        target = b"/v1/servers?watch=1&after=%d" % self.watch.index
+        target = b"/v1/servers?watch=1&after=%d" % self.watch.list_index
         host = b"%s:%d" % (self.watch.address[0].encode(), self.watch.address[1])
-        self.call.up = self.watch.clock()
+        self.call.connected_us = self.watch.clock()
         self.transport.writelines([b"GET ", target, b" HTTP/1.1\r\nHost: ", host, b"\r\n\r\n"])
 
     def data_received(self, data: bytes) -> None:
-        if self.dead:
+        if self.ended:
             return
-        self.watch.pacing.heard(self.call, self.watch.clock())
+        self.watch.pacing.record_activity(self.call, self.watch.clock())
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.end("malformed")
-        partial = not self.call.status or bool(self.lines or self.buffer.strip())
+        partial = not self.call.status or bool(self.object_lines or self.partial_line.strip())
         if partial != self.call.partial:
             self.call.partial = partial
-            self.watch.arm(self)
+            self.watch.arm_silence_timer(self)
 
-    def read_ahead(self) -> None:
+    def read_unread_bytes(self) -> None:
         """Read what the system holds of it now. Timers and signals run before the loop reads: a change that
         has arrived counts as told, so it must not go with a stream that is left or taken for silent."""
-        if self.dead or self.transport is None or self.transport.is_closing():
+        if self.ended or self.transport is None or self.transport.is_closing():
             return
-        fd = self.transport.get_extra_info("socket").fileno()
-        same = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=fd)  # not a descriptor more
+        descriptor = self.transport.get_extra_info("socket").fileno()
+        duplicate = socket.socket(
+            socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor
+        )  # not a descriptor more
         try:
             with contextlib.suppress(OSError):  # no more is here, or its end: the loop tells of that
-                for _ in range(READS_MOST):
-                    data = same.recv(READ_SIZE, socket.MSG_DONTWAIT)
-                    if not data or self.dead:
+                for _ in range(MAX_READS_COUNT):
+                    data = duplicate.recv(READ_BYTES, socket.MSG_DONTWAIT)
+                    if not data or self.ended:
                         break
                     self.data_received(data)
         finally:
-            same.detach()
+            duplicate.detach()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"retry-after":
             try:
-                self.call.asked = max(int(float(value) * 1e6), 0)
+                self.call.retry_after_us = max(int(float(value) * 1e6), 0)
             except (ValueError, OverflowError):  # a date, or nothing: the back-off alone
-                self.call.asked = 0
+                self.call.retry_after_us = 0
 
     def on_headers_complete(self) -> None:
-        self.watch.pacing.head(self.call, self.parser.get_status_code())
-        self.watch.answered(self)
+        self.watch.pacing.record_status(self.call, self.parser.get_status_code())
+        self.watch.response_started(self)
 
     def on_body(self, body: bytes) -> None:
-        if self.call.status != 200 or self.dead:
+        if self.call.status != 200 or self.ended:
             return
-        *lines, self.buffer = (self.buffer + body).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + body).split(b"\n")
         for line in lines:
-            self._line(line)
-            if self.dead:
+            self._feed_line(line)
+            if self.ended:
                 return
-        if self.buffer.endswith(b"}"):  # all of an object may be here before its line's end
-            bare = STRINGS.sub(b"", self.buffer)
-            if b'"' not in bare and self.depth + bare.count(b"{") == bare.count(b"}"):
-                line, self.buffer = self.buffer, b""
-                return self._line(line)
-        if self.size + len(self.buffer) > LINE_MOST:
+        if self.partial_line.endswith(b"}"):  # all of an object may be here before its line's end
+            without_strings = JSON_STRING_PATTERN.sub(b"", self.partial_line)
+            if b'"' not in without_strings and self.brace_depth + without_strings.count(
+                b"{"
+            ) == without_strings.count(b"}"):
+                line, self.partial_line = self.partial_line, b""
+                return self._feed_line(line)
+        if self.object_bytes + len(self.partial_line) > MAX_LINE_BYTES:
             self.end("line too long")
 
-    def _line(self, line: bytes) -> None:
+    def _feed_line(self, line: bytes) -> None:
         """An object ends with the line that closes its last brace. One that is no object, or that breaks off,
         may have told of a drain that no later line tells again: it is asked for anew."""
         if not line.strip():
-            if self.depth:
+            if self.brace_depth:
                 self.end("malformed")  # the empty line of a quiet list, in the middle of an object
             return
-        bare = STRINGS.sub(b"", line)
-        self.depth += bare.count(b"{") - bare.count(b"}")
-        self.lines.append(line)
-        self.size += len(line)
-        if self.depth > 0:
+        without_strings = JSON_STRING_PATTERN.sub(b"", line)
+        self.brace_depth += without_strings.count(b"{") - without_strings.count(b"}")
+        self.object_lines.append(line)
+        self.object_bytes += len(line)
+        if self.brace_depth > 0:
             return
-        whole, self.lines, self.depth, self.size = b"\n".join(self.lines), [], 0, 0
-        if not self.watch.line(self, whole):
+        object_text, self.object_lines, self.brace_depth, self.object_bytes = (
+            b"\n".join(self.object_lines),
+            [],
+            0,
+            0,
+        )
+        if not self.watch.apply_line(self, object_text):
             self.end("malformed")
 
     def on_message_complete(self) -> None:
@@ -122,168 +131,175 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.end("lost")
 
-    def end(self, why: str) -> None:
-        if not self.dead:
-            self.dead = True
+    def end(self, reason: str) -> None:
+        if not self.ended:
+            self.ended = True
             if self.transport is not None:
                 self.transport.abort()
-            self.watch.broken(self, why)
+            self.watch.stream_ended(self, reason)
 
 
-class Watch:
+class DiscoveryWatch:
     """Keeps the last list through every break; `told` gets what is new."""
 
     def __init__(
         self,
         address: Address,
-        known: Listing,
+        known_message: DiscoveryMessage,
         loop: asyncio.AbstractEventLoop,
-        wheel: Wheel,
+        wheel: TimerWheel,
         clock: Callable[[], int],
         counters: Counters,
         log: Callable[..., Any],
-        told: Callable[[Listing], None],
-        fleet: int = 1,
-        ours: bool = False,
-        agent: bool | None = None,
-        learnt: Callable[[bool], None] | None = None,
+        on_message: Callable[[DiscoveryMessage], None],
+        fleet_size: int = 1,
+        expects_agent: bool = False,
+        is_agent: bool | None = None,
+        on_agent_detected: Callable[[bool], None] | None = None,
     ) -> None:
         """`fleet`, `ours`, `agent`: see `Pacing`; `learnt` is told where it was learnt who answers."""
-        self.address, self.index, self.told = address, known.index, told
+        self.address, self.list_index, self.on_message = address, known_message.index, on_message
         self.loop, self.wheel, self.clock, self.counters, self.log = loop, wheel, clock, counters, log
-        self.stream: _Stream | None = None
-        self.late: _Stream | None = None  # given up, and listened to beside the next
-        self.task: asyncio.Task[None] | None = None
-        self.again: Timer | None = None  # the next try after a break
-        self.pacing, self.ours = Pacing(fleet, ours, agent), ours
-        self.learnt, self._agent = learnt, agent
-        self.first = asyncio.Event()  # a list came
+        self.stream: _WatchStream | None = None
+        self.late_stream: _WatchStream | None = None  # given up, and listened to beside the next
+        self.dial_task: asyncio.Task[None] | None = None
+        self.retry_timer: Timer | None = None  # the next try after a break
+        self.pacing, self.expects_agent = WatchPacing(fleet_size, expects_agent, is_agent), expects_agent
+        self.on_agent_detected, self._is_agent = on_agent_detected, is_agent
+        self.first_list_received = asyncio.Event()  # a list came
         self.closed = False
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The first call of this process."""
-        wait = self.pacing.start()
-        if wait:
-            self.again = self.wheel.after(wait, self.open)
+        delay_us = self.pacing.first_call_delay_us()
+        if delay_us:
+            self.retry_timer = self.wheel.call_after(delay_us, self.open)
         else:
             self.open()
 
     def open(self) -> None:
         if self.closed:
             return
-        stream = self.stream = _Stream(self)
-        self.task = self.loop.create_task(self._dial(stream))
-        self.arm(stream)
-
-    def arm(self, stream: _Stream) -> None:
-        if stream.check is not None:
-            stream.check.cancel()
-        if not stream.dead and stream is not self.late:
-            wait = max(self.pacing.due(stream.call) - self.clock(), 0)
-            stream.check = self.wheel.after(wait, self._check, stream)
-
-    async def _dial(self, stream: _Stream) -> None:
+        stream = self.stream = _WatchStream(self)
+        self.dial_task = self.loop.create_task(self._dial(stream))
+        self.arm_silence_timer(stream)
+
+    def arm_silence_timer(self, stream: _WatchStream) -> None:
+        if stream.silence_timer is not None:
+            stream.silence_timer.cancel()
+        if not stream.ended and stream is not self.late_stream:
+            delay_us = max(self.pacing.gives_up_at_us(stream.call) - self.clock(), 0)
+            stream.silence_timer = self.wheel.call_after(delay_us, self._check_silence, stream)
+
+    async def _dial(self, stream: _WatchStream) -> None:
         try:
             await self.loop.create_connection(lambda: stream, *self.address)
         except OSError:
             stream.end("refused")
 
-    def _check(self, stream: _Stream) -> None:
+    def _check_silence(self, stream: _WatchStream) -> None:
         """A cut-off discovery says nothing at all: silence is the only sign."""
-        if stream.dead or stream is self.late:
+        if stream.ended or stream is self.late_stream:
             return
-        now = self.clock()
-        if now >= self.pacing.due(stream.call):
-            stream.read_ahead()
-            if stream.dead or stream is self.late:
+        now_us = self.clock()
+        if now_us >= self.pacing.gives_up_at_us(stream.call):
+            stream.read_unread_bytes()
+            if stream.ended or stream is self.late_stream:
                 return
-        if now < self.pacing.due(stream.call):
-            self.arm(stream)
-        elif self.late is None and self.pacing.listens_on(stream.call, now):
-            self.broken(stream, "silent")
-            self.late = stream
-            self.wheel.after(stream.call.began + UNSURE - now, self._leave_late, stream)
+        if now_us < self.pacing.gives_up_at_us(stream.call):
+            self.arm_silence_timer(stream)
+        elif self.late_stream is None and self.pacing.keeps_listening(stream.call, now_us):
+            self.stream_ended(stream, "silent")
+            self.late_stream = stream
+            self.wheel.call_after(
+                stream.call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US - now_us, self._close_late_stream, stream
+            )
         else:
-            if self.task is not None:
-                self.task.cancel()
+            if self.dial_task is not None:
+                self.dial_task.cancel()
             stream.end("silent")
 
-    def _leave_late(self, stream: _Stream) -> None:
-        if self.late is stream:
-            self.pacing.no_word(stream.call)
+    def _close_late_stream(self, stream: _WatchStream) -> None:
+        if self.late_stream is stream:
+            self.pacing.record_no_response(stream.call)
             stream.end("silent")
 
-    def answered(self, stream: _Stream) -> None:
+    def response_started(self, stream: _WatchStream) -> None:
         """Its answer's head is here. A list serves as well where the call was given up; a no has taught who
         answers there, and the next call waits its turn."""
-        late, self.late = self.late, None
-        if late is stream and stream.call.status == 200:
-            self._leave()
+        late_stream, self.late_stream = self.late_stream, None
+        if late_stream is stream and stream.call.status == 200:
+            self._close_streams()
             self.stream = stream
-            self.arm(stream)
-        elif late is not None:
-            late.end("left")
+            self.arm_silence_timer(stream)
+        elif late_stream is not None:
+            late_stream.end("left")
 
-    def line(self, stream: _Stream, line: bytes) -> bool:
+    def apply_line(self, stream: _WatchStream, line: bytes) -> bool:
         """False where it can't be read as a list."""
         try:
-            listing = listing_of(json.loads(line), bad=self._malformed)
-        except (ValueError, RecursionError) as fault:  # a ConfigError too
-            self._malformed(fault)
+            message = parse_discovery_message(json.loads(line), bad=self._record_malformed)
+        except (ValueError, RecursionError) as error:  # a ConfigError too
+            self._record_malformed(error)
             return False
-        self.first.set()
+        self.first_list_received.set()
         self.counters.add("discovery_updates")
-        self.pacing.listed(stream.call)
-        self.index = listing.index
-        self.told(listing)
-        agent = self.pacing.agent
-        sure = agent is False or (agent and stream.call.quick)
-        if self.learnt is not None and agent is not None and sure and agent != self._agent:
-            self._agent = agent
-            self.learnt(agent)
+        self.pacing.record_list(stream.call)
+        self.list_index = message.index
+        self.on_message(message)
+        is_agent = self.pacing.is_agent
+        certain = is_agent is False or (is_agent and stream.call.answered_quickly)
+        if (
+            self.on_agent_detected is not None
+            and is_agent is not None
+            and certain
+            and is_agent != self._is_agent
+        ):
+            self._is_agent = is_agent
+            self.on_agent_detected(is_agent)
         return True
 
-    def _malformed(self, fault: Exception) -> None:
+    def _record_malformed(self, error: Exception) -> None:
         """One odd entry must not hide that another drains."""
         self.counters.add("discovery_entries_malformed")
-        self.log("discovery_malformed", why=str(fault))
+        self.log("discovery_malformed", why=str(error))
 
-    def broken(self, stream: _Stream, why: str) -> None:
-        if stream is self.late:
-            self.late = None
+    def stream_ended(self, stream: _WatchStream, reason: str) -> None:
+        if stream is self.late_stream:
+            self.late_stream = None
         if not self.closed and stream is self.stream:  # one that was left opens no second watch
             self.stream = None
             self.counters.add("discovery_breaks")
-            self.log("discovery_broken", why=why, status=stream.call.status)
-            wait = self.pacing.again(stream.call, self.clock(), why == "silent")
-            self.again = self.wheel.after(wait, self.open)
+            self.log("discovery_broken", why=reason, status=stream.call.status)
+            delay_us = self.pacing.next_call_delay_us(stream.call, self.clock(), reason == "silent")
+            self.retry_timer = self.wheel.call_after(delay_us, self.open)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Watch there from now on, not once the old address ends. Versions are the old service's, so the new
         one is asked for all it has; the list held stays until that comes."""
         if address == self.address or self.closed:
             return
         self.counters.add("discovery_moves")
-        for stream in (self.stream, self.late):
+        for stream in (self.stream, self.late_stream):
             if stream is not None:
-                stream.read_ahead()
-        self.address, self.index = address, 0
-        self.pacing.moved()
-        self._leave()
+                stream.read_unread_bytes()
+        self.address, self.list_index = address, 0
+        self.pacing.address_changed()
+        self._close_streams()
         self.open()
 
-    def _leave(self) -> None:
+    def _close_streams(self) -> None:
         """What stands or is under way, and the next try."""
-        old, late = self.stream, self.late
-        self.stream = self.late = None
-        if self.again is not None:
-            self.again.cancel()
-        if self.task is not None:
-            self.task.cancel()
-        for stream in (old, late):
+        stream_before, late_stream = self.stream, self.late_stream
+        self.stream = self.late_stream = None
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+        if self.dial_task is not None:
+            self.dial_task.cancel()
+        for stream in (stream_before, late_stream):
             if stream is not None:
                 stream.end("left")
 
     def close(self) -> None:
         self.closed = True
-        self._leave()
+        self._close_streams()
--- a/umberlead/net/http_message.py
+++ b/umberlead/net/http_message.py
@@ -9,16 +9,31 @@
 BODYLESS_STATUSES = (204, 304)  # a reply with one of these has neither body nor Content-Length
 
 REASON_PHRASES = {
-    200: b"OK", 204: b"No Content", 206: b"Partial Content", 304: b"Not Modified", 400: b"Bad Request",
-    403: b"Forbidden", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
-    409: b"Conflict", 411: b"Length Required", 412: b"Precondition Failed", 413: b"Content Too Large",
-    416: b"Range Not Satisfiable", 431: b"Request Header Fields Too Large", 500: b"Internal Server Error",
-    501: b"Not Implemented", 502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout",
-}  # fmt: skip
+    200: b"OK",
+    204: b"No Content",
+    206: b"Partial Content",
+    304: b"Not Modified",
+    400: b"Bad Request",
+    403: b"Forbidden",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    411: b"Length Required",
+    412: b"Precondition Failed",
+    413: b"Content Too Large",
+    416: b"Range Not Satisfiable",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 
 
 @dataclass(slots=True)
-class Message:
+class HttpRequest:
     """One request.
 
     Attributes:
@@ -37,16 +52,16 @@
     body: bytes | bytearray = b""
     version: str = "1.1"
     keep_alive: bool = True
-    received: int = 0
+    received_us: int = 0
 
-    def split(self) -> tuple[bytes, bytes]:
+    def split_target(self) -> tuple[bytes, bytes]:
         """Return the target's path and its query, without the question mark."""
         path, _, query = self.target.partition(b"?")
         return path, query
 
 
 @dataclass(frozen=True, slots=True)
-class Rejection:
+class RequestRejection:
     """What a request that can't be read is answered with.
 
     Attributes:
@@ -60,8 +75,12 @@
     target: bytes
 
 
-def encode_head(
-    status: int, headers: Iterable[bytes], length: int | None, date_us: int | None, close: bool
+def encode_response_headers(
+    status: int,
+    headers: Iterable[bytes],
+    content_length: int | None,
+    date_us: int | None,
+    close_connection: bool,
 ) -> list[bytes]:
     """Write the head of a reply.
 
@@ -75,11 +94,11 @@
     Returns:
         The pieces of the head, to be written in this order.
     """
-    parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))]
+    pieces = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))]
     if date_us is not None:
-        parts.append(b"Date: %s\r\n" % formatdate(date_us / 1e6, usegmt=True).encode())
-    parts += [line + b"\r\n" for line in headers]
-    if length is not None:
-        parts.append(b"Content-Length: %d\r\n" % length)
-    parts.append(b"Connection: close\r\n\r\n" if close else b"\r\n")
-    return parts
+        pieces.append(b"Date: %s\r\n" % formatdate(date_us / 1e6, usegmt=True).encode())
+    pieces += [line + b"\r\n" for line in headers]
+    if content_length is not None:
+        pieces.append(b"Content-Length: %d\r\n" % content_length)
+    pieces.append(b"Connection: close\r\n\r\n" if close_connection else b"\r\n")
+    return pieces
--- a/umberlead/net/node_connection.py
+++ b/umberlead/net/node_connection.py
@@ -9,16 +9,16 @@
 
 from umberlead.common.timer_wheel import Timer
 from umberlead.config import Address
-from umberlead.net.node_protocol import OutgoingRequest, decode_reply, encode_request, result_of_reply
+from umberlead.net.node_protocol import OutgoingRequest, decode_response, encode_request, result_of_response
 from umberlead.net.pool_interface import ConnectionPool
-from umberlead.net.reply_parser import ReplyParser
+from umberlead.net.reply_parser import ResponseParser
 from umberlead.net.socket_state import SocketState
-from umberlead.net.streaming import SERVER_PAUSE_TIMEOUT_US, ReplyStream, is_long_reply
+from umberlead.net.streaming import SERVER_PAUSE_TIMEOUT_US, ResponseStream, is_long_response
 from umberlead.requests.types import Attempt, Reply
-from umberlead.scheduling.interface import Result
+from umberlead.scheduling.events import AttemptResult
 
 
-class NodeConnection(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """One connection to a chunk server; it carries an attempt at a time.
 
     Attributes:
@@ -39,24 +39,24 @@
         stream: the long reply that is on its way, or was the latest.
     """
 
-    def __init__(self, pool: "ConnectionPool[NodeConnection]", address: Address) -> None:
+    def __init__(self, pool: "ConnectionPool[EndpointConnection]", address: Address) -> None:
         """Begin before the dial to `address`."""
         self.pool, self.address = pool, address
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
-        self.stop_reason: Result | None = None
+        self.cancel_result: AttemptResult | None = None
         self.written = self.write_paused = False
         self.dial_task: asyncio.Task[None] | None = None
         self.timer: Timer | None = None
         self.slot = -1
-        self.since_us = pool.clock()
-        self.races = 0
+        self.state_since_us = pool.clock()
+        self.race_count = 0
         self.idle_since_us = 0
-        self.used = self.closed = self.finished = False
+        self.has_carried_attempt = self.closed = self.finished = False
         self.connect_error = ""
-        self.local_fault = self.dropped = False
-        self.stream: ReplyStream | None = None
-        self.reply = ReplyParser(self, pool)
+        self.failed_locally = self.broke_early = False
+        self.stream: ResponseStream | None = None
+        self.response = ResponseParser(self, pool)
         self._socket: SocketState | None = None
 
     @property
@@ -96,24 +96,24 @@
         self.transport.set_write_buffer_limits(high=0)
         self.cancel_timer()
         self.pool.counters.add("node_connections_opened")
-        self.pool.came_up(self)
+        self.pool.connection_established(self)
         if self.attempt is None:
-            return self.pool.put_unused(self)
-        denial = self.pool.may_write(self.attempt)
+            return self.pool.put_unclaimed(self)
+        denial = self.pool.write_denial(self.attempt)
         if denial is None:
             return self.send_request()
         self.pool.counters.add("node_connections_too_late")
         self.pool.counters.add(f"attempts_barred_{denial.value}")
-        self.give_up(Result.MOOT)
+        self.cancel_attempt(AttemptResult.NOT_SENT)
 
     def send_request(self) -> None:
         """Write the attempt's request."""
         attempt, transport = self.attempt, self.transport
         assert attempt is not None and transport is not None
-        self.used = True
-        request: OutgoingRequest = attempt.ticket.ask.payload
+        self.has_carried_attempt = True
+        request: OutgoingRequest = attempt.request.request.payload
         self.written = False
-        budget_us = attempt.give_up - self.pool.clock()
+        budget_us = attempt.deadline_us - self.pool.clock()
         self.pool.on_write(attempt, budget_us)
         transport.writelines(encode_request(request, self.pool.host_line, budget_us))
         if not self.write_paused and not transport.is_closing():
@@ -137,42 +137,42 @@
         """Read what came of a reply."""
         if self.stream is not None and self.streaming:
             return self.stream.feed(data)
-        if self.attempt is None or self.stop_reason is not None:
-            if self.stop_reason is None:
+        if self.attempt is None or self.cancel_result is not None:
+            if self.cancel_result is None:
                 self.pool.counters.add("node_answers_surplus")
             self.close()  # nobody asked: the connection is of no further use
             return
-        if not self.reply.feed(data, self.pool.clock()):
-            return self._malformed()
-        if self.stream is not None and self.streaming and self.reply.complete:
+        if not self.response.feed(data, self.pool.clock()):
+            return self._response_malformed()
+        if self.stream is not None and self.streaming and self.response.complete:
             return self.stream.finish()  # all of a long reply in the read that began it
-        if not self.given_up and self.attempt is not None:
-            self._after_read()
+        if not self.attempt_cancelled and self.attempt is not None:
+            self._continue_response()
 
-    def _malformed(self) -> None:
+    def _response_malformed(self) -> None:
         """End the reply, or break it off where the read that turned malformed began to pass it on."""
         if self.stream is not None and self.streaming:
             self.stream.abort()
         else:
-            self.reply_failed("malformed")
+            self.response_failed("malformed")
 
-    def _after_read(self) -> None:
+    def _continue_response(self) -> None:
         """End a reply that is complete, or wait for more of it."""
-        if self.reply.complete:
-            self._end_reply()
-        elif not self.reply.head_complete and self.reply.head_bytes > self.pool.max_head_bytes:
-            self.reply_failed("head_too_large")
-        elif self.reply.begun and self.timer is None and not self.closed:
-            self.timer = self.pool.wheel.after(self.pool.connect_timeout_us, self._check_progress)
+        if self.response.complete:
+            self._end_response()
+        elif not self.response.headers_complete and self.response.header_bytes > self.pool.max_header_bytes:
+            self.response_failed("head_too_large")
+        elif self.response.started and self.timer is None and not self.closed:
+            self.timer = self.pool.wheel.call_after(self.pool.connect_timeout_us, self._check_progress)
 
     def eof_received(self) -> bool:
         """End a reply that ends with its connection."""
-        if self.reply.framed or self._socket_state().was_reset():
+        if self.response.framed or self._socket_state().was_reset():
             return False  # `connection_lost` follows: what came breaks off, or counts as a reset
         if self.stream is not None and self.streaming:
             self.stream.finish()
-        if self.attempt is not None and not self.given_up and self.reply.head_complete:
-            self._end_reply()
+        if self.attempt is not None and not self.attempt_cancelled and self.response.headers_complete:
+            self._end_response()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -182,20 +182,20 @@
         self.finished = True
         self.close()
         self.pool.remove(self)
-        self.reply.release()
-        self.dropped = not self.connect_error  # one that came up too late has not broken
+        self.response.release_body()
+        self.broke_early = not self.connect_error  # one that came up too late has not broken
         if self.stream is not None and self.streaming:
             self.stream.abort()
         if self.attempt is not None:
             # A stale pooled connection ends here too: what was written may have been read.
-            self.end_attempt(Result.RESET if self.written else Result.NO_LINK)
+            self.end_attempt(AttemptResult.RESET if self.written else AttemptResult.CONNECT_FAILED)
 
     # ReplyReceiver: what the parser reads
 
     @property
-    def given_up(self) -> bool:
+    def attempt_cancelled(self) -> bool:
         """Whether nothing more is wanted of the reply."""
-        return self.stop_reason is not None
+        return self.cancel_result is not None
 
     def body_received(self, data: bytes) -> None:
         """Keep a piece of the body, or pass it on where the reply is a long one."""
@@ -203,30 +203,34 @@
             return self.stream.write(data)
         if self.attempt is None:
             return  # given up within this read
-        reply = self.reply
-        reply.keep(data)
-        if is_long_reply(reply.length, reply.body_bytes, reply.heard_us - reply.first_us):
-            ticket = self.attempt.ticket
-            served = reply.status in ticket.ask.payload.served
-            if ticket.ask.streams and served and not ticket.answered:
+        response = self.response
+        response.buffer_body(data)
+        if is_long_response(
+            response.content_length,
+            response.body_bytes,
+            response.last_received_us - response.first_received_us,
+        ):
+            request = self.attempt.request
+            served = response.status in request.request.payload.served_statuses
+            if request.request.accepts_stream and served and not request.answered:
                 return self._start_stream()
-        over_memory = self.pool.held_bytes > self.pool.memory_limit_bytes
-        if reply.body_bytes > self.pool.max_reply_bytes or over_memory:
-            self.reply_failed("too_large")
+        over_memory = self.pool.buffered_bytes > self.pool.buffer_limit_bytes
+        if response.body_bytes > self.pool.max_response_bytes or over_memory:
+            self.response_failed("too_large")
 
-    def interim_complete(self) -> None:
+    def interim_response_complete(self) -> None:
         """Wait for the reply itself, which may be long in coming."""
         self.cancel_timer()
 
-    def reply_failed(self, fault: str) -> None:
+    def response_failed(self, failure: str) -> None:
         """End the attempt: the node has answered, and may have run the request.
 
         An error of its own, and no news of its links. Where the reply ends can't be told, so the connection
         ends.
         """
-        if self.attempt is not None and not self.given_up:
-            self.pool.counters.add(f"node_answers_{fault}")
-            self.give_up(Result.ERROR)
+        if self.attempt is not None and not self.attempt_cancelled:
+            self.pool.counters.add(f"node_answers_{failure}")
+            self.cancel_attempt(AttemptResult.ERROR)
 
     def _check_progress(self) -> None:
         """Once begun, a reply goes on.
@@ -234,98 +238,104 @@
         A length that says too much would hold the request, and its place at the node, to the end of its time.
         """
         wait_us, attempt = self.pool.connect_timeout_us, self.attempt
-        if attempt is not None and attempt.once and self.reply.head_complete:
+        if attempt is not None and attempt.must_not_repeat and self.response.headers_complete:
             # Nothing is tried elsewhere in its place, and the server may only pause.
             wait_us = max(wait_us, SERVER_PAUSE_TIMEOUT_US)
-        until_us = self.reply.heard_us + wait_us
-        if until_us > self.pool.clock():
-            self.timer = self.pool.wheel.at(until_us, self._check_progress)
+        due_us = self.response.last_received_us + wait_us
+        if due_us > self.pool.clock():
+            self.timer = self.pool.wheel.call_at(due_us, self._check_progress)
         else:
-            self.reply_failed("cut_short")
+            self.response_failed("cut_short")
 
-    def _decode(self) -> Reply:
-        return decode_reply(self.reply.status, self.reply.headers, b"".join(self.reply.body))
+    def _decode_response(self) -> Reply:
+        return decode_response(
+            self.response.status, self.response.headers, b"".join(self.response.body_pieces)
+        )
 
     def _start_stream(self) -> None:
         """End the attempt with its first bytes; the rest goes through as its reader takes it."""
-        attempt, reply = self.attempt, self._decode()
+        attempt, reply = self.attempt, self._decode_response()
         assert attempt is not None
-        self.stream = ReplyStream(self, self.pool, self.reply.body_bytes)
-        reply.rest, reply.length = self.stream, self.reply.length
-        self.reply.release()
-        self.attempt, self.stop_reason = None, None
+        self.stream = ResponseStream(self, self.pool, self.response.body_bytes)
+        reply.stream, reply.body_length = self.stream, self.response.content_length
+        self.response.release_body()
+        self.attempt, self.cancel_result = None, None
         self.cancel_timer()
         self.pool.counters.add("node_answers_long")
-        self.pool.engine.ended(attempt, Result.OK, reply)
+        self.pool.lifecycle.attempt_ended(attempt, AttemptResult.OK, reply)
         if self.streaming:
-            self.stream.start(attempt.give_up)
+            self.stream.start(attempt.deadline_us)
         else:
             self.close()  # its client has left
 
     def reuse(self) -> None:
         """Begin the next reply, and rest in the pool until then."""
-        self.reply.reset()
+        self.response.reset()
         self.pool.put_idle(self)
 
-    def _end_reply(self) -> None:
+    def _end_response(self) -> None:
         """End the attempt with its whole reply."""
-        attempt, reply = self.attempt, self._decode()
+        attempt, reply = self.attempt, self._decode_response()
         assert attempt is not None
-        result = result_of_reply(attempt.ticket.ask.payload, self.reply.status, self.reply.headers)
-        if result is Result.MOOT:
-            attempt.astray = True
+        result = result_of_response(
+            attempt.request.request.payload, self.response.status, self.response.headers
+        )
+        if result is AttemptResult.NOT_SENT:
+            attempt.misdirected = True
             self.pool.counters.add("attempts_astray")
-        if self.reply.surplus:
+        if self.response.has_surplus:
             self.pool.counters.add("node_answers_surplus")
         self.cancel_timer()
-        keep = self.reply.reusable and self.written
+        keep = self.response.reusable and self.written
         if not keep:
             self.close()
         self.attempt = None
-        self.reply.reset()
-        self.stop_reason = None
+        self.response.reset()
+        self.cancel_result = None
         if self.idle_since_us:
             self.pool.record_reuse(self, False)
         if keep:
             self.pool.put_idle(self)
-        self.pool.engine.ended(attempt, result, reply)
+        self.pool.lifecycle.attempt_ended(attempt, result, reply)
 
     # Ends
 
-    def end_attempt(self, result: Result) -> None:
+    def end_attempt(self, result: AttemptResult) -> None:
         """Report the attempt's outcome, or dial once more where nothing of it was sent."""
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return
-        reason = self.stop_reason
+        reason = self.cancel_result
         if reason is not None:
-            result = reason if self.written or reason is Result.MOOT else Result.NO_LINK
-        elif result is Result.NO_LINK and self.dropped and not attempt.again:
+            result = (
+                reason if self.written or reason is AttemptResult.NOT_SENT else AttemptResult.CONNECT_FAILED
+            )
+        elif result is AttemptResult.CONNECT_FAILED and self.broke_early and not attempt.reconnected:
             # Dropped before the request was on it: nothing was sent, and the node itself may be well.
             self.pool.counters.add("node_connections_broke_early")
-            attempt.again = True
-            return self.pool.redial(attempt, self.address)
-        if result is Result.NO_LINK and self.local_fault:
-            result = Result.MOOT  # the node has no part in it
-        if result is Result.RESET and self.idle_since_us and not self.reply.head_bytes:
+            attempt.reconnected = True
+            return self.pool.reconnect(attempt, self.address)
+        if result is AttemptResult.CONNECT_FAILED and self.failed_locally:
+            result = AttemptResult.NOT_SENT  # the node has no part in it
+        if result is AttemptResult.RESET and self.idle_since_us and not self.response.header_bytes:
             self.pool.record_reuse(self, True)
-        if result is Result.NO_LINK:
+        if result is AttemptResult.CONNECT_FAILED:
             self._log_failure(attempt)
-        self.pool.engine.ended(attempt, result)
+        self.pool.lifecycle.attempt_ended(attempt, result)
 
     def _log_failure(self, attempt: Attempt) -> None:
-        elapsed_ms = (self.pool.clock() - attempt.sent) // 1000
+        elapsed_ms = (self.pool.clock() - attempt.started_us) // 1000
         state = "dialling" if self.transport is None else "writing"
-        why = self.stop_reason.value if self.stop_reason else self.connect_error or "broken"
-        self.pool.log("link_failed", node=attempt.node, state=state, why=why, ms=elapsed_ms)
+        why = self.cancel_result.value if self.cancel_result else self.connect_error or "broken"
+        self.pool.log("link_failed", node=attempt.endpoint, state=state, why=why, ms=elapsed_ms)
 
-    def give_up(self, reason: Result) -> None:
+    def cancel_attempt(self, result: AttemptResult) -> None:
         """End the attempt for `reason`.
 
         The outcome comes once the connection is closed, so the next attempt never overlaps this one.
         """
-        if self.stop_reason is None and not self.closed:
-            self.stop_reason = reason
+        if self.cancel_result is None and not self.closed:
+            self.cancel_result = result
             if self.write_paused and not self.written and self.is_open():
                 self._socket_state().stop_sending()
             self.close()
--- a/umberlead/net/node_protocol.py
+++ b/umberlead/net/node_protocol.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass, field
 
 from umberlead.requests.types import Reply
-from umberlead.scheduling.interface import Result
+from umberlead.scheduling.events import AttemptResult
 
-FIGURE = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-MAX_LOAD_FIELDS = 16  # values of a load report
-NO_BODY_METHOD = b"GET"
+NUMBER_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+LOAD_REPORT_FIELDS_LIMIT = 16  # values of a load report
+BODYLESS_METHOD = b"GET"
 
 
 @dataclass(slots=True)
@@ -27,51 +27,53 @@
     target: bytes
     headers: list[bytes]
     body: bytes | bytearray = b""
-    served: frozenset[int] = field(default=frozenset((200,)))
+    served_statuses: frozenset[int] = field(default=frozenset((200,)))
 
 
 def encode_request(request: OutgoingRequest, host_line: bytes, budget_us: int) -> list[bytes]:
     """Return the pieces of a request; `budget_us` is the time that is left to it."""
-    parts = [request.method, b" ", request.target, b" HTTP/1.1\r\n", host_line]
+    pieces = [request.method, b" ", request.target, b" HTTP/1.1\r\n", host_line]
     for line in request.headers:
-        parts += (line, b"\r\n")
-    parts.append(b"X-Budget: %.3f\r\n" % (max(budget_us, 0) / 1e6))
-    if request.body or request.method != NO_BODY_METHOD:
-        parts.append(b"Content-Length: %d\r\n" % len(request.body))
-    parts += (b"\r\n", request.body)
-    return parts
+        pieces += (line, b"\r\n")
+    pieces.append(b"X-Budget: %.3f\r\n" % (max(budget_us, 0) / 1e6))
+    if request.body or request.method != BODYLESS_METHOD:
+        pieces.append(b"Content-Length: %d\r\n" % len(request.body))
+    pieces += (b"\r\n", request.body)
+    return pieces
 
 
-def decode_reply(status: int, headers: dict[bytes, bytes], body: bytes) -> Reply:
+def decode_response(status: int, headers: dict[bytes, bytes], body: bytes) -> Reply:
     """Read a reply's own header fields; figures are optional, and left out where they can't be read."""
     return Reply(
-        status, body, _load_report(headers.get(b"x-load-report", b"")),
-        _figure(headers.get(b"x-volume-use"), -1) + 1,  # the header leaves out the simulator's 1
-        _figure(headers.get(b"x-served-elsewhere"), 0),
-    )  # fmt: skip
+        status,
+        body,
+        _parse_load_report(headers.get(b"x-load-report", b"")),
+        _parse_number(headers.get(b"x-volume-use"), -1) + 1,  # the header leaves out the simulator's 1
+        _parse_number(headers.get(b"x-served-elsewhere"), 0),
+    )
 
 
-def result_of_reply(request: OutgoingRequest, status: int, headers: dict[bytes, bytes]) -> Result:
+def result_of_response(request: OutgoingRequest, status: int, headers: dict[bytes, bytes]) -> AttemptResult:
     """Return what a whole reply means for its attempt.
 
     MOOT stands for a request that was not for this chunk server, or not any more: no news of its health.
     """
-    if status in request.served:
-        return Result.OK
+    if status in request.served_statuses:
+        return AttemptResult.OK
     rejected = headers.get(b"x-rejected") == b"1"
     if status == 504 and rejected:
-        return Result.MOOT
-    return Result.FULL if status == 503 and rejected else Result.ERROR
+        return AttemptResult.NOT_SENT
+    return AttemptResult.REJECTED if status == 503 and rejected else AttemptResult.ERROR
 
 
-def _figure(value: bytes | None, default: int) -> int:
-    return int(float(value)) if value is not None and FIGURE.fullmatch(value) else default
+def _parse_number(value: bytes | None, default: int) -> int:
+    return int(float(value)) if value is not None and NUMBER_PATTERN.fullmatch(value) else default
 
 
-def _load_report(text: bytes) -> dict[str, float]:
-    load = {}
-    for pair in text.split(b",", MAX_LOAD_FIELDS)[:MAX_LOAD_FIELDS]:
+def _parse_load_report(text: bytes) -> dict[str, float]:
+    load_report = {}
+    for pair in text.split(b",", LOAD_REPORT_FIELDS_LIMIT)[:LOAD_REPORT_FIELDS_LIMIT]:
         name, _, value = pair.partition(b"=")
-        if FIGURE.fullmatch(value.strip()):
-            load[name.strip().decode("latin-1")] = float(value)
-    return load
+        if NUMBER_PATTERN.fullmatch(value.strip()):
+            load_report[name.strip().decode("latin-1")] = float(value)
+    return load_report
--- a/umberlead/net/pending_input.py
+++ b/umberlead/net/pending_input.py
@@ -2,8 +2,8 @@
 
 from collections import deque
 
-from umberlead.net.client_connections import Clients
-from umberlead.net.http_message import Message
+from umberlead.net.client_connections import ClientGroup
+from umberlead.net.http_message import HttpRequest
 
 
 class PendingInput:
@@ -14,10 +14,10 @@
         unparsed_bytes: how many bytes wait behind them.
     """
 
-    def __init__(self, clients: Clients) -> None:
+    def __init__(self, clients: ClientGroup) -> None:
         """Begin empty, counting among `clients`."""
         self._clients = clients
-        self.requests: deque[Message] = deque()
+        self.requests: deque[HttpRequest] = deque()
         self._unparsed: deque[tuple[bytes, int]] = deque()  # and when they were read
         self.unparsed_bytes = 0
 
@@ -30,33 +30,33 @@
         """Whether bytes wait that were not parsed."""
         return bool(self._unparsed)
 
-    def put(self, data: bytes, received_us: int) -> None:
+    def put_unparsed(self, data: bytes, received_us: int) -> None:
         """Keep bytes as they were read, at that time."""
         self._unparsed.append((data, received_us))
         self.unparsed_bytes += len(data)
-        self._clients.held_bytes += len(data)
+        self._clients.buffered_bytes += len(data)
 
-    def take(self) -> tuple[bytes, int]:
+    def take_unparsed(self) -> tuple[bytes, int]:
         """Return the bytes of the oldest read, and its time: more at once could be too many requests."""
         data, received_us = self._unparsed.popleft()
         self.unparsed_bytes -= len(data)
-        self._clients.held_bytes -= len(data)
+        self._clients.buffered_bytes -= len(data)
         return data, received_us
 
-    def release(self, message: Message | None) -> None:
+    def release_body(self, message: HttpRequest | None) -> None:
         """Give back what the body of a request held."""
         if message is not None:
-            self._clients.held_bytes -= len(message.body)
+            self._clients.buffered_bytes -= len(message.body)
             message.body = b""
 
     def discard_unparsed(self) -> None:
         """Drop the bytes."""
-        self._clients.held_bytes -= self.unparsed_bytes
+        self._clients.buffered_bytes -= self.unparsed_bytes
         self._unparsed.clear()
         self.unparsed_bytes = 0
 
-    def discard(self) -> None:
+    def discard_all(self) -> None:
         """Drop all: each request gives its memory back, which a bare clear would leave counted."""
         while self.requests:
-            self.release(self.requests.popleft())
+            self.release_body(self.requests.popleft())
         self.discard_unparsed()
--- a/umberlead/net/pool_interface.py
+++ b/umberlead/net/pool_interface.py
@@ -4,9 +4,9 @@
 from typing import Any, Protocol, TypeVar
 
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Wheel
+from umberlead.common.timer_wheel import TimerWheel
 from umberlead.config import Address
-from umberlead.requests.lifecycle import Engine
+from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.send_guard import Denial
 from umberlead.requests.types import Attempt
 
@@ -24,30 +24,30 @@
         max_head_bytes: how long the head of a reply may be.
     """
 
-    engine: Engine
+    lifecycle: RequestLifecycle
     clock: Callable[[], int]
-    wheel: Wheel
+    wheel: TimerWheel
     counters: Counters
     log: Callable[..., Any]
     host_line: bytes
     connect_timeout_us: int
-    held_bytes: int
-    memory_limit_bytes: int
-    max_reply_bytes: int
-    max_head_bytes: int
+    buffered_bytes: int
+    buffer_limit_bytes: int
+    max_response_bytes: int
+    max_header_bytes: int
 
     @property
-    def may_write(self) -> Callable[[Attempt], Denial | None]:
+    def write_denial(self) -> Callable[[Attempt], Denial | None]:
         """Tells why an attempt may not be written now; None lets it."""
 
     @property
     def on_write(self) -> Callable[[Attempt, int], None]:
         """Is told of an attempt as its first byte is written, and what time it is told to take (us)."""
 
-    def came_up(self, conn: ConnectionT) -> None:
+    def connection_established(self, conn: ConnectionT) -> None:
         """A dial has come up."""
 
-    def put_unused(self, conn: ConnectionT) -> None:
+    def put_unclaimed(self, conn: ConnectionT) -> None:
         """Keep a connection that came up and that nobody waits for."""
 
     def put_idle(self, conn: ConnectionT) -> None:
@@ -59,5 +59,5 @@
     def record_reuse(self, conn: ConnectionT, reset: bool) -> None:
         """Learn whether a kept connection broke under a request."""
 
-    def redial(self, attempt: Attempt, address: Address) -> None:
+    def reconnect(self, attempt: Attempt, address: Address) -> None:
         """Connect once more for an attempt of which nothing was sent."""
--- a/umberlead/net/relay.py
+++ b/umberlead/net/relay.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from umberlead.net.http_message import Message
+from umberlead.net.http_message import HttpRequest
 
 
 class BodySource(Protocol):
@@ -30,16 +30,16 @@
 
     transport: asyncio.Transport
     closed: bool
-    source: BodySource | None
+    body_source: BodySource | None
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """End it in the middle of a reply."""
 
     def finish_response(self) -> None:
         """The reply is out: the next request's turn."""
 
 
-class Relay:
+class ResponseRelay:
     """A long reply on its way to one client: takes pieces from a `BodySource`, whose sink it is.
 
     Without a length it goes in chunks, or up to the connection's end where the client knows no chunks.
@@ -52,7 +52,7 @@
         self._connection, self._chunked, self._on_end = connection, chunked, on_end
 
     @staticmethod
-    def uses_chunks(length: int | None, request: Message | None) -> bool:
+    def uses_chunks(length: int | None, request: HttpRequest | None) -> bool:
         """Tell whether a reply to `request` goes in chunks."""
         return length is None and request is not None and request.version == "1.1"
 
@@ -70,7 +70,7 @@
     def finish(self) -> None:
         """End the reply: all of the body has come."""
         connection = self._connection
-        connection.source = None
+        connection.body_source = None
         self._on_end(True)
         if self._chunked and not connection.closed:
             connection.transport.write(b"0\r\n\r\n")
@@ -78,6 +78,6 @@
 
     def abort(self) -> None:
         """Break the reply off, since its rest will not come."""
-        self._connection.source = None
+        self._connection.body_source = None
         self._on_end(False)
-        self._connection.break_off()
+        self._connection.abort_response()
--- a/umberlead/net/socket_state.py
+++ b/umberlead/net/socket_state.py
@@ -11,13 +11,13 @@
 from collections.abc import Iterator
 
 # The peer ended its sending, closed or reset the connection.
-DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+DISCONNECT_POLL_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 # Of `struct tcp_info` in linux/tcp.h: the state, and `tcpi_last_data_recv`.
-TCP_INFO_BYTES, TCP_INFO_STATE, LAST_DATA_RECEIVED_OFFSET = 56, 0, 52
-LAST_DATA_RECEIVED_MS = struct.Struct("=I")
+TCP_INFO_BYTES, TCP_INFO_STATE_OFFSET, LAST_DATA_RECEIVED_OFFSET = 56, 0, 52
+LAST_DATA_RECEIVED_STRUCT = struct.Struct("=I")
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of no time
+RESET_LINGER_OPTION = struct.pack("ii", 1, 0)  # SO_LINGER of no time
 
 
 class SocketState:
@@ -53,9 +53,9 @@
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         except OSError:
             return None
-        if len(info) < TCP_INFO_BYTES or not info[TCP_INFO_STATE]:
+        if len(info) < TCP_INFO_BYTES or not info[TCP_INFO_STATE_OFFSET]:
             return None
-        return LAST_DATA_RECEIVED_MS.unpack_from(info, LAST_DATA_RECEIVED_OFFSET)[0] * 1000
+        return LAST_DATA_RECEIVED_STRUCT.unpack_from(info, LAST_DATA_RECEIVED_OFFSET)[0] * 1000
 
     def unsent_bytes(self) -> int:
         """Return how many bytes wait here or with the system for the peer to take them."""
@@ -68,7 +68,7 @@
     def reset_on_close(self) -> None:
         """Make the close of the connection a reset."""
         sock = self._transport.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER_OPTION)
 
     def was_reset(self) -> bool:
         """Tell a break from an end: libuv reports an end where a break came with the last bytes.
--- a/umberlead/net/streaming.py
+++ b/umberlead/net/streaming.py
@@ -5,8 +5,8 @@
 from typing import Protocol
 
 from umberlead.common.counters import Counters
-from umberlead.common.timer_wheel import Timer, Wheel
-from umberlead.resource_limits import BODY_MOST
+from umberlead.common.timer_wheel import Timer, TimerWheel
+from umberlead.resource_limits import MAX_BODY_BYTES
 
 STREAM_IDLE_TIMEOUT_US = 10_000_000  # in which a long reply must move on
 SERVER_PAUSE_TIMEOUT_US = 650_000  # that a server may stop within a reply that it is still giving
@@ -30,11 +30,11 @@
         """What is missing will not come."""
 
 
-class IncomingReply(Protocol):
+class IncomingResponse(Protocol):
     """What a stream needs to know of the reply that is being parsed."""
 
-    heard_us: int
-    length: int | None
+    last_received_us: int
+    content_length: int | None
     complete: bool
 
     @property
@@ -49,7 +49,7 @@
     """What a stream needs of the pool."""
 
     clock: Callable[[], int]
-    wheel: Wheel
+    wheel: TimerWheel
     counters: Counters
 
 
@@ -62,7 +62,7 @@
     written: bool
 
     @property
-    def reply(self) -> IncomingReply:
+    def response(self) -> IncomingResponse:
         """The reply that is being parsed."""
 
     def cancel_timer(self) -> None:
@@ -80,13 +80,13 @@
     return size_bytes > MAX_STREAM_BYTES
 
 
-def is_long_reply(length: int | None, kept_bytes: int, coming_for_us: int) -> bool:
+def is_long_response(content_length: int | None, buffered_bytes: int, elapsed_us: int) -> bool:
     """Tell whether a reply is passed on as it comes, rather than kept until it is whole."""
-    slow = length is None and coming_for_us > STREAMING_THRESHOLD_US
-    return slow or kept_bytes > BODY_MOST or (length or 0) > BODY_MOST
+    slow = content_length is None and elapsed_us > STREAMING_THRESHOLD_US
+    return slow or buffered_bytes > MAX_BODY_BYTES or (content_length or 0) > MAX_BODY_BYTES
 
 
-class ReplyStream:
+class ResponseStream:
     """The rest of a long reply, on its way from a chunk server to a sink.
 
     Attributes:
@@ -96,12 +96,12 @@
         paused: its reader has enough for now.
     """
 
-    def __init__(self, owner: StreamOwner, pool: StreamingPool, passed_bytes: int) -> None:
+    def __init__(self, owner: StreamOwner, pool: StreamingPool, forwarded_bytes: int) -> None:
         """Begin behind the first `passed_bytes`, which the request's outcome carries."""
         self._owner, self._pool = owner, pool
         self.sink: BodySink | None = None
         self.deadline_us = 0
-        self.passed_bytes = passed_bytes
+        self.forwarded_bytes = forwarded_bytes
         self.paused = False
         self._paused_since_us = 0
 
@@ -113,17 +113,19 @@
 
     def feed(self, data: bytes) -> None:
         """Parse and pass on what came."""
-        reply = self._owner.reply
-        if not reply.feed(data, self._pool.clock()):
+        response = self._owner.response
+        if not response.feed(data, self._pool.clock()):
             self.abort()
-        elif reply.complete:
+        elif response.complete:
             self.finish()
-        elif exceeds_stream_limit(self.passed_bytes):  # none of a told length: that is checked with the head
+        elif exceeds_stream_limit(
+            self.forwarded_bytes
+        ):  # none of a told length: that is checked with the head
             self.abort()
 
     def write(self, data: bytes) -> None:
         """Pass a piece of the body on."""
-        self.passed_bytes += len(data)
+        self.forwarded_bytes += len(data)
         if self.sink is not None:
             self.sink.write(data)
 
@@ -132,7 +134,7 @@
         owner = self._owner
         sink, self.sink = self.sink, None
         owner.cancel_timer()
-        if owner.reply.reusable and owner.written:
+        if owner.response.reusable and owner.written:
             self.set_paused(False)
             owner.reuse()
         else:
@@ -149,7 +151,7 @@
             sink.abort()
 
     def _check_at(self, at_us: int) -> None:
-        self._owner.timer = self._pool.wheel.at(at_us, self._check)
+        self._owner.timer = self._pool.wheel.call_at(at_us, self._check)
 
     def _check(self) -> None:
         """Break off a reply whose node stopped in the middle.
@@ -159,14 +161,14 @@
         for its last byte: past that time it may only pause. Of a client that stands still its own connection
         tells.
         """
-        now_us, reply = self._pool.clock(), self._owner.reply
-        until_us = (now_us if self.paused else reply.heard_us) + STREAM_IDLE_TIMEOUT_US
-        if not self.paused and reply.length is None and self.passed_bytes <= BODY_MOST:
-            until_us = min(until_us, max(reply.heard_us + SERVER_PAUSE_TIMEOUT_US, self.deadline_us))
-        if until_us <= now_us:
+        now_us, response = self._pool.clock(), self._owner.response
+        due_us = (now_us if self.paused else response.last_received_us) + STREAM_IDLE_TIMEOUT_US
+        if not self.paused and response.content_length is None and self.forwarded_bytes <= MAX_BODY_BYTES:
+            due_us = min(due_us, max(response.last_received_us + SERVER_PAUSE_TIMEOUT_US, self.deadline_us))
+        if due_us <= now_us:
             self.abort()
         else:
-            self._check_at(until_us)
+            self._check_at(due_us)
 
     # BodySource: what the sink's side asks
 
@@ -177,7 +179,7 @@
         """
         if self.sink is None or self._owner.closed:
             return None
-        now_us, sized = self._pool.clock(), self._owner.reply.length is not None
+        now_us, sized = self._pool.clock(), self._owner.response.content_length is not None
         deadline_us = self.deadline_us + (now_us - self._paused_since_us if self.paused else 0)
         age_us = SIZED_EVICTION_AGE_US if sized else UNSIZED_EVICTION_AGE_US
         return (sized, deadline_us) if deadline_us + age_us <= now_us else None
@@ -197,7 +199,7 @@
             transport.pause_reading()
         elif not paused and self.paused:
             now_us = self._pool.clock()
-            self.paused, self._owner.reply.heard_us = False, now_us
+            self.paused, self._owner.response.last_received_us = False, now_us
             self.deadline_us += now_us - self._paused_since_us  # its reader's time, not the node's
             transport.resume_reading()
 
--- a/umberlead/net/timeouts.py
+++ b/umberlead/net/timeouts.py
@@ -10,8 +10,8 @@
 LINGER_TIMEOUT_US = 300_000  # after a reply that ends its connection, so that the reply arrives
 WRITE_STALL_TIMEOUT_US = 30_000_000  # for a client that reads nothing of a reply that waits for it
 SHORT_IDLE_TIMEOUT_US = 2_000_000  # for an idle connection, once over half of the places are taken
-MIN_BODY_RATE = 32_000  # bytes a second at which a body must come
-MIN_UPLOAD_RATE = 1_000  # bytes a second below which an upload that may take long can be evicted
+MIN_BODY_BYTES_PER_S = 32_000  # bytes a second at which a body must come
+MIN_UPLOAD_BYTES_PER_S = 1_000  # bytes a second below which an upload that may take long can be evicted
 NO_TIMEOUT_US = 1 << 62
 
 
@@ -25,17 +25,17 @@
         body_bytes: how much of its body was read.
     """
 
-    head_complete: bool
+    headers_complete: bool
     body_since_us: int
     body_bytes: int
 
 
 def partial_request_timeout_us(progress: RequestProgress, state_since_us: int) -> int:
     """Return how long a connection may take over the request it is sending, from `state_since_us`."""
-    if not progress.head_complete:
+    if not progress.headers_complete:
         return REQUEST_TIMEOUT_US
-    after_head = progress.body_since_us + MIN_BODY_TIMEOUT_US - state_since_us
-    return max(REQUEST_TIMEOUT_US, after_head) + progress.body_bytes * 1_000_000 // MIN_BODY_RATE
+    after_headers_us = progress.body_since_us + MIN_BODY_TIMEOUT_US - state_since_us
+    return max(REQUEST_TIMEOUT_US, after_headers_us) + progress.body_bytes * 1_000_000 // MIN_BODY_BYTES_PER_S
 
 
 def connection_timeout_us(
@@ -43,7 +43,7 @@
     answering: bool,
     ended: bool,
     progress: RequestProgress | None,
-    used: bool,
+    has_served: bool,
     state_since_us: int,
     idle_timeout_us: int,
 ) -> int:
@@ -63,20 +63,20 @@
         return LINGER_TIMEOUT_US
     if progress is not None:
         return partial_request_timeout_us(progress, state_since_us)
-    return idle_timeout_us if used else REQUEST_TIMEOUT_US
+    return idle_timeout_us if has_served else REQUEST_TIMEOUT_US
 
 
-def idle_timeout_us(configured_us: int, connections: int, max_connections: int) -> int:
+def idle_timeout_us(configured_us: int, connection_count: int, max_connections: int) -> int:
     """Return how long an idle connection may stay; 0 in the configuration stands for no limit."""
     timeout_us = configured_us or NO_TIMEOUT_US
-    if connections > max_connections // 2:
+    if connection_count > max_connections // 2:
         timeout_us = min(timeout_us, SHORT_IDLE_TIMEOUT_US)
     return timeout_us
 
 
 def is_slow_upload(progress: RequestProgress | None, now_us: int) -> bool:
     """Tell whether a body that may take long hardly moves."""
-    if progress is None or not progress.head_complete:
+    if progress is None or not progress.headers_complete:
         return False
-    allowed_us = REQUEST_TIMEOUT_US + progress.body_bytes * 1_000_000 // MIN_UPLOAD_RATE
+    allowed_us = REQUEST_TIMEOUT_US + progress.body_bytes * 1_000_000 // MIN_UPLOAD_BYTES_PER_S
     return progress.body_since_us + allowed_us <= now_us
