--- a/umberlead/recovery/backoff.py
+++ b/umberlead/recovery/backoff.py
@@ -13,78 +13,110 @@
 
 import random
 
-BOUND = 6_000_000  # us after discovery had a change and could be reached by which it counts as told
-TURN = 2_000_000  # us that a service lets a call wait its turn before it says no
-MARGIN = 150_000  # us for the network, the timers' ticks and a busy machine
-LIMIT = BOUND - TURN - MARGIN  # us from the last sign of life to the next call, that call's turn not counted
-FIRST, LAST = 100_000, 2_000_000  # us: windows of a front that is alone
-GAP = FIRST // 2  # us between a failure and the next call at the least
-BURST = 10  # calls a second of the whole fleet after a break: what waits a moment is answered in turn
-STEADY = 5  # calls a second that a service is thought to answer at least: some 7 were seen
-AT_ONCE = 500_000  # us: where the burst is over in that time a new process need not wait
-LONGEST = 60_000_000  # us: no service is thought to be further behind, however large the fleet
+MAX_NOTIFICATION_DELAY_US = (
+    6_000_000  # us after discovery had a change and could be reached by which it counts as told
+)
+SERVICE_QUEUE_TIMEOUT_US = 2_000_000  # us that a service lets a call wait its turn before it says no
+SCHEDULING_MARGIN_US = 150_000  # us for the network, the timers' ticks and a busy machine
+MAX_CALL_GAP_US = (
+    MAX_NOTIFICATION_DELAY_US - SERVICE_QUEUE_TIMEOUT_US - SCHEDULING_MARGIN_US
+)  # us from the last sign of life to the next call, that call's turn not counted
+FIRST_WINDOW_US, LAST_WINDOW_US = 100_000, 2_000_000  # us: windows of a front that is alone
+MIN_GAP_US = FIRST_WINDOW_US // 2  # us between a failure and the next call at the least
+BURST_CALLS_PER_SECOND = (
+    10  # calls a second of the whole fleet after a break: what waits a moment is answered in turn
+)
+SERVICE_CALLS_PER_SECOND = 5  # calls a second that a service is thought to answer at least: some 7 were seen
+IMMEDIATE_BURST_US = 500_000  # us: where the burst is over in that time a new process need not wait
+MAX_BACKLOG_US = 60_000_000  # us: no service is thought to be further behind, however large the fleet
 
 
 class Backoff:
     """Pauses between calls of one member of a fleet of `fleet` that may all have broken at once."""
 
-    def __init__(self, fleet: int = 1, chance: random.Random | None = None) -> None:
-        self.fleet, self.chance = max(fleet, 1), chance or random.Random()
-        self.place = self.chance.random()  # in each window
-        self.failed = 0  # calls in a row that brought no list
-        self.waited = 0  # of these, turned away after they had waited their turn
+    def __init__(self, fleet_size: int = 1, rng: random.Random | None = None) -> None:
+        self.fleet_size, self.rng = max(fleet_size, 1), rng or random.Random()
+        self.slot_in_window = self.rng.random()  # in each window
+        self.failures_in_a_row = 0  # calls in a row that brought no list
+        self.rejections_after_queueing = 0  # of these, turned away after they had waited their turn
 
-    def window(self) -> int:
+    def window_us(self) -> int:
         """Us within which the next call falls: from a burst that the service's waiting room takes it doubles
         with each failure, to LIMIT at most."""
-        steady = self.fleet * 1_000_000 // STEADY
-        return min(self._burst() << min(self.failed, 16), max(LAST, steady), LIMIT)
+        steady = self.fleet_size * 1_000_000 // SERVICE_CALLS_PER_SECOND
+        return min(
+            self._burst_window_us() << min(self.failures_in_a_row, 16),
+            max(LAST_WINDOW_US, steady),
+            MAX_CALL_GAP_US,
+        )
 
-    def next(self, now: int, room: int = LIMIT, asked: int = 0, waited: bool = False) -> int:
+    def next_delay_us(
+        self,
+        now: int,
+        remaining_us: int = MAX_CALL_GAP_US,
+        retry_after_us: int = 0,
+        waited_in_queue: bool = False,
+    ) -> int:
         """Us from `now` until the next call. The first after a break falls anywhere in its window; while
         windows grow, later ones keep at least half of it, so that the mean rate falls with it. `room`: us
         that are left of the bound, as what a call has hung is part of it; `asked`: the service's Retry-After
         in us, kept as far as there is room; `waited`: the call was turned away after it waited its turn."""
-        self.waited += waited
-        window, room, again = self.window(), max(room, FIRST), self.failed > 0
-        self.failed += 1
-        if self.waited and (behind := self._behind()):
-            return self._placed(now, behind, 2 * behind)  # what is in the queue goes first
-        wait = self._placed(
-            now, window // 2 if window < LIMIT and (again or self.fleet == 1) else GAP, window
+        self.rejections_after_queueing += waited_in_queue
+        window, remaining_us, again = (
+            self.window_us(),
+            max(remaining_us, FIRST_WINDOW_US),
+            self.failures_in_a_row > 0,
+        )
+        self.failures_in_a_row += 1
+        if self.rejections_after_queueing and (behind := self._backlog_us()):
+            return self._slot_delay_us(now, behind, 2 * behind)  # what is in the queue goes first
+        wait = self._slot_delay_us(
+            now,
+            window // 2 if window < MAX_CALL_GAP_US and (again or self.fleet_size == 1) else MIN_GAP_US,
+            window,
         )
-        if wait > room:  # its place comes too late: another, still spread over what is left
-            wait = self._placed(now, GAP, room)
-        return max(wait, min(asked, room))
+        if wait > remaining_us:  # its place comes too late: another, still spread over what is left
+            wait = self._slot_delay_us(now, MIN_GAP_US, remaining_us)
+        return max(wait, min(retry_after_us, remaining_us))
 
-    def _placed(self, now: int, low: int, high: int) -> int:
+    def _slot_delay_us(self, now: int, low: int, high: int) -> int:
         """Us until this member's place among all that wait from `low` to less than `high`."""
         turn = high - low
-        return low + (int(self.place * turn) - now - low) % turn
+        return low + (int(self.slot_in_window * turn) - now - low) % turn
 
-    def _behind(self) -> int:
+    def _backlog_us(self) -> int:
         """Us that the service is behind with the fleet's calls; 0 where it can't be, or the fleet is so small
         that a no after a wait has another cause. It doubles with each call in a row that was turned away."""
-        behind = self.fleet * 1_000_000 // STEADY - LIMIT - TURN
-        return min(max(behind, LAST) << min(self.waited - 1, 8), LONGEST) if behind > 0 else 0
+        behind = (
+            self.fleet_size * 1_000_000 // SERVICE_CALLS_PER_SECOND
+            - MAX_CALL_GAP_US
+            - SERVICE_QUEUE_TIMEOUT_US
+        )
+        return (
+            min(max(behind, LAST_WINDOW_US) << min(self.rejections_after_queueing - 1, 8), MAX_BACKLOG_US)
+            if behind > 0
+            else 0
+        )
 
-    def alone(self) -> int:
+    def agent_delay_us(self) -> int:
         """Us until the next call at a service of this member's own: nobody else is held up by it."""
-        return int(FIRST * (0.5 + 0.5 * self.chance.random()))
+        return int(FIRST_WINDOW_US * (0.5 + 0.5 * self.rng.random()))
 
-    def start(self) -> int:
+    def first_delay_us(self) -> int:
         """Us until a new process's first call: a release starts much of a fleet at once. A small one
         need not wait."""
-        window = self._burst()
-        return int(window * self.place) if window > AT_ONCE else 0
+        window = self._burst_window_us()
+        return int(window * self.slot_in_window) if window > IMMEDIATE_BURST_US else 0
 
-    def _burst(self) -> int:
-        return min(max(self.fleet * 1_000_000 // BURST, FIRST), LIMIT)
+    def _burst_window_us(self) -> int:
+        return min(
+            max(self.fleet_size * 1_000_000 // BURST_CALLS_PER_SECOND, FIRST_WINDOW_US), MAX_CALL_GAP_US
+        )
 
-    def emptied(self) -> None:
+    def queue_emptied(self) -> None:
         """Nobody listens there any longer: who waited in turn waits no more."""
-        self.waited = 0
+        self.rejections_after_queueing = 0
 
-    def worked(self) -> None:
+    def record_success(self) -> None:
         """A list came: only that is a sign of life, an answer that says no is none."""
-        self.failed = self.waited = 0
+        self.failures_in_a_row = self.rejections_after_queueing = 0
--- a/umberlead/recovery/discovery_pacing.py
+++ b/umberlead/recovery/discovery_pacing.py
@@ -14,114 +14,132 @@
 import random
 from dataclasses import dataclass
 
-from umberlead.recovery.backoff import FIRST, LIMIT, TURN, Backoff
+from umberlead.recovery.backoff import FIRST_WINDOW_US, MAX_CALL_GAP_US, SERVICE_QUEUE_TIMEOUT_US, Backoff
 
-SILENCE = 3_000_000  # us without even an empty line, of which one comes every 2 s
-STALLED = 1_500_000  # us without a byte in the middle of a list, or of an answer's head
-UNANSWERED = 600_000  # us an agent on this machine may take over a call's first word: with the pause, less
+SILENCE_TIMEOUT_US = 3_000_000  # us without even an empty line, of which one comes every 2 s
+STALL_TIMEOUT_US = 1_500_000  # us without a byte in the middle of a list, or of an answer's head
+AGENT_RESPONSE_TIMEOUT_US = (
+    600_000  # us an agent on this machine may take over a call's first word: with the pause, less
+)
 # than the second in which a drain told at the return of discovery must be known
-UNSURE = 2_500_000  # us the same, where it may be a service that answers in turn, or says no, after 2 s
-COMES_UP = 2_000_000  # us a connection to a service may take to come up
-WAITING = LIMIT - 3 * FIRST  # us a service that answers in turn may take; a no that comes late is still heard
-QUICK = 60_000  # us in which only an agent answers: the service was seen to take seven calls a second
-WAITED = TURN // 2  # us after which a no means that the call had waited its turn
-FEW = 8  # members of which each may call twice in UNSURE and a service that answers in turn bears it
+UNKNOWN_RESPONSE_TIMEOUT_US = (
+    2_500_000  # us the same, where it may be a service that answers in turn, or says no, after 2 s
+)
+CONNECT_TIMEOUT_US = 2_000_000  # us a connection to a service may take to come up
+SERVICE_RESPONSE_TIMEOUT_US = (
+    MAX_CALL_GAP_US - 3 * FIRST_WINDOW_US
+)  # us a service that answers in turn may take; a no that comes late is still heard
+AGENT_RESPONSE_US = (
+    60_000  # us in which only an agent answers: the service was seen to take seven calls a second
+)
+QUEUED_RESPONSE_US = (
+    SERVICE_QUEUE_TIMEOUT_US // 2
+)  # us after which a no means that the call had waited its turn
+SMALL_FLEET_SIZE = (
+    8  # members of which each may call twice in UNSURE and a service that answers in turn bears it
+)
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class WatchCall:
     """One call, from its dial to the end of the watch that it opens."""
 
-    began: int
-    last: int  # its last sign of life
-    up: int | None = None  # when its connection came up
+    started_us: int
+    last_activity_us: int  # its last sign of life
+    connected_us: int | None = None  # when its connection came up
     answered: bool = False
-    quick: bool = False  # its first word came as only an agent's does
+    answered_quickly: bool = False  # its first word came as only an agent's does
     status: int = 0
-    asked: int = 0  # us of a Retry-After
+    retry_after_us: int = 0  # us of a Retry-After
     partial: bool = False  # the middle of a list, or of the answer's head
-    listed: bool = False  # a list came
+    list_received: bool = False  # a list came
 
 
-class Pacing:
+class WatchPacing:
     """One front's watch. `ours`: lists are pushed, so it should be an agent that answers; pushed lists were
     met behind a service for the whole fleet too, so it is learnt. `agent`: what an earlier process learnt."""
 
     def __init__(
         self,
-        fleet: int = 1,
-        ours: bool = False,
-        agent: bool | None = None,
-        chance: random.Random | None = None,
+        fleet_size: int = 1,
+        expects_agent: bool = False,
+        is_agent: bool | None = None,
+        rng: random.Random | None = None,
     ) -> None:
-        self.backoff, self.ours = Backoff(fleet, chance), ours
-        self.agent: bool | None = agent if ours else False  # None: not known yet
+        self.backoff, self.expects_agent = Backoff(fleet_size, rng), expects_agent
+        self.is_agent: bool | None = is_agent if expects_agent else False  # None: not known yet
 
-    def start(self) -> int:
+    def first_call_delay_us(self) -> int:
         """Us until a new process's first call."""
-        return 0 if self.ours else self.backoff.start()
+        return 0 if self.expects_agent else self.backoff.first_delay_us()
 
-    def call(self, now: int) -> Call:
-        return Call(now, now)
+    def start_call(self, now: int) -> WatchCall:
+        return WatchCall(now, now)
 
-    def heard(self, call: Call, now: int) -> None:
+    def record_activity(self, call: WatchCall, now: int) -> None:
         """Anything at all counts against silence; only a list resets the back-off (see `listed`)."""
-        call.last = now
+        call.last_activity_us = now
         if not call.answered:
             call.answered = True
-            call.quick = call.up is not None and now - call.up <= QUICK
+            call.answered_quickly = (
+                call.connected_us is not None and now - call.connected_us <= AGENT_RESPONSE_US
+            )
 
-    def head(self, call: Call, status: int) -> None:
+    def record_status(self, call: WatchCall, status: int) -> None:
         """The answer's status. An agent does not say no; a service that has others to answer is not quick."""
         call.status = status
         if status != 200:
-            self.agent = False
-        elif call.quick and self.agent is None:
-            self.agent = True
+            self.is_agent = False
+        elif call.answered_quickly and self.is_agent is None:
+            self.is_agent = True
 
-    def listed(self, call: Call) -> None:
-        call.listed = True
-        self.backoff.worked()
+    def record_list(self, call: WatchCall) -> None:
+        call.list_received = True
+        self.backoff.record_success()
 
-    def moved(self) -> None:
+    def address_changed(self) -> None:
         """To another address: what was refused there says nothing here."""
-        self.backoff.worked()
+        self.backoff.record_success()
 
-    def due(self, call: Call) -> int:
+    def gives_up_at_us(self, call: WatchCall) -> int:
         """When `call` is given up if nothing more comes of it."""
-        return call.last + self._patience(call)
+        return call.last_activity_us + self._timeout_us(call)
 
-    def _patience(self, call: Call) -> int:
+    def _timeout_us(self, call: WatchCall) -> int:
         """While discovery is down an agent says nothing. What it gets at the return counts as told at once:
         a call that hangs must not stand in the way of the next. A service that is overbooked has it wait."""
         if call.answered:
-            return STALLED if call.partial else SILENCE
-        if self.agent is False:
-            return COMES_UP if call.up is None else WAITING
-        if self.agent is None and call.up is not None and self.backoff.fleet > FEW:
-            return UNSURE  # a service that is up takes the call
-        return UNANSWERED
-
-    def listens_on(self, call: Call, now: int) -> bool:
+            return STALL_TIMEOUT_US if call.partial else SILENCE_TIMEOUT_US
+        if self.is_agent is False:
+            return CONNECT_TIMEOUT_US if call.connected_us is None else SERVICE_RESPONSE_TIMEOUT_US
+        if (
+            self.is_agent is None
+            and call.connected_us is not None
+            and self.backoff.fleet_size > SMALL_FLEET_SIZE
+        ):
+            return UNKNOWN_RESPONSE_TIMEOUT_US  # a service that is up takes the call
+        return AGENT_RESPONSE_TIMEOUT_US
+
+    def keeps_listening(self, call: WatchCall, now: int) -> bool:
         """Whether a call that was given up is still listened to beside the next, up to UNSURE after it began:
         a service that was taken for an agent answers in its turn, or says no, only then."""
-        here = call.up is not None and not call.answered
-        return here and self.agent is not False and now < call.began + UNSURE
+        here = call.connected_us is not None and not call.answered
+        return here and self.is_agent is not False and now < call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US
 
-    def no_word(self, call: Call) -> None:
+    def record_no_response(self, call: WatchCall) -> None:
         """UNSURE went by: a service would have said no."""
-        if self.agent is None and not call.answered:
-            self.agent = True
+        if self.is_agent is None and not call.answered:
+            self.is_agent = True
 
-    def again(self, call: Call, now: int, silent: bool) -> int:
+    def next_call_delay_us(self, call: WatchCall, now: int, silent: bool) -> int:
         """Us from `now` until the next call; `silent`: this one was given up, and did not end."""
         hung = silent and not call.answered
-        if hung and not self.listens_on(call, now):
-            self.no_word(call)
-        if self.agent or (self.agent is None and hung):
-            return self.backoff.alone()
-        if call.up is None and not silent:
-            self.backoff.emptied()
-        since = call.last if silent else now if call.listed else call.began
-        waited = call.answered and call.status not in (0, 200) and now - call.began >= WAITED
-        return self.backoff.next(now, since + LIMIT - now, call.asked, waited)
+        if hung and not self.keeps_listening(call, now):
+            self.record_no_response(call)
+        if self.is_agent or (self.is_agent is None and hung):
+            return self.backoff.agent_delay_us()
+        if call.connected_us is None and not silent:
+            self.backoff.queue_emptied()
+        since = call.last_activity_us if silent else now if call.list_received else call.started_us
+        waited = call.answered and call.status not in (0, 200) and now - call.started_us >= QUEUED_RESPONSE_US
+        return self.backoff.next_delay_us(now, since + MAX_CALL_GAP_US - now, call.retry_after_us, waited)
--- a/umberlead/recovery/start_times.py
+++ b/umberlead/recovery/start_times.py
@@ -38,7 +38,7 @@
         del self._ahead_us[:-MAX_STEPS]
         return True
 
-    def local(self, name: str, told_us: int, now_us: int) -> int:
+    def to_local_clock(self, name: str, told_us: int, now_us: int) -> int:
         """Return when a chunk server started by this process's clock; 0 where it is told as long ago.
 
         Args:
@@ -64,6 +64,6 @@
         news_too_old = self._listed and latest < now_us - LATEST_NEWS_US
         return now_us if news_too_old else max(latest, 1)
 
-    def listed(self) -> None:
+    def record_list(self) -> None:
         """Take note that a list came: what later ones tell for the first time is news."""
         self._listed = True
--- a/umberlead/requests/send_guard.py
+++ b/umberlead/requests/send_guard.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from umberlead.requests.types import Attempt, InFlightRequest
-from umberlead.scheduling.interface import Effect, RequestClass
+from umberlead.scheduling.settings import Repeatability, RequestClass
 
 
 class Denial(Enum):
@@ -22,7 +22,7 @@
     ATTEMPTS_USED = "attempts_used"
     OUT_OF_TIME = "out_of_time"
     MAY_HAVE_RUN = "may_have_run"
-    NODE_OUT_OF_SERVICE = "node_out_of_service"
+    ENDPOINT_OUT_OF_SERVICE = "node_out_of_service"
 
 
 class SendGuard:
@@ -50,14 +50,17 @@
 
     def may_repeat(self, request: InFlightRequest) -> bool:
         """Tell whether running it again does no harm: nothing ran, or its class is safe to repeat."""
-        return not request.may_have_run or self._classes[request.ask.class_name].effect is Effect.SAFE
+        return (
+            not request.may_have_run
+            or self._classes[request.request.class_name].repeatability is Repeatability.IDEMPOTENT
+        )
 
     def may_begin(self, request: InFlightRequest) -> Denial | None:
         """Return why the next attempt of `request` may not begin now; None lets it."""
-        unsafe = self._classes[request.ask.class_name].effect is Effect.UNSAFE
-        if request.out is not None:
+        unsafe = self._classes[request.request.class_name].repeatability is Repeatability.AT_MOST_ONCE
+        if request.attempt is not None:
             return Denial.IN_FLIGHT
-        if request.tries >= self._max_attempts:
+        if request.attempt_count >= self._max_attempts:
             return Denial.ATTEMPTS_USED
         if request.may_have_run and unsafe:
             return Denial.MAY_HAVE_RUN
@@ -65,15 +68,15 @@
 
     def may_write(self, attempt: Attempt) -> Denial | None:
         """Return why an attempt whose connection is up may not be written now; None lets it."""
-        if not self._node_takes_new(attempt.node):
-            return Denial.NODE_OUT_OF_SERVICE
-        return self._denied_client(attempt.ticket)
+        if not self._node_takes_new(attempt.endpoint):
+            return Denial.ENDPOINT_OUT_OF_SERVICE
+        return self._denied_client(attempt.request)
 
     def _denied_client(self, request: InFlightRequest) -> Denial | None:
         if request.answered:
             return Denial.ANSWERED
-        if request.forsaken:
+        if request.abandoned:
             return Denial.CLIENT_LEFT
-        if self._clock() >= request.ask.give_up:
+        if self._clock() >= request.request.deadline_us:
             return Denial.OUT_OF_TIME
         return None if self._client_waits(request) else Denial.CLIENT_LEFT
--- a/umberlead/requests/types.py
+++ b/umberlead/requests/types.py
@@ -10,21 +10,24 @@
 from typing import Any, Protocol
 
 from umberlead.common.timer_wheel import Timer
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import Result
+from umberlead.scheduling.events import AttemptResult, EndpointList
 
-NEVER_RAN = (Result.FULL, Result.NO_LINK, Result.MOOT)  # outcomes that prove that nothing ran
+RESULTS_WITHOUT_EFFECT = (
+    AttemptResult.REJECTED,
+    AttemptResult.CONNECT_FAILED,
+    AttemptResult.NOT_SENT,
+)  # outcomes that prove that nothing ran
 
 
 class DuplicateRequestError(ValueError):
     """The name of a request that is open, or was a moment ago."""
 
 
-class Kind(Enum):
+class AnswerKind(Enum):
     """What a final answer tells its client."""
 
     SERVED = "served"
-    REFUSED = "refused"  # trying again is harmless
+    REJECTED = "refused"  # trying again is harmless
     FAILED = "failed"
 
 
@@ -54,13 +57,13 @@
     key: str | None
     shard: int
     units: float
-    give_up: int
+    deadline_us: int
     payload: Any
-    writers: int = 1
-    repeat: bool = False
-    name: bytes = b""
-    streams: bool = False
-    left: Callable[[], bool] | None = None
+    volume_front_count: int = 1
+    is_client_retry: bool = False
+    call_id: bytes = b""
+    accepts_stream: bool = False
+    client_has_left: Callable[[], bool] | None = None
 
 
 @dataclass(slots=True)
@@ -79,11 +82,11 @@
 
     status: int = 0
     body: bytes = b""
-    load: dict[str, float] = field(default_factory=dict)
-    used: int = 0
-    elsewhere: int = 0
-    rest: Any = None
-    length: int | None = None
+    load_report: dict[str, float] = field(default_factory=dict)
+    used_rate_percent: int = 0
+    units_elsewhere: int = 0
+    stream: Any = None
+    body_length: int | None = None
 
 
 @dataclass(slots=True)
@@ -98,9 +101,9 @@
         reason: why it was refused, for the client and the log.
     """
 
-    kind: Kind
+    kind: AnswerKind
     reply: Reply | None = None
-    retry_after: int = 0
+    retry_after_us: int = 0
     may_have_run: bool = False
     reason: str = ""
 
@@ -126,19 +129,19 @@
         timer: its deadline's.
     """
 
-    ask: IncomingRequest
-    done: Callable[[Answer], None]
+    request: IncomingRequest
+    on_answer: Callable[[Answer], None]
     slot: int = -1
     id: str = ""
-    tries: int = 0
-    out: "Attempt | None" = None
+    attempt_count: int = 0
+    attempt: "Attempt | None" = None
     may_have_run: bool = False
-    last_result: Result | None = None
+    last_result: AttemptResult | None = None
     answered: bool = False
-    notes: dict[str, str] = field(default_factory=dict)
-    forsaken: bool = False
-    left_at: int = 0
-    taken: int = 0
+    annotations: dict[str, str] = field(default_factory=dict)
+    abandoned: bool = False
+    client_left_us: int = 0
+    accepted_us: int = 0
     timer: Timer | None = None
 
 
@@ -158,27 +161,27 @@
         carried: the carrier's own.
     """
 
-    ticket: InFlightRequest
+    request: InFlightRequest
     number: int
-    node: str
-    sent: int
-    give_up: int
-    once: bool = False
-    again: bool = False
-    astray: bool = False
-    carried: Any = None
+    endpoint: str
+    started_us: int
+    deadline_us: int
+    must_not_repeat: bool = False
+    reconnected: bool = False
+    misdirected: bool = False
+    transport_state: Any = None
 
 
-class Carrier(Protocol):
+class Transport(Protocol):
     """Carries attempts to nodes."""
 
     def start(self, attempt: Attempt) -> None:
         """Send it; `Engine.ended` is owed once."""
 
-    def stop(self, attempt: Attempt, why: Result) -> None:
+    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         """Give it up; `Engine.ended` is owed all the same."""
 
-    def unwanted(self, attempt: Attempt) -> bool:
+    def cancel_if_unsent(self, attempt: Attempt) -> bool:
         """Keep an attempt that nobody waits for from being sent.
 
         Unless it is all on its way to the node it ends as `moot`, and that is True.
@@ -186,31 +189,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Rejection:
     """A refusal at once, with when to come back in microseconds."""
 
     reason: str
-    retry_after: int = 0
+    retry_after_us: int = 0
 
 
-class Hooks(Protocol):
+class RequestHooks(Protocol):
     """Who sees requests, outcomes and answers."""
 
-    def taken(self, ticket: InFlightRequest) -> "str | Refused | None":
+    def on_request(self, ticket: InFlightRequest) -> "str | Rejection | None":
         """Return a reason to refuse it, or None."""
 
-    def outcome(self, ticket: InFlightRequest, node: str, result: Result, elapsed: int) -> None:
+    def on_outcome(self, ticket: InFlightRequest, node: str, result: AttemptResult, elapsed: int) -> None:
         """Take note of an attempt's end."""
 
-    def answer(self, ticket: InFlightRequest, answer: Answer) -> None:
+    def on_answer(self, ticket: InFlightRequest, answer: Answer) -> None:
         """Take note of the final answer."""
 
 
-class Watcher(Protocol):
+class DecisionObserver(Protocol):
     """Who is told of more than hooks are, and may change what the module is told of the list."""
 
-    def listed(self, news: api.NodeList) -> api.NodeList:
+    def on_endpoint_list(self, news: EndpointList) -> EndpointList:
         """Return what the module is told in place of `news`."""
 
-    def sent(self, ticket: InFlightRequest, node: str) -> None:
+    def on_attempt(self, ticket: InFlightRequest, node: str) -> None:
         """Take note of an attempt that begins."""
--- a/umberlead/scheduling/load_shedding.py
+++ b/umberlead/scheduling/load_shedding.py
@@ -8,12 +8,12 @@
 import heapq
 import itertools
 
-from umberlead.scheduling.pending_request import Item
+from umberlead.scheduling.pending_request import PendingRequest
 
-MIN_PRUNED = 16  # entries, of which a fourth may be dropped at once
+MIN_PRUNED_REQUESTS = 16  # entries, of which a fourth may be dropped at once
 
 
-class WaitingBound:
+class LoadShedder:
     """The requests that wait, by value.
 
     Attributes:
@@ -22,27 +22,27 @@
 
     def __init__(self) -> None:
         """Begin without a bound."""
-        self.limit = 0
-        self._waiting: list[tuple[float, int, int, Item]] = []
+        self.max_open_requests = 0
+        self._waiting: list[tuple[float, int, int, PendingRequest]] = []
         self._number = itertools.count()
 
-    def add(self, item: Item, value: float) -> None:
+    def add(self, item: PendingRequest, value: float) -> None:
         """Note that a request waits, and what a unit of it earns."""
-        heapq.heappush(self._waiting, (value, -item.seq, next(self._number), item))
+        heapq.heappush(self._waiting, (value, -item.sequence_number, next(self._number), item))
 
-    def excess(self, open_requests: int) -> Item | None:
+    def next_to_shed(self, open_requests: int) -> PendingRequest | None:
         """Return the request to refuse where so many are open: of the least value the one that came last."""
-        if not self.limit or open_requests <= self.limit:
+        if not self.max_open_requests or open_requests <= self.max_open_requests:
             self._prune(open_requests)
             return None
         while self._waiting:
             item = heapq.heappop(self._waiting)[3]
-            if item.held:
+            if item.queued:
                 return item
         return None
 
     def _prune(self, open_requests: int) -> None:
         """Drop what waits no more, so that the list does not grow."""
-        if len(self._waiting) > 4 * max(open_requests, self.limit, MIN_PRUNED):
-            self._waiting = [entry for entry in self._waiting if entry[3].held]
+        if len(self._waiting) > 4 * max(open_requests, self.max_open_requests, MIN_PRUNED_REQUESTS):
+            self._waiting = [entry for entry in self._waiting if entry[3].queued]
             heapq.heapify(self._waiting)
--- a/umberlead/scheduling/matrices.py
+++ b/umberlead/scheduling/matrices.py
@@ -9,7 +9,7 @@
 Matrix = list[list[float]]
 
 
-class Singular(ArithmeticError):
+class SingularMatrixError(ArithmeticError):
     """The matrix has no inverse that its figures could tell."""
 
 
@@ -40,10 +40,12 @@
     columns = transposed(m)
     squares = [w * w for w in weights]
     return [
-        [sum(w * x * y for w, x, y in zip(squares, a, b, strict=True)) + (ridge if i == j else 0.0)
-         for j, b in enumerate(columns)]
+        [
+            sum(w * x * y for w, x, y in zip(squares, a, b, strict=True)) + (ridge if i == j else 0.0)
+            for j, b in enumerate(columns)
+        ]
         for i, a in enumerate(columns)
-    ]  # fmt: skip
+    ]
 
 
 def solve(m: Matrix, columns: Matrix) -> Matrix:
@@ -53,7 +55,7 @@
     for k in range(n):
         best = max(range(k, n), key=lambda r: abs(rows[r][k]))
         if not abs(rows[best][k]) > 0.0:  # a NaN too
-            raise Singular(f"column {k} has no pivot")
+            raise SingularMatrixError(f"column {k} has no pivot")
         rows[k], rows[best] = rows[best], rows[k]
         pivot = rows[k] = [x / rows[k][k] for x in rows[k]]
         for r in range(n):
--- a/umberlead/scheduling/moving_average.py
+++ b/umberlead/scheduling/moving_average.py
@@ -3,7 +3,7 @@
 import math
 
 
-class Level:
+class MovingAverage:
     """A mean of answers' time over target that fades, with no news, to that of `base`, else to nothing.
 
     News weighs `smooth` where it comes often. Where it comes seldom it weighs more, as the last has faded:
@@ -13,18 +13,18 @@
     one answer counts."""
 
     def __init__(
-        self, now: int, smooth: float, memory: int, most: float, base: "Level | None" = None
+        self, now: int, smooth: float, memory: int, most: float, base: "MovingAverage | None" = None
     ) -> None:
-        self.mean, self.at, self.base = base.read(now) if base else 0.0, now, base
-        self.smooth, self.memory, self.most = smooth, memory, most
+        self.mean, self.updated_us, self.fallback = base.read(now) if base else 0.0, now, base
+        self.sample_weight, self.memory_us, self.max_sample = smooth, memory, most
 
     def read(self, now: int) -> float:
-        base = self.base.read(now) if self.base else 0.0
-        return base + (self.mean - base) * math.exp((self.at - now) / self.memory)
+        base = self.fallback.read(now) if self.fallback else 0.0
+        return base + (self.mean - base) * math.exp((self.updated_us - now) / self.memory_us)
 
-    def learn(self, now: int, news: float) -> None:
-        if self.base:
-            self.base.learn(now, news)
+    def add(self, now: int, news: float) -> None:
+        if self.fallback:
+            self.fallback.add(now, news)
         old = self.read(now)
-        weight = max(self.smooth, 1 - math.exp((self.at - now) / (2 * self.memory)))
-        self.mean, self.at = old + weight * (min(news, self.most) - old), now
+        weight = max(self.sample_weight, 1 - math.exp((self.updated_us - now) / (2 * self.memory_us)))
+        self.mean, self.updated_us = old + weight * (min(news, self.max_sample) - old), now
--- a/umberlead/scheduling/rate_limits.py
+++ b/umberlead/scheduling/rate_limits.py
@@ -10,125 +10,160 @@
 there is half a part of the slack at the birth of a front that nobody stands beside, which can't know what was
 spent before. Fronts don't speak of it: how many send for a volume is known from `writers` alone."""
 
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import Result
-from umberlead.scheduling.pending_request import Item
-from umberlead.scheduling.token_bucket import NEVER, Store
-
-NOTICE = 100_000  # us in which others learn of a new process, by their next look; the slack bears a late one
-CHANGES = 8  # of the part that are remembered; before these, a volume not yet seen has nothing
-CAME = (Result.OK, Result.ERROR, Result.FULL)  # its node answered: the request had come there whole
-
-
-class Volume:
+from umberlead.scheduling.events import AttemptResult, Outcome, Request
+from umberlead.scheduling.pending_request import PendingRequest
+from umberlead.scheduling.settings import Plan, Settings
+from umberlead.scheduling.token_bucket import NEVER, TokenBucket
+
+PROCESS_NOTICE_US = (
+    100_000  # us in which others learn of a new process, by their next look; the slack bears a late one
+)
+MAX_SHARE_CHANGES = 8  # of the part that are remembered; before these, a volume not yet seen has nothing
+RESULTS_OF_DELIVERY = (
+    AttemptResult.OK,
+    AttemptResult.ERROR,
+    AttemptResult.REJECTED,
+)  # its node answered: the request had come there whole
+
+
+class VolumeLimit:
     """`limit` is this process's part; `due`, the reserve or what the usual rate earns, this front's, and kept
     in the mean, on credit."""
 
-    def __init__(self, plan: api.Plan, writers: int, s: api.Settings, now: int) -> None:
-        self.plan, self.s, self.writers, self.part = plan, s, writers, 1.0
-        self.seen, self.fewer, self.fewer_since = now, 0, now  # told of late, where it is below `writers`
+    def __init__(self, plan: Plan, writers: int, s: Settings, now: int) -> None:
+        self.plan, self.settings, self.front_count, self.process_share = plan, s, writers, 1.0
+        self.last_request_us, self.lower_front_count, self.lower_since_us = (
+            now,
+            0,
+            now,
+        )  # told of late, where it is below `writers`
         owed, most = self._owed()
-        self.due, self.limit = Store(owed, most, most, now), Store(1.0, NEVER, NEVER, now)
+        self.entitlement, self.limit = TokenBucket(owed, most, most, now), TokenBucket(1.0, NEVER, NEVER, now)
 
-    def begin(self, since: int, part: float, credit: float) -> None:
+    def start_limit(self, since: int, part: float, credit: float) -> None:
         """The limit's store as it was at `since` (us), with that part of the slack in it."""
-        self.part = part
+        self.process_share = part
         rate, most = self._limit()
-        have = self.plan.limit_slack * credit * part / self.writers if most < NEVER else NEVER
-        self.limit = Store(rate, most, min(have, most), since)
+        have = self.plan.limit_slack_units * credit * part / self.front_count if most < NEVER else NEVER
+        self.limit = TokenBucket(rate, most, min(have, most), since)
 
     def _limit(self) -> tuple[float, float]:
-        if not self.plan.limit_rate:
+        if not self.plan.limit_units_per_second:
             return 1.0, NEVER
-        part = self.part / self.writers
-        return self.plan.limit_rate * part, self.plan.limit_burst * part
+        part = self.process_share / self.front_count
+        return self.plan.limit_units_per_second * part, self.plan.limit_burst_units * part
 
     def _owed(self) -> tuple[float, float]:
-        owed = max(self.plan.reserve, self.s.fair_worth * self.plan.rate) / self.writers
-        return owed, owed + self.s.mean_units
-
-    def share(self, now: int, part: float) -> None:
+        owed = (
+            max(
+                self.plan.reserved_units_per_second,
+                self.settings.within_share_factor * self.plan.usual_units_per_second,
+            )
+            / self.front_count
+        )
+        return owed, owed + self.settings.mean_request_units
+
+    def set_process_share(self, now: int, part: float) -> None:
         """The process has another part from `now` on."""
-        self.part = part
-        self.limit.fit(now, *self._limit())
+        self.process_share = part
+        self.limit.resize(now, *self._limit())
 
-    def through(self, now: int, writers: int, hold: int) -> None:
+    def set_front_count(self, now: int, writers: int, hold: int) -> None:
         """A request tells of `writers`. More hold at once, fewer after `hold` (us): until then another front
         may still send what it took when there were more."""
-        self.seen = now
-        if writers < self.writers:
-            self.fewer_since = self.fewer_since if self.fewer else now
-            self.fewer = max(self.fewer, writers)
-            if now - self.fewer_since < hold:
+        self.last_request_us = now
+        if writers < self.front_count:
+            self.lower_since_us = self.lower_since_us if self.lower_front_count else now
+            self.lower_front_count = max(self.lower_front_count, writers)
+            if now - self.lower_since_us < hold:
                 return
-            writers = self.fewer
-        self.fewer = 0
-        if writers != self.writers:
-            before, self.writers = self.limit.most, writers
+            writers = self.lower_front_count
+        self.lower_front_count = 0
+        if writers != self.front_count:
+            before, self.front_count = self.limit.capacity_units, writers
             rate, most = self._limit()
-            self.limit.fill(now)
+            self.limit.refill(now)
             if most < before:  # whoever joins may have as much in its store as each of the others gives up
-                self.limit.have -= before - most
-            self.limit.fit(now, rate, most)
-            self.due.fit(now, *self._owed())
+                self.limit.available_units -= before - most
+            self.limit.resize(now, rate, most)
+            self.entitlement.resize(now, *self._owed())
 
 
-class Volumes(dict[str, Volume]):
+class RateLimits(dict[str, VolumeLimit]):
     """The volumes that a head has seen of late, by name."""
 
-    def __init__(self, s: api.Settings, born: int) -> None:
+    def __init__(self, s: Settings, born: int) -> None:
         super().__init__()
-        self.s, self.hold = s, max(c.deadline for c in s.classes)
-        self.since, self.first, self.credit = born, 1.0, 0.5  # how the store of any volume began
-        self.changes: list[tuple[int, float]] = []  # of the part since then: when, and to what
-        self.fresh, self.part = True, 0.0  # nothing was asked yet; the part told last, 0 for none
-
-    def share(self, now: int, part: float) -> None:
+        self.settings, self.longest_timeout_us = s, max(c.timeout_us for c in s.classes)
+        self.buckets_since_us, self.first_share, self.slack_credit = (
+            born,
+            1.0,
+            0.5,
+        )  # how the store of any volume began
+        self.share_changes: list[tuple[int, float]] = []  # of the part since then: when, and to what
+        self.unused, self.process_share = True, 0.0  # nothing was asked yet; the part told last, 0 for none
+
+    def set_process_share(self, now: int, part: float) -> None:
         """This process has `part` (to 1) of what its front may send, from `now` (us) on."""
-        if self.fresh and (part < self.part or not self.part):  # it begins; beside others with nothing
-            self.since, self.first, self.credit, self.changes = now, part, 0.5, []
+        if self.unused and (
+            part < self.process_share or not self.process_share
+        ):  # it begins; beside others with nothing
+            self.buckets_since_us, self.first_share, self.slack_credit, self.share_changes = (
+                now,
+                part,
+                0.5,
+                [],
+            )
             if part < 1:
-                self.since, self.credit = now + NOTICE, 0.0
+                self.buckets_since_us, self.slack_credit = now + PROCESS_NOTICE_US, 0.0
         else:
-            self.changes.append((now, part))
-        self.part = part
-        if len(self.changes) > CHANGES:
-            (self.since, self.first), self.credit = self.changes.pop(0), 0.0
+            self.share_changes.append((now, part))
+        self.process_share = part
+        if len(self.share_changes) > MAX_SHARE_CHANGES:
+            (self.buckets_since_us, self.first_share), self.slack_credit = self.share_changes.pop(0), 0.0
         for volume in self.values():
-            volume.share(now, part)
+            volume.set_process_share(now, part)
 
-    def asked(self, req: api.Request, plan: api.Plan, now: int) -> None:
+    def record_request(self, req: Request, plan: Plan, now: int) -> None:
         """A request came: its volume is known from here on, and through how many fronts it works."""
-        writers, self.fresh = max(req.writers, 1), False
+        writers, self.unused = max(req.volume_front_count, 1), False
         if (known := self.get(req.volume)) is not None:
-            known.through(now, writers, self.hold)
+            known.set_front_count(now, writers, self.longest_timeout_us)
             return
-        volume = self[req.volume] = Volume(plan, writers, self.s, now)
-        volume.begin(self.since, self.first, self.credit)
-        for at, part in self.changes:
-            volume.share(at, part)
+        volume = self[req.volume] = VolumeLimit(plan, writers, self.settings, now)
+        volume.start_limit(self.buckets_since_us, self.first_share, self.slack_credit)
+        for at, part in self.share_changes:
+            volume.set_process_share(at, part)
 
-    def wait(self, item: Item, now: int) -> int:
+    def wait_us(self, item: PendingRequest, now: int) -> int:
         """How long (us) until `item` may go as far as its volume's limit is concerned."""
-        return 0 if item.paid is not None else self[item.req.volume].limit.wait(now, item.req.units)
+        return (
+            0
+            if item.charged_attempt is not None
+            else self[item.request.volume].limit.wait_us(now, item.request.units)
+        )
 
-    def charge(self, item: Item) -> None:
+    def charge(self, item: PendingRequest) -> None:
         """The next attempt of `item` goes out."""
-        if item.paid is None:
-            self[item.req.volume].limit.have -= item.req.units
-            item.paid = item.tries
+        if item.charged_attempt is None:
+            self[item.request.volume].limit.available_units -= item.request.units
+            item.charged_attempt = item.attempt_count
 
-    def ended(self, item: Item, e: api.Outcome) -> None:
+    def record_outcome(self, item: PendingRequest, e: Outcome) -> None:
         """What was never sent takes nothing. Where a node answered, the request took its units, and a further
         attempt takes none. Else that is not known, and a further one is charged as well: it comes later than
         what was charged. A failed connection takes its units too: the simulator counts them."""
-        if e.attempt != item.paid or e.result in CAME or e.astray:
+        if e.attempt != item.charged_attempt or e.result in RESULTS_OF_DELIVERY or e.misdirected:
             return
-        item.paid = None
-        if e.result is Result.MOOT and item.req.volume in self:
-            self[item.req.volume].limit.give(item.req.units)
+        item.charged_attempt = None
+        if e.result is AttemptResult.NOT_SENT and item.request.volume in self:
+            self[item.request.volume].limit.give_back(item.request.units)
 
-    def forget(self, now: int, old: int) -> None:
+    def forget_idle(self, now: int, old: int) -> None:
         """Volumes silent since `old` go once their store is full: a new one would hold no more."""
-        for name in [k for k, v in self.items() if v.seen <= old and not v.limit.wait(now, v.limit.most)]:
+        for name in [
+            k
+            for k, v in self.items()
+            if v.last_request_us <= old and not v.limit.wait_us(now, v.limit.capacity_units)
+        ]:
             del self[name]
--- a/umberlead/standins/explore.py
+++ b/umberlead/standins/explore.py
@@ -9,23 +9,25 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from umberlead.membership.flap_damping import Damping
-from umberlead.membership.machine import Membership, NotPending, Rules
-from umberlead.membership.model import Change, Listing, Place, Problem, Server
-from umberlead.scheduling.interface import NodeState
+from umberlead.membership.flap_damping import FlapDampingSettings
+from umberlead.membership.machine import Membership, MembershipSettings, NoPendingListError
+from umberlead.membership.model import CheckedList, EndpointSpec, FilePosition, ListProblem, MembershipChange
+from umberlead.scheduling.events import EndpointStatus
 from umberlead.standins.reference import Broken, Follower, Reference, compare
 
-UP, DRAINING, GONE = NodeState.UP, NodeState.DRAINING, NodeState.GONE
+UP, DRAINING, GONE = EndpointStatus.UP, EndpointStatus.DRAINING, EndpointStatus.GONE
 SECOND = 1_000_000
-RULES = Rules(0.5, 40 * SECOND, Damping(10 * SECOND, 1500.0, 1000.0, 4000.0))
+RULES = MembershipSettings(0.5, 40 * SECOND, FlapDampingSettings(10 * SECOND, 1500.0, 1000.0, 4000.0))
 
 
-def server(name: str, port: int, shard: int = 0, state: NodeState = UP, started: int = 0) -> Server:
-    return Server(name, ("127.0.0.1", port), shard, state, started=started)
+def server(
+    name: str, port: int, shard: int = 0, state: EndpointStatus = UP, started: int = 0
+) -> EndpointSpec:
+    return EndpointSpec(name, ("127.0.0.1", port), shard, state, started=started)
 
 
-def listing(digest: str, *servers: Server) -> Listing:
-    return Listing(1, digest * 16, {s.name: s for s in servers}, ("l",))
+def listing(digest: str, *servers: EndpointSpec) -> CheckedList:
+    return CheckedList(1, digest * 16, {s.name: s for s in servers}, ("l",))
 
 
 A, B, C = server("a", 1), server("b", 2), server("c", 3)
@@ -47,7 +49,7 @@
     now: int = SECOND
 
     @classmethod
-    def new(cls, rules: Rules = RULES) -> "World":
+    def new(cls, rules: MembershipSettings = RULES) -> "World":
         machine = Membership(rules)
         return cls(machine, Reference(machine), Follower())
 
@@ -57,43 +59,51 @@
         reference.facts = self.reference.facts.copy()
         return World(machine, reference, self.follower.copy(), self.now)
 
-    def told(self, change: Change) -> None:
-        self.follower.take(change, self.now, self.machine.rules.remember)
+    def told(self, change: MembershipChange) -> None:
+        self.follower.take(change, self.now, self.machine.settings.identity_retention_us)
 
     # Each event goes to the machine and, as a fact, to the reference.
 
-    def files(self, of: Listing) -> None:
+    def files(self, of: CheckedList) -> None:
         facts, machine = self.reference.facts, self.machine
         allowed = self.reference.allows(of)
         same = facts.listing is not None and facts.listing.digest == of.digest
-        self.told(machine.files(self.now, of))
+        self.told(machine.apply_files(self.now, of))
         if allowed or same:
             facts.listing = of
-            if machine.pending is not None or machine.complaint:
+            if machine.pending is not None or machine.rejection_problems:
                 raise Broken("a list was taken, and is complained of")
-        elif machine.pending is None or machine.pending.listing is not of or not machine.complaint:
+        elif (
+            machine.pending is None
+            or machine.pending.checked_list is not of
+            or not machine.rejection_problems
+        ):
             raise Broken("a list that takes away too much is not held")
 
     def refused(self) -> None:
-        before = dict(self.machine.members)
-        self.machine.refused([Problem("L102", Place("l", 1), "half written")])
-        if self.machine.members != before or self.machine.pending is not None or not self.machine.complaint:
+        before = dict(self.machine.active_endpoints)
+        self.machine.reject_files([ListProblem("L102", FilePosition("l", 1), "half written")])
+        if (
+            self.machine.active_endpoints != before
+            or self.machine.pending is not None
+            or not self.machine.rejection_problems
+        ):
             raise Broken("a broken file changed the list, or was not complained of")
 
     def confirm(self, digest: str) -> None:
         pending = self.machine.pending
         try:
             change = self.machine.confirm(self.now, digest)
-        except NotPending:
-            if pending is not None and len(digest) >= 8 and pending.listing.digest.startswith(digest):
+        except NoPendingListError:
+            if pending is not None and len(digest) >= 8 and pending.checked_list.digest.startswith(digest):
                 raise Broken("the list that is held was not taken when confirmed") from None
             return
-        if pending is None or len(digest) < 8 or not pending.listing.digest.startswith(digest):
+        if pending is None or len(digest) < 8 or not pending.checked_list.digest.startswith(digest):
             raise Broken("a list was confirmed that is not held")
-        self.reference.facts.listing = pending.listing
+        self.reference.facts.listing = pending.checked_list
         self.told(change)
 
-    def discovery(self, whole: bool, *servers: Server) -> None:
+    def discovery(self, whole: bool, *servers: EndpointSpec) -> None:
         known = self.reference.facts.discovered
         if whole:
             known.clear()
@@ -102,16 +112,16 @@
                 known.pop(s.name, None)
             else:
                 known[s.name] = s
-        self.told(self.machine.discovery(self.now, whole, servers))
+        self.told(self.machine.apply_discovery(self.now, whole, servers))
 
     def mark(self, name: str, out: bool) -> None:
         (self.reference.facts.marks.add if out else self.reference.facts.marks.discard)(name)
-        self.told(self.machine.mark(self.now, name, out, self.now))
+        self.told(self.machine.set_manual_drain(self.now, name, out, self.now))
 
     def wait(self, by: int) -> None:
         self.now += by
         self.reference.pass_time(self.now)
-        self.told(self.machine.tick(self.now))
+        self.told(self.machine.advance_time(self.now))
 
     def settle(self) -> None:
         self.reference.settle(self.now)
@@ -120,10 +130,10 @@
 
     def _held(self) -> None:
         """A held server is let in by `longest` at the latest, and `next` tells when something is due."""
-        due = self.machine.next()
+        due = self.machine.next_change_us()
         if due is None and self.reference.facts.held:
             raise Broken("somebody is held, and nothing will ever let it in")
-        if due is not None and due > self.now + self.machine.rules.damping.longest:
+        if due is not None and due > self.now + self.machine.settings.flap_damping.max_suppression_us:
             raise Broken("a server is held for longer than the rules allow")
 
     def key(self) -> object:
@@ -131,12 +141,17 @@
         m, facts = self.machine, self.reference.facts
         ages = sorted((n, round(v), self.now - at) for n, (v, at) in facts.penalty.items())
         return (
-            m.listing.digest if m.listing else None, m.origin, m.pending.listing.digest if m.pending else
-            None, bool(m.complaint), tuple(sorted(facts.marks)), tuple(sorted(facts.held)), tuple(ages),
+            m.file_list.digest if m.file_list else None,
+            m.file_list_origin,
+            m.pending.checked_list.digest if m.pending else None,
+            bool(m.rejection_problems),
+            tuple(sorted(facts.marks)),
+            tuple(sorted(facts.held)),
+            tuple(ages),
             tuple(sorted((n, s.address, s.shard, s.state.value) for n, s in facts.discovered.items())),
             tuple(sorted((n, self.now - at) for n, at in facts.lost.items())),
-            tuple(sorted((n, m.server.address, m.server.shard) for n, m in m.members.items())),
-        )  # fmt: skip
+            tuple(sorted((n, m.endpoint.address, m.endpoint.shard) for n, m in m.active_endpoints.items())),
+        )
 
 
 Event = tuple[str, Callable[[World], None]]
@@ -162,11 +177,11 @@
     yield "time: 60 s", lambda w: w.wait(60 * SECOND)
 
 
-def replace_started(of: Server, at: int) -> Server:
-    return Server(of.name, of.address, of.shard, of.state, started=at)
+def replace_started(of: EndpointSpec, at: int) -> EndpointSpec:
+    return EndpointSpec(of.name, of.address, of.shard, of.state, started=at)
 
 
-def explore(depth: int, rules: Rules = RULES) -> tuple[int, int]:
+def explore(depth: int, rules: MembershipSettings = RULES) -> tuple[int, int]:
     """States and steps walked; `Broken` with the events that led there."""
     events = list(alphabet())
     met: dict[object, int] = {}
--- a/umberlead/standins/fleet.py
+++ b/umberlead/standins/fleet.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from pathlib import Path
 
-from umberlead.membership.model import Server
+from umberlead.membership.model import EndpointSpec
 from umberlead.standins.chunkserver import ChunkServer, Model, Record
 
 TELL = 2.0  # s between two lines of what was asked
@@ -18,7 +18,7 @@
 
 
 async def start(
-    servers: list[Server], model: Model, record: Record, seed: int, emulated: bool = False
+    servers: list[EndpointSpec], model: Model, record: Record, seed: int, emulated: bool = False
 ) -> list[ChunkServer]:
     """Servers of one shard share what they store: replicas that are always up to date. `emulated` ones work
     as the operators' figures have it, `model` tells just what they store."""
@@ -44,7 +44,7 @@
 
 
 async def run(
-    servers: list[Server], model: Model, record: Record, seed: int, quiet: bool, emulated: bool = False
+    servers: list[EndpointSpec], model: Model, record: Record, seed: int, quiet: bool, emulated: bool = False
 ) -> None:
     """Until SIGTERM or SIGINT."""
     loop, done = asyncio.get_running_loop(), asyncio.Event()
@@ -69,7 +69,12 @@
 
 
 def main(
-    servers: list[Server], model: Model, record: Path | None, seed: int, quiet: bool, emulated: bool = False
+    servers: list[EndpointSpec],
+    model: Model,
+    record: Path | None,
+    seed: int,
+    quiet: bool,
+    emulated: bool = False,
 ) -> None:
     if record is None:
         # Counted, not kept: a long run must not fill memory.
--- a/umberlead/standins/reference.py
+++ b/umberlead/standins/reference.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field, replace
 
 from umberlead.membership.machine import Membership
-from umberlead.membership.model import Change, Listing, Server, Source
-from umberlead.scheduling.interface import NodeState
+from umberlead.membership.model import CheckedList, EndpointSpec, MembershipChange, Source
+from umberlead.scheduling.events import EndpointStatus
 
 
 class Broken(AssertionError):
@@ -20,8 +20,8 @@
 class Facts:
     """What was told, and by whom."""
 
-    listing: Listing | None = None
-    discovered: dict[str, Server] = field(default_factory=dict)
+    listing: CheckedList | None = None
+    discovered: dict[str, EndpointSpec] = field(default_factory=dict)
     marks: set[str] = field(default_factory=set)
     ready_before: set[str] = field(default_factory=set)
     places: dict[str, tuple[object, ...]] = field(default_factory=dict)  # last address and shard by name
@@ -32,18 +32,25 @@
 
     def copy(self) -> "Facts":
         return Facts(
-            self.listing, dict(self.discovered), set(self.marks), set(self.ready_before), dict(self.places),
-            dict(self.lost), dict(self.gone), dict(self.penalty), set(self.held),
-        )  # fmt: skip
+            self.listing,
+            dict(self.discovered),
+            set(self.marks),
+            set(self.ready_before),
+            dict(self.places),
+            dict(self.lost),
+            dict(self.gone),
+            dict(self.penalty),
+            set(self.held),
+        )
 
 
 class Reference:
     def __init__(self, rules_of: Membership) -> None:
-        self.rules, self.facts = rules_of.rules, Facts()
+        self.rules, self.facts = rules_of.settings, Facts()
 
-    def say(self, name: str) -> tuple[Server, Source] | None:
+    def say(self, name: str) -> tuple[EndpointSpec, Source] | None:
         """What all sources together want of a server."""
-        listed = self.facts.listing.servers.get(name) if self.facts.listing else None
+        listed = self.facts.listing.endpoints.get(name) if self.facts.listing else None
         other = self.facts.discovered.get(name)
         if listed is None and other is None:
             return None
@@ -52,25 +59,25 @@
             return other, Source.DISCOVERY
         if other is None:
             return listed, Source.FILES
-        state = listed.state if listed.state is not NodeState.UP else other.state
+        state = listed.state if listed.state is not EndpointStatus.UP else other.state
         return replace(listed, state=state, started=max(listed.started, other.started)), Source.FILES
 
     def names(self) -> set[str]:
-        listed = set(self.facts.listing.servers) if self.facts.listing else set()
+        listed = set(self.facts.listing.endpoints) if self.facts.listing else set()
         return listed | set(self.facts.discovered)
 
     def _now(self, name: str, now: int) -> float:
         value, at = self.facts.penalty.get(name, (0.0, now))
-        faded = float(value * 2.0 ** (-(now - at) / self.rules.damping.half_life))
+        faded = float(value * 2.0 ** (-(now - at) / self.rules.flap_damping.half_life_us))
         return faded if faded >= 50.0 else 0.0
 
     def settle(self, now: int, spoken_of: set[str] | None = None) -> None:
         """After an event: who came back is charged, whose time is over is let go."""
-        facts, damping = self.facts, self.rules.damping
+        facts, damping = self.facts, self.rules.flap_damping
         ready = set()
         for name in self.names() | facts.ready_before:
             got = self.say(name)
-            is_ready = got is not None and got[0].state is NodeState.UP
+            is_ready = got is not None and got[0].state is EndpointStatus.UP
             if got is not None:
                 place = (got[0].address, got[0].shard)
                 moved = name in facts.places and facts.places[name] != place
@@ -81,9 +88,9 @@
                 ready.add(name)
                 if name in facts.lost or (moved and name in facts.ready_before):
                     facts.lost.pop(name, None)
-                    value = min(self._now(name, now) + 1000.0, damping.most)
+                    value = min(self._now(name, now) + 1000.0, damping.max_penalty)
                     facts.penalty[name] = (value, now)
-                    if value > damping.suppress:
+                    if value > damping.suppress_threshold:
                         facts.held.add(name)
             elif name in facts.ready_before:
                 facts.lost[name] = now
@@ -93,16 +100,16 @@
     def pass_time(self, now: int) -> None:
         facts = self.facts
         for name in list(facts.held):
-            if self._now(name, now) < self.rules.damping.reuse:
+            if self._now(name, now) < self.rules.flap_damping.reuse_threshold:
                 facts.held.discard(name)
         for name, at in list(facts.lost.items()):
-            if at <= now - self.rules.remember:
+            if at <= now - self.rules.identity_retention_us:
                 del facts.lost[name]
         for name, at in list(facts.gone.items()):
-            if at <= now - self.rules.remember:
+            if at <= now - self.rules.identity_retention_us:
                 del facts.gone[name], facts.places[name]
 
-    def in_force(self) -> dict[str, tuple[Server, bool]]:
+    def in_force(self) -> dict[str, tuple[EndpointSpec, bool]]:
         """The list that must be in force, and who is held."""
         facts, made = self.facts, {}
         for name in self.names():
@@ -110,11 +117,11 @@
             assert got is not None
             server = got[0]
             held = False
-            if server.state is NodeState.UP and name in facts.held:
+            if server.state is EndpointStatus.UP and name in facts.held:
                 others = [n for n in facts.ready_before if n != name and self._shard(n) == server.shard]
                 held = any(n not in facts.held and n not in facts.marks for n in others)
             if held:
-                server = replace(server, state=NodeState.DRAINING)
+                server = replace(server, state=EndpointStatus.DRAINING)
             made[name] = (server, held)
         return made
 
@@ -122,15 +129,17 @@
         got = self.say(name)
         return got[0].shard if got is not None else -1
 
-    def allows(self, listing: Listing) -> bool:
+    def allows(self, listing: CheckedList) -> bool:
         """Whether a list may be taken without an operator's word."""
         old = self.facts.listing
         if old is None:
             return True
-        ready = {n for n, s in old.servers.items() if s.state is NodeState.UP}
-        kept = {n for n, s in listing.servers.items() if s.state is NodeState.UP}
-        served, will = ({of.servers[n].shard for n in names} for of, names in ((old, ready), (listing, kept)))
-        few = len(ready - kept) <= max(int(len(ready) * self.rules.withdrawn_most), 1)
+        ready = {n for n, s in old.endpoints.items() if s.state is EndpointStatus.UP}
+        kept = {n for n, s in listing.endpoints.items() if s.state is EndpointStatus.UP}
+        served, will = (
+            {of.endpoints[n].shard for n in names} for of, names in ((old, ready), (listing, kept))
+        )
+        few = len(ready - kept) <= max(int(len(ready) * self.rules.max_withdrawn_ratio), 1)
         return few and not served - will
 
 
@@ -138,7 +147,7 @@
     """What a front makes of the changes told: servers by id, and marks by id."""
 
     def __init__(self) -> None:
-        self.servers: dict[str, Server] = {}
+        self.servers: dict[str, EndpointSpec] = {}
         self.marks: set[str] = set()
         self.meant: dict[str, tuple[object, int]] = {}  # id to its address and shard
         self.gone: dict[str, int] = {}  # ids that went, and when
@@ -150,31 +159,31 @@
         made.meant, made.gone, made.generation = dict(self.meant), dict(self.gone), self.generation
         return made
 
-    def take(self, change: Change, now: int, remember: int) -> None:
+    def take(self, change: MembershipChange, now: int, remember: int) -> None:
         """An id may mean another server once it has been gone for `remember`, by when nothing of it is
         out."""
         for node in [n for n, at in self.gone.items() if at <= now - remember]:
             del self.gone[node], self.meant[node]
-        moved = bool(change.came or change.changed or change.went)
+        moved = bool(change.added or change.changed or change.removed)
         if change.generation != self.generation + moved:
             raise Broken(f"generation {change.generation} after {self.generation}, moved {moved}")
         self.generation = change.generation
-        for node, out, _ in change.marks:
+        for node, out, _ in change.manual_drains:
             if out == (node in self.marks):
                 raise Broken(f"the mark of {node} is told twice")
             (self.marks.add if out else self.marks.discard)(node)
-        for member in change.went:
+        for member in change.removed:
             if self.servers.pop(member.id, None) is None:
                 raise Broken(f"{member.id} went without being there")
             self.gone[member.id] = now
         for before, after in change.changed:
-            if before.id != after.id or self.servers.get(before.id) != before.server:
+            if before.id != after.id or self.servers.get(before.id) != before.endpoint:
                 raise Broken(f"{before.id} changed from what it was not")
-            self.servers[after.id] = after.server
-        for member in change.came:
+            self.servers[after.id] = after.endpoint
+        for member in change.added:
             if member.id in self.servers:
                 raise Broken(f"{member.id} came twice")
-            self.servers[member.id] = member.server
+            self.servers[member.id] = member.endpoint
             self.gone.pop(member.id, None)
         for node, server in self.servers.items():
             place = (server.address, server.shard)
@@ -185,11 +194,11 @@
 def compare(machine: Membership, reference: Reference, follower: Follower) -> None:
     """`Broken` where the machine, what it told, and the plain account differ."""
     want = reference.in_force()
-    have = {name: (m.server, m.held) for name, m in machine.members.items()}
+    have = {name: (m.endpoint, m.suppressed) for name, m in machine.active_endpoints.items()}
     if have != want:
         raise Broken(f"in force is {have}, must be {want}")
-    if {m.id: m.server for m in machine.members.values()} != follower.servers:
+    if {m.id: m.endpoint for m in machine.active_endpoints.values()} != follower.servers:
         raise Broken("what was told adds up to something else than what is in force")
-    marked = {machine.members[n].id for n in reference.facts.marks if n in machine.members}
+    marked = {machine.active_endpoints[n].id for n in reference.facts.marks if n in machine.active_endpoints}
     if marked != follower.marks:
         raise Broken(f"marked by what was told: {follower.marks}; must be {marked}")
--- a/umberlead/standins/soak/__main__.py
+++ b/umberlead/standins/soak/__main__.py
@@ -39,9 +39,16 @@
 @click.option("--keep", type=click.Path(path_type=Path), help="A folder for the records and logs.")
 @click.option("--verbose", is_flag=True)
 def main(
-    seed: int, runs: int, seconds: float, fronts: int, nodes: int, clients: int, names: tuple[str, ...],
-    keep: Path | None, verbose: bool,
-) -> None:  # fmt: skip
+    seed: int,
+    runs: int,
+    seconds: float,
+    fronts: int,
+    nodes: int,
+    clients: int,
+    names: tuple[str, ...],
+    keep: Path | None,
+    verbose: bool,
+) -> None:
     """Play soak runs; exits with 1 where a rule was broken."""
     troubles = [Trouble(name) for name in names] or list(Trouble)
     failed = False
--- a/umberlead/standins/soak/client.py
+++ b/umberlead/standins/soak/client.py
@@ -45,9 +45,14 @@
 
 
 KINDS = (
-    *[Kind.STEADY] * 6, *[Kind.FRESH] * 5, *[Kind.RESTING] * 3, *[Kind.PIPELINE] * 2, Kind.SLOW,
-    *[Kind.LEAVER] * 3, Kind.HALF,
-)  # fmt: skip
+    *[Kind.STEADY] * 6,
+    *[Kind.FRESH] * 5,
+    *[Kind.RESTING] * 3,
+    *[Kind.PIPELINE] * 2,
+    Kind.SLOW,
+    *[Kind.LEAVER] * 3,
+    Kind.HALF,
+)
 
 
 @dataclass(slots=True)
@@ -195,11 +200,22 @@
         """Record a request that has ended, or will not."""
         self.record.add(
             ClientRecord(
-                sent.id, front, kind.value, sent.class_name, sent.budget, sent.used, sent.behind,
-                connection.connected, sent.sent_first, sent.sent_last, sent.ended, sent.end, sent.status,
+                sent.id,
+                front,
+                kind.value,
+                sent.class_name,
+                sent.budget,
+                sent.used,
+                sent.behind,
+                connection.connected,
+                sent.sent_first,
+                sent.sent_last,
+                sent.ended,
+                sent.end,
+                sent.status,
                 sent.sound,
             )
-        )  # fmt: skip
+        )
 
     async def live(self, kind: Kind, rate: float, until: float) -> None:
         """Be one client until then, asking `rate` times a second in the mean."""
--- a/umberlead/standins/soak/fleet.py
+++ b/umberlead/standins/soak/fleet.py
@@ -75,10 +75,20 @@
         """Put the present faults in force."""
         f = self.faults
         values = (
-            f.clock_step_ns, f.accept_rate, f.accept_errno, f.socket_rate, f.socket_errno, f.connect_rate,
-            f.connect_errno, f.short_rate, f.eintr_rate, f.break_rate, f.break_errno, f.folder_rate,
+            f.clock_step_ns,
+            f.accept_rate,
+            f.accept_errno,
+            f.socket_rate,
+            f.socket_errno,
+            f.connect_rate,
+            f.connect_errno,
+            f.short_rate,
+            f.eintr_rate,
+            f.break_rate,
+            f.break_errno,
+            f.folder_rate,
             f.folder_errno,
-        )  # fmt: skip
+        )
         self._map[:] = FAULTS_FORMAT.pack(*values, self.injected(), self._folder)
 
     def injected(self) -> int:
@@ -111,9 +121,14 @@
         StartError: it ended instead.
     """
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", f"{MODULE}.{module}", *words,
-        stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-B",
+        "-m",
+        f"{MODULE}.{module}",
+        *words,
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
+    )
     assert process.stdout is not None
     if not await process.stdout.readline():
         raise StartError(f"{module} {name} did not start")
@@ -198,11 +213,20 @@
     file: BinaryIO
     with open(log, "ab") as file:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "umberlead",
-            stderr=file, stdout=file, stdin=asyncio.subprocess.DEVNULL,
-            env=os.environ | env | {
-                "EDGE_NAME": name, "EDGE_MANAGEMENT": management, "LD_PRELOAD": str(library),
+            sys.executable,
+            "-B",
+            "-m",
+            "umberlead",
+            stderr=file,
+            stdout=file,
+            stdin=asyncio.subprocess.DEVNULL,
+            env=os.environ
+            | env
+            | {
+                "EDGE_NAME": name,
+                "EDGE_MANAGEMENT": management,
+                "LD_PRELOAD": str(library),
                 "FAULTS_FILE": str(faults.path),
             },
-        )  # fmt: skip
+        )
     return FrontProcess(name, management, process, faults, log)
--- a/umberlead/standins/soak/lists.py
+++ b/umberlead/standins/soak/lists.py
@@ -26,9 +26,15 @@
     def shown(self) -> dict[str, Any]:
         """Return it in discovery's form."""
         return {
-            "name": self.name, "address": self.address, "group": self.group, "status": self.status,
-            "since_ms": self.since_ms, "zone": "a", "type": "m", "weight": 1.0,
-        }  # fmt: skip
+            "name": self.name,
+            "address": self.address,
+            "group": self.group,
+            "status": self.status,
+            "since_ms": self.since_ms,
+            "zone": "a",
+            "type": "m",
+            "weight": 1.0,
+        }
 
 
 class Watcher(asyncio.Protocol):
--- a/umberlead/standins/soak/node.py
+++ b/umberlead/standins/soak/node.py
@@ -76,9 +76,17 @@
         row, self.open = self.open, None
         assert row is not None
         closed = NodeRecord(
-            row.id, row.node, row.class_name, row.units, row.budget, row.first, row.last, row.late, row.ran,
+            row.id,
+            row.node,
+            row.class_name,
+            row.units,
+            row.budget,
+            row.first,
+            row.last,
+            row.late,
+            row.ran,
             time.monotonic_ns(),
-        )  # fmt: skip
+        )
         self.node.record.add(closed)
 
     def _record(
@@ -86,10 +94,16 @@
     ) -> NodeRecord:
         io = dict(p.partition("=")[::2] for p in headers.get(b"x-io", b"").decode("latin-1").split(","))
         return NodeRecord(
-            headers.get(b"x-call-id", b"").decode("latin-1"), self.node.name,
-            target.partition(b"?")[0].strip(b"/").decode("latin-1"), float(io.get("units", "1")),
-            float(headers.get(b"x-budget", b"0")), first_ns, last_ns, self.late_ns, ran,
-        )  # fmt: skip
+            headers.get(b"x-call-id", b"").decode("latin-1"),
+            self.node.name,
+            target.partition(b"?")[0].strip(b"/").decode("latin-1"),
+            float(io.get("units", "1")),
+            float(headers.get(b"x-budget", b"0")),
+            first_ns,
+            last_ns,
+            self.late_ns,
+            ran,
+        )
 
     def request(
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, first_ns: int
--- a/umberlead/standins/soak/run.py
+++ b/umberlead/standins/soak/run.py
@@ -175,9 +175,13 @@
             "TMPDIR": str(state),
         }
         process = await fleet.start_front(
-            front.name, env, f"{self._host(FRONT_HOST, front.number)}:{port}", faults, self.library,
+            front.name,
+            env,
+            f"{self._host(FRONT_HOST, front.number)}:{port}",
+            faults,
+            self.library,
             self.folder / f"{front.name}-{number}.log",
-        )  # fmt: skip
+        )
         front.processes.append(process)
         try:
             await process.ready()
--- a/umberlead/start.py
+++ b/umberlead/start.py
@@ -24,13 +24,13 @@
     from umberlead import config, front
     from umberlead.front import serve
 
-    front.EARLY = early
-    front.STAGES["began"] = began
-    front.reached("imports")
+    front.EARLY_RELOAD_SIGNALS = early
+    front.START_STAGES_US["began"] = began
+    front.record_stage("imports")
 
     try:
         conf = config.load()
-        front.reached("configuration")
+        front.record_stage("configuration")
         serve(conf)
     except config.ConfigError as fault:
         print(f"umberlead: {fault}", file=sys.stderr)
--- a/umberlead/zones/evidence.py
+++ b/umberlead/zones/evidence.py
@@ -8,140 +8,171 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from umberlead.zones.model import Met, Rules
+from umberlead.zones.model import Contact, ZoneSettings
 
-MUTE_RATIO = 15.0  # a server that leaves one request without a word: its room is lost, against a pause
-MUTE = 16  # given-up sendings that are remembered
-BREAKS = 2  # in a row, with no answer in between, that make a server down
+SILENT_LIKELIHOOD_RATIO = (
+    15.0  # a server that leaves one request without a word: its room is lost, against a pause
+)
+MAX_UNANSWERED_COUNT = 16  # given-up sendings that are remembered
+BREAKS_TO_DOWN_COUNT = 2  # in a row, with no answer in between, that make a server down
 BAD, GOOD = 1, 0
 
 
 @dataclass(slots=True)
-class Track:
+class ContactRecord:
     """What is known of one server."""
 
-    heard: int = -1  # when it answered last
-    broke: int = -1  # when an attempt there broke last
+    answered_us: int = -1  # when it answered last
+    broke_us: int = -1  # when an attempt there broke last
     breaks: int = 0  # since it answered
-    out: dict[str, int] = field(default_factory=dict)  # attempts under way, and when they were sent
-    mute: list[int] = field(
+    in_flight: dict[str, int] = field(default_factory=dict)  # attempts under way, and when they were sent
+    unanswered_us: list[int] = field(
         default_factory=list
     )  # when those were sent that were given up before any word came
     silent: bool = False
-    ratio: "Ratio" = field(default_factory=lambda: Ratio(0))
-
-    def sent(self, now: int, request: str) -> None:
-        self.out[request] = now
-
-    def ended(self, now: int, request: str, met: Met) -> None:
-        at = self.out.pop(request, None)
-        if met is Met.ANSWERED:
-            self.heard, self.breaks, self.silent = now, 0, False
-            self.mute.clear()
-        elif met is Met.NOTHING and at is not None and at > self.heard and len(self.mute) < MUTE:
-            self.mute.append(at)  # withdrawn by this front itself: the silence before that still tells
-        elif met is Met.BROKEN:
-            self.broke, self.breaks = now, self.breaks + 1
-
-    def look(self, now: int, quiet: int) -> bool:
+    statistics: "SlidingStatistics" = field(default_factory=lambda: SlidingStatistics(0))
+
+    def record_attempt(self, now_us: int, request: str) -> None:
+        self.in_flight[request] = now_us
+
+    def record_outcome(self, now_us: int, request: str, contact: Contact) -> None:
+        started_us = self.in_flight.pop(request, None)
+        if contact is Contact.ANSWERED:
+            self.answered_us, self.breaks, self.silent = now_us, 0, False
+            self.unanswered_us.clear()
+        elif (
+            contact is Contact.INCONCLUSIVE
+            and started_us is not None
+            and started_us > self.answered_us
+            and len(self.unanswered_us) < MAX_UNANSWERED_COUNT
+        ):
+            self.unanswered_us.append(
+                started_us
+            )  # withdrawn by this front itself: the silence before that still tells
+        elif contact is Contact.BROKEN:
+            self.broke_us, self.breaks = now_us, self.breaks + 1
+
+    def detect_silence(self, now_us: int, silence_timeout_us: int) -> bool:
         """Whether it has just fallen silent: work is out, and for long no word came of any of it."""
-        since = now - quiet
-        if self.silent or len(self.out) + len(self.mute) < BREAKS or self.heard >= since:
+        silent_since_us = now_us - silence_timeout_us
+        if (
+            self.silent
+            or len(self.in_flight) + len(self.unanswered_us) < BREAKS_TO_DOWN_COUNT
+            or self.answered_us >= silent_since_us
+        ):
             return False
         # One that is never answered is that request's own misfortune; two, and nothing else came in between.
-        lost = sum(self.heard < at < since for at in (*self.out.values(), *self.mute))
-        self.silent = lost >= BREAKS
+        unanswered_count = sum(
+            self.answered_us < started_us < silent_since_us
+            for started_us in (*self.in_flight.values(), *self.unanswered_us)
+        )
+        self.silent = unanswered_count >= BREAKS_TO_DOWN_COUNT
         if self.silent:
-            self.broke, self.breaks = now, self.breaks + 1
+            self.broke_us, self.breaks = now_us, self.breaks + 1
         return self.silent
 
-    def word(self, now: int, window: int, quiet: int) -> str:
+    def observation(self, now_us: int, window_us: int, silence_timeout_us: int) -> str:
         """What is known of it lately: down, mute (a request is out for long, and no word came since), up, or
         nothing."""
-        if self.breaks >= BREAKS or self.silent:
-            return "down" if now - self.broke <= window else ""
-        if any(max(self.heard, now - window) < at < now - quiet for at in self.out.values()):
+        if self.breaks >= BREAKS_TO_DOWN_COUNT or self.silent:
+            return "down" if now_us - self.broke_us <= window_us else ""
+        if any(
+            max(self.answered_us, now_us - window_us) < started_us < now_us - silence_timeout_us
+            for started_us in self.in_flight.values()
+        ):
             return "mute"
-        return "up" if self.heard >= 0 and now - self.heard <= window else ""
+        return "up" if self.answered_us >= 0 and now_us - self.answered_us <= window_us else ""
 
 
 @dataclass(slots=True)
-class Ratio:
+class SlidingStatistics:
     """Attempts and breaks, and how long answers took, over a window; in eight slices, so that nothing is
     kept of each attempt."""
 
-    window: int
+    window_us: int
     slices: deque[list[float]] = field(default_factory=deque)  # begin, attempts, breaks, answers, their time
 
-    def add(self, now: int, broke: bool, took: float = 0.0) -> None:
-        step = max(self.window // 8, 1)
-        begin = now - now % step
-        if not self.slices or self.slices[-1][0] != begin:
-            self.slices.append([begin, 0, 0, 0, 0.0])
-        last = self.slices[-1]
-        last[1] += 1
-        last[2] += broke
+    def add(self, now_us: int, broke: bool, latency_us: float = 0.0) -> None:
+        slice_us = max(self.window_us // 8, 1)
+        slice_start_us = now_us - now_us % slice_us
+        if not self.slices or self.slices[-1][0] != slice_start_us:
+            self.slices.append([slice_start_us, 0, 0, 0, 0.0])
+        current = self.slices[-1]
+        current[1] += 1
+        current[2] += broke
         if not broke:
-            last[3] += 1
-            last[4] += took
+            current[3] += 1
+            current[4] += latency_us
 
-    def sums(self, now: int) -> tuple[float, float, float, float]:
+    def sums(self, now_us: int) -> tuple[float, float, float, float]:
         """Attempts, breaks, answers and the time of these."""
-        while self.slices and self.slices[0][0] < now - self.window:
+        while self.slices and self.slices[0][0] < now_us - self.window_us:
             self.slices.popleft()
-        made = [sum(s[k] for s in self.slices) for k in range(1, 5)]
-        return made[0], made[1], made[2], made[3]
+        totals = [sum(item[column] for item in self.slices) for column in range(1, 5)]
+        return totals[0], totals[1], totals[2], totals[3]
 
 
-def log_odds(words: list[str], rules: Rules) -> float:
+def log_odds_down(observations: list[str], settings: ZoneSettings) -> float:
     """That a room is lost, from its servers' words: the prior, and a bounded ratio a server."""
-    made, down = math.log(rules.prior / (1 - rules.prior)), rules.server_down
-    for word in words:
-        if word == "down":
-            made += math.log((1 - down) / down)
-        elif word == "mute":
-            made += math.log(MUTE_RATIO)
-        elif word == "up":
-            made += math.log(down / (1 - down))
-    return made
-
-
-def lost(words: list[str], rules: Rules) -> bool:
+    odds, down_probability = (
+        math.log(settings.prior_probability / (1 - settings.prior_probability)),
+        settings.endpoint_down_probability,
+    )
+    for observation in observations:
+        if observation == "down":
+            odds += math.log((1 - down_probability) / down_probability)
+        elif observation == "mute":
+            odds += math.log(SILENT_LIKELIHOOD_RATIO)
+        elif observation == "up":
+            odds += math.log(down_probability / (1 - down_probability))
+    return odds
+
+
+def is_zone_down(observations: list[str], settings: ZoneSettings) -> bool:
     """A room of few servers can't reach the odds: there all must be down, and two at least."""
-    known = [w for w in words if w]
-    if log_odds(words, rules) >= math.log(rules.sure):
+    conclusive = [observation for observation in observations if observation]
+    if log_odds_down(observations, settings) >= math.log(settings.down_odds_threshold):
         return True
-    most = log_odds(["down"] * len(words), rules)
-    return most < math.log(rules.sure) and len(words) >= 2 and known == ["down"] * len(words)
+    max_log_odds = log_odds_down(["down"] * len(observations), settings)
+    return (
+        max_log_odds < math.log(settings.down_odds_threshold)
+        and len(observations) >= 2
+        and conclusive == ["down"] * len(observations)
+    )
 
 
-def summed(ratios: list[Ratio], now: int) -> tuple[float, float, float, float]:
-    rows = [r.sums(now) for r in ratios]
+def sum_statistics(statistics: list[SlidingStatistics], now_us: int) -> tuple[float, float, float, float]:
+    rows = [row.sums(now_us) for row in statistics]
     return (
-        sum(r[0] for r in rows), sum(r[1] for r in rows), sum(r[2] for r in rows), sum(r[3] for r in rows)
-    )  # fmt: skip
+        sum(row[0] for row in rows),
+        sum(row[1] for row in rows),
+        sum(row[2] for row in rows),
+        sum(row[3] for row in rows),
+    )
 
 
-def spared(ratios: list[Ratio], now: int) -> list[Ratio]:
+def without_worst_quarter(statistics: list[SlidingStatistics], now_us: int) -> list[SlidingStatistics]:
     """Without the worst quarter of its servers, rounded up: what one or two do is their own."""
-    order = sorted(ratios, key=lambda r: (r.sums(now)[1], r.sums(now)[3]))
-    return order[: len(order) - math.ceil(len(order) / 4)]
+    from_best = sorted(statistics, key=lambda r: (r.sums(now_us)[1], r.sums(now_us)[3]))
+    return from_best[: len(from_best) - math.ceil(len(from_best) / 4)]
 
 
-def grey(own: list[Ratio], others: list[Ratio], now: int, rules: Rules) -> str:
+def why_degraded(
+    own: list[SlidingStatistics], other_zones: list[SlidingStatistics], now_us: int, settings: ZoneSettings
+) -> str:
     """Why a room, a ratio a server, is grey against the others; empty where it is not: more breaks than
     chance explains (three sigma), or answers that take far longer."""
-    tried, broke, answers, took = summed(spared(own, now), now)
-    if tried < rules.grey_least:
+    attempts, failures, answers, latency_sum_us = sum_statistics(without_worst_quarter(own, now_us), now_us)
+    if attempts < settings.degraded_min_attempts:
         return ""
-    n, bad, there, theirs = summed(others, now)
-    usual = (bad + 1) / (n + 20)  # with nobody to compare, 1 in 20 is usual
-    sigma = math.sqrt(max(usual * (1 - usual), 1e-9) / tried)
-    part = broke / tried
-    if part >= usual + rules.grey_part and part > usual + 3 * sigma:
-        return f"{broke:.0f} of {tried:.0f} attempts broke, elsewhere {usual:.1%}"
-    if answers >= rules.grey_least and there >= rules.grey_least:
-        mean, usual = took / answers, theirs / there
-        if mean > rules.grey_slow * usual:
+    other_attempts, other_failures, other_answers, other_latency_sum_us = sum_statistics(other_zones, now_us)
+    usual = (other_failures + 1) / (other_attempts + 20)  # with nobody to compare, 1 in 20 is usual
+    sigma = math.sqrt(max(usual * (1 - usual), 1e-9) / attempts)
+    failure_ratio = failures / attempts
+    if failure_ratio >= usual + settings.degraded_failure_ratio and failure_ratio > usual + 3 * sigma:
+        return f"{failures:.0f} of {attempts:.0f} attempts broke, elsewhere {usual:.1%}"
+    if answers >= settings.degraded_min_attempts and other_answers >= settings.degraded_min_attempts:
+        mean, usual = latency_sum_us / answers, other_latency_sum_us / other_answers
+        if mean > settings.degraded_latency_factor * usual:
             return f"answers take {mean / 1000:.0f} ms, elsewhere {usual / 1000:.0f} ms"
     return ""
--- a/umberlead/zones/integration.py
+++ b/umberlead/zones/integration.py
@@ -3,186 +3,249 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import fields
 from typing import Any
 
 from umberlead import config
-from umberlead.requests.lifecycle import Engine
-from umberlead.requests.types import Answer, Attempt, Hooks, InFlightRequest, Kind, Refused
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import Result
-from umberlead.zones.model import Rules, State, Verdict
-from umberlead.zones.router import Director, Refusal
-
-TICK = 100_000  # us
-
-
-def rules_of(of: config.Rooms) -> Rules:
-    shared = {f.name for f in fields(Rules)} & {f.name for f in fields(config.Rooms)} - {"near", "spill"}
-    near = {name: n + 1 for n, name in enumerate(of.near)}
-    return Rules(near=near, mode=of.spill, spill=of.spill_part, **{n: getattr(of, n) for n in shared})
-
-
-def bounded(settings: api.Settings, part: float) -> api.Settings:
+from umberlead.requests.lifecycle import RequestLifecycle
+from umberlead.requests.types import Answer, AnswerKind, Attempt, InFlightRequest, Rejection, RequestHooks
+from umberlead.scheduling.events import AttemptResult, EndpointList
+from umberlead.scheduling.settings import Settings
+from umberlead.zones.model import ZoneSettings, ZoneState, ZoneTransition
+from umberlead.zones.router import ZoneRejection, ZoneRouter
+
+TICK_US = 100_000  # us
+
+
+def zone_settings(zone_config: config.ZoneConfig) -> ZoneSettings:
+    tier_by_zone = {name: index + 1 for index, name in enumerate(zone_config.nearby_zones)}
+    return ZoneSettings(
+        tier_by_zone=tier_by_zone,
+        spillover_mode=zone_config.spillover_mode,
+        spillover_rate_factor=zone_config.spillover_rate_factor,
+        own_zone=zone_config.own_zone,
+        silence_timeout_us=zone_config.silence_timeout_us,
+        evidence_window_us=zone_config.evidence_window_us,
+        min_down_us=zone_config.min_down_us,
+        max_down_us=zone_config.max_down_us,
+        trial_interval_us=zone_config.trial_interval_us,
+        recovery_us=zone_config.recovery_us,
+        distance_factor=zone_config.distance_factor,
+        retry_after_us=zone_config.retry_after_us,
+    )
+
+
+def with_retry_budget(settings: Settings, retry_budget_ratio: float) -> Settings:
     """Settings with a bound on attempts beyond the first, over all rooms together, where they have none: a
     lost room's requests must not come down twice on what is left."""
     from dataclasses import replace
 
-    if not part or settings.budget_window:
+    if not retry_budget_ratio or settings.retry_budget_window_us:
         return settings
-    return replace(settings, budget_window=10_000_000, budget_share=part, budget_free=10)
+    return replace(
+        settings,
+        retry_budget_window_us=10_000_000,
+        retry_budget_ratio=retry_budget_ratio,
+        retry_budget_min_retries=10,
+    )
 
 
-class Joined:
+class ZoneIntegration:
     """The engine's hooks and watcher; `inner` are hooks that stood there before, and go first."""
 
     def __init__(
         self,
-        rules: Rules,
-        engine: Engine,
+        settings: ZoneSettings,
+        lifecycle: RequestLifecycle,
         seed: int,
         clock: Callable[[], int],
-        inner: Hooks | None,
+        inner_hooks: RequestHooks | None,
         log: Callable[..., Any],
     ) -> None:
-        self.engine, self.clock, self.inner, self.log = engine, clock, inner, log
-        self.director = Director(rules, engine.settings, seed, clock())
-        self.director.log = self._verdict
-        self.chance = random.Random(f"{seed}/joined")
-        self._lost: set[str] = set()  # rooms just lost, whose attempts are still out
-        self.heard: Callable[[Verdict], None] = lambda verdict: None
-        engine.hooks, engine.watcher = self, self
+        self.lifecycle, self.clock, self.inner_hooks, self.log = lifecycle, clock, inner_hooks, log
+        self.router = ZoneRouter(settings, lifecycle.settings, seed, clock())
+        self.router.on_transition = self._on_transition
+        self.rng = random.Random(f"{seed}/joined")
+        self._zones_just_down: set[str] = set()  # rooms just lost, whose attempts are still out
+        self.on_transition: Callable[[ZoneTransition], None] = lambda verdict: None
+        lifecycle.hooks, lifecycle.decision_observer = self, self
 
     # The watcher
 
-    def listed(self, news: api.NodeList) -> api.NodeList:
-        return self.director.listed(self.clock(), news)
+    def on_endpoint_list(self, endpoint_list: EndpointList) -> EndpointList:
+        return self.router.apply_endpoint_list(self.clock(), endpoint_list)
 
-    def sent(self, ticket: InFlightRequest, node: str) -> None:
-        if self.director.sent(self.clock(), ticket.id, node):
-            self.engine.soon(self._tell)  # not now: the attempt is not with its carrier yet
+    def on_attempt(self, request: InFlightRequest, endpoint: str) -> None:
+        if self.router.record_attempt(self.clock(), request.id, endpoint):
+            self.lifecycle.call_soon(
+                self._notify_scheduler
+            )  # not now: the attempt is not with its carrier yet
 
     # The hooks
 
-    def taken(self, ticket: InFlightRequest) -> str | Refused | None:
-        reason = self.inner.taken(ticket) if self.inner else None
+    def on_request(self, in_flight: InFlightRequest) -> str | Rejection | None:
+        reason = self.inner_hooks.on_request(in_flight) if self.inner_hooks else None
         if reason is not None:
             return reason
-        ask, now = ticket.ask, self.clock()
-        got = self.director.taken(
-            now, ticket.id, ask.class_name, ask.plan, ask.volume, ask.writers, ask.shard, ask.units
-        )  # fmt: skip
-        if isinstance(got, Refusal):
-            self.engine.counters.add("rooms_refused")
-            return Refused(got.reason, got.retry_after)
-        if got.trial:
-            self.engine.counters.add("rooms_trials")
-            self._tell()  # before the request comes to the module: it finds its server open
-        self.engine.counters.add("rooms_spilled", int(got.spill))
+        request, now_us = in_flight.request, self.clock()
+        decision = self.router.admit(
+            now_us,
+            in_flight.id,
+            request.class_name,
+            request.plan,
+            request.volume,
+            request.volume_front_count,
+            request.shard,
+            request.units,
+        )
+        if isinstance(decision, ZoneRejection):
+            self.lifecycle.counters.add("rooms_refused")
+            return Rejection(decision.reason, decision.retry_after_us)
+        if decision.trial_endpoint:
+            self.lifecycle.counters.add("rooms_trials")
+            self._notify_scheduler()  # before the request comes to the module: it finds its server open
+        self.lifecycle.counters.add("rooms_spilled", int(decision.is_spillover))
         return None
 
-    def outcome(self, ticket: InFlightRequest, node: str, result: Result, elapsed: int) -> None:
-        if self.inner:
-            self.inner.outcome(ticket, node, result, elapsed)
-        self.director.ended(
-            self.clock(), ticket.id, node, result, elapsed, ticket.ask.class_name, False
-        )  # fmt: skip
-        self._tell()
-
-    def answer(self, ticket: InFlightRequest, answer: Answer) -> None:
-        if self.inner:
-            self.inner.answer(ticket, answer)
-        self.director.answered(
-            self.clock(), ticket.id, ticket.taken, answer.kind is Kind.SERVED, ticket.ask.class_name
+    def on_outcome(
+        self, request: InFlightRequest, endpoint: str, result: AttemptResult, elapsed_us: int
+    ) -> None:
+        if self.inner_hooks:
+            self.inner_hooks.on_outcome(request, endpoint, result, elapsed_us)
+        self.router.record_outcome(
+            self.clock(), request.id, endpoint, result, elapsed_us, request.request.class_name, False
+        )
+        self._notify_scheduler()
+
+    def on_answer(self, request: InFlightRequest, answer: Answer) -> None:
+        if self.inner_hooks:
+            self.inner_hooks.on_answer(request, answer)
+        self.router.record_answer(
+            self.clock(),
+            request.id,
+            request.accepted_us,
+            answer.kind is AnswerKind.SERVED,
+            request.request.class_name,
         )
 
     def tick(self) -> None:
         """At least every 100 ms."""
-        self.director.tick(self.clock())
-        self._tell()
+        self.router.tick(self.clock())
+        self._notify_scheduler()
 
-    def _tell(self) -> None:
-        news = self.director.changes(self.clock())
-        if news is None:
+    def _notify_scheduler(self) -> None:
+        endpoint_list = self.router.changed_endpoints(self.clock())
+        if endpoint_list is None:
             return
-        self.engine.tell(news)
-        rooms, self._lost = self._lost, set()
-        if rooms:
-            self._leave({name for name, node in self.director.nodes.items() if node.room in rooms})
-
-    def _leave(self, lost: set[str]) -> None:
+        self.lifecycle.notify_scheduler(endpoint_list)
+        zones, self._zones_just_down = self._zones_just_down, set()
+        if zones:
+            self._leave_endpoints(
+                {name for name, endpoint in self.router.listed_endpoints.items() if endpoint.zone in zones}
+            )
+
+    def _leave_endpoints(self, lost_endpoints: set[str]) -> None:
         """Reads that are out there may try their other servers; what waits for nothing else is refused
         now."""
-        dark: set[int] = {self.director.nodes[n].shard for n in lost}
-        dark = {shard for shard in dark if self.director.dark(shard)}
+        unreachable_shards: set[int] = {self.router.listed_endpoints[name].shard for name in lost_endpoints}
+        unreachable_shards = {shard for shard in unreachable_shards if self.router.is_shard_down(shard)}
 
-        def waits(ticket: InFlightRequest) -> bool:
-            return ticket.ask.shard in dark
+        def is_unreachable(ticket: InFlightRequest) -> bool:
+            return ticket.request.shard in unreachable_shards
 
-        wait = self.director.rules.come_back + self.director.rules.hold
-        away = self.engine.turn_away(waits, "its room is lost", int(wait * self.chance.uniform(1.0, 2.0)))
-        self.engine.counters.add("rooms_refused", away)
+        retry_after_us = self.router.zone_settings.retry_after_us + self.router.zone_settings.min_down_us
+        rejected_count = self.lifecycle.reject_waiting(
+            is_unreachable, "its room is lost", int(retry_after_us * self.rng.uniform(1.0, 2.0))
+        )
+        self.lifecycle.counters.add("rooms_refused", rejected_count)
 
-        def elsewhere(out: Attempt) -> bool:
-            return out.node in lost and out.ticket.ask.shard not in dark
+        def can_be_served_elsewhere(out: Attempt) -> bool:
+            return out.endpoint in lost_endpoints and out.request.request.shard not in unreachable_shards
 
-        self.engine.counters.add("rooms_withdrawn", self.engine.withdraw(elsewhere))
+        self.lifecycle.counters.add(
+            "rooms_withdrawn", self.lifecycle.cancel_attempts(can_be_served_elsewhere)
+        )
 
-    def _verdict(self, verdict: Verdict) -> None:
-        self.engine.counters.add(f"rooms_{verdict.state.value}")
-        if verdict.state is State.LOST:
-            self._lost.add(verdict.room)
-        self.log("room_verdict", room=verdict.room, state=verdict.state.value, evidence=verdict.evidence)
-        self.heard(verdict)
+    def _on_transition(self, transition: ZoneTransition) -> None:
+        self.lifecycle.counters.add(f"rooms_{transition.state.value}")
+        if transition.state is ZoneState.DOWN:
+            self._zones_just_down.add(transition.zone)
+        self.log(
+            "room_verdict", room=transition.zone, state=transition.state.value, evidence=transition.evidence
+        )
+        self.on_transition(transition)
 
     # Operators
 
-    def by_hand(self, room: str, word: str) -> bool:
+    def set_override(self, zone: str, override: str) -> bool:
         """False where there is no such room or word."""
-        done = self.director.rooms.by_hand(self.clock(), room, word)
-        if done:
-            self._lost |= {room} if word == "evacuate" else set()
-            self.log("room_by_hand", room=room, word=word or "clear")
-            self._tell()
-        return done
-
-    def shown(self) -> dict[str, Any]:
+        changed = self.router.zone_health.set_override(self.clock(), zone, override)
+        if changed:
+            self._zones_just_down |= {zone} if override == "evacuate" else set()
+            self.log("room_by_hand", room=zone, word=override or "clear")
+            self._notify_scheduler()
+        return changed
+
+    def status(self) -> dict[str, Any]:
         """All that is held of rooms, as the door tells it; times in s."""
-        now, of = self.clock(), self.director
-        rooms = {}
-        for name, room in sorted(of.rooms.rooms.items()):
-            members = [m for m in of.rooms.members.values() if m.room == name]
-            rooms[name or "-"] = {
-                "state": of.rooms.state(name).value,
-                "since_s": round((now - room.since) / 1e6, 1),
-                "by_hand": room.hand,
-                "losses": room.losses,
+        now_us, router = self.clock(), self.router
+        zones = {}
+        for name, zone in sorted(router.zone_health.zones.items()):
+            members = [member for member in router.zone_health.members.values() if member.zone == name]
+            zones[name or "-"] = {
+                "state": router.zone_health.state(name).value,
+                "since_s": round((now_us - zone.since_us) / 1e6, 1),
+                "by_hand": zone.override,
+                "losses": zone.failures,
                 "servers": len(members),
                 "servers_down": [
-                    m.id
-                    for m in members
-                    if of.rooms.tracks[m.id].word(now, of.rules.window, of.rules.quiet) == "down"
+                    member.name
+                    for member in members
+                    if router.zone_health.contact_records[member.name].observation(
+                        now_us,
+                        router.zone_settings.evidence_window_us,
+                        router.zone_settings.silence_timeout_us,
+                    )
+                    == "down"
                 ],
                 "coming_back": {
-                    m.id: round(min((now - of.rooms.back[m.id]) / of.rules.back, 1.0), 2)
-                    for m in members
-                    if m.id in of.rooms.back and now - of.rooms.back[m.id] < of.rules.back
+                    member.name: round(
+                        min(
+                            (now_us - router.zone_health.recovered_at_us[member.name])
+                            / router.zone_settings.recovery_us,
+                            1.0,
+                        ),
+                        2,
+                    )
+                    for member in members
+                    if member.name in router.zone_health.recovered_at_us
+                    and now_us - router.zone_health.recovered_at_us[member.name]
+                    < router.zone_settings.recovery_us
                 },
                 "peers": {
-                    p: s.value for p, (s, at) in sorted(room.peers.items()) if now - at <= of.rules.window
+                    peer: state.value
+                    for peer, (state, received_us) in sorted(zone.peer_states.items())
+                    if now_us - received_us <= router.zone_settings.evidence_window_us
                 },
             }
-        budget = of.budget
+        budget = router.spillover_budget
         return {
-            "own": of.rules.own, "isolated": of.rooms.isolated, "rooms": rooms,
+            "own": router.zone_settings.own_zone,
+            "isolated": router.zone_health.isolated,
+            "rooms": zones,
             "spill": {
-                "mode": of.rules.mode, "units_a_second": round(budget.rate, 1), "let_through": budget.spilled,
-                "refused": budget.refused,
+                "mode": router.zone_settings.spillover_mode,
+                "units_a_second": round(budget.units_per_second, 1),
+                "let_through": budget.admitted_count,
+                "refused": budget.rejected_count,
             },
-        }  # fmt: skip
+        }
 
 
-def join(
-    of: config.Rooms, engine: Engine, seed: int, clock: Callable[[], int], log: Callable[..., Any]
-) -> Joined:
-    return Joined(rules_of(of), engine, seed, clock, engine.hooks, log)
+def integrate_zones(
+    zone_config: config.ZoneConfig,
+    lifecycle: RequestLifecycle,
+    seed: int,
+    clock: Callable[[], int],
+    log: Callable[..., Any],
+) -> ZoneIntegration:
+    return ZoneIntegration(zone_settings(zone_config), lifecycle, seed, clock, lifecycle.hooks, log)
--- a/umberlead/zones/router.py
+++ b/umberlead/zones/router.py
@@ -9,229 +9,324 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from umberlead.scheduling import interface as api
-from umberlead.scheduling.interface import Effect, NodeState, Result
-from umberlead.zones.model import SECOND, Member, Met, Rules, State, Verdict, tier_of
-from umberlead.zones.spillover import Budget
-from umberlead.zones.zone_health import Rooms
-
-PATIENT = 3  # times the link time-out that an aim must leave
-TRIED = 1e-6  # how dear an answer of one counts that is tried
-GREY = 4.0  # how much dearer an answer of a grey room counts
-MET = {
-    Result.OK: Met.ANSWERED, Result.ERROR: Met.ANSWERED, Result.FULL: Met.ANSWERED, Result.MOOT: Met.NOTHING,
-    Result.NO_LINK: Met.BROKEN, Result.RESET: Met.BROKEN, Result.TIMEOUT: Met.BROKEN,
-    Result.CANCELLED: Met.NOTHING,
-}  # fmt: skip
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
+from umberlead.scheduling.settings import Repeatability, Settings
+from umberlead.zones.model import (
+    MICROSECONDS_PER_S,
+    Contact,
+    ZoneMember,
+    ZoneSettings,
+    ZoneState,
+    ZoneTransition,
+    tier_of_zone,
+)
+from umberlead.zones.spillover import SpilloverBudget
+from umberlead.zones.zone_health import ZoneHealth
+
+PATIENT_CONNECT_TIMEOUTS_COUNT = 3  # times the link time-out that an aim must leave
+TRIAL_DISTANCE_FACTOR = 1e-6  # how dear an answer of one counts that is tried
+DEGRADED_DISTANCE_FACTOR = 4.0  # how much dearer an answer of a grey room counts
+CONTACT_BY_RESULT = {
+    AttemptResult.OK: Contact.ANSWERED,
+    AttemptResult.ERROR: Contact.ANSWERED,
+    AttemptResult.REJECTED: Contact.ANSWERED,
+    AttemptResult.NOT_SENT: Contact.INCONCLUSIVE,
+    AttemptResult.CONNECT_FAILED: Contact.BROKEN,
+    AttemptResult.RESET: Contact.BROKEN,
+    AttemptResult.TIMEOUT: Contact.BROKEN,
+    AttemptResult.CANCELLED: Contact.INCONCLUSIVE,
+}
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class ZoneRejection:
     """At once, and when to come back (us)."""
 
     reason: str
-    retry_after: int
+    retry_after_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class ZoneAdmission:
     """A request that goes on; `spill` where it counts against the budget, `trial` the lost server it
     tries."""
 
-    spill: bool = False
-    trial: str = ""
+    is_spillover: bool = False
+    trial_endpoint: str = ""
 
 
-class Director:
+class ZoneRouter:
     """One front's rooms, its spill and its trials."""
 
-    def __init__(self, rules: Rules, settings: api.Settings, seed: int, now: int) -> None:
-        self.rules, self.settings = rules, settings
-        self.chance = random.Random(f"{seed}/director")
-        self.rooms = Rooms(rules, seed, now)
-        self.classes = {c.name: c for c in settings.classes}
-        usual = sum(p.rate for p in settings.plans) or 20.0
-        self.budget = Budget(settings, usual * rules.spill, now)
-        self.nodes: dict[str, api.Node] = {}  # as the list has them
-        self.told: dict[str, api.Node] = {}  # as the module has them
+    def __init__(self, zone_settings: ZoneSettings, settings: Settings, seed: int, now_us: int) -> None:
+        self.zone_settings, self.settings = zone_settings, settings
+        self.rng = random.Random(f"{seed}/director")
+        self.zone_health = ZoneHealth(zone_settings, seed, now_us)
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
+        planned_units_per_second = sum(plan.usual_units_per_second for plan in settings.plans) or 20.0
+        self.spillover_budget = SpilloverBudget(
+            settings, planned_units_per_second * zone_settings.spillover_rate_factor, now_us
+        )
+        self.listed_endpoints: dict[str, Endpoint] = {}  # as the list has them
+        self.scheduler_endpoints: dict[str, Endpoint] = {}  # as the module has them
         self.by_shard: dict[int, set[str]] = {}
-        self.flashed: set[str] = set()  # lost servers that stand open for one trial
-        self.spilled: set[str] = set()  # requests that count against the budget
-        self.orphans: dict[
+        self.open_for_trial: set[str] = set()  # lost servers that stand open for one trial
+        self.spillover_requests: set[str] = set()  # requests that count against the budget
+        self.orphaned_shards: dict[
             int, str
         ] = {}  # shards whose last server left the list out of a lost room, and that room
-        self.log: Callable[[Verdict], None] = lambda verdict: None
+        self.on_transition: Callable[[ZoneTransition], None] = lambda verdict: None
 
     # The list
 
-    def listed(self, now: int, news: api.NodeList) -> api.NodeList:
+    def apply_endpoint_list(self, now_us: int, endpoint_list: EndpointList) -> EndpointList:
         """What the module is told in place of `news`. The whole of what changes with it comes along: rooms
         may stand otherwise with other servers in them."""
-        if news.whole:
-            gone = set(self.nodes) - {n.node for n in news.nodes}
-            for name in gone:
+        if endpoint_list.complete:
+            removed_names = set(self.listed_endpoints) - {
+                endpoint.name for endpoint in endpoint_list.endpoints
+            }
+            for name in removed_names:
                 self._forget(name)
-        for node in news.nodes:
-            if node.state is NodeState.GONE:
-                self._forget(node.node)
+        for endpoint in endpoint_list.endpoints:
+            if endpoint.status is EndpointStatus.GONE:
+                self._forget(endpoint.name)
                 continue
-            self.orphans.pop(node.shard, None)
-            old = self.nodes.get(node.node)
-            if old is not None and old.shard != node.shard:
-                self._forget(node.node)
-            self.nodes[node.node] = node
-            self.by_shard.setdefault(node.shard, set()).add(node.node)
-        self.rooms.listed(now, [
-            Member(n.node, n.room, n.shard, n.state, n.started) for n in self.nodes.values()
-        ])  # fmt: skip
-        gone_nodes = tuple(n for n in news.nodes if n.state is NodeState.GONE)
-        made = {n.node: self._terms(now, n) for n in self.nodes.values()}
-        changed = tuple(n for name, n in made.items() if self.told.get(name) != n)
-        self.told = made
-        return api.NodeList(news.whole, tuple(made.values()) if news.whole else (*gone_nodes, *changed))
+            self.orphaned_shards.pop(endpoint.shard, None)
+            previous = self.listed_endpoints.get(endpoint.name)
+            if previous is not None and previous.shard != endpoint.shard:
+                self._forget(endpoint.name)
+            self.listed_endpoints[endpoint.name] = endpoint
+            self.by_shard.setdefault(endpoint.shard, set()).add(endpoint.name)
+        self.zone_health.apply_endpoint_list(
+            now_us,
+            [
+                ZoneMember(endpoint.name, endpoint.zone, endpoint.shard, endpoint.status, endpoint.started_us)
+                for endpoint in self.listed_endpoints.values()
+            ],
+        )
+        removed_endpoints = tuple(
+            endpoint for endpoint in endpoint_list.endpoints if endpoint.status is EndpointStatus.GONE
+        )
+        scheduler_endpoints = {
+            endpoint.name: self._endpoint_for_scheduler(now_us, endpoint)
+            for endpoint in self.listed_endpoints.values()
+        }
+        changed = tuple(
+            endpoint
+            for name, endpoint in scheduler_endpoints.items()
+            if self.scheduler_endpoints.get(name) != endpoint
+        )
+        self.scheduler_endpoints = scheduler_endpoints
+        return EndpointList(
+            endpoint_list.complete,
+            tuple(scheduler_endpoints.values()) if endpoint_list.complete else (*removed_endpoints, *changed),
+        )
 
     def _forget(self, name: str) -> None:
-        node = self.nodes.pop(name, None)
-        if node is not None:
-            left = self.by_shard.get(node.shard, set())
-            left.discard(name)
-            if not left and self.rooms.state(node.room) is State.LOST:
-                self.orphans[node.shard] = node.room
-        self.flashed.discard(name)
-
-    def _terms(self, now: int, node: api.Node) -> api.Node:
+        endpoint = self.listed_endpoints.pop(name, None)
+        if endpoint is not None:
+            remaining = self.by_shard.get(endpoint.shard, set())
+            remaining.discard(name)
+            if not remaining and self.zone_health.state(endpoint.zone) is ZoneState.DOWN:
+                self.orphaned_shards[endpoint.shard] = endpoint.zone
+        self.open_for_trial.discard(name)
+
+    def _endpoint_for_scheduler(self, now_us: int, endpoint: Endpoint) -> Endpoint:
         """One server as the module is to see it."""
-        member = self.rooms.members.get(node.node)
+        member = self.zone_health.members.get(endpoint.name)
         if member is None:
-            return node
-        room = self.rooms.rooms[member.room]
-        state = self.rooms.state(member.room)
-        far = self.rules.far ** tier_of(self.rules, member.room)
-        if state is State.GREY:
-            far *= GREY
-        if room.hand == "forbid" and tier_of(self.rules, member.room):
-            return replace(node, far=far, weight=0.0)
-        back = self.rooms.back.get(node.node, 0)
-        if state is State.LOST and not (back and room.hand != "evacuate"):
-            shut = NodeState.UP if node.node in self.flashed else NodeState.DRAINING
-            if node.state is NodeState.UP:
+            return endpoint
+        zone = self.zone_health.zones[member.zone]
+        state = self.zone_health.state(member.zone)
+        distance_factor = self.zone_settings.distance_factor ** tier_of_zone(self.zone_settings, member.zone)
+        if state is ZoneState.DEGRADED:
+            distance_factor *= DEGRADED_DISTANCE_FACTOR
+        if zone.override == "forbid" and tier_of_zone(self.zone_settings, member.zone):
+            return replace(endpoint, distance_factor=distance_factor, weight=0.0)
+        recovered_at_us = self.zone_health.recovered_at_us.get(endpoint.name, 0)
+        if state is ZoneState.DOWN and not (recovered_at_us and zone.override != "evacuate"):
+            status = EndpointStatus.UP if endpoint.name in self.open_for_trial else EndpointStatus.DRAINING
+            if endpoint.status is EndpointStatus.UP:
                 if (
-                    shut is NodeState.UP
+                    status is EndpointStatus.UP
                 ):  # the next request takes it, whoever else is free, and no further one
-                    return replace(node, weight=0.0, far=TRIED, units=self.settings.max_units)
-                return replace(node, state=shut, weight=0.0, far=far)
-            return node
-        if back and now - back < self.rules.back:
-            return replace(node, far=far, started=max(node.started, back))
-        return replace(node, far=far)
-
-    def changes(self, now: int) -> api.NodeList | None:
+                    return replace(
+                        endpoint,
+                        weight=0.0,
+                        distance_factor=TRIAL_DISTANCE_FACTOR,
+                        max_in_flight_units=self.settings.max_request_units,
+                    )
+                return replace(endpoint, status=status, weight=0.0, distance_factor=distance_factor)
+            return endpoint
+        if recovered_at_us and now_us - recovered_at_us < self.zone_settings.recovery_us:
+            return replace(
+                endpoint,
+                distance_factor=distance_factor,
+                started_us=max(endpoint.started_us, recovered_at_us),
+            )
+        return replace(endpoint, distance_factor=distance_factor)
+
+    def changed_endpoints(self, now_us: int) -> EndpointList | None:
         """What the module must be told anew since the last call, and the verdicts to the log."""
-        for verdict in self.rooms.taken():
-            self.log(verdict)
-        made = {name: self._terms(now, node) for name, node in self.nodes.items()}
-        news = tuple(n for name, n in made.items() if self.told.get(name) != n)
-        self.told = made
-        return api.NodeList(False, news) if news else None
+        for transition in self.zone_health.take_transitions():
+            self.on_transition(transition)
+        scheduler_endpoints = {
+            name: self._endpoint_for_scheduler(now_us, endpoint)
+            for name, endpoint in self.listed_endpoints.items()
+        }
+        changed = tuple(
+            endpoint
+            for name, endpoint in scheduler_endpoints.items()
+            if self.scheduler_endpoints.get(name) != endpoint
+        )
+        self.scheduler_endpoints = scheduler_endpoints
+        return EndpointList(False, changed) if changed else None
 
     # Requests
 
-    def taken(
+    def admit(
         self,
-        now: int,
+        now_us: int,
         request: str,
         class_name: str,
         plan: str,
         volume: str,
-        hosts: int,
+        volume_front_count: int,
         shard: int,
         units: float,
-    ) -> Refusal | Pass:
+    ) -> ZoneRejection | ZoneAdmission:
         """What a request gets before the module sees it."""
-        names = self.by_shard.get(shard, set()) if shard >= 0 else set(self.nodes)
-        up = [n for n in sorted(names) if self.nodes[n].state is NodeState.UP]
-        if not up and shard in self.orphans:  # it comes back with its room
-            return self._refused(self.orphans[shard], self.rules.come_back)
-        if not up:
-            return Pass()  # the list's own doing: the module has its own way with that
-        open_ = [n for n in up if self.told[n].state is NodeState.UP and n not in self.flashed]
-        if not open_:
-            return self._dark(now, up, class_name)
-        if shard >= 0 and len(open_) < len(up) and (trial := self._trial(now, up, class_name)):
-            return Pass(trial=trial)
-        if not self._spills(up, open_):
-            return Pass()
-        mode = self.rules.mode
-        if mode == "all" or (mode == "learnt" and self.budget.take(now, volume, plan, hosts, units)):
-            self.spilled.add(request)
-            return Pass(spill=True)
-        wait = self.rules.come_back * self.chance.uniform(0.5, 1.5)
-        return Refusal("the rooms that are left have no more room for it", int(wait))
-
-    def _dark(self, now: int, names: list[str], class_name: str) -> Refusal | Pass:
+        names = self.by_shard.get(shard, set()) if shard >= 0 else set(self.listed_endpoints)
+        up_names = [name for name in sorted(names) if self.listed_endpoints[name].status is EndpointStatus.UP]
+        if not up_names and shard in self.orphaned_shards:  # it comes back with its room
+            return self._reject(self.orphaned_shards[shard], self.zone_settings.retry_after_us)
+        if not up_names:
+            return ZoneAdmission()  # the list's own doing: the module has its own way with that
+        available_names = [
+            name
+            for name in up_names
+            if self.scheduler_endpoints[name].status is EndpointStatus.UP and name not in self.open_for_trial
+        ]
+        if not available_names:
+            return self._admit_to_down_zone(now_us, up_names, class_name)
+        if (
+            shard >= 0
+            and len(available_names) < len(up_names)
+            and (trial_endpoint := self._start_trial(now_us, up_names, class_name))
+        ):
+            return ZoneAdmission(trial_endpoint=trial_endpoint)
+        if not self._is_spillover(up_names, available_names):
+            return ZoneAdmission()
+        mode = self.zone_settings.spillover_mode
+        if mode == "all" or (
+            mode == "learnt"
+            and self.spillover_budget.try_admit(now_us, volume, plan, volume_front_count, units)
+        ):
+            self.spillover_requests.add(request)
+            return ZoneAdmission(is_spillover=True)
+        retry_after_us = self.zone_settings.retry_after_us * self.rng.uniform(0.5, 1.5)
+        return ZoneRejection("the rooms that are left have no more room for it", int(retry_after_us))
+
+    def _admit_to_down_zone(
+        self, now_us: int, names: list[str], class_name: str
+    ) -> ZoneRejection | ZoneAdmission:
         """Every server that has it is in a lost room. Such a request may be the trial that finds it back, if
         it may be repeated; else it is refused at once."""
-        if trial := self._trial(now, names, class_name):
-            return Pass(trial=trial)
-        wait = min(self.rooms.next_try(now, name) for name in names)
-        return self._refused(self.rooms.members[names[0]].room, wait)
+        if trial_endpoint := self._start_trial(now_us, names, class_name):
+            return ZoneAdmission(trial_endpoint=trial_endpoint)
+        next_trial_us = min(self.zone_health.next_trial_delay_us(now_us, name) for name in names)
+        return self._reject(self.zone_health.members[names[0]].zone, next_trial_us)
 
-    def _refused(self, room: str, wait: int) -> Refusal:
-        spread = self.chance.uniform(1.0, 2.0)
-        return Refusal(f"room {room or '-'} is lost", int(max(wait, self.rules.come_back) * spread))
+    def _reject(self, zone: str, retry_after_us: int) -> ZoneRejection:
+        jitter_factor = self.rng.uniform(1.0, 2.0)
+        return ZoneRejection(
+            f"room {zone or '-'} is lost",
+            int(max(retry_after_us, self.zone_settings.retry_after_us) * jitter_factor),
+        )
 
-    def _trial(self, now: int, names: list[str], class_name: str) -> str:
+    def _start_trial(self, now_us: int, names: list[str], class_name: str) -> str:
         """A lost server that this request may find back, if it may be repeated; it stands open for it
         alone."""
-        of = self.classes[class_name]
-        if of.effect is not Effect.SAFE:
+        request_class = self.classes[class_name]
+        if request_class.repeatability is not Repeatability.IDEMPOTENT:
             return ""
         # A trial that finds nobody costs a dial's time: requests that bear it go first, others after two
         # turns more.
-        patient = of.aim >= PATIENT * (self.settings.link_timeout or 250_000)
-        wait = 0 if patient else 2 * self.rules.trial
+        has_time_for_failed_connect = request_class.latency_objective_us >= PATIENT_CONNECT_TIMEOUTS_COUNT * (
+            self.settings.connect_timeout_us or 250_000
+        )
+        min_overdue_us = 0 if has_time_for_failed_connect else 2 * self.zone_settings.trial_interval_us
         for name in names:
-            lost = self.rooms.state(self.rooms.members[name].room) is State.LOST
-            if lost and name not in self.rooms.back and self.rooms.may_try(now, name, wait):
-                self.flashed.add(name)
+            is_down = self.zone_health.state(self.zone_health.members[name].zone) is ZoneState.DOWN
+            if (
+                is_down
+                and name not in self.zone_health.recovered_at_us
+                and self.zone_health.try_start_trial(now_us, name, min_overdue_us)
+            ):
+                self.open_for_trial.add(name)
                 return name
         return ""
 
-    def _spills(self, up: list[str], open_: list[str]) -> bool:
+    def _is_spillover(self, up_names: list[str], available_names: list[str]) -> bool:
         """Whether a nearer tier, well, would have taken it."""
-        tiers = {n: tier_of(self.rules, self.rooms.members[n].room) for n in up}
-        nearest = min(tiers.values())
-        shut = any(tiers[n] == nearest and n not in open_ for n in up)
-        return shut and all(tiers[n] > nearest for n in open_)
+        tier_by_name = {
+            name: tier_of_zone(self.zone_settings, self.zone_health.members[name].zone) for name in up_names
+        }
+        nearest_tier = min(tier_by_name.values())
+        nearest_is_down = any(
+            tier_by_name[name] == nearest_tier and name not in available_names for name in up_names
+        )
+        return nearest_is_down and all(tier_by_name[name] > nearest_tier for name in available_names)
 
-    def sent(self, now: int, request: str, server: str) -> bool:
+    def record_attempt(self, now_us: int, request: str, endpoint: str) -> bool:
         """An attempt has gone out; True where it was a trial, whose server is to be shut again."""
-        self.rooms.sent(now, server, request)
-        trial = server in self.flashed
-        self.flashed.discard(server)
-        return trial
+        self.zone_health.record_attempt(now_us, endpoint, request)
+        is_trial = endpoint in self.open_for_trial
+        self.open_for_trial.discard(endpoint)
+        return is_trial
 
-    def ended(
-        self, now: int, request: str, server: str, result: Result, elapsed: int, class_name: str, astray: bool
+    def record_outcome(
+        self,
+        now_us: int,
+        request: str,
+        endpoint: str,
+        result: AttemptResult,
+        elapsed_us: int,
+        class_name: str,
+        misdirected: bool,
     ) -> None:
         """An attempt's outcome."""
-        met = Met.ANSWERED if astray else MET[result]
-        self.rooms.ended(now, server, request, met, elapsed)
+        contact = Contact.ANSWERED if misdirected else CONTACT_BY_RESULT[result]
+        self.zone_health.record_outcome(now_us, endpoint, request, contact, elapsed_us)
 
-    def answered(self, now: int, request: str, began: int, served: bool, class_name: str) -> None:
+    def record_answer(
+        self, now_us: int, request: str, accepted_us: int, was_served: bool, class_name: str
+    ) -> None:
         """A request's final answer; `began` is when it was taken."""
-        if request in self.spilled:
-            self.spilled.discard(request)
-            self.budget.ended(now, served and now - began <= self.rules.late * self.classes[class_name].aim)
+        if request in self.spillover_requests:
+            self.spillover_requests.discard(request)
+            self.spillover_budget.record_answer(
+                now_us,
+                was_served
+                and now_us - accepted_us
+                <= self.zone_settings.in_time_objective_ratio * self.classes[class_name].latency_objective_us,
+            )
 
-    def tick(self, now: int) -> None:
+    def tick(self, now_us: int) -> None:
         """At least every 100 ms."""
-        self.rooms.tick(now)
-        self.budget.step(now)
-        if now % SECOND < 100_000:  # a trial that found no taker leaves its server shut
-            self.flashed.clear()
+        self.zone_health.tick(now_us)
+        self.spillover_budget.adjust(now_us)
+        if now_us % MICROSECONDS_PER_S < 100_000:  # a trial that found no taker leaves its server shut
+            self.open_for_trial.clear()
 
-    def dark(self, shard: int) -> bool:
+    def is_shard_down(self, shard: int) -> bool:
         """Whether all that hold a shard are in lost rooms: what waits for them is better told so now."""
-        up = [n for n in self.by_shard.get(shard, ()) if self.nodes[n].state is NodeState.UP]
-        return bool(up) and all(self.told[n].state is not NodeState.UP for n in up)
+        up_names = [
+            name
+            for name in self.by_shard.get(shard, ())
+            if self.listed_endpoints[name].status is EndpointStatus.UP
+        ]
+        return bool(up_names) and all(
+            self.scheduler_endpoints[name].status is not EndpointStatus.UP for name in up_names
+        )
--- a/umberlead/zones/zone_health.py
+++ b/umberlead/zones/zone_health.py
@@ -10,226 +10,301 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from umberlead.scheduling.interface import NodeState
-from umberlead.zones.evidence import Ratio, Track, grey, log_odds, lost
-from umberlead.zones.model import Member, Met, Rules, State, Verdict
+from umberlead.scheduling.events import EndpointStatus
+from umberlead.zones.evidence import (
+    ContactRecord,
+    SlidingStatistics,
+    is_zone_down,
+    log_odds_down,
+    why_degraded,
+)
+from umberlead.zones.model import Contact, ZoneMember, ZoneSettings, ZoneState, ZoneTransition
 
-CLEAR = ""  # by hand: as the evidence has it
-BY_HAND = ("evacuate", "forbid", CLEAR)
+NO_OVERRIDE = ""  # by hand: as the evidence has it
+OVERRIDES = ("evacuate", "forbid", NO_OVERRIDE)
 
 
 @dataclass(slots=True)
-class Room:
+class ZoneRecord:
     """One room's state."""
 
     name: str
-    state: State = State.WELL
-    since: int = 0  # of the state
-    losses: int = 0  # that are not forgotten
-    until: int = 0  # a lost room is left alone up to then
-    trial: int = 0  # when one of its servers may be tried next
-    hand: str = CLEAR
-    peers: dict[str, tuple[State, int]] = field(
+    state: ZoneState = ZoneState.HEALTHY
+    since_us: int = 0  # of the state
+    failures: int = 0  # that are not forgotten
+    down_until_us: int = 0  # a lost room is left alone up to then
+    next_trial_us: int = 0  # when one of its servers may be tried next
+    override: str = NO_OVERRIDE
+    peer_states: dict[str, tuple[ZoneState, int]] = field(
         default_factory=dict
     )  # what others hold, and when they said so
 
 
-class Rooms:
-    def __init__(self, rules: Rules, seed: int, now: int) -> None:
-        self.rules, self.chance, self.now = rules, random.Random(f"{seed}/rooms"), now
-        self.members: dict[str, Member] = {}
-        self.tracks: dict[str, Track] = {}
-        self.rooms: dict[str, Room] = {}
-        self.back: dict[str, int] = {}  # servers that answered their trials, and when they came back
-        self.passed: dict[str, int] = {}  # trials answered in a row
+class ZoneHealth:
+    def __init__(self, settings: ZoneSettings, seed: int, now_us: int) -> None:
+        self.settings, self.rng, self.now_us = settings, random.Random(f"{seed}/rooms"), now_us
+        self.members: dict[str, ZoneMember] = {}
+        self.contact_records: dict[str, ContactRecord] = {}
+        self.zones: dict[str, ZoneRecord] = {}
+        self.recovered_at_us: dict[
+            str, int
+        ] = {}  # servers that answered their trials, and when they came back
+        self.answered_trials: dict[str, int] = {}  # trials answered in a row
         self.isolated = False  # nothing at all is reached: that is this front's own doing
-        self.verdicts: list[Verdict] = []
+        self.transitions: list[ZoneTransition] = []
 
     # What comes in
 
-    def listed(self, now: int, members: Iterable[Member]) -> None:
+    def apply_endpoint_list(self, now_us: int, members: Iterable[ZoneMember]) -> None:
         """The whole list in force."""
-        self.now = now
-        self.members = {m.id: m for m in members}
-        for m in self.members.values():
-            self.tracks.setdefault(m.id, Track(ratio=Ratio(self.rules.window)))
-            if m.room not in self.rooms:
-                self.rooms[m.room] = Room(m.room, since=now)
-        for of in (self.tracks, self.back, self.passed):
-            for name in [n for n in of if n not in self.members]:
-                del of[name]
-        named = {m.room for m in self.members.values()}
+        self.now_us = now_us
+        self.members = {member.name: member for member in members}
+        for member in self.members.values():
+            self.contact_records.setdefault(
+                member.name, ContactRecord(statistics=SlidingStatistics(self.settings.evidence_window_us))
+            )
+            if member.zone not in self.zones:
+                self.zones[member.zone] = ZoneRecord(member.zone, since_us=now_us)
+        for state_by_member in (self.contact_records, self.recovered_at_us, self.answered_trials):
+            for name in [name for name in state_by_member if name not in self.members]:
+                del state_by_member[name]
+        listed_zones = {member.zone for member in self.members.values()}
         # A room whose servers the list has dropped meanwhile is still the one that was lost.
-        for name in [n for n, r in self.rooms.items() if n not in named and not r.losses]:
-            del self.rooms[name]
-
-    def sent(self, now: int, server: str, request: str) -> None:
-        if server in self.tracks:
-            self.tracks[server].sent(now, request)
-
-    def ended(self, now: int, server: str, request: str, met: Met, took: int = 0) -> None:
+        for name in [
+            name for name, zone in self.zones.items() if name not in listed_zones and not zone.failures
+        ]:
+            del self.zones[name]
+
+    def record_attempt(self, now_us: int, endpoint: str, request: str) -> None:
+        if endpoint in self.contact_records:
+            self.contact_records[endpoint].record_attempt(now_us, request)
+
+    def record_outcome(
+        self, now_us: int, endpoint: str, request: str, contact: Contact, latency_us: int = 0
+    ) -> None:
         """An attempt's outcome; `took` (us) of one that was answered."""
-        track, member = self.tracks.get(server), self.members.get(server)
-        if track is None or member is None:
+        contact_record, member = self.contact_records.get(endpoint), self.members.get(endpoint)
+        if contact_record is None or member is None:
             return
-        before = track.silent
-        track.ended(now, request, met)
-        room = self.rooms[member.room]
-        if met is not Met.NOTHING and not (before and met is Met.BROKEN):  # its silence was counted already
-            track.ratio.add(now, met is Met.BROKEN, float(took))
-        if room.state is State.LOST:
-            self._tried(now, room, member, met)
-        if met is Met.BROKEN:
-            self.look(now, room)
-
-    def tick(self, now: int) -> None:
+        was_silent = contact_record.silent
+        contact_record.record_outcome(now_us, request, contact)
+        zone = self.zones[member.zone]
+        if contact is not Contact.INCONCLUSIVE and not (
+            was_silent and contact is Contact.BROKEN
+        ):  # its silence was counted already
+            contact_record.statistics.add(now_us, contact is Contact.BROKEN, float(latency_us))
+        if zone.state is ZoneState.DOWN:
+            self._record_trial(now_us, zone, member, contact)
+        if contact is Contact.BROKEN:
+            self.evaluate(now_us, zone)
+
+    def tick(self, now_us: int) -> None:
         """At least every 100 ms: silence makes no event."""
-        self.now = now
-        for track in self.tracks.values():
-            if track.look(now, self.rules.quiet):
-                track.ratio.add(now, True)
-        for room in self.rooms.values():
-            self.look(now, room, True)
-        self._isolated(now)
-
-    def by_hand(self, now: int, room: str, word: str) -> bool:
+        self.now_us = now_us
+        for contact_record in self.contact_records.values():
+            if contact_record.detect_silence(now_us, self.settings.silence_timeout_us):
+                contact_record.statistics.add(now_us, True)
+        for zone in self.zones.values():
+            self.evaluate(now_us, zone, True)
+        self._update_isolation(now_us)
+
+    def set_override(self, now_us: int, zone: str, override: str) -> bool:
         """`evacuate`: nothing goes there. `forbid`: nothing spills there from elsewhere. Empty: neither.
         False where there is no such room or word."""
-        if room not in self.rooms or word not in BY_HAND:
+        if zone not in self.zones or override not in OVERRIDES:
             return False
-        self.rooms[room].hand = word
-        self.look(now, self.rooms[room])
+        self.zones[zone].override = override
+        self.evaluate(now_us, self.zones[zone])
         return True
 
-    def peer(self, now: int, name: str, room: str, state: State) -> None:
+    def record_peer_state(self, now_us: int, name: str, zone: str, state: ZoneState) -> None:
         """What another front holds. It lowers what is needed to hold the same, and never decides alone."""
-        if room in self.rooms:
-            self.rooms[room].peers[name] = (state, now)
+        if zone in self.zones:
+            self.zones[zone].peer_states[name] = (state, now_us)
 
     # What follows
 
-    def words(self, now: int, room: str) -> list[str]:
+    def observations(self, now_us: int, zone: str) -> list[str]:
         """Its servers' words. What drains or has only just started says nothing of the room."""
         return [
-            self.tracks[m.id].word(now, self.rules.window, self.rules.quiet)
-            for m in self.members.values() if m.room == room and m.state is NodeState.UP
-        ]  # fmt: skip
-
-    def look(self, now: int, room: Room, ticked: bool = False) -> None:
+            self.contact_records[member.name].observation(
+                now_us, self.settings.evidence_window_us, self.settings.silence_timeout_us
+            )
+            for member in self.members.values()
+            if member.zone == zone and member.status is EndpointStatus.UP
+        ]
+
+    def evaluate(self, now_us: int, zone: ZoneRecord, is_tick: bool = False) -> None:
         """One step of a room's state. Greyness is told on ticks alone: it passes over all servers."""
-        self.now, rules = now, self.rules
-        if room.state in (State.WELL, State.GREY, State.RETURN):
-            words = self.words(now, room.name)
-            if not self.isolated and self._lost(now, room, words):
-                down, up = words.count("down"), words.count("up")
-                odds = math.exp(min(log_odds(words, rules), 50.0))
-                mute = words.count("mute")
-                why = f"{down} of {len(words)} servers down, {mute} mute, {up} up, odds {odds:.3g}"
-                if heard := self._peers(now, room):
-                    why += f", {heard} peers say so"
-                return self._lose(now, room, why)
-        if room.state in (State.WELL, State.GREY) and ticked:
-            well = [r for r in self.rooms.values() if r is not room and r.state is State.WELL]
-            others = [x for r in well for x in self._ratios(r)]
-            why = grey(self._ratios(room), others, now, rules) if others else ""
-            if why and room.state is State.WELL:
-                self._turn(now, room, State.GREY, why)
-            elif not why and room.state is State.GREY and now - room.since >= rules.window:
-                self._turn(now, room, State.WELL, "like the others again")
-        if room.state is State.RETURN and now - room.since >= rules.back:
-            self._turn(now, room, State.WELL, f"back for {rules.back / 1e6:g} s")
-        if room.state is State.WELL and room.losses and now - room.since >= rules.forget:
-            room.losses = 0
-
-    def _lost(self, now: int, room: Room, words: list[str]) -> bool:
-        if lost(words, self.rules):
+        self.now_us, settings = now_us, self.settings
+        if zone.state in (ZoneState.HEALTHY, ZoneState.DEGRADED, ZoneState.RECOVERING):
+            observations = self.observations(now_us, zone.name)
+            if not self.isolated and self._is_down(now_us, zone, observations):
+                down_count, up_count = observations.count("down"), observations.count("up")
+                odds = math.exp(min(log_odds_down(observations, settings), 50.0))
+                mute_count = observations.count("mute")
+                evidence = f"{down_count} of {len(observations)} servers down, {mute_count} mute, {up_count} up, odds {odds:.3g}"
+                if agreeing_peers := self._agreeing_peers(now_us, zone):
+                    evidence += f", {agreeing_peers} peers say so"
+                return self._mark_down(now_us, zone, evidence)
+        if zone.state in (ZoneState.HEALTHY, ZoneState.DEGRADED) and is_tick:
+            healthy_zones = [
+                other
+                for other in self.zones.values()
+                if other is not zone and other.state is ZoneState.HEALTHY
+            ]
+            other_statistics = [
+                statistics for other in healthy_zones for statistics in self._statistics_of(other)
+            ]
+            evidence = (
+                why_degraded(self._statistics_of(zone), other_statistics, now_us, settings)
+                if other_statistics
+                else ""
+            )
+            if evidence and zone.state is ZoneState.HEALTHY:
+                self._transition(now_us, zone, ZoneState.DEGRADED, evidence)
+            elif (
+                not evidence
+                and zone.state is ZoneState.DEGRADED
+                and now_us - zone.since_us >= settings.evidence_window_us
+            ):
+                self._transition(now_us, zone, ZoneState.HEALTHY, "like the others again")
+        if zone.state is ZoneState.RECOVERING and now_us - zone.since_us >= settings.recovery_us:
+            self._transition(now_us, zone, ZoneState.HEALTHY, f"back for {settings.recovery_us / 1e6:g} s")
+        if (
+            zone.state is ZoneState.HEALTHY
+            and zone.failures
+            and now_us - zone.since_us >= settings.failure_memory_us
+        ):
+            zone.failures = 0
+
+    def _is_down(self, now_us: int, zone: ZoneRecord, observations: list[str]) -> bool:
+        if is_zone_down(observations, self.settings):
             return True
         # Peers that agree count as one more server down each, two at most, beside own evidence of some kind.
-        more = min(self._peers(now, room), 2)
-        return bool(more) and words.count("down") >= 1 and lost(words + ["down"] * more, self.rules)
-
-    def _peers(self, now: int, room: Room) -> int:
-        fresh = [s for s, at in room.peers.values() if now - at <= self.rules.window]
-        return fresh.count(State.LOST) if 2 * fresh.count(State.LOST) > len(fresh) else 0
-
-    def _lose(self, now: int, room: Room, why: str) -> None:
-        rules = self.rules
-        hold = min(rules.hold * 2**room.losses, rules.hold_most)
-        room.losses = min(room.losses + 1, 16)
-        room.until = now + int(hold * self.chance.uniform(0.75, 1.25))
-        room.trial = room.until + int(self.chance.uniform(0, rules.trial))
-        for m in self._of(room):
-            self.back.pop(m.id, None)
-            self.passed.pop(m.id, None)
-        self._turn(now, room, State.LOST, why)
-
-    def _of(self, room: Room) -> list[Member]:
-        return [m for m in self.members.values() if m.room == room.name]
-
-    def _ratios(self, room: Room) -> list[Ratio]:
-        return [self.tracks[m.id].ratio for m in self._of(room) if m.state is NodeState.UP]
-
-    def _turn(self, now: int, room: Room, state: State, why: str) -> None:
-        room.state, room.since = state, now
-        self.verdicts.append(Verdict(now, room.name, state, why))
-
-    def _tried(self, now: int, room: Room, member: Member, met: Met) -> None:
+        peer_votes = min(self._agreeing_peers(now_us, zone), 2)
+        return (
+            bool(peer_votes)
+            and observations.count("down") >= 1
+            and is_zone_down(observations + ["down"] * peer_votes, self.settings)
+        )
+
+    def _agreeing_peers(self, now_us: int, zone: ZoneRecord) -> int:
+        recent_states = [
+            state
+            for state, received_us in zone.peer_states.values()
+            if now_us - received_us <= self.settings.evidence_window_us
+        ]
+        return (
+            recent_states.count(ZoneState.DOWN)
+            if 2 * recent_states.count(ZoneState.DOWN) > len(recent_states)
+            else 0
+        )
+
+    def _mark_down(self, now_us: int, zone: ZoneRecord, evidence: str) -> None:
+        settings = self.settings
+        down_us = min(settings.min_down_us * 2**zone.failures, settings.max_down_us)
+        zone.failures = min(zone.failures + 1, 16)
+        zone.down_until_us = now_us + int(down_us * self.rng.uniform(0.75, 1.25))
+        zone.next_trial_us = zone.down_until_us + int(self.rng.uniform(0, settings.trial_interval_us))
+        for member in self._members_of(zone):
+            self.recovered_at_us.pop(member.name, None)
+            self.answered_trials.pop(member.name, None)
+        self._transition(now_us, zone, ZoneState.DOWN, evidence)
+
+    def _members_of(self, zone: ZoneRecord) -> list[ZoneMember]:
+        return [member for member in self.members.values() if member.zone == zone.name]
+
+    def _statistics_of(self, zone: ZoneRecord) -> list[SlidingStatistics]:
+        return [
+            self.contact_records[member.name].statistics
+            for member in self._members_of(zone)
+            if member.status is EndpointStatus.UP
+        ]
+
+    def _transition(self, now_us: int, zone: ZoneRecord, state: ZoneState, evidence: str) -> None:
+        zone.state, zone.since_us = state, now_us
+        self.transitions.append(ZoneTransition(now_us, zone.name, state, evidence))
+
+    def _record_trial(self, now_us: int, zone: ZoneRecord, member: ZoneMember, contact: Contact) -> None:
         """The outcome of a trial, or of what was out when the room was lost."""
-        if met is Met.BROKEN:
-            self.passed.pop(member.id, None)
-        if met is not Met.ANSWERED or now < room.until:
+        if contact is Contact.BROKEN:
+            self.answered_trials.pop(member.name, None)
+        if contact is not Contact.ANSWERED or now_us < zone.down_until_us:
             return
-        self.passed[member.id] = self.passed.get(member.id, 0) + 1
-        room.trial = now  # something lives there: the next may follow at once
-        if self.passed[member.id] < self.rules.trials:
+        self.answered_trials[member.name] = self.answered_trials.get(member.name, 0) + 1
+        zone.next_trial_us = now_us  # something lives there: the next may follow at once
+        if self.answered_trials[member.name] < self.settings.trials_to_recover:
             return
-        self.back.setdefault(member.id, now)
-        up = [m for m in self._of(room) if m.state is NodeState.UP]
-        if 2 * sum(m.id in self.back for m in up) >= len(up):
+        self.recovered_at_us.setdefault(member.name, now_us)
+        up_members = [
+            up_member for up_member in self._members_of(zone) if up_member.status is EndpointStatus.UP
+        ]
+        if 2 * sum(up_member.name in self.recovered_at_us for up_member in up_members) >= len(up_members):
             # The rest come back with them: what is still down shows as such, server by server.
-            for m in up:
-                self.back.setdefault(m.id, now)
-            self._turn(now, room, State.RETURN, f"{len(up)} servers, after trials that were answered")
-
-    def _isolated(self, now: int) -> None:
+            for up_member in up_members:
+                self.recovered_at_us.setdefault(up_member.name, now_us)
+            self._transition(
+                now_us,
+                zone,
+                ZoneState.RECOVERING,
+                f"{len(up_members)} servers, after trials that were answered",
+            )
+
+    def _update_isolation(self, now_us: int) -> None:
         """Where no server of any room answers, nothing is known of rooms: the fault is nearer. Rooms that
         were held lost in that time are held well again."""
-        rooms = [words for name in self.rooms if (words := self.words(now, name))]
-        silent = [words for words in rooms if "up" not in words and ("down" in words or "mute" in words)]
-        alone = len(rooms) > 1 and len(silent) == len(rooms)
-        if alone and not self.isolated:
-            for room in self.rooms.values():
-                if room.state is State.LOST:
-                    room.losses = max(room.losses - 1, 0)
-                    self._turn(now, room, State.WELL, "no room answers at all: this front is cut off itself")
-        self.isolated = alone
+        observations_by_zone = [
+            observations for name in self.zones if (observations := self.observations(now_us, name))
+        ]
+        silent_zones = [
+            observations
+            for observations in observations_by_zone
+            if "up" not in observations and ("down" in observations or "mute" in observations)
+        ]
+        is_isolated = len(observations_by_zone) > 1 and len(silent_zones) == len(observations_by_zone)
+        if is_isolated and not self.isolated:
+            for zone in self.zones.values():
+                if zone.state is ZoneState.DOWN:
+                    zone.failures = max(zone.failures - 1, 0)
+                    self._transition(
+                        now_us,
+                        zone,
+                        ZoneState.HEALTHY,
+                        "no room answers at all: this front is cut off itself",
+                    )
+        self.isolated = is_isolated
 
     # What is asked of it
 
-    def state(self, room: str) -> State:
+    def state(self, zone: str) -> ZoneState:
         """As it acts: an evacuated room is a lost one whatever the evidence."""
-        of = self.rooms.get(room)
-        if of is None:
-            return State.WELL
-        return State.LOST if of.hand == "evacuate" else of.state
+        record = self.zones.get(zone)
+        if record is None:
+            return ZoneState.HEALTHY
+        return ZoneState.DOWN if record.override == "evacuate" else record.state
 
-    def may_try(self, now: int, server: str, wait: int = 0) -> bool:
+    def try_start_trial(self, now_us: int, endpoint: str, min_overdue_us: int = 0) -> bool:
         """Whether a request that may be repeated may go to a server of a lost room, as a trial. True once:
         the next is due a while later, at a time of this front's own. `wait` (us) is what it is to be overdue
         by."""
-        member = self.members.get(server)
-        room = self.rooms.get(member.room) if member is not None else None
-        if room is None or room.hand == "evacuate" or now < max(room.until, room.trial) + wait:
+        member = self.members.get(endpoint)
+        zone = self.zones.get(member.zone) if member is not None else None
+        if (
+            zone is None
+            or zone.override == "evacuate"
+            or now_us < max(zone.down_until_us, zone.next_trial_us) + min_overdue_us
+        ):
             return False
-        room.trial = now + int(self.rules.trial * self.chance.uniform(0.5, 1.5))
+        zone.next_trial_us = now_us + int(self.settings.trial_interval_us * self.rng.uniform(0.5, 1.5))
         return True
 
-    def next_try(self, now: int, server: str) -> int:
+    def next_trial_delay_us(self, now_us: int, endpoint: str) -> int:
         """us until that may be so."""
-        member = self.members.get(server)
-        room = self.rooms.get(member.room) if member is not None else None
-        return max(max(room.until, room.trial) - now, 0) if room is not None else 0
+        member = self.members.get(endpoint)
+        zone = self.zones.get(member.zone) if member is not None else None
+        return max(max(zone.down_until_us, zone.next_trial_us) - now_us, 0) if zone is not None else 0
 
-    def taken(self) -> list[Verdict]:
-        made, self.verdicts = self.verdicts, []
-        return made
+    def take_transitions(self) -> list[ZoneTransition]:
+        transitions, self.transitions = self.transitions, []
+        return transitions
