--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -25,8 +25,8 @@
 from umberlead.membership import snapshot
 from umberlead.membership.model import CheckedList, EndpointSpec
 from umberlead.net.client_connections import ClientGroup
+from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.net.http_message import HttpRequest
-from umberlead.net.node_protocol import OutgoingRequest
 from umberlead.net.server_connection import ServerConnection
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Attempt, Reply
--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -8,8 +8,8 @@
 
 CLIENTS, SERVER = "umberlead/net/client_connections.py", "umberlead/net/server_connection.py"
 ENGINE, DECIDE = "umberlead/requests/lifecycle.py", "umberlead/scheduling/scheduler.py"
-NODE, PARSER = "umberlead/net/node_connection.py", "umberlead/net/reply_parser.py"
-STREAM, POOL = "umberlead/net/streaming.py", "umberlead/net/node_pool.py"
+NODE, PARSER = "umberlead/net/endpoint_connection.py", "umberlead/net/response_parser.py"
+STREAM, POOL = "umberlead/net/streaming.py", "umberlead/net/endpoint_pool.py"
 WATCH, FRONT = "umberlead/net/discovery.py", "umberlead/front.py"
 OBJECTS, START = "umberlead/frontends/object_api/handler.py", "umberlead/start.py"
 VOLUMES, SHARED = "umberlead/scheduling/rate_limits.py", "umberlead/handover/process_registry.py"
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -15,8 +15,8 @@
     MAX_RACING_DIALS_COUNT,
     MIN_SUCCESS_RATE,
 )
-from umberlead.net.node_pool import EndpointPool
-from umberlead.net.node_protocol import OutgoingRequest
+from umberlead.net.endpoint_pool import EndpointPool
+from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.scheduling.events import AttemptResult
 
 LINK_TIMEOUT = 250_000
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -18,7 +18,7 @@
 from tests.exchange import PATIENCE, Exchange, Peer
 from tests.helpers import T0, ask, end, feed, head, up
 from umberlead.front import FrontProcess
-from umberlead.net.node_connection import EndpointConnection
+from umberlead.net.endpoint_connection import EndpointConnection
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.socket_state import DISCONNECT_POLL_EVENTS
 from umberlead.scheduling.actions import Action, Send
@@ -426,7 +426,7 @@
 # For each wait: what leads to it, how the client leaves and what lets an attempt begin, what follows. Where a
 # connection is kept the attempt is written with the decision.
 
-KEPT = "patch umberlead.net.node_pool REUSE_DELAY_US 0\nnode n0 0\n"
+KEPT = "patch umberlead.net.endpoint_pool REUSE_DELAY_US 0\nnode n0 0\n"
 BUSY = (
     KEPT
     + "n0 next hold hold\nclient a platform\nclient b platform\nplain c platform\n"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -437,7 +437,7 @@
 def _watch(ours: bool, fleet: int) -> tuple[DiscoveryWatch, list[int]]:
     """A watch, and the pauses that it asks for."""
     now, waits = [T0], list[int]()
-    wheel: Any = mock.Mock(after=lambda delay, what, *words: waits.append(delay))
+    wheel: Any = mock.Mock(call_after=lambda delay, what, *words: waits.append(delay))
     loop: Any = mock.Mock(create_task=lambda work: work.close())
     watch = DiscoveryWatch(
         ("127.0.0.1", 1),
@@ -458,7 +458,7 @@
     """An answer's first bytes, so many us after the call."""
     stream: Any = watch.stream
     stream.connection_made(mock.Mock())
-    stream.call.up -= after
+    stream.call.connected_us -= after
     stream.call.started_us -= after
     stream.data_received(b"HTTP/1.1 " + status + b"\r\nContent-Length: 9\r\n\r\n")
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -28,9 +28,9 @@
 from umberlead.common.counters import Counters
 from umberlead.handover.shared_state import SharedState
 from umberlead.net.client_connections import ClientGroup
+from umberlead.net.endpoint_connection import EndpointConnection
+from umberlead.net.endpoint_pool import EndpointPool
 from umberlead.net.listener import ACCEPT_BATCH_SIZE, Listener
-from umberlead.net.node_connection import EndpointConnection
-from umberlead.net.node_pool import EndpointPool
 from umberlead.net.server_connection import ServerConnection
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -7,8 +7,8 @@
 from tests.test_parts import Alarm, Clock
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
-from umberlead.net.node_connection import EndpointConnection
-from umberlead.net.node_protocol import OutgoingRequest
+from umberlead.net.endpoint_connection import EndpointConnection
+from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, AnswerKind, Attempt, IncomingRequest
 from umberlead.scheduling.actions import Action, Fail, Reject, Send
@@ -140,7 +140,7 @@
             if "resume" in steps:
                 conn.resume_writing()
             conn.connection_lost(None)
-            self.assertEqual(pool.engine.ended.call_args.args[1], want, steps)
+            self.assertEqual(pool.lifecycle.attempt_ended.call_args.args[1], want, steps)
 
 
 if __name__ == "__main__":
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -63,7 +63,7 @@
     graph = needs(ROOT, "umberlead")
     assert len(graph) > 80 and sum(map(len, graph.values())) > 250  # it read them
     assert "umberlead.membership.list_merge" in graph["umberlead.front"]  # within a function
-    assert "umberlead.net.node_pool" in graph["umberlead.membership.list_merge"]  # for types alone
+    assert "umberlead.net.endpoint_pool" in graph["umberlead.membership.list_merge"]  # for types alone
     assert circles(graph) == []
 
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -13,8 +13,8 @@
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.net.client_connections import ClientGroup
-from umberlead.net.node_connection import EndpointConnection
-from umberlead.net.node_protocol import OutgoingRequest
+from umberlead.net.endpoint_connection import EndpointConnection
+from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.streaming import (
     SERVER_PAUSE_TIMEOUT_US,
@@ -40,8 +40,8 @@
         self.client.connection_made(self._transport())
         self.client.data_received(b"GET /a HTTP/1.1\r\n\r\n")
         pool = mock.Mock(
-            held_bytes=0,
-            memory_limit_bytes=1 << 20,
+            buffered_bytes=0,
+            buffer_limit_bytes=1 << 20,
             max_response_bytes=1 << 20,
             max_header_bytes=4096,
             connect_timeout_us=250_000,
@@ -53,7 +53,7 @@
         self.node = EndpointConnection(pool, ("127.0.0.1", 1))
         self.node.transport, self.node.written = self._transport(), True
         ask = mock.Mock(accepts_stream=True, payload=OutgoingRequest(b"GET", b"/a", []))
-        self.node.attempt = Attempt(mock.Mock(ask=ask, answered=False), 0, "n0", T0, T0 + 10**6)
+        self.node.attempt = Attempt(mock.Mock(request=ask, answered=False), 0, "n0", T0, T0 + 10**6)
 
     def _transport(self) -> Any:
         made = mock.Mock()
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -15,8 +15,8 @@
 from tests.test_descriptors import ENTRY, TEXT, Process, Servers, _read, _run, _served
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
-from umberlead.net.node_pool import EndpointPool
-from umberlead.net.node_protocol import OutgoingRequest
+from umberlead.net.endpoint_pool import EndpointPool
+from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import IncomingRequest
 from umberlead.scheduling.events import EndpointList
--- a/tests/test_standing_requests.py
+++ b/tests/test_standing_requests.py
@@ -11,7 +11,7 @@
 from tests.test_client_leaves import DONE, asks, block
 from tests.test_crossings import well
 from tests.test_standing import Standing, play
-from umberlead.net.node_connection import EndpointConnection
+from umberlead.net.endpoint_connection import EndpointConnection
 
 # Requests in pieces
 
@@ -69,7 +69,7 @@
         "| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n", "| GET {{target}} HTTP/1.1\n| Host: {{~}}\n"
     )
     play(
-        "patch umberlead.net.node_pool REUSE_DELAY_US 0\n",
+        "patch umberlead.net.endpoint_pool REUSE_DELAY_US 0\n",
         "node n0 0:script\nclient a platform\nclient b platform\n",
         *(ask.format(n) + well("b") for n in (1, 2, 3)),
         got.format(1, "4.9"),
@@ -89,7 +89,7 @@
 
     full = "n0 >\n| HTTP/1.1 503 -\n| X-Rejected: 1\n| Content-Length: 0\n|\n"
     play(
-        "patch umberlead.net.node_pool REUSE_DELAY_US 0\nnode n0 0:script\nclient a platform\n",
+        "patch umberlead.net.endpoint_pool REUSE_DELAY_US 0\nnode n0 0:script\nclient a platform\n",
         "a >\n| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a1 / 0\n| X-Budget: 6\n|\n",
         asked("5.9"),
         "clock 1500000\n",
--- a/umberlead/expect/world.py
+++ b/umberlead/expect/world.py
@@ -2,7 +2,7 @@
 their logic; the clock, the loop and the carrier are this file's.
 
 A server has two cores, works on a unit for `UNIT`, and answers in turn of arrival. What an attempt's end
-proves follows the platform's protocol, as `net/node_connection.py` has it: refused links and full queues
+proves follows the platform's protocol, as `net/endpoint_connection.py` has it: refused links and full queues
 never ran."""
 
 import random
--- a/umberlead/front.py
+++ b/umberlead/front.py
@@ -21,8 +21,8 @@
 from umberlead.handover.shared_state import SharedState
 from umberlead.net.client_connections import ClientGroup
 from umberlead.net.discovery import DiscoveryWatch
+from umberlead.net.endpoint_pool import IDLE_KEEPALIVE_RATIO, EndpointPool
 from umberlead.net.listener import Listener
-from umberlead.net.node_pool import IDLE_KEEPALIVE_RATIO, EndpointPool
 from umberlead.net.server_connection import RequestHandler
 from umberlead.plugins import PluginHooks
 from umberlead.recovery.start_times import STEP_US, StartTimes
--- a/umberlead/frontends/object_api/handler.py
+++ b/umberlead/frontends/object_api/handler.py
@@ -27,8 +27,8 @@
     uncertain_part_error,
 )
 from umberlead.net.client_connections import ClientGroup
+from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.net.http_message import HttpRequest
-from umberlead.net.node_protocol import OutgoingRequest
 from umberlead.net.server_connection import ServerConnection
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, AnswerKind, IncomingRequest, InFlightRequest, Reply
--- a/umberlead/frontends/platform.py
+++ b/umberlead/frontends/platform.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from urllib.parse import unquote_to_bytes
 
+from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.net.http_message import HttpRequest
-from umberlead.net.node_protocol import OutgoingRequest
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.streaming import MAX_STREAM_BYTES
 from umberlead.requests.lifecycle import RequestLifecycle
--- a/umberlead/handover/descriptor_quota.py
+++ b/umberlead/handover/descriptor_quota.py
@@ -7,8 +7,8 @@
 from umberlead.handover.quota_division import divide_quota, has_fair_quota
 from umberlead.handover.shared_state import SharedState
 from umberlead.net.client_connections import ClientGroup
+from umberlead.net.endpoint_pool import EndpointPool
 from umberlead.net.listener import Listener
-from umberlead.net.node_pool import EndpointPool
 from umberlead.resource_limits import connections_within, with_surplus
 
 SHORTAGE_LOOK_INTERVAL_US = 5_000  # between looks of a process that is short of places
--- a/umberlead/membership/list_merge.py
+++ b/umberlead/membership/list_merge.py
@@ -14,7 +14,7 @@
 from umberlead.scheduling.events import Endpoint, EndpointList, EndpointStatus
 
 if TYPE_CHECKING:
-    from umberlead.net.node_pool import EndpointPool
+    from umberlead.net.endpoint_pool import EndpointPool
     from umberlead.requests.lifecycle import RequestLifecycle
 
 
--- a/umberlead/net/dialing.py
+++ b/umberlead/net/dialing.py
@@ -10,7 +10,7 @@
 
 from umberlead.common.slot_table import SlotTable
 from umberlead.config import Address
-from umberlead.net.node_connection import EndpointConnection
+from umberlead.net.endpoint_connection import EndpointConnection
 from umberlead.net.pool_interface import ConnectionPool
 from umberlead.requests.types import Attempt
 from umberlead.resource_limits import LOCAL_RESOURCE_ERRNOS
--- a/umberlead/net/node_connection.py
+++ b/umberlead/net/endpoint_connection.py
@@ -9,9 +9,14 @@
 
 from umberlead.common.timer_wheel import Timer
 from umberlead.config import Address
-from umberlead.net.node_protocol import OutgoingRequest, decode_response, encode_request, result_of_response
+from umberlead.net.endpoint_protocol import (
+    OutgoingRequest,
+    decode_response,
+    encode_request,
+    result_of_response,
+)
 from umberlead.net.pool_interface import ConnectionPool
-from umberlead.net.reply_parser import ResponseParser
+from umberlead.net.response_parser import ResponseParser
 from umberlead.net.socket_state import SocketState
 from umberlead.net.streaming import SERVER_PAUSE_TIMEOUT_US, ResponseStream, is_long_response
 from umberlead.requests.types import Attempt, Reply
--- a/umberlead/net/node_pool.py
+++ b/umberlead/net/endpoint_pool.py
@@ -9,7 +9,7 @@
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.config import Address
 from umberlead.net.dialing import CONNECT_TIMEOUT_MULTIPLIER, Dialer
-from umberlead.net.node_connection import EndpointConnection
+from umberlead.net.endpoint_connection import EndpointConnection
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.send_guard import Denial
 from umberlead.requests.types import Attempt
