--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -40,7 +40,7 @@
 
 from benchmarks.watched_lists import OUT, ROOT, server, sheet
 from umberlead.common.counters import Counters
-from umberlead.frontends.object_api.handler import hashed_name
+from umberlead.frontends.object_api.manifest import hashed_name
 from umberlead.net.client_connections import ClientGroup
 from umberlead.net.listener import Listener
 
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -15,7 +15,8 @@
 from umberlead import config
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
-from umberlead.frontends.object_api.handler import Manifest, ObjectApi
+from umberlead.frontends.object_api.handler import ObjectApi
+from umberlead.frontends.object_api.manifest import Manifest
 from umberlead.frontends.object_api.uploads import UploadRegistry
 from umberlead.gossip.messages import GossipKeys, MemberUpdate, Observation
 from umberlead.gossip.messages import GossipMessage as Datagram
--- a/tests/golden/wire.py
+++ b/tests/golden/wire.py
@@ -6,7 +6,6 @@
 from pathlib import Path
 
 from tests.golden.stored import HERE, lines
-from umberlead import wirehost
 from umberlead.scheduling.actions import (
     Action,
     Cancel,
@@ -19,6 +18,8 @@
     SetTimer,
     WatchEndpoints,
 )
+from umberlead.simulator_adapter.parsing import format_action
+from umberlead.simulator_adapter.session import run
 
 
 def actions(_: Path) -> bytes:
@@ -34,14 +35,14 @@
         WatchEndpoints(),
         LogNote("a b"),
     ]
-    return lines([wirehost.format_action(row) for row in rows])
+    return lines([format_action(row) for row in rows])
 
 
 def wire(_: Path) -> bytes:
     """The replies to the recorded input."""
     sink, said = io.StringIO(), io.StringIO()
     with redirect_stderr(said):
-        code = wirehost.run(io.StringIO((HERE / "wire.in").read_text()), sink)
+        code = run(io.StringIO((HERE / "wire.in").read_text()), sink)
     return f"{sink.getvalue()}{said.getvalue()}exit {code}\n".encode()
 
 
--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -11,6 +11,7 @@
 NODE, PARSER = "umberlead/net/endpoint_connection.py", "umberlead/net/response_parser.py"
 STREAM, POOL = "umberlead/net/streaming.py", "umberlead/net/endpoint_pool.py"
 WATCH, FRONT = "umberlead/net/discovery.py", "umberlead/front.py"
+BLOCKS = "umberlead/frontends/object_api/blocks.py"
 OBJECTS, START = "umberlead/frontends/object_api/handler.py", "umberlead/start.py"
 VOLUMES, SHARED = "umberlead/scheduling/rate_limits.py", "umberlead/handover/process_registry.py"
 WATCHING, GUARD = "umberlead/recovery/discovery_pacing.py", "umberlead/requests/send_guard.py"
@@ -42,8 +43,8 @@
     ("client gone: what waits behind is kept", SERVER, "        self._rejection = None\n        self._pending.discard()\n", "        self._rejection = None\n"),
     ("client gone: a dial goes on", ENGINE, "                self.carrier.unwanted(ticket.out)\n            self._post(api.ClientGone", "                pass\n            self._post(api.ClientGone"),
     ("client gone: a dial given up counts against the node", NODE, "result = reason if self.written or reason is Result.MOOT else Result.NO_LINK", "result = reason if self.written else Result.NO_LINK"),
-    ("client gone: blocks that were not begun are begun", OBJECTS, "        if call.left:\n", "        if False:\n"),
-    ("client gone: a block that waits is sent", OBJECTS, "                self.engine.forsake(ticket)\n", "                pass\n"),
+    ("client gone: blocks that were not begun are begun", BLOCKS, "        if request.client_has_left:\n", "        if False:\n"),
+    ("client gone: a block that waits is sent", OBJECTS, "                self.lifecycle.abandon(in_flight)\n", "                pass\n"),
     ("client gone: not looked for as an attempt is decided", GUARD, "return None if self._client_waits(request) else Denial.CLIENT_LEFT", "return None"),
     ("client gone: not looked for as its connection is up", GUARD, "        return self._denied_client(attempt.ticket)\n", "        return None\n"),
     ("client gone: the rest of a request follows in that turn", NODE, "if self.write_paused and not self.written and self.is_open():", "if False:"),
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.golden import exported, settings, stored, wire
-from umberlead.frontends.object_api.handler import Manifest
+from umberlead.frontends.object_api.manifest import Manifest
 from umberlead.gossip.messages import GossipKeys
 from umberlead.handover.process_claims import DescriptorClaim, parse_claim
 from umberlead.handover.shared_state import SharedState
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from umberlead import wirehost
+from umberlead.scheduling.scheduler import Scheduler
+from umberlead.simulator_adapter.session import run
 
 ROOT = Path(__file__).resolve().parent.parent
 CONFIG = (
@@ -23,7 +24,7 @@
 
 def talk(text: str) -> tuple[int, list[str]]:
     sink = io.StringIO()
-    code = wirehost.run(io.StringIO(text), sink)
+    code = run(io.StringIO(text), sink)
     return code, sink.getvalue().splitlines()
 
 
@@ -79,7 +80,7 @@
     def fall(*_: object) -> None:
         raise RuntimeError("boom")
 
-    monkeypatch.setattr(wirehost.Scheduler, "handle", fall)
+    monkeypatch.setattr(Scheduler, "handle", fall)
     code, lines = talk(START)
     assert code == 0 and lines == ["as head_0", "broken RuntimeError: boom", "ready 1"]
     assert "Traceback" in capsys.readouterr().err
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -20,7 +20,7 @@
 from umberlead.common.slot_table import SlotTable
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.frontends.object_api import ranges
-from umberlead.frontends.object_api.handler import Manifest
+from umberlead.frontends.object_api.manifest import Manifest
 from umberlead.telemetry import SyslogWriter, format_rfc5424
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -22,7 +22,9 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 # Modules of the deploy file's folders that the platform's front has no use for.
-OTHERS = {f"umberlead.frontends.{name}" for name in ("objects", "ranges", "s3", "ledger")}
+OBJECT_API = ROOT / "umberlead" / "frontends" / "object_api"
+OTHERS = {"umberlead.frontends.object_api"}
+OTHERS |= {f"umberlead.frontends.object_api.{path.stem}" for path in OBJECT_API.glob("*.py")}
 LIBRARIES = {"uvloop", "httptools", "structlog"}
 # As on the platform, where structlog finds no rich. The interpreter's looks for garbage are lines too.
 BEGIN = """
--- a/umberlead/frontends/admin_api.py
+++ b/umberlead/frontends/admin_api.py
@@ -1,11 +1,11 @@
-"""The operators' door: whether this process is ready, its figures, the list in force, and chunk servers taken
-out by hand.
+"""The admin API: whether this process is ready, its counters, the endpoint list in force, and manual drains.
 
-It has places of its own, so that no crowd of clients keeps an operator out. A connection is one call."""
+It has connections of its own, so that no number of clients keeps an operator out. A connection is one call.
+"""
 
 import json
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple, Protocol
 from urllib.parse import quote, unquote
 
 from umberlead.net.http_message import HttpRequest
@@ -18,37 +18,93 @@
     (AnswerKind.REJECTED, "shed"),
     (AnswerKind.FAILED, "errors"),
 )
+READY_PATH = "/control/ready"
+COUNTERS_PATH = "/control/counters"
 CHUNK_SERVERS_PATH = "/control/chunk-servers/"
+ZONES_PATH = "/control/rooms"
+LIST_PATH = "/control/list"
+LISTED_SERVERS_PATH = "/control/list/servers"
+CONFIRM_PATH = "/control/list/confirm/"
 DRAINED_BY_WORD = {"offline": True, "online": False}
-ZONES_PATH, OVERRIDE_BY_WORD = (
-    "/control/rooms",
-    {"evacuate": "evacuate", "forbid-spill": "forbid", "clear": ""},
-)
-LIST_PATH, LISTED_SERVERS_PATH, CONFIRM_PATH = (
-    "/control/list",
-    "/control/list/servers",
-    "/control/list/confirm/",
-)
+OVERRIDE_BY_WORD = {"evacuate": "evacuate", "forbid-spill": "forbid", "clear": ""}
+READ_METHODS = (b"GET", b"HEAD")
+
+
+class AdminResponse(NamedTuple):
+    """The response to a call.
+
+    Attributes:
+        status: the HTTP status.
+        body: the body, plain text or JSON.
+    """
+
+    status: int
+    body: bytes
+
+
+class ZoneControl(Protocol):
+    """What the API needs where requests are routed by zones."""
+
+    def status(self) -> Any:
+        """Return the state of all zones, for JSON."""
+
+    def set_override(self, zone: str, override: str) -> bool:
+        """Set a zone's override, empty for none; false if there is no such zone."""
+
+
+class ListControl(Protocol):
+    """What the API needs where endpoint lists are watched."""
+
+    def status(self) -> Any:
+        """Return the state of the list, for JSON."""
+
+    def endpoint_rows(self) -> Any:
+        """Return the listed chunk servers, for JSON."""
+
+    def confirm(self, digest: str) -> int:
+        """Put a list into force that waits for it, and return its generation.
+
+        Raises:
+            ValueError: no such list waits.
+        """
 
 
 def format_counters(lifecycle: RequestLifecycle) -> bytes:
-    """Counts since the start, and what is so now."""
+    """Return counters since the start and gauges of the present, one a line, in statsd's format."""
     lines = [
         f"svc.{word}.{quote(name, safe='')}:{lifecycle.answer_counts[kind, name]}|c"
         for name in lifecycle.classes
         for kind, word in COUNTER_NAMES_BY_KIND
     ]
-    size, avoided = lifecycle.endpoint_summary()
+    endpoint_count, avoided_count = lifecycle.endpoint_summary()
     lines += [
         f"svc.tries:{lifecycle.counters['attempts_written']}|c",
         f"svc.active:{lifecycle.unanswered_count}|g",
-        f"svc.pool_size:{size}|g",
-        f"svc.pool_ejected:{avoided}|g",
+        f"svc.pool_size:{endpoint_count}|g",
+        f"svc.pool_ejected:{avoided_count}|g",
     ]
     return "\n".join([*lines, ""]).encode()
 
 
+def _json_response(value: Any) -> AdminResponse:
+    return AdminResponse(200, json.dumps(value, indent=1).encode() + b"\n")
+
+
+def _wrong_method(method: bytes, is_change: bool) -> AdminResponse | None:
+    """Return the response to a call by a method that it does not have, or None."""
+    if is_change:
+        return None if method == b"PUT" else AdminResponse(405, b"this call is a PUT\n")
+    return None if method in READ_METHODS else AdminResponse(405, b"this call is a GET\n")
+
+
 class AdminApi:
+    """Serves the admin listener; see `umberlead.net.server_connection.RequestHandler`.
+
+    Attributes:
+        watched_lists: the watched endpoint lists, where the configuration has them.
+        zones: the routing by zones, where the configuration has it.
+    """
+
     max_body_bytes = 1024
     sends_date = False
     singleton_headers = frozenset[bytes]()
@@ -62,75 +118,83 @@
         set_manual_drain: Callable[[str, bool], None],
         knows_endpoint: Callable[[str], bool] | None = None,
     ) -> None:
-        self.lifecycle, self.is_ready, self.set_manual_drain, self.knows_endpoint = (
-            lifecycle,
-            is_ready,
-            set_manual_drain,
-            knows_endpoint or lifecycle.knows_endpoint,
-        )
-        self.watched_lists: Any = None  # where lists are watched
-        self.zones: Any = None  # where rooms are decided by
-
-    def handle_request(self, conn: ServerConnection, message: HttpRequest) -> None:
+        """Create the handler.
+
+        Args:
+            lifecycle: gives the counters.
+            is_ready: tells whether this process serves.
+            set_manual_drain: drains an endpoint, or ends that; it may raise OSError.
+            knows_endpoint: tells whether there is an endpoint by a name, by default the lifecycle's method.
+        """
+        self.lifecycle = lifecycle
+        self.is_ready = is_ready
+        self.set_manual_drain = set_manual_drain
+        self.knows_endpoint = knows_endpoint or lifecycle.knows_endpoint
+        self.watched_lists: ListControl | None = None
+        self.zones: ZoneControl | None = None
+
+    def handle_request(self, conn: ServerConnection, request: HttpRequest) -> None:
+        """Answer a call, and close the connection."""
         conn.close_after_reply = True
-        status, body = self._dispatch(message.method, message.split_target()[0].decode("latin-1"))
-        conn.send_response(status, (b"Content-Type: text/plain; charset=utf-8",), body)
+        response = self._dispatch(request.method, request.split_target()[0].decode("latin-1"))
+        conn.send_response(response.status, (b"Content-Type: text/plain; charset=utf-8",), response.body)
 
-    def _zones_call(self, method: bytes, path: str) -> tuple[int, bytes]:
+    def client_disconnected(self, conn: ServerConnection) -> None:
+        """Do nothing: each call is answered as it comes."""
+
+    def reject(self, conn: ServerConnection, status: int, reason: str) -> None:
+        """Answer a call that could not be read, or is not served."""
+        conn.send_response(status, (), f"{reason}\n".encode())
+
+    def _dispatch(self, method: bytes, path: str) -> AdminResponse:
+        if self.zones is not None and path.startswith(ZONES_PATH):
+            return self._zones_call(self.zones, method, path)
+        is_list_call = path in (LIST_PATH, LISTED_SERVERS_PATH) or path.startswith(CONFIRM_PATH)
+        if self.watched_lists is not None and is_list_call:
+            return self._list_call(self.watched_lists, method, path)
+        endpoint, _, word = path.removeprefix(CHUNK_SERVERS_PATH).partition("/")
+        is_drain = path.startswith(CHUNK_SERVERS_PATH) and word in DRAINED_BY_WORD
+        if not is_drain and path not in (READY_PATH, COUNTERS_PATH):
+            return AdminResponse(404, b"no such call\n")
+        wrong_method = _wrong_method(method, is_drain)
+        if wrong_method is not None:
+            return wrong_method
+        if is_drain:
+            return self._set_drained(unquote(endpoint), DRAINED_BY_WORD[word])
+        if path == COUNTERS_PATH:
+            return AdminResponse(200, format_counters(self.lifecycle))
+        return AdminResponse(200, b"ready\n") if self.is_ready() else AdminResponse(503, b"not ready\n")
+
+    def _zones_call(self, zones: ZoneControl, method: bytes, path: str) -> AdminResponse:
         if path == ZONES_PATH and method == b"GET":
-            return 200, json.dumps(self.zones.status(), indent=1).encode() + b"\n"
-        room, _, word = path.removeprefix(f"{ZONES_PATH}/").rpartition("/")
+            return _json_response(zones.status())
+        quoted_zone, _, word = path.removeprefix(f"{ZONES_PATH}/").rpartition("/")
         if method != b"PUT" or word not in OVERRIDE_BY_WORD:
-            return (
-                404,
-                f"GET {ZONES_PATH}, or PUT {ZONES_PATH}/NAME/WORD with {', '.join(OVERRIDE_BY_WORD)}\n".encode(),
-            )
-        if not self.zones.set_override(unquote(room), OVERRIDE_BY_WORD[word]):
-            return 404, f"no such room: {unquote(room)}\n".encode()
-        return 200, b"done\n"
-
-    def _dispatch(self, method: bytes, path: str) -> tuple[int, bytes]:
-        if self.zones is not None and path.startswith(ZONES_PATH):
-            return self._zones_call(method, path)
-        if self.watched_lists is not None and (
-            path in (LIST_PATH, LISTED_SERVERS_PATH) or path.startswith(CONFIRM_PATH)
-        ):
-            return self._list_call(method, path)
-        node, _, word = path.removeprefix(CHUNK_SERVERS_PATH).partition("/")
-        put = path.startswith(CHUNK_SERVERS_PATH) and word in DRAINED_BY_WORD
-        if not put and path not in ("/control/ready", "/control/counters"):
-            return 404, b"no such call\n"
-        if method not in ((b"PUT",) if put else (b"GET", b"HEAD")):
-            return 405, b"this call is a PUT\n" if put else b"this call is a GET\n"
-        if put:
-            return self._set_drained(unquote(node), DRAINED_BY_WORD[word])
-        if path == "/control/counters":
-            return 200, format_counters(self.lifecycle)
-        return (200, b"ready\n") if self.is_ready() else (503, b"not ready\n")
-
-    def _list_call(self, method: bytes, path: str) -> tuple[int, bytes]:
-        confirm = path.startswith(CONFIRM_PATH)
-        if method not in ((b"PUT",) if confirm else (b"GET", b"HEAD")):
-            return 405, b"this call is a PUT\n" if confirm else b"this call is a GET\n"
-        if not confirm:
-            told = self.watched_lists.status() if path == LIST_PATH else self.watched_lists.endpoint_rows()
-            return 200, json.dumps(told, indent=1).encode() + b"\n"
+            usage = f"GET {ZONES_PATH}, or PUT {ZONES_PATH}/NAME/WORD with {', '.join(OVERRIDE_BY_WORD)}\n"
+            return AdminResponse(404, usage.encode())
+        zone = unquote(quoted_zone)
+        if not zones.set_override(zone, OVERRIDE_BY_WORD[word]):
+            return AdminResponse(404, f"no such room: {zone}\n".encode())
+        return AdminResponse(200, b"done\n")
+
+    def _list_call(self, lists: ListControl, method: bytes, path: str) -> AdminResponse:
+        is_confirmation = path.startswith(CONFIRM_PATH)
+        wrong_method = _wrong_method(method, is_confirmation)
+        if wrong_method is not None:
+            return wrong_method
+        if not is_confirmation:
+            return _json_response(lists.status() if path == LIST_PATH else lists.endpoint_rows())
         try:
-            return 200, f"generation {self.watched_lists.confirm(path.removeprefix(CONFIRM_PATH))}\n".encode()
-        except ValueError as fault:
-            return 409, f"{fault}\n".encode()
+            generation = lists.confirm(path.removeprefix(CONFIRM_PATH))
+        except ValueError as error:
+            return AdminResponse(409, f"{error}\n".encode())
+        return AdminResponse(200, f"generation {generation}\n".encode())
 
-    def _set_drained(self, endpoint: str, drained: bool) -> tuple[int, bytes]:
+    def _set_drained(self, endpoint: str, drained: bool) -> AdminResponse:
         if not self.knows_endpoint(endpoint):
-            return 404, b"no such chunk server\n"
+            return AdminResponse(404, b"no such chunk server\n")
         try:
             self.set_manual_drain(endpoint, drained)
-        except OSError as fault:
-            return 500, f"{fault}\n".encode()
-        return 200, b"offline\n" if drained else b"online\n"
-
-    def client_disconnected(self, conn: ServerConnection) -> None:
-        """Every call is answered as it comes."""
-
-    def reject(self, conn: ServerConnection, status: int, reason: str) -> None:
-        conn.send_response(status, (), f"{reason}\n".encode())
+        except OSError as error:
+            return AdminResponse(500, f"{error}\n".encode())
+        return AdminResponse(200, b"offline\n" if drained else b"online\n")
--- /dev/null
+++ b/umberlead/frontends/object_api/blocks.py
@@ -0,0 +1,245 @@
+"""Blocks and manifests on chunk servers, read and written through the request lifecycle."""
+
+import asyncio
+import math
+from typing import TypeVar
+from urllib.parse import quote
+
+from umberlead.config import ObjectApiConfig, ObjectOperation
+from umberlead.frontends.object_api.errors import S3Error
+from umberlead.frontends.object_api.manifest import BlockRange, Manifest, hashed_name
+from umberlead.frontends.object_api.requests import ObjectRequest
+from umberlead.frontends.object_api.uploads import StoreState, UploadPart
+from umberlead.net.endpoint_protocol import OutgoingRequest
+from umberlead.requests.lifecycle import RequestLifecycle
+from umberlead.requests.types import Answer, AnswerKind, IncomingRequest, Reply
+from umberlead.resource_limits import MAX_BODY_BYTES
+
+READ_SERVED_STATUS = frozenset((200, 404))  # a chunk server answers 404 for a block it does not hold
+WRITE_SERVED_STATUS = frozenset((200,))
+
+T = TypeVar("T")
+
+
+def set_result_if_pending(future: asyncio.Future[T], value: T) -> None:
+    """Set a future's result, unless who waited for it has left."""
+    if not future.done():
+        future.set_result(value)
+
+
+class BlockStore:
+    """Reads and writes blocks and manifests."""
+
+    def __init__(self, config: ObjectApiConfig, lifecycle: RequestLifecycle, incarnation: str) -> None:
+        """Create a store.
+
+        Args:
+            config: the object API's configuration.
+            lifecycle: takes the requests to chunk servers.
+            incarnation: names this process and its start; it goes into the call ids.
+        """
+        self.config = config
+        self.lifecycle = lifecycle
+        self.incarnation = incarnation
+        self._last_number = 0
+
+    def next_number(self) -> int:
+        """Return the next of the numbers that requests of clients and to chunk servers share."""
+        self._last_number += 1
+        return self._last_number
+
+    async def read(
+        self, request: ObjectRequest, operation: ObjectOperation, block: str, deadline_us: int
+    ) -> Reply:
+        """Read a block.
+
+        Args:
+            request: the client's request that it is for.
+            operation: the kind of work, which gives the request's class.
+            block: the block's name.
+            deadline_us: until when.
+
+        Returns:
+            The chunk server's reply, whose status is 404 if it does not hold the block.
+
+        Raises:
+            S3Error: it was not read.
+        """
+        answer = await self._request_block(request, operation, block, None, deadline_us)
+        if answer.kind is AnswerKind.SERVED and answer.reply is not None:
+            return answer.reply
+        if answer.kind is AnswerKind.REJECTED:
+            raise S3Error("SlowDown", answer.reason or "not read in time", answer.retry_after_us)
+        raise S3Error("InternalError", "a chunk server failed")
+
+    async def read_range(
+        self, request: ObjectRequest, operation: ObjectOperation, block_range: BlockRange, deadline_us: int
+    ) -> bytes:
+        """Read a block of which it is known that it is stored, and return the bytes of a range of it.
+
+        Raises:
+            S3Error: it was not read, is missing or is cut short.
+        """
+        reply = await self.read(request, operation, block_range.block, deadline_us)
+        if reply.status != 200 or len(reply.body) != block_range.block_bytes:
+            raise S3Error("InternalError", "a block of the object is missing or cut short")
+        return reply.body[block_range.begin : block_range.end]
+
+    async def write(
+        self, request: ObjectRequest, operation: ObjectOperation, block: str, body: bytes
+    ) -> StoreState:
+        """Write a block by the client's deadline.
+
+        Returns:
+            COMPLETE, OPEN if nothing ran, or UNCERTAIN.
+        """
+        answer = await self._request_block(request, operation, block, body, request.deadline_us)
+        if answer.kind is AnswerKind.SERVED:
+            return StoreState.COMPLETE
+        return StoreState.UNCERTAIN if answer.may_have_run else StoreState.OPEN
+
+    async def store_part(
+        self, request: ObjectRequest, operation: ObjectOperation, part: UploadPart, body: bytes
+    ) -> StoreState:
+        """Write a part's blocks that are not stored yet, a few at a time.
+
+        A block that may be stored is never written again.
+
+        Returns:
+            COMPLETE, OPEN if blocks are left of which nothing ran, or UNCERTAIN.
+        """
+        block_count = -(-len(body) // self.config.block_bytes)
+        missing = [number for number in range(block_count) if not part.stored_blocks_mask >> number & 1]
+        part.state = StoreState.IN_PROGRESS
+        state = StoreState.UNCERTAIN  # what it stays if this is cancelled
+        try:
+            state = await self._store_blocks(request, operation, part, body, missing)
+            return state
+        finally:
+            part.state = state
+            for waiting in part.waiting_retries:
+                set_result_if_pending(waiting, True)
+
+    async def _store_blocks(
+        self,
+        request: ObjectRequest,
+        operation: ObjectOperation,
+        part: UploadPart,
+        body: bytes,
+        numbers: list[int],
+    ) -> StoreState:
+        for first in range(0, len(numbers), self.config.max_parallel_blocks):
+            batch = numbers[first : first + self.config.max_parallel_blocks]
+            writes = [self._store_block(request, operation, part, number, body) for number in batch]
+            states = await asyncio.gather(*writes)
+            for number, state in zip(batch, states, strict=True):
+                if state is StoreState.COMPLETE:
+                    part.stored_blocks_mask |= 1 << number
+            if StoreState.UNCERTAIN in states:
+                return StoreState.UNCERTAIN
+            if StoreState.OPEN in states:
+                return StoreState.OPEN
+        return StoreState.COMPLETE
+
+    async def _store_block(
+        self, request: ObjectRequest, operation: ObjectOperation, part: UploadPart, number: int, body: bytes
+    ) -> StoreState:
+        content = body[number * self.config.block_bytes : (number + 1) * self.config.block_bytes]
+        return await self.write(request, operation, hashed_name(part.nonce, str(number)), content)
+
+    async def read_manifest(self, request: ObjectRequest) -> Manifest | None:
+        """Read the manifest of the object; None stands for an object that isn't there or was deleted.
+
+        Raises:
+            S3Error: it was not read, or what was read isn't this object's manifest.
+        """
+        block = hashed_name("manifest", request.bucket, request.key)
+        reply = await self.read(request, self.config.read, block, request.deadline_us)
+        if reply.status == 404:
+            return None
+        try:
+            manifest = Manifest.from_bytes(reply.body)
+        except (ValueError, KeyError, TypeError):
+            raise S3Error("InternalError", "the object's manifest can't be read") from None
+        if manifest is not None and (manifest.bucket, manifest.key) != (request.bucket, request.key):
+            raise S3Error("InternalError", "the manifest is another object's")
+        return manifest
+
+    async def write_manifest(
+        self, request: ObjectRequest, operation: ObjectOperation, stored: bytes
+    ) -> StoreState:
+        """Write the manifest of the object in its stored form; see `write`.
+
+        Raises:
+            S3Error: it is too large.
+        """
+        if len(stored) > MAX_BODY_BYTES:
+            raise S3Error("InvalidRequest", "the object has more parts than its manifest can hold")
+        block = hashed_name("manifest", request.bucket, request.key)
+        return await self.write(request, operation, block, stored)
+
+    async def _request_block(
+        self,
+        request: ObjectRequest,
+        operation: ObjectOperation,
+        block: str,
+        body: bytes | None,
+        deadline_us: int,
+    ) -> Answer:
+        """Send one chunk server request; a body makes it a write."""
+        if request.client_has_left:
+            return Answer(AnswerKind.REJECTED, reason="its client left")
+        answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        block_request = self._block_request(request, operation, block, body, deadline_us)
+        in_flight = self.lifecycle.accept(
+            block_request, lambda answer: set_result_if_pending(answered, answer)
+        )
+        request.open_block_requests.add(in_flight)
+        try:
+            return await answered
+        except asyncio.CancelledError:
+            self.lifecycle.client_left(in_flight)
+            raise
+        finally:
+            request.open_block_requests.discard(in_flight)
+
+    def _block_request(
+        self,
+        request: ObjectRequest,
+        operation: ObjectOperation,
+        block: str,
+        body: bytes | None,
+        deadline_us: int,
+    ) -> IncomingRequest:
+        config = self.config
+        settings = self.lifecycle.settings
+        request_class = self.lifecycle.classes[operation.class_name]
+        volume = hashed_name("volume", request.bucket)
+        shard = int(hashed_name("shard", request.bucket, request.key), 16) % config.shard_count
+        size_bytes = config.block_bytes if body is None else len(body)
+        max_units = int(settings.max_request_units) or 1
+        units = min(max(math.ceil(size_bytes / config.unit_bytes), 1), max_units)
+        call_id = hashed_name("call", self.incarnation, str(self.next_number()))
+        outgoing = OutgoingRequest(
+            b"GET" if body is None else b"PUT",
+            f"/{quote(operation.class_name)}?block={block}".encode(),
+            [
+                b"X-Call-Id: " + call_id.encode(),
+                b"X-Plan: " + request.plan.encode(),
+                f"X-IO: volume={volume},units={units},shard={shard},hosts={settings.front_count}".encode(),
+            ],
+            body or b"",
+            READ_SERVED_STATUS if body is None else WRITE_SERVED_STATUS,
+        )
+        return IncomingRequest(
+            class_name=operation.class_name,
+            plan=request.plan,
+            volume=volume,
+            key=block,
+            shard=shard,
+            units=units,
+            deadline_us=min(deadline_us, self.lifecycle.clock() + request_class.timeout_us),
+            payload=outgoing,
+            volume_front_count=settings.front_count,
+            client_has_left=request.conn.check_disconnected,
+        )
--- /dev/null
+++ b/umberlead/frontends/object_api/requests.py
@@ -0,0 +1,99 @@
+"""Requests to the object API: how they are read, and which of S3's features are rejected."""
+
+from dataclasses import dataclass, field
+from urllib.parse import parse_qs, unquote_to_bytes
+
+from umberlead.frontends.object_api.errors import S3Error
+from umberlead.net.http_message import HttpRequest
+from umberlead.net.server_connection import ServerConnection
+from umberlead.requests.types import InFlightRequest
+
+MAX_KEY_BYTES = 1024
+MAX_BUDGET_SECONDS = 86400.0
+BUDGET_US_PER_SECOND = 0.95e6  # the remainder is for the way here and back
+IGNORED_PARAMETERS = frozenset(("x-id",))  # SDKs name the operation there
+CONDITIONAL_HEADERS = frozenset((b"if-match", b"if-none-match", b"if-modified-since", b"if-unmodified-since"))
+
+
+@dataclass(slots=True)
+class ObjectRequest:
+    """One client request while it is served.
+
+    Attributes:
+        conn: its connection.
+        http_request: the HTTP request.
+        request_id: its id in the log and in error responses.
+        bucket: the bucket.
+        key: the object's key, empty for a request about the bucket.
+        query: the query's parameters.
+        plan: the bucket's plan.
+        deadline_us: when it has to be answered; 0 once the response has begun.
+        open_block_requests: the requests for blocks that are in flight for it.
+        client_has_left: whether the client left while a write was in progress.
+    """
+
+    conn: ServerConnection
+    http_request: HttpRequest
+    request_id: str
+    bucket: str
+    key: str
+    query: dict[str, str]
+    plan: str = ""
+    deadline_us: int = 0
+    open_block_requests: set[InFlightRequest] = field(default_factory=set)
+    client_has_left: bool = False
+
+    def header(self, name: bytes) -> str:
+        """Return the value of a header field by its name in lower case, empty if there is none."""
+        return self.http_request.headers.get(name, b"").decode("latin-1").strip()
+
+
+def parse_object_request(conn: ServerConnection, http_request: HttpRequest, request_id: str) -> ObjectRequest:
+    """Read bucket, key and parameters of a request.
+
+    Raises:
+        S3Error: they are not UTF-8, or the key is too long.
+    """
+    path, query = http_request.split_target()
+    raw_bucket, _, raw_key = path.lstrip(b"/").partition(b"/")
+    try:
+        bucket = unquote_to_bytes(raw_bucket).decode()
+        key = unquote_to_bytes(raw_key).decode()
+        parameters = parse_qs(query.decode(), keep_blank_values=True)
+    except UnicodeDecodeError:
+        raise S3Error("InvalidArgument", "names must be UTF-8") from None
+    if len(key.encode()) > MAX_KEY_BYTES:
+        raise S3Error("KeyTooLongError", f"a key may have {MAX_KEY_BYTES} bytes")
+    first_values = {name: values[0] for name, values in parameters.items() if name not in IGNORED_PARAMETERS}
+    return ObjectRequest(conn, http_request, request_id, bucket, key, first_values)
+
+
+def reject_unsupported_features(request: ObjectRequest) -> None:
+    """Reject what would lose or garble data if it were ignored.
+
+    Raises:
+        S3Error: the request has signed chunks, conditions on a write, or a source to copy from.
+    """
+    http_request = request.http_request
+    if request.header(b"x-amz-content-sha256").startswith("STREAMING-"):
+        raise S3Error("NotImplemented", "signed chunks are not read here: send the body as it is, unsigned")
+    writes = http_request.method in (b"PUT", b"DELETE")
+    if writes and not CONDITIONAL_HEADERS.isdisjoint(http_request.headers):
+        raise S3Error("NotImplemented", "writes take no conditions here")
+    if request.header(b"x-amz-copy-source"):
+        raise S3Error("NotImplemented", "objects are not copied here")
+
+
+def time_budget_us(request: ObjectRequest) -> int:
+    """Return how long the client waits, which it may give in seconds as on the platform.
+
+    Raises:
+        S3Error: its X-Budget is malformed or not above 0.
+    """
+    try:
+        seconds = float(request.header(b"x-budget") or "inf")
+    except ValueError:
+        raise S3Error("InvalidArgument", "X-Budget must be seconds") from None
+    if not seconds > 0:
+        raise S3Error("InvalidArgument", "X-Budget must be above 0")
+    return int(min(seconds, MAX_BUDGET_SECONDS) * BUDGET_US_PER_SECOND)
--- a/umberlead/frontends/object_api/s3_messages.py
+++ b/umberlead/frontends/object_api/s3_messages.py
@@ -1,72 +1,74 @@
-"""The object API's words: error codes, XML answers, and the XML that a client sends."""
+"""XML of the object API: the documents that it sends, and those that clients send."""
 
 import re
-from xml.etree import ElementTree as xml
+from typing import NamedTuple
+from xml.etree import ElementTree
 
-import defusedxml.ElementTree as safe_xml
+from defusedxml.ElementTree import fromstring
+
+from umberlead.frontends.object_api.errors import S3Error
 
 XML_NAMESPACE = "http://s3.amazonaws.com/doc/2006-03-01/"
 
-STATUS_BY_CODE = {
-    "BadDigest": 400,
-    "EntityTooLarge": 413,
-    "InternalError": 500,
-    "InvalidArgument": 400,
-    "InvalidPart": 400,
-    "InvalidPartOrder": 400,
-    "InvalidRange": 416,
-    "InvalidRequest": 400,
-    "KeyTooLongError": 400,
-    "MalformedXML": 400,
-    "MethodNotAllowed": 405,
-    "NoSuchBucket": 404,
-    "NoSuchKey": 404,
-    "NoSuchUpload": 404,
-    "NotImplemented": 501,
-    "OperationAborted": 409,
-    "PreconditionFailed": 412,
-    "RequestTimeout": 408,
-    "SlowDown": 503,
-    "RequestHeaderSectionTooLarge": 431,
-}
-
-
-class S3Error(Exception):
-    """An error answer; `retry_after` in microseconds."""
-
-    def __init__(self, code: str, message: str, retry_after_us: int = 0, *headers: bytes) -> None:
-        super().__init__(message)
-        self.code, self.message, self.retry_after_us, self.headers = code, message, retry_after_us, headers
-        self.status = STATUS_BY_CODE[code]
+
+class CompletedPart(NamedTuple):
+    """A part that a client lists to complete an upload.
+
+    Attributes:
+        number: its number.
+        etag: its ETag, without quotes.
+    """
+
+    number: int
+    etag: str
 
 
 def _replace_invalid_characters(text: str) -> str:
-    """Without the characters that XML 1.0 can't hold."""
+    """Replace the characters that XML 1.0 can't hold."""
     return re.sub("[^\t\n\r\x20-\ud7ff\ue000-\ufffd\U00010000-\U0010ffff]", "?", text)
 
 
 def xml_document(name: str, fields: dict[str, str], namespace: bool = True) -> bytes:
-    root = xml.Element(name, {"xmlns": XML_NAMESPACE} if namespace else {})
+    """Return a document whose root has a child element for each field.
+
+    Args:
+        name: the root's name.
+        fields: texts by names of elements, in order.
+        namespace: whether the root is in S3's namespace.
+    """
+    root = ElementTree.Element(name, {"xmlns": XML_NAMESPACE} if namespace else {})
     for key, value in fields.items():
-        xml.SubElement(root, key).text = _replace_invalid_characters(value)
-    return b'<?xml version="1.0" encoding="UTF-8"?>\n' + xml.tostring(root)
+        ElementTree.SubElement(root, key).text = _replace_invalid_characters(value)
+    return b'<?xml version="1.0" encoding="UTF-8"?>\n' + ElementTree.tostring(root)
+
+
+def error_document(error: S3Error, resource: str, request_id: str) -> bytes:
+    """Return the document of an error response.
 
+    Args:
+        error: the error.
+        resource: the path that was requested.
+        request_id: the request's id in the log.
+    """
+    fields = {"Code": error.code, "Message": error.message, "Resource": resource, "RequestId": request_id}
+    return xml_document("Error", fields, namespace=False)
 
-def error_document(error: S3Error, resource: str, request: str) -> bytes:
-    told = {"Code": error.code, "Message": error.message, "Resource": resource, "RequestId": request}
-    return xml_document("Error", told, namespace=False)
 
+def parse_completed_parts(body: bytes) -> list[CompletedPart]:
+    """Return the parts of a CompleteMultipartUpload, as listed.
 
-def parse_completed_parts(body: bytes) -> list[tuple[int, str]]:
-    """Part numbers and ETags of a CompleteMultipartUpload, as listed."""
+    Raises:
+        S3Error: the body is no such document.
+    """
     try:
-        root = safe_xml.fromstring(body)
-        found = []
+        root = fromstring(body)
+        parts = []
         for part in root.findall("{*}Part"):
-            number, etag = part.findtext("{*}PartNumber"), part.findtext("{*}ETag")
-            found.append((int(number), etag.strip().strip('"')))
-    except (xml.ParseError, ValueError, TypeError, AttributeError):
+            number = part.findtext("{*}PartNumber")
+            etag = part.findtext("{*}ETag")
+            parts.append(CompletedPart(int(number), etag.strip().strip('"')))
+    except (ElementTree.ParseError, ValueError, TypeError, AttributeError):
         raise S3Error("MalformedXML", "the body is no CompleteMultipartUpload") from None
-    if not found or root.tag.rpartition("}")[2] != "CompleteMultipartUpload":
+    if not parts or root.tag.rpartition("}")[2] != "CompleteMultipartUpload":
         raise S3Error("MalformedXML", "the body is no CompleteMultipartUpload with parts")
-    return found
+    return parts
--- a/umberlead/frontends/platform.py
+++ b/umberlead/frontends/platform.py
@@ -1,11 +1,13 @@
-"""The platform's protocol: a client's HTTP request to an `IncomingRequest`, an `Answer` to HTTP."""
+"""The platform's protocol: a client's HTTP request to an `IncomingRequest`, and an `Answer` to HTTP."""
 
 import math
 import re
 from collections.abc import Container
 from dataclasses import dataclass
+from typing import NamedTuple
 from urllib.parse import unquote_to_bytes
 
+from umberlead.common.errors import UmberleadError
 from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.net.http_message import HttpRequest
 from umberlead.net.server_connection import ServerConnection
@@ -18,11 +20,11 @@
     IncomingRequest,
     InFlightRequest,
 )
+from umberlead.scheduling.settings import Settings
 
 FORWARDED_HEADERS = ((b"x-call-id", b"X-Call-Id: "), (b"x-plan", b"X-Plan: "), (b"x-io", b"X-IO: "))
-MAX_BUDGET_RATIO = (
-    1.25  # most that a budget may be of its class's deadline, the longest that its clients wait
-)
+MAX_BUDGET_RATIO = 1.25  # of a class's timeout, which is the longest that its clients wait
+MAX_SHARDS_COUNT = 1 << 20  # where the settings don't tell
 CALL_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
 BLOCK_PATTERN = re.compile(rb"(?:^|&)block=([0-9a-fA-F]{16})(?:&|$)")
 SECONDS_PATTERN = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")  # float() alone takes nan, 1e9, 1_0 and signs
@@ -32,161 +34,245 @@
     "hosts": re.compile(r"[0-9]{1,6}"),
     "volume": re.compile(r"[0-9a-fA-F]{1,32}"),
 }
+FAILED_TEXT = b"failed\n"
+MAY_HAVE_RUN_TEXT = b"failed; it may have taken effect\n"
+
+
+class BadRequestError(UmberleadError, ValueError):
+    """A request breaks the protocol; the text tells its client how."""
+
+
+class IoFields(NamedTuple):
+    """The X-IO header field.
+
+    Attributes:
+        units: the request's size.
+        shard: the shard that holds the data; -1 for a new object.
+        front_count: the fronts through which the volume works.
+        volume: the volume, in hexadecimal digits.
+    """
+
+    units: float
+    shard: int
+    front_count: int
+    volume: str
+
+
+@dataclass(frozen=True, slots=True)
+class StreamedAnswer:
+    """What a connection has as its context while a long answer is sent on it.
 
+    Attributes:
+        class_name: the request's class.
+    """
 
-class BadRequestError(ValueError):
-    """The client's mistake; the text tells it."""
+    class_name: str
 
 
 def class_name_of(target: bytes, known: Container[str]) -> str:
-    """The first part of the path, as it stands or, where that names no class, with its escapes undone."""
-    part = target.partition(b"?")[0].lstrip(b"/").split(b"/", 1)[0]
-    plain = part.decode("latin-1")
-    return plain if plain in known else unquote_to_bytes(part).decode("utf-8", "replace")
+    """Return the class that a request target names by its first path segment.
+
+    Args:
+        target: the request target.
+        known: the names of the classes. The segment is taken as it stands if it is one of these, and with its
+            percent escapes decoded otherwise.
+    """
+    segment = target.partition(b"?")[0].lstrip(b"/").split(b"/", 1)[0]
+    name = segment.decode("latin-1")
+    return name if name in known else unquote_to_bytes(segment).decode("utf-8", "replace")
+
+
+def _parse_plan(headers: dict[bytes, bytes], known: Container[str]) -> str:
+    raw_plan = headers.get(b"x-plan", b"")
+    plan = raw_plan.decode("latin-1")
+    if plan not in known:
+        plan = raw_plan.decode("utf-8", "replace")
+    if plan not in known:
+        raise BadRequestError(f"X-Plan: no such plan: {plan}")
+    return plan
+
+
+def _parse_budget_seconds(headers: dict[bytes, bytes], timeout_us: int) -> float:
+    """Return how long the client waits, by default the class's timeout."""
+    budget = headers.get(b"x-budget")
+    timeout_seconds = timeout_us / 1e6
+    if budget is None:
+        seconds = timeout_seconds
+    elif SECONDS_PATTERN.fullmatch(budget) is None:
+        raise BadRequestError("X-Budget must be seconds")
+    else:
+        seconds = float(budget)
+    if not 0 < seconds <= timeout_seconds * MAX_BUDGET_RATIO:
+        raise BadRequestError("X-Budget is out of range")
+    return seconds
+
+
+def _parse_io(headers: dict[bytes, bytes], settings: Settings) -> IoFields:
+    pairs = headers.get(b"x-io", b"").decode("latin-1").split(",")
+    fields = {"hosts": "1"} | dict(pair.strip().partition("=")[::2] for pair in pairs)
+    if any(pattern.fullmatch(fields.get(name, "")) is None for name, pattern in IO_FIELD_PATTERNS.items()):
+        raise BadRequestError("X-IO is missing or malformed")
+    io = IoFields(float(fields["units"]), int(fields["shard"]), int(fields["hosts"]), fields["volume"])
+    shard_count = settings.shard_count or MAX_SHARDS_COUNT
+    max_units = max(settings.max_request_units, 1)
+    if not (0 < io.units <= max_units and io.shard < shard_count and io.front_count):
+        raise BadRequestError("X-IO is out of range")
+    return io
 
 
 def parse_request(
-    message: HttpRequest, lifecycle: RequestLifecycle, answer_margin_us: int
+    request: HttpRequest, lifecycle: RequestLifecycle, answer_margin_us: int
 ) -> IncomingRequest:
-    """What the client wants, or `BadRequest`."""
-    _, query = message.split_target()
-    class_name = class_name_of(message.target, lifecycle.classes)
-    cls = lifecycle.classes.get(class_name)
-    if cls is None:
+    """Read a client's request.
+
+    Args:
+        request: the HTTP request.
+        lifecycle: knows classes, plans and settings.
+        answer_margin_us: how much of the client's budget is left for the way here and back.
+
+    Raises:
+        BadRequestError: it breaks the protocol.
+    """
+    headers = request.headers
+    class_name = class_name_of(request.target, lifecycle.classes)
+    request_class = lifecycle.classes.get(class_name)
+    if request_class is None:
         raise BadRequestError(f"no such class: {class_name}")
-    got = message.headers
-    plan = got.get(b"x-plan", b"").decode("latin-1")
-    if plan not in lifecycle.plans:
-        plan = got.get(b"x-plan", b"").decode("utf-8", "replace")
-    if plan not in lifecycle.plans:
-        raise BadRequestError(f"X-Plan: no such plan: {plan}")
-    if CALL_ID_PATTERN.fullmatch(got.get(b"x-call-id", b"")) is None:
+    plan = _parse_plan(headers, lifecycle.plans)
+    if CALL_ID_PATTERN.fullmatch(headers.get(b"x-call-id", b"")) is None:
         raise BadRequestError("X-Call-Id is missing or malformed")
-    if message.method not in (b"GET", b"PUT"):
+    if request.method not in (b"GET", b"PUT"):
         raise BadRequestError("a read is a GET, a write is a PUT")
-    found = BLOCK_PATTERN.search(query)
-    if found is None:
+    block = BLOCK_PATTERN.search(request.split_target()[1])
+    if block is None:
         raise BadRequestError("block must be 16 hex digits")
-    told, of = got.get(b"x-budget"), lifecycle.settings
-    if told is not None and SECONDS_PATTERN.fullmatch(told) is None:
-        raise BadRequestError("X-Budget must be seconds")
-    budget = cls.timeout_us / 1e6 if told is None else float(told)
-    if not 0 < budget <= cls.timeout_us / 1e6 * MAX_BUDGET_RATIO:
-        raise BadRequestError("X-Budget is out of range")
-    listed = got.get(b"x-io", b"").decode("latin-1").split(",")
-    io = {"hosts": "1"} | dict(pair.strip().partition("=")[::2] for pair in listed)
-    if any(word.fullmatch(io.get(name, "")) is None for name, word in IO_FIELD_PATTERNS.items()):
-        raise BadRequestError("X-IO is missing or malformed")
-    units, shard, hosts = float(io["units"]), int(io["shard"]), int(io["hosts"])
-    if not (0 < units <= max(of.max_request_units, 1) and shard < (of.shard_count or 1 << 20) and hosts):
-        raise BadRequestError("X-IO is out of range")
-    if message.body and message.method == b"GET":
+    budget_us = int(_parse_budget_seconds(headers, request_class.timeout_us) * 1e6)
+    io = _parse_io(headers, lifecycle.settings)
+    if request.body and request.method == b"GET":
         raise BadRequestError("a read has no body")
-    passed = [name + got[key] for key, name in FORWARDED_HEADERS if key in got]
-    out = OutgoingRequest(message.method, message.target, passed, message.body)
-    # The budget counts from the client's sending: the margin is for the way here and back.
-    give_up = message.received_us + max(int(budget * 1e6) - answer_margin_us, 0)
     return IncomingRequest(
-        class_name,
-        plan,
-        io["volume"],
-        found[1].decode(),
-        shard,
-        units,
-        give_up,
-        out,
-        hosts,
-        got.get(b"x-again") == b"1",
-        got[b"x-call-id"],
-        True,
+        class_name=class_name,
+        plan=plan,
+        volume=io.volume,
+        key=block[1].decode(),
+        shard=io.shard,
+        units=io.units,
+        # The budget counts from the client's sending.
+        deadline_us=request.received_us + max(budget_us - answer_margin_us, 0),
+        payload=_outgoing_request(request),
+        volume_front_count=io.front_count,
+        is_client_retry=headers.get(b"x-again") == b"1",
+        call_id=headers[b"x-call-id"],
+        accepts_stream=True,
     )
 
 
-@dataclass(frozen=True, slots=True)
-class StreamedAnswer:
-    """Whose long answer is on its way."""
-
-    class_name: str
+def _outgoing_request(request: HttpRequest) -> OutgoingRequest:
+    headers = request.headers
+    forwarded = [line_start + headers[name] for name, line_start in FORWARDED_HEADERS if name in headers]
+    return OutgoingRequest(request.method, request.target, forwarded, request.body)
 
 
 class PlatformFrontend:
-    """Translates, and decides nothing."""
+    """Serves the platform's listener; see `umberlead.net.server_connection.RequestHandler`.
+
+    It translates and decides nothing.
+    """
 
     max_body_bytes = MAX_STREAM_BYTES
-    sends_date = False  # the platform asks for no header
+    sends_date = False  # the platform needs none
     singleton_headers = frozenset((b"x-call-id", b"x-plan", b"x-io", b"x-budget", b"x-again"))
     allows_slow_bodies = False
 
     def __init__(self, lifecycle: RequestLifecycle, retry_after_us: int, answer_margin_us: int) -> None:
-        self.lifecycle, self.answer_margin_us = lifecycle, answer_margin_us
+        """Create the handler.
+
+        Args:
+            lifecycle: takes the requests.
+            retry_after_us: when clients that are rejected may retry, where the lifecycle gives no advice.
+            answer_margin_us: how much of a client's budget is left for the way here and back.
+        """
+        self.lifecycle = lifecycle
+        self.answer_margin_us = answer_margin_us
         self.retry_after_us = retry_after_us
         self.ready = True
 
-    def handle_request(self, conn: ServerConnection, message: HttpRequest) -> None:
-        if message.target == b"/healthz" and message.method in (b"GET", b"HEAD"):
+    def handle_request(self, conn: ServerConnection, request: HttpRequest) -> None:
+        """Hand a request to the lifecycle, or answer at once what isn't one."""
+        if request.target == b"/healthz" and request.method in (b"GET", b"HEAD"):
             conn.send_response(200 if self.ready else 503, (), b"ok\n" if self.ready else b"not ready\n")
             return
         try:
-            ask = parse_request(message, self.lifecycle, self.answer_margin_us)
-        except BadRequestError as fault:
+            incoming = parse_request(request, self.lifecycle, self.answer_margin_us)
+        except BadRequestError as error:
             self.lifecycle.counters.add("bad_requests_400")
-            conn.send_response(400, (), f"{fault}\n".encode())
+            conn.send_response(400, (), f"{error}\n".encode())
             return
-        conn.handler_context, ask.client_has_left = None, conn.check_disconnected
+        conn.handler_context = None
+        incoming.client_has_left = conn.check_disconnected
         try:
-            ticket = self.lifecycle.accept(ask, lambda answer: self._answer(conn, message, answer))
-        except DuplicateRequestError as fault:
-            conn.send_response(409, (), f"{fault}\n".encode())
+            in_flight = self.lifecycle.accept(incoming, lambda answer: self._answer(conn, request, answer))
+        except DuplicateRequestError as error:
+            conn.send_response(409, (), f"{error}\n".encode())
             return
-        if not ticket.answered:
-            conn.handler_context = ticket
+        if not in_flight.answered:
+            conn.handler_context = in_flight
 
-    def _answer(self, conn: ServerConnection, message: HttpRequest, answer: Answer) -> None:
-        if conn.active_request is not message:
+    def _answer(self, conn: ServerConnection, request: HttpRequest, answer: Answer) -> None:
+        if conn.active_request is not request:
             return
         conn.handler_context = None
-        if answer.kind is AnswerKind.SERVED and answer.reply is not None:
-            if answer.reply.stream is not None:
-                conn.handler_context = relayed = StreamedAnswer(
-                    class_name_of(message.target, self.lifecycle.classes)
-                )
-                return conn.stream_response(
-                    200,
-                    answer.reply.body_length,
-                    answer.reply.body,
-                    answer.reply.stream,
-                    lambda whole: self._stream_ended(conn, relayed, whole),
-                )
-            if conn.clients.has_buffer_for(len(answer.reply.body)):
-                return conn.send_response(200, (), answer.reply.body)
-            self.lifecycle.counters.add("answers_over_memory")
-            conn.send_response(502, (), b"failed; it may have taken effect\n")
-        elif answer.kind is AnswerKind.REJECTED:
+        reply = answer.reply
+        if answer.kind is AnswerKind.REJECTED:
             self.reply_rejected(conn, answer.retry_after_us, answer.reason)
-        else:
-            conn.send_response(
-                502, (), b"failed; it may have taken effect\n" if answer.may_have_run else b"failed\n"
+        elif answer.kind is not AnswerKind.SERVED or reply is None:
+            conn.send_response(502, (), MAY_HAVE_RUN_TEXT if answer.may_have_run else FAILED_TEXT)
+        elif reply.stream is not None:
+            streamed = StreamedAnswer(class_name_of(request.target, self.lifecycle.classes))
+            conn.handler_context = streamed
+            conn.stream_response(
+                200,
+                reply.body_length,
+                reply.body,
+                reply.stream,
+                lambda complete: self._stream_ended(conn, streamed, complete),
             )
+        elif conn.clients.has_buffer_for(len(reply.body)):
+            conn.send_response(200, (), reply.body)
+        else:
+            self.lifecycle.counters.add("answers_over_memory")
+            conn.send_response(502, (), MAY_HAVE_RUN_TEXT)
 
-    def _stream_ended(self, conn: ServerConnection, relayed: StreamedAnswer, whole: bool) -> None:
+    def _stream_ended(self, conn: ServerConnection, streamed: StreamedAnswer, complete: bool) -> None:
         conn.handler_context = None
-        self.lifecycle.stream_ended(relayed.class_name, whole)
+        self.lifecycle.stream_ended(streamed.class_name, complete)
 
     def reply_rejected(self, conn: ServerConnection, retry_after_us: int, reason: str) -> None:
-        """At once, and telling when to come back."""
-        wait = math.ceil((retry_after_us or self.retry_after_us) / 1000) / 1000
-        conn.send_response(503, (b"Retry-After: %g" % wait,), f"refused: {reason or 'try later'}\n".encode())
+        """Answer that a request was rejected, and when its client may retry.
+
+        Args:
+            conn: the client's connection.
+            retry_after_us: when, in microseconds; 0 stands for the front's usual value.
+            reason: a text for the client.
+        """
+        seconds = math.ceil((retry_after_us or self.retry_after_us) / 1000) / 1000
+        body = f"refused: {reason or 'try later'}\n".encode()
+        conn.send_response(503, (b"Retry-After: %g" % seconds,), body)
 
     def client_disconnected(self, conn: ServerConnection) -> None:
-        ticket, conn.handler_context = conn.handler_context, None
-        if isinstance(ticket, InFlightRequest):
-            self.lifecycle.client_left(ticket)
-        elif isinstance(ticket, StreamedAnswer):
-            self.lifecycle.stream_ended(ticket.class_name, None)
+        """Tell the lifecycle that a client left before the end of its answer."""
+        context = conn.handler_context
+        conn.handler_context = None
+        if isinstance(context, InFlightRequest):
+            self.lifecycle.client_left(context)
+        elif isinstance(context, StreamedAnswer):
+            self.lifecycle.stream_ended(context.class_name, None)
 
     def reject(self, conn: ServerConnection, status: int, reason: str) -> None:
+        """Answer a request that could not be read, or is not served."""
         if status == 503:
-            self.lifecycle.count_unread_rejection(class_name_of(conn.rejected_target, self.lifecycle.classes))
+            class_name = class_name_of(conn.rejected_target, self.lifecycle.classes)
+            self.lifecycle.count_unread_rejection(class_name)
             self.reply_rejected(conn, 0, reason)
         else:
             conn.send_response(status, (), f"{reason}\n".encode())
--- a/umberlead/plugins.py
+++ b/umberlead/plugins.py
@@ -1,14 +1,17 @@
-"""Operators' plug-ins: Python scripts with hooks on a request's way. They never send attempts and can't undo
-a rule: they see copies, and the engine decides what becomes of their word.
+"""Operators' plug-ins: Python scripts with hooks that see requests, outcomes and answers.
+
+They never send attempts and can't override a rule: they get copies, and the request lifecycle decides what
+becomes of what they return.
 
 Version 1 of the interface. A script sets `API = 1` and defines any of
 
-    request_taken(request)  -> None to pass, a dict of notes to annotate, or a string: refuse, for that reason
+    request_taken(request)  -> None to pass, a dict of annotations, or a string: reject, for that reason
     outcome(request, outcome)
     answer(request, answer)
 
-where each argument is a dict of plain values. A hook that raises, answers something else or runs longer than
-`plugins.limit_ms` is logged and counted, and its script is disabled."""
+where each argument is a dict of plain values. A hook that raises, returns something else or runs longer than
+`plugins.limit_ms` is logged and counted, and its script is disabled.
+"""
 
 import signal
 import time
@@ -18,36 +21,63 @@
 from typing import Any
 
 from umberlead.common.counters import Counters
+from umberlead.common.errors import UmberleadError
 from umberlead.config import ConfigError
 from umberlead.requests.types import Answer, InFlightRequest
 from umberlead.scheduling.events import AttemptResult
 
 API_VERSION = 1
-HOOK_NAMES = ("request_taken", "outcome", "answer")
-MAX_ANNOTATIONS_COUNT, MAX_ANNOTATION_SIZE = 16, 256
+REQUEST_HOOK = "request_taken"
+OUTCOME_HOOK = "outcome"
+ANSWER_HOOK = "answer"
+HOOK_NAMES = (REQUEST_HOOK, OUTCOME_HOOK, ANSWER_HOOK)
+MAX_ANNOTATIONS_COUNT = 16  # of one hook's return value
+MAX_ANNOTATION_SIZE = 256  # characters of a name, a value or a reason
+ALARM_TIMEOUT_FACTOR = 2  # of the timeout: a hook that is still running then is interrupted
 
 
-class HookTimeoutError(Exception):
-    """The hook ran too long."""
+class HookTimeoutError(UmberleadError):
+    """A hook ran too long."""
 
 
 class Plugin:
+    """One script.
+
+    Attributes:
+        name: its file's name without the suffix.
+        enabled: whether its hooks are called.
+        hooks: the hooks that it defines, by name.
+    """
+
     def __init__(self, path: Path, key: str) -> None:
-        self.name, self.enabled = path.stem, True
-        space: dict[str, Any] = {"__name__": f"umberlead_plugin_{path.stem}", "__file__": str(path)}
+        """Run a script.
+
+        Args:
+            path: its file.
+            key: the key of the configuration that names it, for errors.
+
+        Raises:
+            ConfigError: it fails, or is for another version of the interface.
+        """
+        self.name = path.stem
+        self.enabled = True
+        namespace: dict[str, Any] = {"__name__": f"umberlead_plugin_{path.stem}", "__file__": str(path)}
         try:
-            exec(compile(path.read_text(), str(path), "exec"), space)
-        except Exception as fault:
-            raise ConfigError(key, f"{path.name} does not load: {type(fault).__name__}: {fault}") from None
-        if space.get("API") != API_VERSION:
+            exec(compile(path.read_text(), str(path), "exec"), namespace)
+        except Exception as error:
+            raise ConfigError(key, f"{path.name} does not load: {type(error).__name__}: {error}") from None
+        if namespace.get("API") != API_VERSION:
             raise ConfigError(key, f"{path.name} must set API = {API_VERSION}")
         self.hooks: dict[str, Callable[..., Any]] = {
-            h: space[h] for h in HOOK_NAMES if callable(space.get(h))
+            name: namespace[name] for name in HOOK_NAMES if callable(namespace.get(name))
         }
 
 
 class PluginHooks:
-    """The engine's hooks, handed on to every script that is still enabled, in the order they are named."""
+    """Calls each script that is enabled, in the order of the configuration.
+
+    It implements `umberlead.requests.types.RequestHooks`.
+    """
 
     def __init__(
         self,
@@ -57,93 +87,117 @@
         log: Callable[..., Any],
         trace_log: Callable[..., Any] | None = None,
     ) -> None:
-        self.trace_log = trace_log  # where every answer is told, with the notes that scripts made
-        self.hook_timeout_us, self.counters, self.log = hook_timeout_us, counters, log
-        self.plugins = [Plugin(p, f"plugins.scripts.{n}") for n, p in enumerate(paths)]
+        """Load the scripts.
+
+        Args:
+            paths: their files.
+            hook_timeout_us: how long a hook may run.
+            counters: count rejections and disabled scripts.
+            log: logs a script that is disabled.
+            trace_log: logs each answer with the scripts' annotations, where given.
+
+        Raises:
+            ConfigError: a script does not load.
+        """
+        self.trace_log = trace_log
+        self.hook_timeout_us = hook_timeout_us
+        self.counters = counters
+        self.log = log
+        self.plugins = [Plugin(path, f"plugins.scripts.{number}") for number, path in enumerate(paths)]
         self._in_hook = False
         if self.plugins:  # the alarm stops a hook that would never end
             signal.signal(signal.SIGALRM, self._on_alarm)
 
-    def _on_alarm(self, _signal: int, _frame: FrameType | None) -> None:
-        if self._in_hook:
-            raise HookTimeoutError
-
-    def _run_hook(self, plugin: Plugin, hook: str, *args: Any) -> Any:
-        what = plugin.hooks.get(hook)
-        if what is None or not plugin.enabled:
-            return None
-        began = time.monotonic_ns()
-        try:
-            self._in_hook = True
-            signal.setitimer(signal.ITIMER_REAL, self.hook_timeout_us * 2 / 1e6)
-            try:
-                got = what(*args)
-            finally:
-                self._in_hook = False
-                signal.setitimer(signal.ITIMER_REAL, 0)
-            if (time.monotonic_ns() - began) // 1000 > self.hook_timeout_us:
-                raise HookTimeoutError
-            return got
-        except Exception as fault:
-            self._disable(plugin, hook, "overrun" if isinstance(fault, HookTimeoutError) else repr(fault))
-            return None
-
-    def _disable(self, plugin: Plugin, hook: str, why: str) -> None:
-        plugin.enabled = False
-        self.counters.add("plugins_disabled")
-        self.log("plugin_disabled", plugin=plugin.name, hook=hook, why=why)
-
-    @staticmethod
-    def _describe_request(request: InFlightRequest) -> dict[str, Any]:
-        ask = request.request
-        return {
-            "id": request.id,
-            "class": ask.class_name,
-            "plan": ask.plan,
-            "volume": ask.volume,
-            "key": ask.key,
-            "shard": ask.shard,
-            "units": ask.units,
-            "notes": dict(request.annotations),
-        }
-
     def on_request(self, request: InFlightRequest) -> str | None:
+        """Let the scripts annotate or reject a request; return the reason for a rejection."""
         for plugin in self.plugins:
-            got = self._run_hook(plugin, "request_taken", self._describe_request(request))
-            if isinstance(got, str):
+            returned = self._run_hook(plugin, REQUEST_HOOK, self._describe_request(request))
+            if isinstance(returned, str):
                 self.counters.add("requests_refused_by_plugin")
-                return got[:MAX_ANNOTATION_SIZE] or "refused by a plug-in"
-            if isinstance(got, dict):
-                for key, value in list(got.items())[:MAX_ANNOTATIONS_COUNT]:
-                    request.annotations[str(key)[:MAX_ANNOTATION_SIZE]] = str(value)[:MAX_ANNOTATION_SIZE]
-            elif got is not None:
-                self._disable(plugin, "request_taken", f"answered {type(got).__name__}")
+                return returned[:MAX_ANNOTATION_SIZE] or "refused by a plug-in"
+            if isinstance(returned, dict):
+                for name, value in list(returned.items())[:MAX_ANNOTATIONS_COUNT]:
+                    request.annotations[str(name)[:MAX_ANNOTATION_SIZE]] = str(value)[:MAX_ANNOTATION_SIZE]
+            elif returned is not None:
+                self._disable(plugin, REQUEST_HOOK, f"answered {type(returned).__name__}")
         return None
 
     def on_outcome(
         self, request: InFlightRequest, endpoint: str, result: AttemptResult, elapsed_us: int
     ) -> None:
+        """Show the scripts how an attempt ended."""
         for plugin in self.plugins:
-            told = {
+            outcome = {
                 "node": endpoint,
                 "result": result.value,
                 "elapsed_us": elapsed_us,
                 "attempt": request.attempt_count - 1,
             }
-            self._run_hook(plugin, "outcome", self._describe_request(request), told)
+            self._run_hook(plugin, OUTCOME_HOOK, self._describe_request(request), outcome)
 
     def on_answer(self, request: InFlightRequest, answer: Answer) -> None:
+        """Show the scripts a request's final answer, and log it where answers are traced."""
         for plugin in self.plugins:
-            told = {"kind": answer.kind.value, "reason": answer.reason, "attempts": request.attempt_count}
-            self._run_hook(plugin, "answer", self._describe_request(request), told)
+            answer_fields = {
+                "kind": answer.kind.value,
+                "reason": answer.reason,
+                "attempts": request.attempt_count,
+            }
+            self._run_hook(plugin, ANSWER_HOOK, self._describe_request(request), answer_fields)
         if self.trace_log is not None:
-            ask = request.request
+            incoming = request.request
             self.trace_log(
                 "answered",
                 id=request.id,
-                cls=ask.class_name,
-                plan=ask.plan,
+                cls=incoming.class_name,
+                plan=incoming.plan,
                 kind=answer.kind.value,
                 attempts=request.attempt_count,
-                **{f"note_{k}": v for k, v in request.annotations.items()},
+                **{f"note_{name}": value for name, value in request.annotations.items()},
             )
+
+    def _on_alarm(self, _signal: int, _frame: FrameType | None) -> None:
+        if self._in_hook:
+            raise HookTimeoutError
+
+    def _run_hook(self, plugin: Plugin, hook_name: str, *args: Any) -> Any:
+        """Return what a script's hook returns, or None; a hook that fails disables its script."""
+        hook = plugin.hooks.get(hook_name)
+        if hook is None or not plugin.enabled:
+            return None
+        started_ns = time.monotonic_ns()
+        try:
+            self._in_hook = True
+            signal.setitimer(signal.ITIMER_REAL, self.hook_timeout_us * ALARM_TIMEOUT_FACTOR / 1e6)
+            try:
+                returned = hook(*args)
+            finally:
+                self._in_hook = False
+                signal.setitimer(signal.ITIMER_REAL, 0)
+            if (time.monotonic_ns() - started_ns) // 1000 > self.hook_timeout_us:
+                raise HookTimeoutError
+            return returned
+        except Exception as error:
+            reason = "overrun" if isinstance(error, HookTimeoutError) else repr(error)
+            self._disable(plugin, hook_name, reason)
+            return None
+
+    def _disable(self, plugin: Plugin, hook_name: str, reason: str) -> None:
+        plugin.enabled = False
+        self.counters.add("plugins_disabled")
+        self.log("plugin_disabled", plugin=plugin.name, hook=hook_name, reason=reason)
+
+    @staticmethod
+    def _describe_request(request: InFlightRequest) -> dict[str, Any]:
+        """Return a request as scripts see it."""
+        incoming = request.request
+        return {
+            "id": request.id,
+            "class": incoming.class_name,
+            "plan": incoming.plan,
+            "volume": incoming.volume,
+            "key": incoming.key,
+            "shard": incoming.shard,
+            "units": incoming.units,
+            "notes": dict(request.annotations),
+        }
--- /dev/null
+++ b/umberlead/simulator_adapter/session.py
@@ -0,0 +1,213 @@
+"""A session with the simulator: the scheduler instances that it has started, and its batches."""
+
+import sys
+import traceback
+from typing import TextIO
+
+from umberlead.config import parse_settings
+from umberlead.scheduling.actions import Action
+from umberlead.scheduling.events import Endpoint, Event
+from umberlead.scheduling.scheduler import Scheduler
+from umberlead.simulator_adapter.errors import SchedulerFailedError, SimulatorProtocolError
+from umberlead.simulator_adapter.parsing import (
+    ParsingContext,
+    format_action,
+    parse_event,
+    parse_listed_endpoint,
+    parse_setting_pairs,
+)
+from umberlead.simulator_adapter.wire_tables import NO_VALUE
+
+PROTOCOL_ERROR_STATUS = 2  # of the process
+
+
+class LineReader:
+    """Reads lines of the input, and counts them for error messages.
+
+    Attributes:
+        number: the number of the latest line, from 1.
+    """
+
+    def __init__(self, source: TextIO) -> None:
+        """Read from `source`."""
+        self.source = source
+        self.number = 0
+
+    def next_words(self) -> list[str] | None:
+        """Return the next line's words, or None at the end of the input."""
+        line = self.source.readline()
+        if not line:
+            return None
+        self.number += 1
+        return line.rstrip("\n").split(" ")
+
+
+class AdapterSession:
+    """The scheduler instances of one adapter process, and the endpoint lists that it was sent.
+
+    Attributes:
+        schedulers: the schedulers by instance.
+        contexts: what lines for an instance refer to, by instance.
+        endpoint_lists: lists by number, until a number is used again.
+        now_us: the simulator's time, in microseconds.
+    """
+
+    def __init__(self) -> None:
+        """Create a session without instances."""
+        self.schedulers: dict[str, Scheduler] = {}
+        self.contexts: dict[str, ParsingContext] = {}
+        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
+        self.now_us = 0
+
+    def start_instance(self, instance: str, words: list[str]) -> None:
+        """Start an instance by `enlist SEED PATH=VALUE...`.
+
+        Raises:
+            ValueError: the settings are wrong.
+            SimulatorProtocolError: a setting has no value.
+        """
+        pairs = parse_setting_pairs(words[2:])
+        settings = parse_settings(pairs)
+        names = pairs.get("loadReport.fields", "").split(",")
+        load_report_fields = [name for name in names if name and name != NO_VALUE]
+        self.contexts[instance] = ParsingContext(load_report_fields, self.endpoint_lists)
+        self.schedulers[instance] = Scheduler(settings, int(words[1]), self.now_us)
+
+    def run_scheduler(self, instance: str, events: list[Event]) -> list[Action]:
+        """Hand an instance its events, and return its actions.
+
+        Raises:
+            SchedulerFailedError: it raised an exception.
+        """
+        try:
+            return self.schedulers[instance].handle(self.now_us, events)
+        except Exception as error:
+            traceback.print_exc()
+            text = f"{type(error).__name__}: {error}".replace("\n", " ")
+            raise SchedulerFailedError(f"as {instance}\nbroken {text}") from error
+
+
+class Batch:
+    """One batch: its lines, and the events of each instance.
+
+    Attributes:
+        session: the session.
+        reader: gives the lines.
+        instance: the instance that lines are for at present, empty before the first `about`.
+        events: the events by instance, in the order in which they came.
+    """
+
+    def __init__(self, session: AdapterSession, reader: LineReader) -> None:
+        """Create an empty batch."""
+        self.session = session
+        self.reader = reader
+        self.instance = ""
+        self.events: dict[str, list[Event]] = {}
+
+    def run(self, output: list[str]) -> None:
+        """Read the batch to its end, and add the lines of each instance's actions to `output`.
+
+        Raises:
+            SimulatorProtocolError: the simulator broke the protocol.
+            SchedulerFailedError: a scheduler raised an exception.
+        """
+        self._read()
+        for instance, events in self.events.items():
+            actions = self.session.run_scheduler(instance, events)
+            if actions:
+                output.append(f"as {instance}")
+                output.extend(format_action(action) for action in actions)
+
+    def _read(self) -> None:
+        while True:
+            words = self.reader.next_words()
+            if words is None:
+                raise SimulatorProtocolError("input ended inside a batch")
+            match words[0]:
+                case "eof_batch":
+                    return
+                case "manifest":
+                    self._read_endpoint_list(words)
+                case "about":
+                    self.instance = words[1]
+                case "enlist":
+                    self._start_instance(words)
+                case "shutdown":
+                    self._stop_instance()
+                case _:
+                    self._add_event(words)
+
+    def _read_endpoint_list(self, words: list[str]) -> None:
+        """Read `manifest NUMBER COUNT` and the lines of its endpoints."""
+        endpoints = []
+        for _ in range(int(words[2])):
+            line = self.reader.next_words()
+            if line is None or line[0] != "item":
+                raise SimulatorProtocolError("a list is shorter than it says")
+            endpoints.append(parse_listed_endpoint(line))
+        self.session.endpoint_lists[int(words[1])] = tuple(endpoints)
+
+    def _start_instance(self, words: list[str]) -> None:
+        if not self.instance:
+            raise SimulatorProtocolError("enlist before any about")
+        self.events.pop(self.instance, None)
+        try:
+            self.session.start_instance(self.instance, words)
+        except ValueError as error:
+            raise SimulatorProtocolError(str(error)) from None
+        self.events[self.instance] = []
+
+    def _stop_instance(self) -> None:
+        if self.instance not in self.session.schedulers:
+            raise SimulatorProtocolError(f"shutdown for unknown instance {self.instance or '(none)'}")
+        self.events.pop(self.instance, None)
+        del self.session.schedulers[self.instance]
+
+    def _add_event(self, words: list[str]) -> None:
+        if self.instance not in self.session.schedulers:
+            name = self.instance or "(none)"
+            raise SimulatorProtocolError(f"{words[0]} for an instance that was not enlisted: {name}")
+        event = parse_event(words, self.session.contexts[self.instance])
+        if event is not None:
+            self.events.setdefault(self.instance, []).append(event)
+
+
+def _run_batches(reader: LineReader, sink: TextIO) -> None:
+    session = AdapterSession()
+    while (words := reader.next_words()) is not None:
+        if words == [""]:
+            continue
+        if words[0] != "sync" or len(words) != 3:
+            raise SimulatorProtocolError(f"expected sync, found {words[0]}")
+        session.now_us = int(words[1])
+        output: list[str] = []
+        try:
+            Batch(session, reader).run(output)
+        except SchedulerFailedError as error:
+            output.append(str(error))
+        output.append(f"ready {words[2]}")
+        sink.write("\n".join(output) + "\n")
+        sink.flush()
+
+
+def run(source: TextIO, sink: TextIO) -> int:
+    """Answer batches until the input ends.
+
+    Args:
+        source: gives the simulator's lines.
+        sink: takes the answers.
+
+    Returns:
+        The status that the process ends with: 0, or 2 for an error, which is printed on standard error with
+        the number of its line.
+    """
+    reader = LineReader(source)
+    try:
+        _run_batches(reader, sink)
+    except SimulatorProtocolError as error:
+        print(f"line {reader.number}: {error}", file=sys.stderr)
+        return PROTOCOL_ERROR_STATUS
+    except (IndexError, ValueError, KeyError) as error:
+        print(f"line {reader.number}: malformed ({type(error).__name__}: {error})", file=sys.stderr)
+        return PROTOCOL_ERROR_STATUS
+    return 0
--- /dev/null
+++ b/umberlead/simulator_adapter/wire_tables.py
@@ -0,0 +1,24 @@
+"""The simulator's words for the scheduler's values."""
+
+from umberlead.scheduling.events import AttemptResult, EndpointStatus
+
+ENDPOINT_STATUS_BY_WORD = {
+    "live": EndpointStatus.UP,
+    "quiescing": EndpointStatus.DRAINING,
+    "dead": EndpointStatus.GONE,
+}
+ATTEMPT_RESULT_BY_WORD = {
+    "pass": AttemptResult.OK,
+    "fault": AttemptResult.ERROR,
+    "no_room": AttemptResult.REJECTED,
+    "too_slow": AttemptResult.TIMEOUT,
+    "no_route": AttemptResult.CONNECT_FAILED,
+    "cut": AttemptResult.RESET,
+    "undone": AttemptResult.CANCELLED,
+    "stale_send": AttemptResult.NOT_SENT,
+}
+NO_VALUE = "-"
+TRUE_WORDS = ("true", "1")
+LIST_FAILED_WORD = "X"  # in the place of a list's kind
+PARTIAL_LIST_WORD = "D"
+CLIENT_RETRY_BIT = 2  # of a request's flags
--- a/umberlead/telemetry.py
+++ b/umberlead/telemetry.py
@@ -1,7 +1,8 @@
 """Logging: structlog events become RFC 5424 lines on standard error or at a collector.
 
-A thread of its own writes them from a bounded queue, so neither a full pipe nor a slow collector ever holds
-up the sockets; what does not fit is dropped and counted."""
+A thread of its own writes them from a bounded queue, so that neither a full pipe nor a slow collector delays
+the event loop; lines that don't fit are dropped and counted.
+"""
 
 import os
 import signal
@@ -19,47 +20,85 @@
 from umberlead.common.counters import Counters
 
 SEVERITY_BY_LEVEL = {"critical": 2, "error": 3, "warning": 4, "info": 6, "debug": 7}
-FACILITY_LOCAL0 = 16  # local0
-STRUCTURED_DATA_ID = "umberlead@32473"  # the enterprise number that RFC 5612 keeps for documentation
-RECONNECT_PAUSE_SECONDS = 1.0  # s between tries to reach a collector
+DEFAULT_SEVERITY = SEVERITY_BY_LEVEL["info"]
+FACILITY_LOCAL0 = 16
+PRIORITY_FACILITY_MULTIPLIER = 8
+STRUCTURED_DATA_ID = "umberlead@32473"  # the enterprise number that RFC 5612 reserves for documentation
+APPLICATION_NAME = "umberlead"
+MAX_HOST_NAME_SIZE = 255
+MAX_APPLICATION_NAME_SIZE = 48
+MAX_MESSAGE_ID_SIZE = 32
+MAX_FIELD_NAME_SIZE = 32
+DEFAULT_QUEUED_LINES_LIMIT = 2000
+RECONNECT_PAUSE_SECONDS = 1.0
+COLLECTOR_TIMEOUT_SECONDS = 2.0
 
 
 def _printable(text: str, max_length: int) -> str:
-    return "".join(c if "!" <= c <= "~" else "_" for c in text)[:max_length] or "-"
+    return "".join(char if "!" <= char <= "~" else "_" for char in text)[:max_length] or "-"
 
 
-def _sd_name(text: str) -> str:
-    return "".join(c if "!" <= c <= "~" and c not in '="]' else "_" for c in text)[:32] or "_"
+def _field_name(text: str) -> str:
+    allowed = (char if "!" <= char <= "~" and char not in '="]' else "_" for char in text)
+    return "".join(allowed)[:MAX_FIELD_NAME_SIZE] or "_"
 
 
-def _sd_value(text: str) -> str:
+def _field_value(text: str) -> str:
     return text.replace("\\", "\\\\").replace('"', '\\"').replace("]", "\\]").replace("\n", " ")
 
 
 def format_rfc5424(
-    level: str, when: datetime, host: str, app: str, pid: int, event: str, pairs: dict[str, Any]
+    level: str, when: datetime, host: str, application: str, pid: int, event: str, fields: dict[str, Any]
 ) -> str:
-    """One syslog line: MSGID and MSG are the event, its values are structured data."""
-    stamp = when.astimezone(UTC).strftime("%Y-%m-%dT%H:%M:%S.%fZ")
-    data = "".join(f' {_sd_name(k)}="{_sd_value(str(v))}"' for k, v in pairs.items())
-    structured = f"[{STRUCTURED_DATA_ID}{data}]" if data else "-"
-    head = f"<{FACILITY_LOCAL0 * 8 + SEVERITY_BY_LEVEL.get(level, 6)}>1 {stamp} {_printable(host, 255)} {_printable(app, 48)}"
-    return f"{head} {pid} {_printable(event, 32)} {structured} {event}"
+    """Return one syslog line, without a line end.
+
+    Args:
+        level: structlog's name of the level.
+        when: the time of the event.
+        host: the host's name.
+        application: the program's name.
+        pid: the id of the process.
+        event: becomes both MSGID and MSG.
+        fields: become structured data.
+    """
+    timestamp = when.astimezone(UTC).strftime("%Y-%m-%dT%H:%M:%S.%fZ")
+    data = "".join(f' {_field_name(name)}="{_field_value(str(value))}"' for name, value in fields.items())
+    structured_data = f"[{STRUCTURED_DATA_ID}{data}]" if data else "-"
+    severity = SEVERITY_BY_LEVEL.get(level, DEFAULT_SEVERITY)
+    priority = FACILITY_LOCAL0 * PRIORITY_FACILITY_MULTIPLIER + severity
+    host_name = _printable(host, MAX_HOST_NAME_SIZE)
+    application_name = _printable(application, MAX_APPLICATION_NAME_SIZE)
+    message_id = _printable(event, MAX_MESSAGE_ID_SIZE)
+    header = f"<{priority}>1 {timestamp} {host_name} {application_name} {pid} {message_id}"
+    return f"{header} {structured_data} {event}"
 
 
 class SyslogWriter:
-    """A queue and the thread that empties it."""
+    """A queue of lines and the thread that writes them.
+
+    Attributes:
+        max_queued_lines: how many lines may wait.
+    """
 
     def __init__(self, collector: str, counters: Counters) -> None:
-        self._collector, self._counters = collector, counters
-        self.max_queued_lines = 2000  # lines waiting, until the limits are dealt
+        """Start the thread.
+
+        Args:
+            collector: `unix://PATH` or `tcp://HOST:PORT`; empty for standard error.
+            counters: count dropped lines and failed writes.
+        """
+        self._collector = collector
+        self._counters = counters
+        self.max_queued_lines = DEFAULT_QUEUED_LINES_LIMIT
         self._lines: deque[str] = deque()
-        self._work_available, self._stop_requested = threading.Event(), False
-        self._sock: socket.socket | None = None
+        self._work_available = threading.Event()
+        self._stop_requested = False
+        self._socket: socket.socket | None = None
         self._thread = threading.Thread(target=self._run, daemon=True, name="syslog")
         self._thread.start()
 
     def enqueue(self, line: str) -> None:
+        """Queue a line, or drop it if the queue is full."""
         if len(self._lines) >= self.max_queued_lines:
             self._counters.add("log_lines_dropped")
             return
@@ -67,12 +106,13 @@
         self._work_available.set()
 
     def close(self, timeout_seconds: float = 0.5) -> None:
+        """Stop the thread once the queue is empty, or a write fails; wait for that up to a timeout."""
         self._stop_requested = True
         self._work_available.set()
         self._thread.join(timeout_seconds)
 
     def _run(self) -> None:
-        # Signals are the loop's: one that this thread took as the process ends would meet its default.
+        # Signals are for the event loop's thread: one that this thread took would run its default action.
         signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
         while True:
             self._work_available.wait()
@@ -88,54 +128,67 @@
                 return
 
     def _write(self, line: str) -> bool:
+        """Write a line; false if it has to be written again."""
         try:
             if not self._collector:
                 self._write_fully(sys.stderr.fileno(), line.encode() + b"\n")
                 return True
-            if self._sock is None:
-                self._sock = self._connect()
-            octets = line.encode()
-            self._sock.sendall(b"%d %s" % (len(octets), octets))  # octet counting, RFC 6587
+            if self._socket is None:
+                self._socket = self._connect()
+            content = line.encode()
+            self._socket.sendall(b"%d %s" % (len(content), content))  # octet counting, RFC 6587
             return True
         except OSError:
             self._counters.add("log_writes_failed")
-            if self._sock is not None:
-                self._sock.close()
-                self._sock = None
+            if self._socket is not None:
+                self._socket.close()
+                self._socket = None
             return not self._collector  # without standard error there is nowhere left to write
 
     @staticmethod
-    def _write_fully(descriptor: int, octets: bytes) -> None:
-        """To its end, however little of it the system takes at once."""
-        while octets:
-            octets = octets[os.write(descriptor, octets) :]
+    def _write_fully(descriptor: int, content: bytes) -> None:
+        """Write all of it, however little of it the system takes at once."""
+        while content:
+            content = content[os.write(descriptor, content) :]
 
     def _connect(self) -> socket.socket:
         if self._collector.startswith("unix://"):
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            sock.settimeout(2.0)
+            sock.settimeout(COLLECTOR_TIMEOUT_SECONDS)
             sock.connect(self._collector.removeprefix("unix://"))
             return sock
         host, _, port = self._collector.removeprefix("tcp://").rpartition(":")
-        return socket.create_connection((host, int(port)), timeout=2.0)
+        return socket.create_connection((host, int(port)), timeout=COLLECTOR_TIMEOUT_SECONDS)
 
 
-def make_logger(front_name: str, level: Callable[[], str], syslog: SyslogWriter) -> Any:
-    """A structlog logger whose events end in `syslog`; `level` may change while it runs."""
-    host, pid = socket.gethostname(), os.getpid()
+class _LineSink:
+    """Where structlog hands rendered lines, whatever their level."""
 
-    def render(_: Any, method: str, event: MutableMapping[str, Any]) -> str:
-        if SEVERITY_BY_LEVEL.get(method, 6) > SEVERITY_BY_LEVEL[level()]:
-            raise structlog.DropEvent
-        text = str(event.pop("event"))
-        return format_rfc5424(
-            method, datetime.now(UTC), host, "umberlead", pid, text, {"front": front_name, **event}
-        )
+    def __init__(self, writer: SyslogWriter) -> None:
+        self._writer = writer
+
+    def msg(self, line: str) -> None:
+        self._writer.enqueue(line)
+
+    debug = info = warning = error = critical = msg
 
-    class Sink:
-        def msg(self, line: str) -> None:
-            syslog.enqueue(line)
 
-        debug = info = warning = error = critical = msg
+def make_logger(front_name: str, level: Callable[[], str], writer: SyslogWriter) -> Any:
+    """Return a structlog logger whose events end in a writer.
+
+    Args:
+        front_name: is a field of each event.
+        level: gives the lowest level that is written, which may change.
+        writer: takes the lines.
+    """
+    host = socket.gethostname()
+    pid = os.getpid()
+
+    def render(_logger: Any, method: str, event: MutableMapping[str, Any]) -> str:
+        if SEVERITY_BY_LEVEL.get(method, DEFAULT_SEVERITY) > SEVERITY_BY_LEVEL[level()]:
+            raise structlog.DropEvent
+        text = str(event.pop("event"))
+        fields = {"front": front_name, **event}
+        return format_rfc5424(method, datetime.now(UTC), host, APPLICATION_NAME, pid, text, fields)
 
-    return structlog.wrap_logger(Sink(), processors=[render], wrapper_class=structlog.BoundLogger)
+    return structlog.wrap_logger(_LineSink(writer), processors=[render], wrapper_class=structlog.BoundLogger)
