--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -306,13 +306,13 @@
 def test_what_was_learnt_of_who_answers_is_kept_for_the_next_process(tmp_path: Any) -> None:
     async def test(discovery: Discovery) -> None:
         shared = SharedState(tmp_path)
-        assert shared.met_agent_before() is None and SharedState(None).met_agent_before() is None
+        assert shared.agent_seen_before() is None and SharedState(None).agent_seen_before() is None
         for how, agent in ((NEWS, True), (NO, True), (NEWS, None)):  # kept or not once a list has come
             of = Setting(
                 discovery,
                 fleet_size=40,
                 expects_agent=True,
-                is_agent=shared.met_agent_before(),
+                is_agent=shared.agent_seen_before(),
                 on_agent_detected=shared.record_agent,
             )
             if (how, agent) == (NEWS, None):
@@ -320,7 +320,7 @@
             discovery.how = how
             of.watch.open()
             await of.settle()
-            assert shared.met_agent_before() is agent
+            assert shared.agent_seen_before() is agent
             of.watch.close()
 
     _play(test)
--- a/tests/test_handover_places.py
+++ b/tests/test_handover_places.py
@@ -25,7 +25,7 @@
     _until,
     _watched,
 )
-from umberlead.handover.descriptor_quota import SHORTAGE_LOOK_INTERVAL_US, UNBOUNDED_COUNT
+from umberlead.handover.descriptor_quota import SHORTAGE_REFRESH_INTERVAL_US, UNBOUNDED_COUNT
 from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim, parse_claim
 from umberlead.handover.process_registry import SPARE_FILES_COUNT
 from umberlead.handover.quota_division import MIN_QUOTA_COUNT, divide_quota, has_fair_quota
@@ -266,7 +266,7 @@
 
 
 INTERVAL = 20  # ms between looks
-SOONEST = SHORTAGE_LOOK_INTERVAL_US // 1000  # where a place is missing
+SOONEST = SHORTAGE_REFRESH_INTERVAL_US // 1000  # where a place is missing
 RATE = 0.15  # new connections a ms at each process that takes them
 ACCEPTS = 550  # ms after SIGTERM
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -6,8 +6,8 @@
 import pytest
 
 from tests.helpers import T0, head, settings, up
-from umberlead.handover.clock_anchors import MAX_ANCHORS, ClockAnchors
-from umberlead.recovery.start_times import LATEST_NEWS_US, MAX_STEPS, StartTimes
+from umberlead.handover.clock_anchors import MAX_ANCHORS_COUNT, ClockAnchors
+from umberlead.recovery.start_times import MAX_REPORT_DELAY_US, MAX_STEPS_COUNT, StartTimes
 from umberlead.scheduling.events import ProcessShare
 from umberlead.scheduling.slow_start import max_window_units
 
@@ -43,7 +43,7 @@
 def test_what_was_told_keeps_its_age_through_all_steps_and_lists() -> None:
     times = StartTimes()
     first = times.to_local_clock("a", NOW - 5 * SECOND, NOW)
-    for number in range(2 * MAX_STEPS):
+    for number in range(2 * MAX_STEPS_COUNT):
         now = NOW + (number + 1) * SECOND
         assert times.observe(now, now + HOUR * (-1) ** number)
         assert times.to_local_clock("a", NOW - 5 * SECOND, now) == first
@@ -61,7 +61,7 @@
     assert times.to_local_clock("a", old, NOW) == old  # the first list has servers of any age
     times.record_list()
     assert times.to_local_clock("b", old - 1, NOW) == NOW and times.to_local_clock("a", old, NOW) == old
-    late = NOW - LATEST_NEWS_US + 1
+    late = NOW - MAX_REPORT_DELAY_US + 1
     assert times.to_local_clock("c", late, NOW) == late
 
 
@@ -83,9 +83,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     anchors = ClockAnchors(tmp_path / "clock")
-    for anchor in range(MAX_ANCHORS + 3):
+    for anchor in range(MAX_ANCHORS_COUNT + 3):
         anchors.add(-anchor)
-    kept = [-anchor for anchor in range(3, MAX_ANCHORS + 3)]
+    kept = [-anchor for anchor in range(3, MAX_ANCHORS_COUNT + 3)]
     assert anchors.read() == kept
     whole = (tmp_path / "clock").read_bytes()
     (tmp_path / "clock").write_bytes(whole[:-2])
--- a/umberlead/common/__init__.py
+++ b/umberlead/common/__init__.py
@@ -1,1 +1,1 @@
-"""Basics of a process that know nothing of requests: counters, a slot table, a timer wheel, the base of errors."""
+"""Parts that know nothing of requests: counters, a slot table, a timer wheel, the base of errors."""
--- a/umberlead/common/timer_wheel.py
+++ b/umberlead/common/timer_wheel.py
@@ -1,4 +1,7 @@
-"""All deadlines of a process in one ordered structure: by coarse tick, then by the order they were set."""
+"""All deadlines of a process in one ordered structure: by coarse tick, then by the order they were set.
+
+A timer wheel after Varghese and Lauck, with a heap of the ticks in use in place of a ring.
+"""
 
 import heapq
 from collections.abc import Callable
@@ -6,36 +9,51 @@
 
 
 class Timer:
-    """A deadline that can be called off."""
+    """A call that is due at a deadline, and can be cancelled until then."""
 
     __slots__ = ("callback", "args")
 
-    def __init__(self, what: Callable[..., None], args: tuple[Any, ...]) -> None:
-        self.callback: Callable[..., None] | None = what
+    def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
+        """Hold `callback` and its arguments; it is None once it was called or cancelled."""
+        self.callback: Callable[..., None] | None = callback
         self.args = args
 
     def cancel(self) -> None:
-        self.callback, self.args = None, ()
+        """Drop the call, and with it all references that it holds."""
+        self.callback = None
+        self.args = ()
 
 
 class TimerWheel:
-    """`clock` tells whole microseconds; `alarm(delay, fn)` calls `fn` after so many of them
-    and returns what can be cancelled."""
+    """Deadlines in microseconds, of which one alarm of the event loop stands for the earliest."""
 
     def __init__(
-        self, clock: Callable[[], int], alarm: Callable[[int, Callable[[], None]], Any], tick: int
+        self,
+        clock: Callable[[], int],
+        alarm: Callable[[int, Callable[[], None]], Any],
+        tick_us: int,
     ) -> None:
-        self._clock, self._alarm, self._tick = clock, alarm, tick
+        """Start without timers.
+
+        Args:
+            clock: returns the time in whole microseconds.
+            alarm: `alarm(delay_us, callback)` calls `callback` after a delay and returns a handle with
+                `cancel()`.
+            tick_us: the resolution; deadlines within one tick are due together, at its end.
+        """
+        self._clock = clock
+        self._alarm = alarm
+        self._tick_us = tick_us
         self._buckets: dict[int, list[Timer]] = {}
         self._ticks: list[int] = []
-        self._turned = clock() // tick  # the last tick whose bucket was emptied
-        self._armed: int | None = None
+        self._last_fired_tick = clock() // tick_us
+        self._armed_tick: int | None = None
         self._handle: Any = None
 
-    def call_at(self, when: int, what: Callable[..., None], *args: Any) -> Timer:
-        """Call `what` at the first tick at or past `when`, never within this call."""
-        tick = max(-(-when // self._tick), self._turned + 1)
-        timer = Timer(what, args)
+    def call_at(self, when_us: int, callback: Callable[..., None], *args: Any) -> Timer:
+        """Call `callback(*args)` at the first tick at or after `when_us`, never within this call."""
+        tick = max(-(-when_us // self._tick_us), self._last_fired_tick + 1)
+        timer = Timer(callback, args)
         if tick not in self._buckets:
             self._buckets[tick] = []
             heapq.heappush(self._ticks, tick)
@@ -43,31 +61,39 @@
         self._arm()
         return timer
 
-    def call_after(self, delay: int, what: Callable[..., None], *args: Any) -> Timer:
-        return self.call_at(self._clock() + delay, what, *args)
+    def call_after(self, delay_us: int, callback: Callable[..., None], *args: Any) -> Timer:
+        """Call `callback(*args)` at the first tick after a delay."""
+        return self.call_at(self._clock() + delay_us, callback, *args)
 
     def _arm(self) -> None:
-        if self._ticks and (self._armed is None or self._ticks[0] < self._armed):
-            if self._handle is not None:  # overtaken: left alone, each such alarm would set another for ever
+        if self._ticks and (self._armed_tick is None or self._ticks[0] < self._armed_tick):
+            if self._handle is not None:  # an alarm that is left alone would arm another one, for ever
                 self._handle.cancel()
-            self._armed = self._ticks[0]
-            self._handle = self._alarm(max(self._armed * self._tick - self._clock(), 0), self.fire_due)
+            self._armed_tick = self._ticks[0]
+            delay_us = max(self._armed_tick * self._tick_us - self._clock(), 0)
+            self._handle = self._alarm(delay_us, self.fire_due)
 
     def fire_due(self) -> None:
-        """Fire what is due, in order."""
-        now = self._clock() // self._tick
+        """Call what is due, in order."""
+        current_tick = self._clock() // self._tick_us
         try:
-            while self._ticks and self._ticks[0] <= now:
+            while self._ticks and self._ticks[0] <= current_tick:
                 tick = self._ticks[0]
-                bucket = self._buckets[tick]
-                self._turned = max(self._turned, tick)  # what is set from here on goes to a later bucket
-                for timer in bucket:
-                    if timer.callback is not None:
-                        what, args = timer.callback, timer.args
-                        timer.cancel()
-                        what(*args)
+                # A timer that is set from here on goes to a later bucket.
+                self._last_fired_tick = max(self._last_fired_tick, tick)
+                self._fire_bucket(self._buckets[tick])
                 heapq.heappop(self._ticks)
                 del self._buckets[tick]
-        finally:  # one failing deadline must not stop the others
-            self._armed = self._handle = None
+        finally:  # an exception of one callback must not stop the others
+            self._armed_tick = None
+            self._handle = None
             self._arm()
+
+    @staticmethod
+    def _fire_bucket(bucket: list[Timer]) -> None:
+        for timer in bucket:
+            callback = timer.callback
+            if callback is not None:
+                args = timer.args
+                timer.cancel()
+                callback(*args)
--- a/umberlead/handover/__init__.py
+++ b/umberlead/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Handover: a process of a front and the one that replaces it divide the front's descriptors by use."""
+"""Handover: a process of a front and the one that replaces it share the front's descriptors and state."""
--- a/umberlead/handover/clock_anchors.py
+++ b/umberlead/handover/clock_anchors.py
@@ -1,8 +1,8 @@
-"""Where the wall clock stood against the monotonic one, as a front's processes have seen it, kept in a file.
+"""Offsets of the wall clock from the monotonic clock, as a front's processes saw them, stored in a file.
 
-Both clocks are the machine's, so an anchor that an earlier process saw tells a later one, which began behind
-a step of the wall clock, by which other time something may have been told. Only a hint: what can't be kept or
-read is not known.
+Both clocks are the machine's. An offset that an earlier process saw tells a later one, which started after
+the wall clock stepped, by which other time an endpoint's start may have been reported. It is only a hint:
+an offset that can't be stored or read is not known.
 """
 
 import contextlib
@@ -10,45 +10,47 @@
 import re
 from pathlib import Path
 
-MAX_ANCHORS = 16  # that are kept, the oldest given up first
-MAX_BYTES = 4096  # that are read of the file
-ANCHOR = re.compile(rb"(-?[0-9]{1,18})\n")
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+MAX_ANCHORS_COUNT = 16  # that are stored; the oldest is dropped first
+MAX_FILE_BYTES = 4096
+ANCHOR_PATTERN = re.compile(rb"(-?[0-9]{1,18})\n")
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
+UNKNOWN_BOOT_ID = b"-"
 
 
 class ClockAnchors:
-    """Anchors in microseconds: the wall clock less the monotonic one."""
+    """Anchors in microseconds: the wall clock less the monotonic clock."""
 
     def __init__(self, path: Path | None) -> None:
-        """Keep them at `path`; None keeps nothing."""
+        """Store them at `path`; None stores nothing."""
         self._path = path
 
     def read(self) -> list[int]:
-        """Return the anchors that were seen since the machine started, the oldest first."""
+        """Return the anchors that were seen since the machine booted, the oldest first."""
         if self._path is None:
             return []
         try:
             with open(self._path, "rb") as file:
-                boot, _, lines = file.read(MAX_BYTES).partition(b"\n")
+                boot_id, _, lines = file.read(MAX_FILE_BYTES).partition(b"\n")
         except OSError:
             return []
-        if boot != self._boot_id():
+        if boot_id != self._boot_id():
             return []
-        return [int(anchor) for anchor in ANCHOR.findall(lines)][-MAX_ANCHORS:]
+        return [int(anchor) for anchor in ANCHOR_PATTERN.findall(lines)][-MAX_ANCHORS_COUNT:]
 
     def add(self, anchor_us: int) -> None:
-        """Keep another anchor."""
+        """Store another anchor, where that is possible now."""
         if self._path is None:
             return
-        lines = [b"%d\n" % anchor for anchor in [*self.read(), anchor_us][-MAX_ANCHORS:]]
-        beside = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        anchors = [*self.read(), anchor_us][-MAX_ANCHORS_COUNT:]
+        lines = [b"%d\n" % anchor for anchor in anchors]
+        temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         with contextlib.suppress(OSError):
-            beside.write_bytes(self._boot_id() + b"\n" + b"".join(lines))
-            beside.rename(self._path)
+            temporary.write_bytes(self._boot_id() + b"\n" + b"".join(lines))
+            temporary.rename(self._path)
 
     @staticmethod
     def _boot_id() -> bytes:
         try:
-            return BOOT_ID.read_bytes().strip()
+            return BOOT_ID_PATH.read_bytes().strip()
         except OSError:
-            return b"-"
+            return UNKNOWN_BOOT_ID
--- a/umberlead/handover/descriptor_quota.py
+++ b/umberlead/handover/descriptor_quota.py
@@ -1,116 +1,145 @@
-"""A process's caps of connections: looked at anew as the processes beside it change theirs."""
+"""A process's limits of connections: divided anew as its siblings change theirs."""
 
 import asyncio
 from collections.abc import Callable, Sequence
 
 from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim
-from umberlead.handover.quota_division import divide_quota, has_fair_quota
+from umberlead.handover.quota_division import Quotas, SiblingClaims, divide_quota, has_fair_quota
 from umberlead.handover.shared_state import SharedState
 from umberlead.net.client_connections import ClientGroup
 from umberlead.net.endpoint_pool import EndpointPool
 from umberlead.net.listener import Listener
 from umberlead.resource_limits import connections_within, with_surplus
 
-SHORTAGE_LOOK_INTERVAL_US = 5_000  # between looks of a process that is short of places
+SHORTAGE_REFRESH_INTERVAL_US = 5_000  # between divisions of a process that is short of connections
 UNBOUNDED_COUNT = 1_000_000  # more than any front's descriptors
 
 
 class DescriptorQuota:
-    """The kinds are operators' connections, those of each listener's clients, and those to chunk servers."""
+    """The quota of each kind: connections of each admin listener's and client listener's, and to endpoints.
+
+    Attributes:
+        shared: the state that the processes of the front have in common.
+        pool: the connections to endpoints.
+        client_groups: the clients' connections, a group for each listener.
+        admin_listeners: the admin API's listeners and the connections that each accepts.
+        listeners: the clients' listeners.
+        clock: returns microseconds.
+        settled: is set once siblings released what this process needs to start.
+        has_siblings: whether other processes of the front run, as far as is known.
+    """
 
     def __init__(
         self,
         shared: SharedState,
         pool: EndpointPool,
-        groups: Sequence[ClientGroup],
-        doors: Sequence[tuple[Listener, ClientGroup]],
+        client_groups: Sequence[ClientGroup],
+        admin_listeners: Sequence[tuple[Listener, ClientGroup]],
         listeners: Sequence[Listener],
         clock: Callable[[], int],
-        divide_now: Callable[[], None],
+        request_update: Callable[[], None],
     ) -> None:
-        """Begin without places; `clock` tells microseconds, and `divide_now` is to call `look`."""
-        self.shared, self.pool = shared, pool
-        self.client_groups, self.admin_listeners, self.listeners = groups, doors, listeners
-        self.settled = asyncio.Event()  # the others have let go of what this process needs to begin
-        self._places: tuple[int, ...] = ()
-        self.clock, self._divide_now = clock, divide_now
-        self.has_siblings, self._looked = (
-            True,
-            0,
-        )  # whether others may stand, and when that was looked at last
+        """Start without quota; `request_update` has to call `update`."""
+        self.shared = shared
+        self.pool = pool
+        self.client_groups = client_groups
+        self.admin_listeners = admin_listeners
+        self.listeners = listeners
+        self.clock = clock
+        self.settled = asyncio.Event()
+        self.has_siblings = True
+        self._request_update = request_update
+        self._updated_us = 0
+        self._quotas: Quotas = ()
         pool.on_capacity_shortage = self.connection_refused_for_quota
 
     def connection_refused_for_quota(self) -> None:
-        """A connection is due and finds no place: what no process claims is there at once."""
-        if self.has_siblings and self.clock() - self._looked >= SHORTAGE_LOOK_INTERVAL_US:
-            self._divide_now()
+        """Divide at once where a connection is needed and the quota is used up: some may be unclaimed."""
+        elapsed_us = self.clock() - self._updated_us
+        if self.has_siblings and elapsed_us >= SHORTAGE_REFRESH_INTERVAL_US:
+            self._request_update()
 
-    def update(self, descriptors: int, fixed: int, alone: Sequence[int], open_requests: int) -> None:
-        """Divide anew. Where the others can't be looked at now, no cap is raised.
+    def update(self, descriptors: int, fixed: int, single_quota: Sequence[int], open_requests: int) -> None:
+        """Divide anew; no quota rises where the siblings' claims can't be read now.
 
         Args:
             descriptors: of the front.
             fixed: those of this process that are no connections.
-            alone: the places, by kind, of a process that nobody stands beside.
+            single_quota: by kind, the quota of a process without siblings.
             open_requests: of this process.
         """
-        if len(self._places) != len(alone):
-            self._places = (0,) * len(alone)
-        places, self._looked = self._places, self.clock()
-
-        def decide(others: list[DescriptorClaim | None]) -> DescriptorClaim:
-            nonlocal places
-            self.has_siblings = bool(others)
-            own = self._claim(fixed, self._places, open_requests)
-            places = divide_quota(descriptors, alone, own, others)
-            lowered = tuple(map(min, places, self._places))
-            if lowered != self._places:
-                self._apply(lowered)
-                own = self._claim(fixed, places, open_requests)  # what could go is gone
-            uses = (
-                ConnectionUse(most, use.open_connections, use.required, use.max_required)
-                for most, use in zip(places, own.connection_uses, strict=True)
-            )
-            claim = DescriptorClaim(fixed, tuple(uses))
-            if has_fair_quota(descriptors, alone, claim, others):
+        if len(self._quotas) != len(single_quota):
+            self._quotas = (0,) * len(single_quota)
+        quotas = self._quotas
+        self._updated_us = self.clock()
+
+        def decide(siblings: list[DescriptorClaim | None]) -> DescriptorClaim:
+            """Lower what falls, and claim what this process has from now on."""
+            nonlocal quotas
+            self.has_siblings = bool(siblings)
+            claim = self._divide(descriptors, fixed, single_quota, open_requests, siblings)
+            quotas = tuple(use.quota for use in claim.connection_uses)
+            if has_fair_quota(descriptors, single_quota, claim, siblings):
                 self.settled.set()
             return claim
 
         if self.shared.publish(decide):
-            self._apply(places)
+            self._apply(quotas)
 
-    def _all_clients(self) -> list[ClientGroup]:
-        return [*(group for _, group in self.admin_listeners), *self.client_groups]
-
-    def _claim(self, fixed: int, places: Sequence[int], open_requests: int) -> DescriptorClaim:
-        *of_clients, of_nodes = places
-        uses = [self._use_of(*kind) for kind in zip(self._all_clients(), of_clients, strict=True)]
-        busy = self.pool.active_count()
-        bound = max(busy, open_requests) if self._closed() else UNBOUNDED_COUNT
-        uses.append(ConnectionUse(of_nodes, len(self.pool.slots), busy, bound))
+    def _divide(
+        self,
+        descriptors: int,
+        fixed: int,
+        single_quota: Sequence[int],
+        open_requests: int,
+        siblings: SiblingClaims,
+    ) -> DescriptorClaim:
+        """Return this process's new claim, after quotas that fall were applied."""
+        own = self._claim(fixed, self._quotas, open_requests)
+        quotas = divide_quota(descriptors, single_quota, own, siblings)
+        lowered = tuple(map(min, quotas, self._quotas))
+        if lowered != self._quotas:
+            self._apply(lowered)
+            own = self._claim(fixed, quotas, open_requests)  # connections that could be closed are gone
+        uses = (
+            ConnectionUse(quota, use.open_connections, use.required, use.max_required)
+            for quota, use in zip(quotas, own.connection_uses, strict=True)
+        )
         return DescriptorClaim(fixed, tuple(uses))
 
-    def _use_of(self, clients: ClientGroup, places: int) -> ConnectionUse:
-        listeners = [*self.listeners, *(door for door, _ in self.admin_listeners)]
-        standing = len(clients.slots) + sum(
-            one.pending_count() for one in listeners if one.clients is clients
-        )
-        needed = with_surplus(clients.active_count())
-        closed = self._closed() and clients in self.client_groups
-        return ConnectionUse(places, standing, needed, max(standing, needed) if closed else UNBOUNDED_COUNT)
+    def _all_groups(self) -> list[ClientGroup]:
+        return [*(group for _, group in self.admin_listeners), *self.client_groups]
 
-    def _closed(self) -> bool:
-        """No new clients are taken any more."""
-        return bool(self.listeners) and not any(one.is_open or one.accepting_count for one in self.listeners)
+    def _claim(self, fixed: int, quotas: Sequence[int], open_requests: int) -> DescriptorClaim:
+        *group_quotas, endpoint_quota = quotas
+        uses = [self._group_use(*kind) for kind in zip(self._all_groups(), group_quotas, strict=True)]
+        active = self.pool.active_count()
+        max_required = max(active, open_requests) if self._is_closed() else UNBOUNDED_COUNT
+        uses.append(ConnectionUse(endpoint_quota, len(self.pool.slots), active, max_required))
+        return DescriptorClaim(fixed, tuple(uses))
 
-    def _apply(self, places: tuple[int, ...]) -> None:
-        before, self._places = self._places, places
-        if places == before:
+    def _group_use(self, group: ClientGroup, quota: int) -> ConnectionUse:
+        listeners = [*self.listeners, *(listener for listener, _ in self.admin_listeners)]
+        pending = sum(listener.pending_count() for listener in listeners if listener.clients is group)
+        open_connections = len(group.slots) + pending
+        required = with_surplus(group.active_count())
+        takes_no_more = self._is_closed() and group in self.client_groups
+        max_required = max(open_connections, required) if takes_no_more else UNBOUNDED_COUNT
+        return ConnectionUse(quota, open_connections, required, max_required)
+
+    def _is_closed(self) -> bool:
+        """Tell whether no new clients are accepted any more."""
+        accepts = any(listener.is_open or listener.accepting_count for listener in self.listeners)
+        return bool(self.listeners) and not accepts
+
+    def _apply(self, quotas: Quotas) -> None:
+        if quotas == self._quotas:
             return
-        *of_clients, self.pool.max_connections = places
-        for clients, most in zip(self._all_clients(), of_clients, strict=True):
-            clients.max_connections = connections_within(most)
-            clients.evict_excess()
+        self._quotas = quotas
+        *group_quotas, self.pool.max_connections = quotas
+        for group, quota in zip(self._all_groups(), group_quotas, strict=True):
+            group.max_connections = connections_within(quota)
+            group.evict_excess()
         self.pool.evict_excess()
         for listener in self.listeners:
             listener.resume()
--- a/umberlead/handover/drain_overrides.py
+++ b/umberlead/handover/drain_overrides.py
@@ -1,4 +1,4 @@
-"""Chunk servers that operators took out of service by hand: a file each, seen by all processes of a front."""
+"""Manual drains of endpoints: one file each, which all processes of a front see."""
 
 import os
 import time
@@ -7,52 +7,56 @@
 
 
 class DrainOverrides:
-    """The chunk servers that are out by hand; without a folder they are known to this process alone."""
+    """The endpoints that operators drained by hand; without a folder this process alone knows them.
+
+    Attributes:
+        folder: where the files are; None where there is none.
+    """
 
     def __init__(self, folder: Path | None) -> None:
-        """Keep them in `folder`."""
+        """Store them in `folder`."""
         self.folder = folder
         self._known: dict[str, int] = {}
 
     def read(self) -> dict[str, int]:
-        """Return them, and when each was taken out in microseconds of Unix time.
+        """Return the drained endpoints, and when each was drained in microseconds of Unix time.
 
-        What can't be looked at now is what it was: an operator's word holds until it is taken back.
+        What can't be read now is as it was: a manual drain holds until it is taken back.
         """
         if self.folder is None:
             return dict(self._known)
         try:
-            names = os.listdir(self.folder)
+            file_names = os.listdir(self.folder)
         except FileNotFoundError:
-            names = []
+            file_names = []
         except OSError:
             return dict(self._known)
         found = {}
-        for name in names:
-            node = unquote(name)
+        for file_name in file_names:
+            endpoint = unquote(file_name)
             try:
-                found[node] = os.stat(self.folder / name).st_mtime_ns // 1000
-            except FileNotFoundError:  # put back in between
+                found[endpoint] = os.stat(self.folder / file_name).st_mtime_ns // 1000
+            except FileNotFoundError:  # it was taken back meanwhile
                 continue
             except OSError:
-                found[node] = self._known.get(node, time.time_ns() // 1000)
+                found[endpoint] = self._known.get(endpoint, time.time_ns() // 1000)
         self._known = found
         return dict(found)
 
-    def set(self, node: str, out: bool) -> None:
-        """Take a chunk server out, or put it back.
+    def set(self, endpoint: str, is_drained: bool) -> None:
+        """Drain an endpoint, or take that back.
 
         Raises:
-            OSError: it can't be kept; nothing has changed then.
+            OSError: it can't be stored; nothing has changed then.
         """
         if self.folder is None:
-            if out:
-                self._known.setdefault(node, time.time_ns() // 1000)
+            if is_drained:
+                self._known.setdefault(endpoint, time.time_ns() // 1000)
             else:
-                self._known.pop(node, None)
+                self._known.pop(endpoint, None)
             return
-        path = self.folder / quote(node, safe="")
-        if not out:
+        path = self.folder / quote(endpoint, safe="")
+        if not is_drained:
             path.unlink(missing_ok=True)
         elif not path.exists():
             os.close(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o644))
--- a/umberlead/handover/process_claims.py
+++ b/umberlead/handover/process_claims.py
@@ -1,67 +1,81 @@
-"""What a process of a front publishes to those beside it: descriptors it may hold, and its use of them."""
+"""What a process of a front publishes to its siblings: the descriptors that it may use, and their use."""
 
 from dataclasses import dataclass
 
-VERSION = "v1"
+from umberlead.common.errors import UmberleadError
+
+FORMAT_VERSION = "v1"
+
+
+class InvalidClaimError(UmberleadError, ValueError):
+    """A published claim can't be read."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionUse:
-    """One kind of connection in one process. All figures are descriptors."""
+    """One kind of connection in one process; all numbers are descriptors.
 
-    quota: int  # the cap: how many the process may hold
-    open_connections: int  # how many it holds
-    required: int  # how many of them it can't close for another's sake
-    max_required: (
-        int  # a bound on what it will ever need: as many as there are, as long as it takes new clients
-    )
+    Attributes:
+        quota: how many the process may have open.
+        open_connections: how many it has open.
+        required: how many of them it can't close in favor of a sibling.
+        max_required: a bound on what it will ever require; unbounded while it accepts new clients.
+    """
+
+    quota: int
+    open_connections: int
+    required: int
+    max_required: int
 
     def claimed(self) -> int:
-        """More than the cap where that came down, until what stands over it is closed."""
+        """Return what siblings must leave: after the quota fell, what is still open above it too."""
         return max(self.quota, self.open_connections)
 
     def wanted_headroom(self) -> int:
-        """How many more it may come to need."""
+        """Return how many more the process may come to require."""
         return max(self.max_required - self.required, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorClaim:
-    """All descriptors that one process may hold."""
+    """All descriptors that one process may use.
+
+    Attributes:
+        fixed_descriptors: those that are no connections.
+        connection_uses: by kind, in an order that all processes of a front have in common.
+    """
 
-    fixed_descriptors: int  # for what is no connection
-    connection_uses: tuple[
-        ConnectionUse, ...
-    ]  # by kind, in an order that all processes of a front have in common
+    fixed_descriptors: int
+    connection_uses: tuple[ConnectionUse, ...]
 
     def total(self) -> int:
-        """All descriptors that the process may hold."""
+        """Return all descriptors that the process may use."""
         return self.fixed_descriptors + sum(use.claimed() for use in self.connection_uses)
 
     def to_text(self) -> str:
-        """The form for a file: `v1 FIXED PLACES/STANDING/NEEDED/MAY_NEED ...`, a group of figures a kind."""
-        kinds = (
+        """Return the stored form: `v1 FIXED QUOTA/OPEN/REQUIRED/MAX_REQUIRED ...`, a group for each kind."""
+        groups = (
             f"{use.quota}/{use.open_connections}/{use.required}/{use.max_required}"
             for use in self.connection_uses
         )
-        return " ".join([VERSION, str(self.fixed_descriptors), *kinds])
+        return " ".join([FORMAT_VERSION, str(self.fixed_descriptors), *groups])
 
 
 def parse_claim(text: str) -> DescriptorClaim | None:
-    """None for what no process of this version has published whole."""
+    """Read a claim's stored form; None where it is partial or of another version."""
     version, *fields = text.split() or [""]
-    if version != VERSION or not fields:
+    if version != FORMAT_VERSION or not fields:
         return None
     try:
-        figures = [tuple(map(_figure, field.split("/"))) for field in fields]
-        (fixed,), *kinds = figures
+        numbers = [tuple(map(_parse_number, field.split("/"))) for field in fields]
+        (fixed,), *kinds = numbers
         return DescriptorClaim(fixed, tuple(ConnectionUse(*kind) for kind in kinds))
     except (TypeError, ValueError):
         return None
 
 
-def _figure(text: str) -> int:
-    """ValueError for anything but a plain whole number: `int` alone takes signs and underscores too."""
+def _parse_number(text: str) -> int:
+    """Read a plain decimal number; `int` alone takes signs and underscores too."""
     if not (text.isascii() and text.isdigit()):
-        raise ValueError(text)
+        raise InvalidClaimError(f"not a decimal number in a process's claim: {text!r}")
     return int(text)
--- a/umberlead/handover/process_registry.py
+++ b/umberlead/handover/process_registry.py
@@ -1,8 +1,8 @@
-"""Which processes of a front stand: each holds a lock on a file of its own in a folder that they share.
+"""Which processes of a front run: each holds a lock on a file of its own in a folder that they share.
 
-A process that was killed leaves its file, but not the lock on it. Where no file can be made for want of room,
-or as the disk fails for a while, a process takes over one that nobody holds: spare ones are kept for that, so
-it is seen also then.
+A process that was killed leaves its file, but not the lock on it. Where no file can be created for want of
+disk space, or while the disk fails, a process takes over one that nobody has locked: spare files are kept for
+that, so that it is seen then too.
 """
 
 import contextlib
@@ -13,11 +13,14 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-STANDING, LEAVING = b"standing", b"leaving "  # of one length: overwriting takes no more room
+# Stored in entries. They are of one length, so that overwriting needs no more disk space.
+ENTRY_RUNNING = b"standing"
+ENTRY_LEAVING = b"leaving "
 LEAVING_PROCESS_SHARE = (
-    0.25  # of another's share, for one that ends: its clients go over with their next answer
+    0.25  # of a sibling's: the clients of one that ends change over with their next answer
 )
-SPARE_FILES_COUNT = 2  # that are kept for processes which can make none
+SPARE_FILES_COUNT = 2  # for processes that can't create one
+FILE_MODE = 0o644
 PERMANENT_ERRNOS = frozenset((errno.EROFS, errno.EACCES, errno.EPERM, errno.ENOTDIR, errno.ENOENT))
 
 
@@ -27,40 +30,42 @@
     Raises:
         OSError: not all of it could be written.
     """
-    at = 0
-    while at < len(data):
-        at += os.pwrite(descriptor, data[at:], at)
+    written = 0
+    while written < len(data):
+        written += os.pwrite(descriptor, data[written:], written)
 
 
 class ProcessRegistry:
-    """This process's entry in a folder, and a view of the others'.
+    """This process's entry in a folder, and a view of its siblings'.
 
     Attributes:
-        name: of this process's file; "" while it has none.
-        others: the names of the processes that stood beside this one at the latest look.
-        listed_ns: the folder's time as they were looked for.
-        taken_over: whether this process's file was there before it.
+        folder: where the entries are.
+        name: of this process's entry; "" while it has none.
+        siblings: the names of the other running processes' entries as of the latest refresh.
+        listed_ns: the folder's modification time at that refresh.
+        taken_over: whether this process's entry was there before it.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Begin without an entry: `register` makes one."""
+        """Start without an entry: `register` creates one."""
         self.folder = folder
         self.name = ""
         self.siblings: list[str] = []
         self.listed_ns = 0
+        self.taken_over = False
         self._weight = 1.0
         self._weights: list[float] = []
-        self._descriptor, self.taken_over = -1, False
+        self._descriptor = -1
 
     def register(self, prepare: Callable[[str], None]) -> None:
-        """Make an entry, or take over one that nobody holds; again where that failed before.
+        """Create an entry, or take over one that nobody has locked; may be retried where that failed.
 
         Args:
-            prepare: is called with the entry's name before the others can see it, and with those of spare
-                ones; OSError where it can't be done now.
+            prepare: is called with the entry's name before siblings can see it, and with those of spare
+                files; raises OSError where it can't be done now.
 
         Raises:
-            OSError: there is neither; it may be there later.
+            OSError: neither was possible; it may be later.
         """
         if self.name:
             return
@@ -74,18 +79,20 @@
         with contextlib.suppress(OSError):
             self._create_spare_files(prepare)
 
-    def _lock_entry(self, name: str, flags: int, waiting: int) -> None:
-        descriptor = os.open(self.folder / name, os.O_RDWR | os.O_CLOEXEC | flags, 0o644)
+    def _lock_entry(self, name: str, open_flags: int, lock_flags: int) -> None:
+        descriptor = os.open(self.folder / name, os.O_RDWR | os.O_CLOEXEC | open_flags, FILE_MODE)
         try:
-            fcntl.flock(descriptor, fcntl.LOCK_EX | waiting)
-            with contextlib.suppress(OSError):  # one that can't be written counts as standing
-                write_all(descriptor, STANDING)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | lock_flags)
+            with contextlib.suppress(OSError):  # one that can't be written counts as running
+                write_all(descriptor, ENTRY_RUNNING)
         except OSError:
             os.close(descriptor)
             raise
-        self.name, self._descriptor = name, descriptor
+        self.name = name
+        self._descriptor = descriptor
 
     def _take_over(self, prepare: Callable[[str], None]) -> bool:
+        """Lock an entry that nobody has locked; return whether there was one."""
         try:
             names = sorted(os.listdir(self.folder))
         except OSError:
@@ -93,7 +100,7 @@
         for name in names:
             try:
                 self._lock_entry(name, 0, fcntl.LOCK_NB)
-            except OSError:  # another holds it
+            except OSError:  # a sibling has locked it
                 continue
             self.taken_over = True
             with contextlib.suppress(OSError):
@@ -102,66 +109,70 @@
         return False
 
     def _create_spare_files(self, prepare: Callable[[str], None]) -> None:
-        """Make files for processes that can make none, unless there are some."""
-        free = [name for name in os.listdir(self.folder) if name != self.name and not self._weight_of(name)]
-        for _ in range(SPARE_FILES_COUNT - len(free)):
+        """Create entries for processes that can't create one, unless there are enough."""
+        names = [name for name in os.listdir(self.folder) if name != self.name]
+        unlocked = [name for name in names if not self._weight_of(name)]
+        for _ in range(SPARE_FILES_COUNT - len(unlocked)):
             name = secrets.token_hex(8)
             prepare(name)
-            spare = os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o644)
+            descriptor = os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL, FILE_MODE)
             try:
-                write_all(spare, STANDING)  # so that it has its room
+                write_all(descriptor, ENTRY_RUNNING)  # so that it has its disk space
             finally:
-                os.close(spare)
+                os.close(descriptor)
 
     def refresh(self) -> int:
-        """Look for the others and return how many stand; where that fails, those of the latest look."""
+        """Look for siblings and return how many run; where that fails, those of the latest refresh."""
         with contextlib.suppress(OSError):
             listed_ns = os.stat(self.folder).st_mtime_ns
             names = [name for name in os.listdir(self.folder) if name != self.name]
-            found = {name: weight for name in names if (weight := self._weight_of(name))}
-            self.siblings, self._weights, self.listed_ns = list(found), list(found.values()), listed_ns
+            weights = {name: weight for name in names if (weight := self._weight_of(name))}
+            self.siblings = list(weights)
+            self._weights = list(weights.values())
+            self.listed_ns = listed_ns
         return len(self.siblings)
 
     def _weight_of(self, name: str) -> float:
-        """Return the weight of the process that holds a file; 0 where none does.
+        """Return the weight of the process that has locked an entry; 0 where none has.
 
         Raises:
-            OSError: it can't be looked at now.
+            OSError: it can't be read now.
         """
         try:
             with open(self.folder / name, "rb") as file:
                 try:
                     fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
                 except BlockingIOError:
-                    return LEAVING_PROCESS_SHARE if file.read(len(LEAVING)) == LEAVING else 1.0
+                    is_leaving = file.read(len(ENTRY_LEAVING)) == ENTRY_LEAVING
+                    return LEAVING_PROCESS_SHARE if is_leaving else 1.0
         except FileNotFoundError:
             pass
         return 0.0
 
     def changed(self) -> bool:
-        """Tell whether the folder changed since the latest look; a kill shows at a look alone."""
+        """Tell whether entries came or went since the latest refresh; a kill shows at a refresh only."""
         try:
             return os.stat(self.folder).st_mtime_ns != self.listed_ns
         except OSError:
             return False
 
     def share(self) -> float:
-        """Return this process's share, above 0 to 1, of what its front may do, as of the latest look."""
+        """Return this process's share, above 0 to 1, of its front's limits, as of the latest refresh."""
         return self._weight / (self._weight + sum(self._weights))
 
     def announce_leaving(self) -> None:
-        """Let the others know that this process was told to end; else they give it an even share."""
+        """Let siblings know that this process was told to end; else they count it with an equal share."""
         self._weight = LEAVING_PROCESS_SHARE
         if self.name:
             with contextlib.suppress(OSError):
-                write_all(self._descriptor, LEAVING)
+                write_all(self._descriptor, ENTRY_LEAVING)
 
     @contextlib.contextmanager
     def exclusive(self) -> Iterator[int]:
-        """Within, no other process of the front is in such a section; yields the folder's descriptor.
+        """Within, no sibling is in such a section; yields the folder's descriptor.
 
         Raises:
-            OSError: one is, or the folder can't be opened.
+            OSError: a sibling is in one, or the folder can't be opened.
         """
         descriptor = os.open(self.folder, os.O_RDONLY)
         try:
@@ -171,10 +182,10 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Give the entry up.
+        """Give up the entry.
 
-        One that was taken over stays as a spare; one that can't be removed is left unheld, as that of a
-        process that was killed.
+        One that was taken over stays as a spare; one that can't be removed is left without a lock, like that
+        of a process that was killed.
         """
         if not self.name:
             return
@@ -182,4 +193,5 @@
             with contextlib.suppress(OSError):
                 os.unlink(self.folder / self.name)
         os.close(self._descriptor)
-        self.name, self._descriptor = "", -1
+        self.name = ""
+        self._descriptor = -1
--- a/umberlead/recovery/__init__.py
+++ b/umberlead/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on coming back: when to call a service again, how long a failing chunk server rests. No I/O."""
+"""Pacing of the way back to a service after a failure, and the time that endpoints started. No I/O."""
--- a/umberlead/start.py
+++ b/umberlead/start.py
@@ -1,5 +1,7 @@
-"""The start of a front's process, from its environment to its exit code. `__main__` and the command line both
-begin here; little is imported before the signals are held."""
+"""Start of a front's process, from its environment to its exit code.
+
+`__main__` and the command line both start here. Little is imported before the signal handlers are set.
+"""
 
 import gc
 import os
@@ -9,33 +11,33 @@
 
 
 def main() -> int:
-    """The front that the environment describes: 0 at its end, 2 where it can't start."""
-    began = time.monotonic_ns() // 1000
-    # What is loaded stays: looking for garbage in it costs time. `Front.run` sets its own threshold.
+    """Run the front that the environment describes; return 0 at its end, or 2 where it can't start."""
+    started_us = time.monotonic_ns() // 1000
+    # Loaded modules stay: collecting garbage among them costs time. The front sets its own threshold later.
     gc.set_threshold(100_000)
-    # With io_uring, libuv has the kernel poll a queue that nothing here uses, in a thread counted as ours:
-    # 4 s of the core's share in the first seconds of a front.
+    # With io_uring, libuv has the kernel poll a queue that nothing here uses, in a thread whose CPU time
+    # counts as this process's.
     os.environ["UV_USE_IO_URING"] = "0"
-    # Until the front can take them: SIGHUP's default ends the process, and one that crosses the reading of
-    # the configuration must not be lost; a SIGTERM finds nothing taken yet.
-    early: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    # Until the front handles signals itself: SIGHUP's default action would end the process, and one that
+    # comes while the configuration is read must not be lost. At a SIGTERM no request was accepted yet.
+    early_reload_signals: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_reload_signals.append(number))
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     from umberlead import config, front
     from umberlead.front import serve
 
-    front.EARLY_RELOAD_SIGNALS = early
-    front.START_STAGES_US["began"] = began
+    front.EARLY_RELOAD_SIGNALS = early_reload_signals
+    front.START_STAGES_US["began"] = started_us
     front.record_stage("imports")
 
     try:
         conf = config.load()
         front.record_stage("configuration")
         serve(conf)
-    except config.ConfigError as fault:
-        print(f"umberlead: {fault}", file=sys.stderr)
+    except config.ConfigError as error:
+        print(f"umberlead: {error}", file=sys.stderr)
         return 2
-    except OSError as fault:
-        print(f"umberlead: listen: {fault}", file=sys.stderr)
+    except OSError as error:
+        print(f"umberlead: listen: {error}", file=sys.stderr)
         return 2
     return 0
