--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The adapter on the wire: replies, plain messages on malformed lines, and the README's example."""
+"""The simulator adapter: replies, plain messages on malformed lines, and the README's example."""
 
 import io
 import re
@@ -22,19 +22,19 @@
 )
 
 
-def talk(text: str) -> tuple[int, list[str]]:
+def run_adapter(text: str) -> tuple[int, list[str]]:
     sink = io.StringIO()
     code = run(io.StringIO(text), sink)
     return code, sink.getvalue().splitlines()
 
 
-def test_a_request_is_placed_and_empty_batches_answered() -> None:
+def test_a_request_is_sent_and_empty_batches_are_answered() -> None:
     more = (
         "sync 5001000 2\nabout head_0\narrival t/a - tpl/v 7001000 0 1 1 read p 1\neof_batch\n"
         "sync 5002000 3\neof_batch\n"
         "sync 5030000 4\nabout head_0\nfinished t/a 0 29000 0 pass 1 0 10.0.0.1:80 -\neof_batch\n"
     )
-    code, lines = talk(START + more)
+    code, lines = run_adapter(START + more)
     assert code == 0
     assert "place t/a 10.0.0.1:80 0" in lines
     assert [x for x in lines if x.startswith("ready")] == ["ready 1", "ready 2", "ready 3", "ready 4"]
@@ -48,7 +48,7 @@
         f"sync 5002000 3\nabout head_0\nshutdown\nenlist 43 {CONFIG}\n"
         "manifest 1 0\ndiscovery 1 C 1\neof_batch\n"
     )
-    code, lines = talk(START + more)
+    code, lines = run_adapter(START + more)
     assert code == 0 and "place t/a 10.0.0.2:80 0" in lines and lines[-1] == "ready 3"
 
 
@@ -62,10 +62,10 @@
         ("finished t/a 0 1 0 odd 1 0 n -\n", "line 9: malformed"),
     ],
 )
-def test_malformed_lines_end_it_with_one_plain_line(
+def test_a_malformed_line_ends_the_adapter_with_one_plain_line(
     bad: str, says: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    code, lines = talk(
+    code, lines = run_adapter(
         START + "sync 5001000 2\n" + ("about head_0\n" + bad).replace("about head_0\nabout", "about", 1)
     )
     err = capsys.readouterr().err
@@ -74,14 +74,14 @@
     assert re.search(says.replace("line 9", r"line \d+").replace("line 10", r"line \d+"), err)
 
 
-def test_exception_in_the_module_is_broken(
+def test_an_exception_in_the_scheduler_is_reported_as_broken(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def fall(*_: object) -> None:
+    def fail(*_: object) -> None:
         raise RuntimeError("boom")
 
-    monkeypatch.setattr(Scheduler, "handle", fall)
-    code, lines = talk(START)
+    monkeypatch.setattr(Scheduler, "handle", fail)
+    code, lines = run_adapter(START)
     assert code == 0 and lines == ["as head_0", "broken RuntimeError: boom", "ready 1"]
     assert "Traceback" in capsys.readouterr().err
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -98,7 +98,7 @@
         head = "<132>1 2026-02-03T04:05:06.007000Z h umberlead 9 link_lost "
         self.assertEqual(line, head + r'[umberlead@32473 a_b="x\"\]\\" n="1"] link lost')
 
-    def test_collector_gets_octet_counted_frames_and_a_dead_one_holds_nothing_up(self) -> None:
+    def test_collector_gets_octet_counted_frames_and_a_dead_one_delays_nothing(self) -> None:
         with tempfile.TemporaryDirectory() as folder, socket.socket(socket.AF_UNIX) as server:
             server.bind(f"{folder}/log")
             server.listen()
@@ -140,7 +140,7 @@
             self.assertEqual(ranges.parse_ranges(header, 10), want, header)
         self.assertEqual(ranges.parse_ranges("bytes=0-", 0), [])
 
-    def test_pieces_cover_every_range_once(self) -> None:
+    def test_block_ranges_cover_every_byte_range_once(self) -> None:
         made = Manifest("b", "k", 25, "", 0, 4, [("p", 10), ("q", 3), ("r", 12)])
         content = {p[0]: p for p in made.block_ranges(0, 25)}
         self.assertEqual(sum(p[3] for p in content.values()), 25)
--- a/umberlead/frontends/admin_api.py
+++ b/umberlead/frontends/admin_api.py
@@ -25,8 +25,8 @@
 LIST_PATH = "/control/list"
 LISTED_SERVERS_PATH = "/control/list/servers"
 CONFIRM_PATH = "/control/list/confirm/"
-DRAINED_BY_WORD = {"offline": True, "online": False}
-OVERRIDE_BY_WORD = {"evacuate": "evacuate", "forbid-spill": "forbid", "clear": ""}
+DRAINED_BY_ACTION = {"offline": True, "online": False}
+OVERRIDE_BY_ACTION = {"evacuate": "evacuate", "forbid-spill": "forbid", "clear": ""}
 READ_METHODS = (b"GET", b"HEAD")
 
 
@@ -72,9 +72,9 @@
 def format_counters(lifecycle: RequestLifecycle) -> bytes:
     """Return counters since the start and gauges of the present, one a line, in statsd's format."""
     lines = [
-        f"svc.{word}.{quote(name, safe='')}:{lifecycle.answer_counts[kind, name]}|c"
+        f"svc.{counter_name}.{quote(name, safe='')}:{lifecycle.answer_counts[kind, name]}|c"
         for name in lifecycle.classes
-        for kind, word in COUNTER_NAMES_BY_KIND
+        for kind, counter_name in COUNTER_NAMES_BY_KIND
     ]
     endpoint_count, avoided_count = lifecycle.endpoint_summary()
     lines += [
@@ -152,15 +152,15 @@
         is_list_call = path in (LIST_PATH, LISTED_SERVERS_PATH) or path.startswith(CONFIRM_PATH)
         if self.watched_lists is not None and is_list_call:
             return self._list_call(self.watched_lists, method, path)
-        endpoint, _, word = path.removeprefix(CHUNK_SERVERS_PATH).partition("/")
-        is_drain = path.startswith(CHUNK_SERVERS_PATH) and word in DRAINED_BY_WORD
+        endpoint, _, action = path.removeprefix(CHUNK_SERVERS_PATH).partition("/")
+        is_drain = path.startswith(CHUNK_SERVERS_PATH) and action in DRAINED_BY_ACTION
         if not is_drain and path not in (READY_PATH, COUNTERS_PATH):
             return AdminResponse(404, b"no such call\n")
         wrong_method = _wrong_method(method, is_drain)
         if wrong_method is not None:
             return wrong_method
         if is_drain:
-            return self._set_drained(unquote(endpoint), DRAINED_BY_WORD[word])
+            return self._set_drained(unquote(endpoint), DRAINED_BY_ACTION[action])
         if path == COUNTERS_PATH:
             return AdminResponse(200, format_counters(self.lifecycle))
         return AdminResponse(200, b"ready\n") if self.is_ready() else AdminResponse(503, b"not ready\n")
@@ -168,12 +168,12 @@
     def _zones_call(self, zones: ZoneControl, method: bytes, path: str) -> AdminResponse:
         if path == ZONES_PATH and method == b"GET":
             return _json_response(zones.status())
-        quoted_zone, _, word = path.removeprefix(f"{ZONES_PATH}/").rpartition("/")
-        if method != b"PUT" or word not in OVERRIDE_BY_WORD:
-            usage = f"GET {ZONES_PATH}, or PUT {ZONES_PATH}/NAME/WORD with {', '.join(OVERRIDE_BY_WORD)}\n"
+        quoted_zone, _, action = path.removeprefix(f"{ZONES_PATH}/").rpartition("/")
+        if method != b"PUT" or action not in OVERRIDE_BY_ACTION:
+            usage = f"GET {ZONES_PATH}, or PUT {ZONES_PATH}/NAME/WORD with {', '.join(OVERRIDE_BY_ACTION)}\n"
             return AdminResponse(404, usage.encode())
         zone = unquote(quoted_zone)
-        if not zones.set_override(zone, OVERRIDE_BY_WORD[word]):
+        if not zones.set_override(zone, OVERRIDE_BY_ACTION[action]):
             return AdminResponse(404, f"no such room: {zone}\n".encode())
         return AdminResponse(200, b"done\n")
 
--- a/umberlead/frontends/object_api/handler.py
+++ b/umberlead/frontends/object_api/handler.py
@@ -21,7 +21,6 @@
 from umberlead.frontends.object_api.uploads import UploadRegistry
 from umberlead.frontends.object_api.writes import ObjectWriter
 from umberlead.net.client_connections import ClientGroup
-from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.net.http_message import HttpRequest
 from umberlead.net.server_connection import ServerConnection
 from umberlead.requests.lifecycle import RequestLifecycle
@@ -50,7 +49,7 @@
     operation: ObjectOperation
 
 
-async def _head_bucket(request: ObjectRequest) -> None:
+async def _answer_bucket_exists(request: ObjectRequest) -> None:
     request.conn.send_response(200, (), b"", 0)
 
 
@@ -194,7 +193,7 @@
         request.plan = self.config.plan_by_bucket[request.bucket]
         if not request.key:
             if method == b"HEAD":
-                return _head_bucket
+                return _answer_bucket_exists
             raise S3Error("NotImplemented", "buckets are set up in the operator's file, and not listed")
         reject_unsupported_features(request)
         route = self._routes.get((method, tuple(sorted(request.query))))
--- a/umberlead/frontends/object_api/manifest.py
+++ b/umberlead/frontends/object_api/manifest.py
@@ -28,9 +28,9 @@
 DELETED_MANIFEST = b'{"v": 1, "deleted": true}'  # stands in the place of a deleted object's manifest
 
 
-def hashed_name(*words: str) -> str:
-    """Return the 16 hexadecimal digits by which blocks, volumes and shards of these words are named."""
-    return hashlib.blake2b("\0".join(words).encode(), digest_size=8).hexdigest()
+def hashed_name(*components: str) -> str:
+    """Return the 16 hexadecimal digits that name a block, volume or shard, from what identifies it."""
+    return hashlib.blake2b("\0".join(components).encode(), digest_size=8).hexdigest()
 
 
 class BlockRange(NamedTuple):
--- a/umberlead/frontends/object_api/reads.py
+++ b/umberlead/frontends/object_api/reads.py
@@ -85,6 +85,7 @@
     """
 
     def names_etag(header: str) -> bool:
+        """Return whether a list of entity tags has the object's, or stands for any."""
         etags = [etag.strip().removeprefix("W/").strip('"') for etag in header.split(",")]
         return "*" in etags or manifest.etag in etags
 
@@ -226,8 +227,8 @@
                 conn.send_response(response.status, response.headers, b"".join(first_windows))
                 return
             request.deadline_us = 0  # from here on each window has its own deadline
-            response_head = conn.begin_response(response.status, response.headers, length_bytes)
-            conn.transport.writelines(response_head + first_windows)
+            response_start = conn.begin_response(response.status, response.headers, length_bytes)
+            conn.transport.writelines(response_start + first_windows)
             first_windows.clear()
             await self._send_windows(request, windows)
 
--- a/umberlead/frontends/platform.py
+++ b/umberlead/frontends/platform.py
@@ -92,6 +92,18 @@
     return plan
 
 
+def _parse_block(request: HttpRequest) -> str:
+    """Return the block that a request names, once its call id and its method are checked."""
+    if CALL_ID_PATTERN.fullmatch(request.headers.get(b"x-call-id", b"")) is None:
+        raise BadRequestError("X-Call-Id is missing or malformed")
+    if request.method not in (b"GET", b"PUT"):
+        raise BadRequestError("a read is a GET, a write is a PUT")
+    block = BLOCK_PATTERN.search(request.split_target()[1])
+    if block is None:
+        raise BadRequestError("block must be 16 hex digits")
+    return block[1].decode()
+
+
 def _parse_budget_seconds(headers: dict[bytes, bytes], timeout_us: int) -> float:
     """Return how long the client waits, by default the class's timeout."""
     budget = headers.get(b"x-budget")
@@ -139,13 +151,7 @@
     if request_class is None:
         raise BadRequestError(f"no such class: {class_name}")
     plan = _parse_plan(headers, lifecycle.plans)
-    if CALL_ID_PATTERN.fullmatch(headers.get(b"x-call-id", b"")) is None:
-        raise BadRequestError("X-Call-Id is missing or malformed")
-    if request.method not in (b"GET", b"PUT"):
-        raise BadRequestError("a read is a GET, a write is a PUT")
-    block = BLOCK_PATTERN.search(request.split_target()[1])
-    if block is None:
-        raise BadRequestError("block must be 16 hex digits")
+    block = _parse_block(request)
     budget_us = int(_parse_budget_seconds(headers, request_class.timeout_us) * 1e6)
     io = _parse_io(headers, lifecycle.settings)
     if request.body and request.method == b"GET":
@@ -154,7 +160,7 @@
         class_name=class_name,
         plan=plan,
         volume=io.volume,
-        key=block[1].decode(),
+        key=block,
         shard=io.shard,
         units=io.units,
         # The budget counts from the client's sending.
--- a/umberlead/plugins.py
+++ b/umberlead/plugins.py
@@ -147,13 +147,13 @@
         if self.trace_log is not None:
             incoming = request.request
             self.trace_log(
-                "answered",
-                id=request.id,
-                cls=incoming.class_name,
+                "request_answered",
+                request_id=request.id,
+                class_name=incoming.class_name,
                 plan=incoming.plan,
                 kind=answer.kind.value,
-                attempts=request.attempt_count,
-                **{f"note_{name}": value for name, value in request.annotations.items()},
+                attempt_count=request.attempt_count,
+                **{f"annotation_{name}": value for name, value in request.annotations.items()},
             )
 
     def _on_alarm(self, _signal: int, _frame: FrameType | None) -> None:
--- a/umberlead/simulator_adapter/parsing.py
+++ b/umberlead/simulator_adapter/parsing.py
@@ -1,6 +1,6 @@
 """Lines of the simulator's protocol to events, and actions to lines.
 
-Lines are split at single spaces; the word `-` stands for no value. Malformed lines raise IndexError,
+Lines are split at single spaces; the token `-` stands for no value. Malformed lines raise IndexError,
 ValueError or KeyError.
 """
 
@@ -32,13 +32,13 @@
 )
 from umberlead.simulator_adapter.errors import SimulatorProtocolError
 from umberlead.simulator_adapter.wire_tables import (
-    ATTEMPT_RESULT_BY_WORD,
+    ATTEMPT_RESULT_BY_TOKEN,
     CLIENT_RETRY_BIT,
-    ENDPOINT_STATUS_BY_WORD,
-    LIST_FAILED_WORD,
+    ENDPOINT_STATUS_BY_TOKEN,
+    LIST_FAILED_TOKEN,
     NO_VALUE,
-    PARTIAL_LIST_WORD,
-    TRUE_WORDS,
+    PARTIAL_LIST_TOKEN,
+    TRUE_TOKENS,
 )
 
 
@@ -55,24 +55,24 @@
     endpoint_lists: dict[int, tuple[Endpoint, ...]] = field(default_factory=dict)
 
 
-def parse_setting_pairs(words: list[str]) -> dict[str, str]:
-    """Return settings by path, from words of the form PATH=VALUE.
+def parse_setting_pairs(tokens: list[str]) -> dict[str, str]:
+    """Return settings by path, from tokens of the form PATH=VALUE.
 
     Raises:
-        SimulatorProtocolError: a word has no value.
+        SimulatorProtocolError: a token has no value.
     """
     pairs = {}
-    for word in words:
-        path, equals, value = word.partition("=")
+    for token in tokens:
+        path, equals, value = token.partition("=")
         if not equals:
-            raise SimulatorProtocolError(f"setting without a value: {word}")
+            raise SimulatorProtocolError(f"setting without a value: {token}")
         pairs[path] = value
     return pairs
 
 
 def parse_bool(text: str) -> bool:
-    """Return whether a word stands for true."""
-    return text in TRUE_WORDS
+    """Return whether a token stands for true."""
+    return text in TRUE_TOKENS
 
 
 def parse_optional_int(text: str) -> int:
@@ -80,13 +80,13 @@
     return 0 if text == NO_VALUE else int(text)
 
 
-def parse_listed_endpoint(words: list[str]) -> Endpoint:
+def parse_listed_endpoint(tokens: list[str]) -> Endpoint:
     """Read `item NAME STATUS _ SHARD _ [STARTED_US]`, a line of an endpoint list."""
     return Endpoint(
-        name=words[1],
-        status=ENDPOINT_STATUS_BY_WORD[words[2]],
-        shard=-1 if words[4] == NO_VALUE else int(words[4]),
-        started_us=parse_optional_int(words[6]) if len(words) > 6 else 0,
+        name=tokens[1],
+        status=ENDPOINT_STATUS_BY_TOKEN[tokens[2]],
+        shard=-1 if tokens[4] == NO_VALUE else int(tokens[4]),
+        started_us=parse_optional_int(tokens[6]) if len(tokens) > 6 else 0,
     )
 
 
@@ -98,70 +98,70 @@
     return {name: float(value) for name, value in named_values if value != NO_VALUE}
 
 
-def _parse_request(words: list[str], _context: ParsingContext) -> Request:
+def _parse_request(tokens: list[str], _context: ParsingContext) -> Request:
     """Read `arrival ID KEY VOLUME DEADLINE_US SHARD UNITS FLAGS CLASS PLAN FRONT_COUNT`."""
-    flags = parse_optional_int(words[7])
+    flags = parse_optional_int(tokens[7])
     return Request(
-        request_id=words[1],
-        key=None if words[2] == NO_VALUE else words[2],
-        volume=words[3],
-        deadline_us=int(words[4]),
-        shard=-1 if words[5] == NO_VALUE else int(float(words[5])),
-        units=1.0 if words[6] == NO_VALUE else float(words[6]),
-        class_name=words[8],
-        plan=words[9],
-        volume_front_count=1 if words[10] == NO_VALUE else int(float(words[10])),
+        request_id=tokens[1],
+        key=None if tokens[2] == NO_VALUE else tokens[2],
+        volume=tokens[3],
+        deadline_us=int(tokens[4]),
+        shard=-1 if tokens[5] == NO_VALUE else int(float(tokens[5])),
+        units=1.0 if tokens[6] == NO_VALUE else float(tokens[6]),
+        class_name=tokens[8],
+        plan=tokens[9],
+        volume_front_count=1 if tokens[10] == NO_VALUE else int(float(tokens[10])),
         is_client_retry=bool(flags & CLIENT_RETRY_BIT),
     )
 
 
-def _parse_outcome(words: list[str], context: ParsingContext) -> Outcome:
+def _parse_outcome(tokens: list[str], context: ParsingContext) -> Outcome:
     """Read `finished ID USED_RATE ELAPSED_US ATTEMPT RESULT FINAL UNITS_ELSEWHERE ENDPOINT LOAD_REPORT`."""
     return Outcome(
-        request_id=words[1],
-        used_rate_percent=parse_optional_int(words[2]),
-        elapsed_us=parse_optional_int(words[3]),
-        attempt=parse_optional_int(words[4]),
-        result=ATTEMPT_RESULT_BY_WORD[words[5]],
-        final=parse_bool(words[6]),
-        units_elsewhere=parse_optional_int(words[7]),
-        endpoint=words[8],
-        load_report=parse_load_report(words[9], context.load_report_fields),
+        request_id=tokens[1],
+        used_rate_percent=parse_optional_int(tokens[2]),
+        elapsed_us=parse_optional_int(tokens[3]),
+        attempt=parse_optional_int(tokens[4]),
+        result=ATTEMPT_RESULT_BY_TOKEN[tokens[5]],
+        final=parse_bool(tokens[6]),
+        units_elsewhere=parse_optional_int(tokens[7]),
+        endpoint=tokens[8],
+        load_report=parse_load_report(tokens[9], context.load_report_fields),
     )
 
 
-def _parse_timer(words: list[str], _context: ParsingContext) -> TimerExpired:
+def _parse_timer(tokens: list[str], _context: ParsingContext) -> TimerExpired:
     """Read `alarm LABEL`."""
-    return TimerExpired(words[1])
+    return TimerExpired(tokens[1])
 
 
-def _parse_endpoint_list(words: list[str], context: ParsingContext) -> EndpointList | EndpointListFailed:
+def _parse_endpoint_list(tokens: list[str], context: ParsingContext) -> EndpointList | EndpointListFailed:
     """Read `discovery _ KIND LIST_NUMBER`; the list itself came before in lines of its own."""
-    if words[2] == LIST_FAILED_WORD:
+    if tokens[2] == LIST_FAILED_TOKEN:
         return EndpointListFailed()
-    return EndpointList(words[2] != PARTIAL_LIST_WORD, context.endpoint_lists[int(words[3])])
+    return EndpointList(tokens[2] != PARTIAL_LIST_TOKEN, context.endpoint_lists[int(tokens[3])])
 
 
-def _parse_client_disconnected(words: list[str], _context: ParsingContext) -> ClientDisconnected:
+def _parse_client_disconnected(tokens: list[str], _context: ParsingContext) -> ClientDisconnected:
     """Read `client_left ID`."""
-    return ClientDisconnected(words[1])
+    return ClientDisconnected(tokens[1])
 
 
-def _parse_response_started(words: list[str], _context: ParsingContext) -> ResponseStarted:
+def _parse_response_started(tokens: list[str], _context: ParsingContext) -> ResponseStarted:
     """Read `started ID _ _ ATTEMPT`."""
-    return ResponseStarted(words[1], int(words[4]))
+    return ResponseStarted(tokens[1], int(tokens[4]))
 
 
-def _parse_health_check(words: list[str], context: ParsingContext) -> HealthCheckResult:
+def _parse_health_check(tokens: list[str], context: ParsingContext) -> HealthCheckResult:
     """Read `checked ENDPOINT RESULT ELAPSED_US LOAD_REPORT`."""
-    result = ATTEMPT_RESULT_BY_WORD[words[2]]
-    elapsed_us = parse_optional_int(words[3])
+    result = ATTEMPT_RESULT_BY_TOKEN[tokens[2]]
+    elapsed_us = parse_optional_int(tokens[3])
     return HealthCheckResult(
-        words[1], result, elapsed_us, parse_load_report(words[4], context.load_report_fields)
+        tokens[1], result, elapsed_us, parse_load_report(tokens[4], context.load_report_fields)
     )
 
 
-def _ignore_line(_words: list[str], _context: ParsingContext) -> None:
+def _ignore_line(_tokens: list[str], _context: ParsingContext) -> None:
     """Ignore a line that no scheduler is notified of."""
 
 
@@ -177,16 +177,16 @@
 }
 
 
-def parse_event(words: list[str], context: ParsingContext) -> Event | None:
+def parse_event(tokens: list[str], context: ParsingContext) -> Event | None:
     """Return the event of a line of a batch, None for a line to be ignored.
 
     Raises:
         SimulatorProtocolError: there is no such line.
     """
-    parser = EVENT_PARSERS.get(words[0])
+    parser = EVENT_PARSERS.get(tokens[0])
     if parser is None:
-        raise SimulatorProtocolError(f"unknown message {words[0]}")
-    return parser(words, context)
+        raise SimulatorProtocolError(f"unknown message {tokens[0]}")
+    return parser(tokens, context)
 
 
 def format_action(action: Action) -> str:
--- a/umberlead/simulator_adapter/session.py
+++ b/umberlead/simulator_adapter/session.py
@@ -33,8 +33,8 @@
         self.source = source
         self.number = 0
 
-    def next_words(self) -> list[str] | None:
-        """Return the next line's words, or None at the end of the input."""
+    def next_tokens(self) -> list[str] | None:
+        """Return the next line's tokens, or None at the end of the input."""
         line = self.source.readline()
         if not line:
             return None
@@ -59,19 +59,19 @@
         self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
         self.now_us = 0
 
-    def start_instance(self, instance: str, words: list[str]) -> None:
+    def start_instance(self, instance: str, tokens: list[str]) -> None:
         """Start an instance by `enlist SEED PATH=VALUE...`.
 
         Raises:
             ValueError: the settings are wrong.
             SimulatorProtocolError: a setting has no value.
         """
-        pairs = parse_setting_pairs(words[2:])
+        pairs = parse_setting_pairs(tokens[2:])
         settings = parse_settings(pairs)
         names = pairs.get("loadReport.fields", "").split(",")
         load_report_fields = [name for name in names if name and name != NO_VALUE]
         self.contexts[instance] = ParsingContext(load_report_fields, self.endpoint_lists)
-        self.schedulers[instance] = Scheduler(settings, int(words[1]), self.now_us)
+        self.schedulers[instance] = Scheduler(settings, int(tokens[1]), self.now_us)
 
     def run_scheduler(self, instance: str, events: list[Event]) -> list[Action]:
         """Hand an instance its events, and return its actions.
@@ -120,39 +120,39 @@
 
     def _read(self) -> None:
         while True:
-            words = self.reader.next_words()
-            if words is None:
+            tokens = self.reader.next_tokens()
+            if tokens is None:
                 raise SimulatorProtocolError("input ended inside a batch")
-            match words[0]:
+            match tokens[0]:
                 case "eof_batch":
                     return
                 case "manifest":
-                    self._read_endpoint_list(words)
+                    self._read_endpoint_list(tokens)
                 case "about":
-                    self.instance = words[1]
+                    self.instance = tokens[1]
                 case "enlist":
-                    self._start_instance(words)
+                    self._start_instance(tokens)
                 case "shutdown":
                     self._stop_instance()
                 case _:
-                    self._add_event(words)
+                    self._add_event(tokens)
 
-    def _read_endpoint_list(self, words: list[str]) -> None:
+    def _read_endpoint_list(self, tokens: list[str]) -> None:
         """Read `manifest NUMBER COUNT` and the lines of its endpoints."""
         endpoints = []
-        for _ in range(int(words[2])):
-            line = self.reader.next_words()
+        for _ in range(int(tokens[2])):
+            line = self.reader.next_tokens()
             if line is None or line[0] != "item":
                 raise SimulatorProtocolError("a list is shorter than it says")
             endpoints.append(parse_listed_endpoint(line))
-        self.session.endpoint_lists[int(words[1])] = tuple(endpoints)
+        self.session.endpoint_lists[int(tokens[1])] = tuple(endpoints)
 
-    def _start_instance(self, words: list[str]) -> None:
+    def _start_instance(self, tokens: list[str]) -> None:
         if not self.instance:
             raise SimulatorProtocolError("enlist before any about")
         self.events.pop(self.instance, None)
         try:
-            self.session.start_instance(self.instance, words)
+            self.session.start_instance(self.instance, tokens)
         except ValueError as error:
             raise SimulatorProtocolError(str(error)) from None
         self.events[self.instance] = []
@@ -163,29 +163,29 @@
         self.events.pop(self.instance, None)
         del self.session.schedulers[self.instance]
 
-    def _add_event(self, words: list[str]) -> None:
+    def _add_event(self, tokens: list[str]) -> None:
         if self.instance not in self.session.schedulers:
             name = self.instance or "(none)"
-            raise SimulatorProtocolError(f"{words[0]} for an instance that was not enlisted: {name}")
-        event = parse_event(words, self.session.contexts[self.instance])
+            raise SimulatorProtocolError(f"{tokens[0]} for an instance that was not enlisted: {name}")
+        event = parse_event(tokens, self.session.contexts[self.instance])
         if event is not None:
             self.events.setdefault(self.instance, []).append(event)
 
 
 def _run_batches(reader: LineReader, sink: TextIO) -> None:
     session = AdapterSession()
-    while (words := reader.next_words()) is not None:
-        if words == [""]:
+    while (tokens := reader.next_tokens()) is not None:
+        if tokens == [""]:
             continue
-        if words[0] != "sync" or len(words) != 3:
-            raise SimulatorProtocolError(f"expected sync, found {words[0]}")
-        session.now_us = int(words[1])
+        if tokens[0] != "sync" or len(tokens) != 3:
+            raise SimulatorProtocolError(f"expected sync, found {tokens[0]}")
+        session.now_us = int(tokens[1])
         output: list[str] = []
         try:
             Batch(session, reader).run(output)
         except SchedulerFailedError as error:
             output.append(str(error))
-        output.append(f"ready {words[2]}")
+        output.append(f"ready {tokens[2]}")
         sink.write("\n".join(output) + "\n")
         sink.flush()
 
--- a/umberlead/simulator_adapter/wire_tables.py
+++ b/umberlead/simulator_adapter/wire_tables.py
@@ -2,12 +2,12 @@
 
 from umberlead.scheduling.events import AttemptResult, EndpointStatus
 
-ENDPOINT_STATUS_BY_WORD = {
+ENDPOINT_STATUS_BY_TOKEN = {
     "live": EndpointStatus.UP,
     "quiescing": EndpointStatus.DRAINING,
     "dead": EndpointStatus.GONE,
 }
-ATTEMPT_RESULT_BY_WORD = {
+ATTEMPT_RESULT_BY_TOKEN = {
     "pass": AttemptResult.OK,
     "fault": AttemptResult.ERROR,
     "no_room": AttemptResult.REJECTED,
@@ -18,7 +18,7 @@
     "stale_send": AttemptResult.NOT_SENT,
 }
 NO_VALUE = "-"
-TRUE_WORDS = ("true", "1")
-LIST_FAILED_WORD = "X"  # in the place of a list's kind
-PARTIAL_LIST_WORD = "D"
+TRUE_TOKENS = ("true", "1")
+LIST_FAILED_TOKEN = "X"  # in the place of a list's kind
+PARTIAL_LIST_TOKEN = "D"
 CLIENT_RETRY_BIT = 2  # of a request's flags
--- a/umberlead/telemetry.py
+++ b/umberlead/telemetry.py
@@ -168,6 +168,7 @@
         self._writer = writer
 
     def msg(self, line: str) -> None:
+        """Queue a line."""
         self._writer.enqueue(line)
 
     debug = info = warning = error = critical = msg
@@ -185,6 +186,7 @@
     pid = os.getpid()
 
     def render(_logger: Any, method: str, event: MutableMapping[str, Any]) -> str:
+        """Return an event as a line, or drop it for its level."""
         if SEVERITY_BY_LEVEL.get(method, DEFAULT_SEVERITY) > SEVERITY_BY_LEVEL[level()]:
             raise structlog.DropEvent
         text = str(event.pop("event"))
