--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.expect.model import Collection, Happening, Load
 from umberlead.expect.world import START, Modelled, World
 from umberlead.membership.loading import ListLoader
@@ -136,7 +136,7 @@
     path.write_text(sheet(1, dict.fromkeys(NAMES, "ready"), ports))
     listing = ListLoader(path, 0, NameResolver(lambda host: ())).load(None).check_result.checked_list
     assert listing is not None
-    world = World(config.load_operator_file(str(folder / "front.toml")).settings, listing, script.seed)
+    world = World(configuration.load_operator_file(str(folder / "front.toml")).settings, listing, script.seed)
     world._first = dict(listing.endpoints)
     for name in NAMES:
         world.models[name] = Modelled(PACES[name[0]] / 0.020)
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -28,7 +28,7 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.node import FOREVER, Job, Node, Traits
 from umberlead.emulator.settings import settings as told_by
@@ -188,7 +188,7 @@
         self.mean = sum(r.work for r in self.day.requests) / len(self.day.requests)
         told = told_by(self.of, self.day, heads, shards)
         told["extra"]["coldUnits"] *= chance.uniform(0.38, 1.0)  # 0.19 to 0.5 of what the slowest bears
-        self.settings = config.parse_settings(config.flatten(told))
+        self.settings = configuration.parse_settings(configuration.flatten(told))
         self.kinds = {k.name: k for k in self.day.kinds}
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order, self.now = count(), 0
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -19,8 +19,8 @@
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.membership.flap_damping import FlapDampingSettings
-from umberlead.membership.list_merge import apply_change
-from umberlead.membership.machine import MembershipSettings
+from umberlead.membership.integration import apply_change
+from umberlead.membership.list_merge import MembershipSettings
 from umberlead.membership.service import WatchedListService, WatchedListSettings
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.scheduling.settings import Plan, RequestClass, Settings
--- a/benchmarks/planted_routes.py
+++ b/benchmarks/planted_routes.py
@@ -21,7 +21,7 @@
     "deploy/watched/servers.d/room-b.list",
 )
 MODULE, ENGINE = "umberlead/scheduling/scheduler.py", "umberlead/requests/lifecycle.py"
-MACHINE, JOIN = "umberlead/membership/machine.py", "umberlead/membership/list_merge.py"
+MACHINE, JOIN = "umberlead/membership/list_merge.py", "umberlead/membership/list_merge.py"
 NOT_LISTED = "error: no server is listed"  # something befalls it, and it is not there
 READ_ONLY = "read"  # the suite, the configuration or the list is refused before anything is played
 
--- a/benchmarks/watched_lists.py
+++ b/benchmarks/watched_lists.py
@@ -189,7 +189,7 @@
 
     def forced(self) -> list[tuple[int, float]]:
         """Versions and when they came into force, in Unix time."""
-        found = re.findall(r'^<\d+>1 (\S+)Z .* list_changed .*version="(\d+)"', self.log.read_text(), re.M)
+        found = re.findall(r'^<\d+>1 (\S+)Z .* endpoint_list_changed .*version="(\d+)"', self.log.read_text(), re.M)
         return [(int(v), datetime.fromisoformat(f"{at}+00:00").timestamp()) for at, v in found]
 
 
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -48,7 +48,7 @@
 
 import uvloop
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.front import FrontProcess
 
 FOLDER = Path(__file__).parent / "exchanges"
@@ -228,16 +228,16 @@
         self.names[f"{name}.address"] = address = b"127.0.0.1:%d" % server.sockets[0].getsockname()[1]
         return address.decode()
 
-    def _load(self) -> config.Config:
+    def _load(self) -> configuration.Config:
         with (
-            mock.patch.object(config.Path, "read_text", lambda _: ""),
+            mock.patch.object(Path, "read_text", lambda _: ""),
             mock.patch.object(tomllib, "loads", lambda _: self.conf),
         ):
-            return config.load_operator_file(str(FOLDER / "base.toml"))
+            return configuration.load_operator_file(str(FOLDER / "base.toml"))
 
     async def _start(self) -> FrontProcess:
         if self.front is None:
-            self.patches.enter_context(mock.patch.object(config, "load", self._load))
+            self.patches.enter_context(mock.patch.object(configuration, "load", self._load))
             self.patches.enter_context(
                 mock.patch("umberlead.front.descriptors_and_memory_in_use", lambda: (4, 0))
             )
--- a/tests/golden/exported.py
+++ b/tests/golden/exported.py
@@ -16,7 +16,7 @@
 from click.testing import CliRunner
 
 from tests.golden.stored import HERE, LISTING, NOW, lines, operator_file, without
-from umberlead import config
+from umberlead import configuration
 from umberlead.commands import command
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
@@ -102,7 +102,7 @@
         return False
 
 
-def engine_of(conf: config.Config, loop: Loop) -> RequestLifecycle:
+def engine_of(conf: configuration.Config, loop: Loop) -> RequestLifecycle:
     """An engine in virtual time over ten servers in two rooms."""
 
     def alarm(delay: int, what: Callable[[], None]) -> Alarm:
@@ -154,9 +154,9 @@
     loop.run(loop.now + 12 * MICROSECONDS_PER_S)
 
 
-def operator_conf(folder: Path) -> config.Config:
+def operator_conf(folder: Path) -> configuration.Config:
     """The full operator's file, read."""
-    return config.load({"UMBERLEAD_CONFIG": str(operator_file(folder))})
+    return configuration.load({"UMBERLEAD_CONFIG": str(operator_file(folder))})
 
 
 def plugin_calls(folder: Path) -> bytes:
@@ -211,7 +211,11 @@
 def joined_rooms(engine: RequestLifecycle, loop: Loop) -> ZoneIntegration:
     """Rooms one of which is lost and comes back in part."""
     joined = integrate_zones(
-        config.ZoneConfig("room-a", ("room-b",)), engine, 7, lambda: loop.now, lambda event, **told: None
+        configuration.ZoneConfig("room-a", ("room-b",)),
+        engine,
+        7,
+        lambda: loop.now,
+        lambda event, **told: None,
     )
     serve(engine, loop)
     rooms = joined.router.zone_health
--- a/tests/golden/settings.py
+++ b/tests/golden/settings.py
@@ -12,7 +12,7 @@
 import tomli_w
 
 from tests.golden.stored import HERE, lines, operator_file
-from umberlead import config
+from umberlead import configuration
 
 WRONG: tuple[Any, ...] = ("soon", "", -2, 1 << 70, True, [], {}, [{"a": 1}])
 
@@ -39,17 +39,17 @@
 
 
 def settings_table(
-    whole: dict[str, Any], read: Callable[[dict[str, Any]], config.Config], folder: Path
+    whole: dict[str, Any], read: Callable[[dict[str, Any]], configuration.Config], folder: Path
 ) -> bytes:
     """What `whole` is read as, and by key what comes of a wrong value, of none and of an unknown key."""
 
     def outcome(conf: dict[str, Any]) -> Any:
         try:
             return hash_of(read(conf))
-        except config.ConfigError as fault:
+        except configuration.ConfigError as fault:
             return [fault.key, str(fault).replace(str(folder), "FOLDER")]
 
-    def hash_of(conf: config.Config) -> Any:
+    def hash_of(conf: configuration.Config) -> Any:
         return "as it was" if conf == sound else "taken"
 
     def altered(path: tuple[str | int, ...], change: Callable[[Any, str | int], None]) -> Any:
@@ -77,9 +77,9 @@
     """The platform's JSON."""
     path = folder / "conf.json"
 
-    def read(conf: dict[str, Any]) -> config.Config:
+    def read(conf: dict[str, Any]) -> configuration.Config:
         path.write_text(json.dumps(conf))
-        return config.load({"EDGE_CONFIG": str(path), "TMPDIR": str(folder)})
+        return configuration.load({"EDGE_CONFIG": str(path), "TMPDIR": str(folder)})
 
     return settings_table(json.loads((HERE / "platform.json").read_bytes()), read, folder)
 
@@ -87,8 +87,10 @@
 def settings_operator(folder: Path) -> bytes:
     """An operator's TOML."""
 
-    def read(conf: dict[str, Any]) -> config.Config:
-        return config.load({"UMBERLEAD_CONFIG": str(operator_file(folder, tomli_w.dumps(conf).encode()))})
+    def read(conf: dict[str, Any]) -> configuration.Config:
+        return configuration.load(
+            {"UMBERLEAD_CONFIG": str(operator_file(folder, tomli_w.dumps(conf).encode()))}
+        )
 
     whole = tomllib.loads((HERE / "operator.toml").read_text())
     return settings_table(whole, read, folder)
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -12,7 +12,7 @@
 from typing import Any
 from unittest import mock
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.frontends.object_api.handler import ObjectApi
@@ -164,7 +164,7 @@
         return False
 
 
-async def _objects(conf: config.Config) -> list[Any]:
+async def _objects(conf: configuration.Config) -> list[Any]:
     assert conf.object_api is not None
     wheel = TimerWheel(lambda: NOW, lambda delay, call: mock.Mock(), 2000)
     soon: Callable[[Callable[[], None]], Any] = asyncio.get_running_loop().call_soon
@@ -218,7 +218,7 @@
 
 def objects(folder: Path) -> bytes:
     """Replies to clients, requests to chunk servers and counts, of objects put, read and deleted."""
-    conf = config.load({"UMBERLEAD_CONFIG": str(operator_file(folder))})
+    conf = configuration.load({"UMBERLEAD_CONFIG": str(operator_file(folder))})
     with counted_names():
         return lines(asyncio.run(_objects(conf)))
 
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).parent.parent
 TESTS: tuple[str, ...] = ("tests/test_lists_machine.py", "tests/test_lists_files.py")
 
-MACHINE, CHECKS = "umberlead/membership/machine.py", "umberlead/membership/checks.py"
+MACHINE, CHECKS = "umberlead/membership/list_merge.py", "umberlead/membership/checks.py"
 GRAMMAR, DAMPING = "umberlead/membership/grammar.py", "umberlead/membership/flap_damping.py"
 FILES, SNAPSHOT = "umberlead/membership/files.py", "umberlead/membership/snapshot.py"
 PLANTED = (
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 from tests.helpers import T0
 from tests.test_client_leaves import DONE, asks, block, play
 from umberlead.common.counters import Counters
-from umberlead.config import DiscoveryMessage
+from umberlead.configuration import DiscoveryMessage
 from umberlead.net.client_connections import ClientGroup
 from umberlead.net.discovery import DiscoveryWatch
 from umberlead.net.listener import Listener
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 from tests.helpers import T0
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
-from umberlead.config import DiscoveryMessage
+from umberlead.configuration import DiscoveryMessage
 from umberlead.handover.shared_state import SharedState
 from umberlead.net.discovery import DiscoveryWatch
 from umberlead.recovery.backoff import MAX_CALL_GAP_US
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -281,10 +281,10 @@
 
 
 def test_fronts_are_told_what_the_reader_of_configurations_takes() -> None:
-    from umberlead import config
+    from umberlead import configuration
 
     d = day()
-    got = config.parse_settings(config.flatten(settings(FIGURES, d, 4, 10)))
+    got = configuration.parse_settings(configuration.flatten(settings(FIGURES, d, 4, 10)))
     assert [p.reserved_units_per_second / p.usual_units_per_second for p in got.plans] == pytest.approx(
         [0.0, 0.8, 1.2]
     )
--- a/tests/test_expect_tools.py
+++ b/tests/test_expect_tools.py
@@ -54,7 +54,7 @@
 
 
 def test_a_server_that_drains_is_lost_and_one_that_is_the_last_leaves_nobody() -> None:
-    drains = listing(a=replace(LIST["a"], state=EndpointStatus.DRAINING))
+    drains = listing(a=replace(LIST["a"], status=EndpointStatus.DRAINING))
     assert told(drains)[1] == "read, shard 0: - a"
     lines = told(without("a", "c"))[1:]
     assert lines and all(": - a c; " in x and x.endswith("nobody can serve it") for x in lines)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.membership.change_gate import ChangeGate
 from umberlead.membership.loading import ListLoader
 from umberlead.membership.model import FilePosition, ListProblem
@@ -113,10 +113,10 @@
     text = text.replace("watched/servers.list", "l")
     file = tmp_path / "c.toml"
     file.write_text(text.replace("[membership]", '[membership]\ngate = "s.suite"\ngate_within_s = 5'))
-    with pytest.raises(config.ConfigError, match="no such file"):
-        config.load_operator_file(str(file))
+    with pytest.raises(configuration.ConfigError, match="no such file"):
+        configuration.load_operator_file(str(file))
     suite(tmp_path, "expect may shard 1 only c")
-    made = config.load_operator_file(str(file)).watched_lists
+    made = configuration.load_operator_file(str(file)).watched_lists
     assert (
         made is not None and made.gate_suite_path == tmp_path / "s.suite" and made.gate_timeout_seconds == 5
     )
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -373,7 +373,7 @@
 
 def test_two_fronts_talk_over_real_datagrams(tmp_path: Path) -> None:
     from tests.test_rooms_front import Hand
-    from umberlead import config
+    from umberlead import configuration
     from umberlead.gossip.udp_transport import start_gossip
 
     (tmp_path / "keys").write_text(f"{KEY.hex()}  # the first\n")
@@ -387,7 +387,7 @@
             return begin + int(loop.time() * MICROSECONDS_PER_S)
 
         for k, hand in enumerate(hands):
-            of = config.GossipConfig(("127.0.0.1", 0), join, tmp_path / "keys", 20_000)
+            of = configuration.GossipConfig(("127.0.0.1", 0), join, tmp_path / "keys", 20_000)
             peers, task = await start_gossip(of, f"f{k}", k, hand.rooms, clock)
             host, _, port = peers.gossip.address.rpartition(":")
             join = ((host, int(port)),)
--- a/tests/test_lists_files.py
+++ b/tests/test_lists_files.py
@@ -315,12 +315,12 @@
 
 def test_a_full_disk_leaves_the_old_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "list"
-    snapshot.write(path, b"old")
+    snapshot.write_atomically(path, b"old")
     for call in ("write", "fsync", "rename"):
         with monkeypatch.context() as patch:
             patch.setattr(os, call, _full)
             with pytest.raises(OSError):
-                snapshot.write(path, b"new")
+                snapshot.write_atomically(path, b"new")
         assert path.read_bytes() == b"old" and os.listdir(tmp_path) == ["list"]
 
 
--- a/tests/test_lists_front.py
+++ b/tests/test_lists_front.py
@@ -157,12 +157,12 @@
         async with world(tmp_path, unit=0.5) as w:
             a, b = w.servers["a"], w.servers["b"]
             w.swap("a")
-            await w.said("list_changed", next(i for i, x in enumerate(w.lines) if "listening" in x))
+            await w.said("endpoint_list_changed", next(i for i, x in enumerate(w.lines) if "listening" in x))
             out = asyncio.create_task(w.ask("up1", "PUT"))
             await _until(lambda: a.busy)
             count = len(w.lines)
             w.swap("b")
-            await w.said("list_changed", count)
+            await w.said("endpoint_list_changed", count)
             later = [asyncio.create_task(w.ask(f"r{k}")) for k in range(2)]
             assert [await out, *await asyncio.gather(*later)] == [200, 200, 200]
             ends = [(row["server"], row["id"]) for row in w.record.rows]
@@ -183,7 +183,7 @@
             left = next(n for n in "ab" if w.servers[n].connections)
             count = len(w.lines)
             w.swap("b" if left == "a" else "a")
-            await w.said("list_changed", count)
+            await w.said("endpoint_list_changed", count)
             await _until(lambda: not w.servers[left].connections)
             at = time.monotonic_ns()
             assert await asyncio.gather(*[w.ask(f"s{k}") for k in range(20)]) == [200] * 20
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -7,8 +7,9 @@
 
 from tests.helpers import T0, ask, feed, head, nodes, sends
 from umberlead.membership.flap_damping import FlapDamper, FlapDampingSettings
-from umberlead.membership.machine import Membership, MembershipSettings, NoPendingListError
+from umberlead.membership.list_merge import Membership, MembershipSettings
 from umberlead.membership.model import CheckedList, EndpointSpec, diff_endpoints
+from umberlead.membership.pending_list import NoPendingListError
 from umberlead.scheduling.actions import Send
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointStatus, Outcome
 from umberlead.scheduling.weighted_round_robin import SmoothWeightedRoundRobin
@@ -31,7 +32,7 @@
         shard,
         EndpointStatus.UP if ready else EndpointStatus.DRAINING,
         weight=weight,
-        started=started,
+        started_us=started,
     ),
     NAMES,
     st.integers(1, 3),
--- a/tests/test_lists_watch.py
+++ b/tests/test_lists_watch.py
@@ -13,8 +13,9 @@
 from umberlead.common.counters import Counters
 from umberlead.membership import snapshot
 from umberlead.membership.flap_damping import FlapDampingSettings
-from umberlead.membership.machine import MembershipSettings, NoPendingListError
+from umberlead.membership.list_merge import MembershipSettings
 from umberlead.membership.model import MembershipChange
+from umberlead.membership.pending_list import NoPendingListError
 from umberlead.membership.service import NoUsableListError, WatchedListService, WatchedListSettings
 
 PATIENCE = 15.0  # s until what never comes fails a test
@@ -179,20 +180,20 @@
         bench.main.write_text(sheet(1, "a"))
         service = bench.open()
         replace(bench.main, sheet(2, "a", "b").replace("shard", "shrad"))
-        await bench.until(lambda: "list_refused" in bench.log.events(), "no complaint")
+        await bench.until(lambda: "endpoint_list_rejected" in bench.log.events(), "no complaint")
         seen = service.load_count
         for _ in range(3):  # the same file touched again and again
             os.utime(bench.main)
             await bench.until(lambda before=seen: service.load_count > before, "not read again")  # type: ignore[misc]
             seen = service.load_count
-        assert bench.names() == {"a"} and bench.log.events().count("list_refused") == 1
-        pairs = next(p for e, p in bench.log.lines if e == "list_refused")
-        assert (pairs["code"], pairs["at"], pairs["near"]) == ("L101", "main.list:3:33", "shard")
+        assert bench.names() == {"a"} and bench.log.events().count("endpoint_list_rejected") == 1
+        pairs = next(p for e, p in bench.log.lines if e == "endpoint_list_rejected")
+        assert (pairs["code"], pairs["position"], pairs["suggestion"]) == ("L101", "main.list:3:33", "shard")
         status = service.status()
         assert status["complaint"][0]["line"] == 3 and status["generation"] == 1
         replace(bench.main, sheet(2, "a", "b"))
         await bench.comes("a", "b")
-        assert "list_sound_again" in bench.log.events() and service.status()["complaint"] == []
+        assert "endpoint_list_accepted_again" in bench.log.events() and service.status()["complaint"] == []
         service.close()
 
     play(test)
@@ -237,7 +238,7 @@
         bench = Bench(tmp_path)
         service = bench.open()
         assert bench.names() == {"a", "b"} and service.status()["origin"] == "snapshot"
-        assert "list_from_snapshot" in bench.log.events()
+        assert "endpoint_list_restored" in bench.log.events()
         replace(bench.main, sheet(2, "c"))  # older than what the snapshot remembers
         await bench.until(
             lambda: [p.code for p in service.membership.rejection_problems] == ["L209"],
@@ -262,7 +263,7 @@
         bench.saved.write_bytes(bytes(data))
         again = Bench(tmp_path)
         again.open().close()
-        assert again.names() == {"a"} and "list_snapshot_damaged" in again.log.events()
+        assert again.names() == {"a"} and "endpoint_list_snapshot_damaged" in again.log.events()
         bench.saved.write_bytes(bytes(data))
         bench.main.write_text("format 1\nserver\n")
         with pytest.raises(
@@ -285,7 +286,7 @@
             raise OSError(28, "No space left on device")
 
         with monkeypatch.context() as patch:
-            patch.setattr(snapshot, "write", full)
+            patch.setattr(snapshot, "write_atomically", full)
             replace(bench.main, sheet(2, "a", "b"))
             await bench.comes("a", "b")
             await bench.until(lambda: bench.counters["list_snapshots_failed"], "no complaint")
@@ -305,14 +306,14 @@
     async def test() -> None:
         bench = Bench(tmp_path)
         bench.main.write_text(sheet(1, "a"))
-        whole, faults = snapshot.write, [OSError(28, "No space left on device")]
+        whole, faults = snapshot.write_atomically, [OSError(28, "No space left on device")]
 
         def full_once(path: Path, data: bytes) -> None:
             if faults:
                 raise faults.pop()
             whole(path, data)
 
-        monkeypatch.setattr(snapshot, "write", full_once)
+        monkeypatch.setattr(snapshot, "write_atomically", full_once)
         service = bench.open()
         await bench.until(lambda: bench.counters["list_snapshots_saved"], "not saved")
         service.close()
@@ -330,7 +331,7 @@
         service = bench.open()
         service.membership.settings = MembershipSettings(0.25)
         replace(bench.main, sheet(2, *"abc"))
-        await bench.until(lambda: "list_held" in bench.log.events(), "not held")
+        await bench.until(lambda: "endpoint_list_held" in bench.log.events(), "not held")
         assert bench.names() == set("abcdef")
         digest = service.status()["pending"]["confirm"]
         with pytest.raises(NoPendingListError):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead import config
+from umberlead import configuration
 from umberlead import resource_limits as limits
 from umberlead.common.counters import Counters
 from umberlead.common.slot_table import SlotTable
@@ -178,14 +178,16 @@
 
 
 class TestConfig(unittest.TestCase):
-    def load(self, change: Callable[[dict[str, Any]], object]) -> config.Config:
+    def load(self, change: Callable[[dict[str, Any]], object]) -> configuration.Config:
         got = tomllib.loads((ROOT / "tests" / "exchanges" / "base.toml").read_text())
         got = {"listen": got["listen"], "settings": got["settings"], "discovery": "127.0.0.1:1"}
         change(got)
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(got, file)
             file.flush()
-            return config.load({"EDGE_CONFIG": file.name, "EDGE_NAME": "n7", "EDGE_DISCOVERY": "127.0.0.1:1"})
+            return configuration.load(
+                {"EDGE_CONFIG": file.name, "EDGE_NAME": "n7", "EDGE_DISCOVERY": "127.0.0.1:1"}
+            )
 
     def test_message_names_the_faulty_key(self) -> None:
         self.assertEqual(self.load(lambda _: None).name, "n7")
@@ -201,14 +203,14 @@
             "known.endpoints.0.address": lambda c: c.update(known={"endpoints": [{"name": "s"}]}),
             "discovery": lambda c: c.update(discovery="nowhere"),
         }.items():
-            with self.assertRaises(config.ConfigError) as caught:
+            with self.assertRaises(configuration.ConfigError) as caught:
                 self.load(change)
             self.assertEqual(caught.exception.key, key)
 
     def test_a_file_that_is_replaced_names_discovery_anew_and_what_waits_for_a_restart(self) -> None:
         old = self.load(lambda _: None)
         new = self.load(lambda c: c.update(discovery="127.0.0.1:2", listen="127.0.0.1:9", seed="ff"))
-        self.assertEqual(config.changed_fields(old, new), (["discovery"], ["listen"]))
+        self.assertEqual(configuration.changed_fields(old, new), (["discovery"], ["listen"]))
 
     def test_the_process_reloads_takes_no_polling_thread_and_ends_with_0(self) -> None:
         text = (ROOT / "tests" / "exchanges" / "base.toml").read_text().replace("= 15000000", "= 100000")
@@ -237,7 +239,7 @@
 
     def test_operators_file_is_sound_and_a_wrong_one_ends_the_program(self) -> None:
         path = ROOT / "deploy" / "objects.toml"
-        made = config.load({"UMBERLEAD_CONFIG": str(path)})
+        made = configuration.load({"UMBERLEAD_CONFIG": str(path)})
         self.assertEqual(
             made.object_api and made.object_api.plan_by_bucket, {"scans": "priority", "exports": "basic"}
         )
--- a/tests/test_rooms_front.py
+++ b/tests/test_rooms_front.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.figures import Figures
@@ -145,7 +145,7 @@
             SETTINGS, 1, lambda: loop.now, wheel, loop.soon, Counters(), lambda *w, **p: None
         )
         self.engine.transport = self
-        rules = zone_settings(config.ZoneConfig(own_zone="a", nearby_zones=("b",)))
+        rules = zone_settings(configuration.ZoneConfig(own_zone="a", nearby_zones=("b",)))
         self.rooms = ZoneIntegration(
             rules, self.engine, 1, lambda: loop.now, None, lambda event, **p: self.lines.append((event, p))
         )
@@ -275,8 +275,8 @@
     ],
 )
 def test_a_bad_table_names_its_key(table: dict[str, Any], why: str, tmp_path: Path) -> None:
-    with pytest.raises(config.ConfigError) as caught:
-        config.parse_zones(config.Keys(table, "rooms"), tmp_path)
+    with pytest.raises(configuration.ConfigError) as caught:
+        configuration.parse_zones(configuration.Keys(table, "rooms"), tmp_path)
     assert why in str(caught.value)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -21,7 +21,7 @@
 from hypothesis import seed as with_seed
 from hypothesis import strategies as st
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.loop import Alarm, Loop
@@ -197,11 +197,11 @@
     return conf
 
 
-def load(conf: Any) -> config.Config:
+def load(conf: Any) -> configuration.Config:
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(conf if isinstance(conf, str) else json.dumps(conf))
         file.flush()
-        return config.load({"EDGE_CONFIG": file.name})
+        return configuration.load({"EDGE_CONFIG": file.name})
 
 
 def on_the_wire(told: dict[str, Any]) -> dict[str, str]:
@@ -215,14 +215,14 @@
     def nested(value: Any) -> bool:
         return isinstance(value, dict) or isinstance(value, list) and any(map(nested, value))
 
-    return {k: word(v) for k, v in config.flatten(told).items() if not nested(v)}
+    return {k: word(v) for k, v in configuration.flatten(told).items() if not nested(v)}
 
 
 class Day:
     """One front's engine in virtual time. What each attempt ends with, and when, is drawn. What is given to
     chunk servers is judged as it comes, and so is each answer."""
 
-    def __init__(self, made: config.Config, seed: int, zones: tuple[str, ...] = ("a", "b")) -> None:
+    def __init__(self, made: configuration.Config, seed: int, zones: tuple[str, ...] = ("a", "b")) -> None:
         self.zones, self.s, self.loop, self.chance = zones, made.settings, Loop(), random.Random(seed)
         self.start_at, self.faults, loop = self.loop.now, list[str](), self.loop
         self.wheel = TimerWheel(lambda: loop.now, self._alarm, made.tick_us)
@@ -445,7 +445,7 @@
     assert [(p.name, p.weight, p.limit_units_per_second) for p in made.settings.plans] == [
         (p["name"], float(p.get("weight", 1)), float(p.get("neverOver", 0))) for p in told["plans"]
     ]
-    assert config.parse_settings(on_the_wire(told)) == made.settings
+    assert configuration.parse_settings(on_the_wire(told)) == made.settings
     day = Day(made, seed, tuple(told.get("azs", ("a", "b"))))
     day.play()
     for line in format_counters(day.engine).decode().splitlines():  # whatever the classes are called
@@ -556,7 +556,7 @@
     path, loop, count, missed = tmp_path / "c.json", asyncio.new_event_loop(), 0, []
     with mock.patch.dict(os.environ, {"EDGE_CONFIG": str(path)}, clear=True):
         path.write_text(json.dumps(whole()))
-        front = FrontProcess(config.load(), loop)
+        front = FrontProcess(configuration.load(), loop)
         front.log = mock.Mock()
         sound, before = front.config, front.pool.addresses.copy()
         cases = [(key, key.replace("*", "1"), value) for key, value in broken()]
@@ -592,8 +592,8 @@
 def test_a_bucket_of_no_plan_is_named(tmp_path: Path, plan: str) -> None:
     text = (ROOT / "tests/exchanges/base.toml").read_text().replace('scans = "gold"', f"scans = {plan}")
     (tmp_path / "f.toml").write_text(text)
-    with pytest.raises(config.ConfigError) as caught:
-        config.load({"UMBERLEAD_CONFIG": str(tmp_path / "f.toml")})
+    with pytest.raises(configuration.ConfigError) as caught:
+        configuration.load({"UMBERLEAD_CONFIG": str(tmp_path / "f.toml")})
     assert caught.value.key == "objects.buckets.scans"
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from tests.exchange import PATIENCE
-from umberlead import config
+from umberlead import configuration
 from umberlead.front import FrontProcess
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -110,7 +110,7 @@
             mock.patch("umberlead.front.unix_anchored_clock", lambda: lambda: self.now),
             mock.patch("umberlead.front.descriptors_and_memory_in_use", lambda: (4, 0)),
         ):
-            self.front = FrontProcess(config.load(env), asyncio.get_running_loop())
+            self.front = FrontProcess(configuration.load(env), asyncio.get_running_loop())
         self.task = asyncio.create_task(self.front.run())
 
     async def until(self, what: Any) -> None:
--- a/umberlead/commands/lists.py
+++ b/umberlead/commands/lists.py
@@ -1,46 +1,55 @@
-"""`umberlead list`: lists of chunk servers checked, compared, formatted, sealed and shown without a front,
-and the list that a running front has in force."""
+"""`umberlead list`: endpoint lists checked, compared, formatted, sealed and shown.
+
+Most commands need no front; `show --door` and `confirm` ask a running one by its admin API. Modules of
+membership are imported where they are used, so that the other commands start without them.
+"""
 
 import json
 import sys
 import urllib.error
 import urllib.request
+from collections.abc import Iterable
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any, NoReturn
 
 import click
 
+if TYPE_CHECKING:
+    from umberlead.membership.checks import CheckResult
+    from umberlead.membership.files import FileSet
+    from umberlead.membership.model import CheckedList, EndpointSpec, ListProblem
+
 FILE_ARGUMENT = click.Path(dir_okay=False, path_type=Path)
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 SHARDS_OPTION = click.option(
-    "--shards", type=click.IntRange(0), default=0, help="How many shards must be served."
+    "--shards", "shard_count", type=click.IntRange(0), default=0, help="How many shards must be served."
 )
 ADMIN_ADDRESS_OPTION = click.option(
-    "--door", metavar="HOST:PORT", required=True, help="The front's management address."
+    "--door", "admin_address", metavar="HOST:PORT", required=True, help="The front's management address."
 )
-
-
-def _load(path: Path, shards: int, names: bool) -> Any:
-    from umberlead.membership.loading import ListLoader
-    from umberlead.membership.name_resolution import NameResolver, system_lookup
-
-    # Unless asked to, no name is looked up: each then stands for itself.
-    resolver = NameResolver(system_lookup if names else lambda host: (host,), timeout_seconds=5.0)
-    return ListLoader(path, shards, resolver).load(None)
-
-
-def _print_result(told: Any, as_json: bool, text: str) -> None:
-    click.echo(json.dumps(told, indent=1) if as_json else text)
-
-
-def _checked_list_or_exit(path: Path, shards: int = 0, names: bool = False) -> Any:
-    """The listing, or the problems on standard error and 1."""
-    verdict = _load(path, shards, names).check_result
-    if verdict.checked_list is None:
-        for problem in verdict.problems:
-            click.echo(str(problem), err=True)
-        sys.exit(1)
-    return verdict.checked_list
+STATUS_PATH = "/control/list"
+ENDPOINTS_PATH = "/control/list/servers"
+CONFIRM_PATH = "/control/list/confirm/"
+RESOLVE_TIMEOUT_SECONDS = 5.0
+ADMIN_API_TIMEOUT_SECONDS = 5
+CONFLICT_STATUS = 409
+PROBLEMS_STATUS = 1
+FAILED_STATUS = 2
+# The name under which each field of an endpoint is printed.
+PRINTED_FIELDS = {
+    "name": "name",
+    "address": "address",
+    "shard": "shard",
+    "state": "status",
+    "room": "zone",
+    "weight": "weight",
+    "units": "max_units",
+    "started": "started_us",
+}
+# Problems that sealing a set mends.
+MANIFEST_CODES = ("L405", "L406")
+
+PrintedChanges = dict[str, list[Any]]
 
 
 @click.group()
@@ -53,21 +62,21 @@
 @click.option("--resolve", is_flag=True, help="Look host names up as a front would.")
 @SHARDS_OPTION
 @JSON_OPTION
-def check(path: Path, resolve: bool, shards: int, as_json: bool) -> None:
+def check(path: Path, resolve: bool, shard_count: int, as_json: bool) -> None:
     """Check the set of files whose main file is PATH."""
-    verdict = _load(path, shards, resolve).check_result
-    if verdict.checked_list is not None:
-        of = verdict.checked_list
-        told = {"sound": True, "version": of.version, "servers": len(of.endpoints), "digest": of.digest}
-        _print_result(told, as_json, f"{path}: sound, version {of.version}, {len(of.endpoints)} servers")
+    check_result = _check(path, shard_count, resolve)
+    checked_list = check_result.checked_list
+    if checked_list is not None:
+        version = checked_list.version
+        count = len(checked_list.endpoints)
+        fields = {"sound": True, "version": version, "servers": count, "digest": checked_list.digest}
+        _print_result(fields, as_json, f"{path}: sound, version {version}, {count} servers")
         return
     if as_json:
-        click.echo(
-            json.dumps({"sound": False, "problems": [p.to_json_row() for p in verdict.problems]}, indent=1)
-        )
-    for problem in verdict.problems:
-        click.echo(str(problem), err=True)
-    sys.exit(1)
+        rows = [problem.to_json_row() for problem in check_result.problems]
+        click.echo(json.dumps({"sound": False, "problems": rows}, indent=1))
+    _print_problems(check_result.problems)
+    sys.exit(PROBLEMS_STATUS)
 
 
 @lists.command()
@@ -78,25 +87,40 @@
     """What NEW would change over OLD; 0 where nothing would."""
     from umberlead.membership.model import diff_endpoints
 
-    before, after = _checked_list_or_exit(old), _checked_list_or_exit(new)
-    delta = diff_endpoints(before.endpoints, after.endpoints)
-    told = {"came": list(delta.added), "went": list(delta.removed), "withdrawn": delta.withdrawn_count}
-    lines = [f"- {n}" for n in delta.removed] + [f"+ {n}" for n in delta.added]
-    changes: dict[str, dict[str, list[Any]]] = {}
-    for name in delta.changed:
-        pair = before.endpoints[name], after.endpoints[name]
-        fields = {k: [getattr(s, k) for s in pair] for k in pair[0].__slots__}
-        changes[name] = {k: [_plain_value(v) for v in vs] for k, vs in fields.items() if vs[0] != vs[1]}
-        lines.append(f"~ {name} " + ", ".join(f"{k} {a} -> {b}" for k, (a, b) in changes[name].items()))
+    before = checked_list_or_exit(old).endpoints
+    after = checked_list_or_exit(new).endpoints
+    delta = diff_endpoints(before, after)
+    changes = {name: _printed_changes(before[name], after[name]) for name in delta.changed}
+    lines = [f"- {name}" for name in delta.removed]
+    lines += [f"+ {name}" for name in delta.added]
+    for name, fields in changes.items():
+        listed = ", ".join(f"{field} {old_value} -> {value}" for field, (old_value, value) in fields.items())
+        lines.append(f"~ {name} {listed}")
     if delta.lost_shards:
         lines.append("! no ready server left for shard " + ", ".join(map(str, delta.lost_shards)))
-    _print_result(
-        told | {"changed": changes, "lost_shards": list(delta.lost_shards)}, as_json, "\n".join(lines)
-    )
-    sys.exit(1 if delta.affected_names else 0)
+    result = {
+        "came": list(delta.added),
+        "went": list(delta.removed),
+        "withdrawn": delta.withdrawn_count,
+        "changed": changes,
+        "lost_shards": list(delta.lost_shards),
+    }
+    _print_result(result, as_json, "\n".join(lines))
+    sys.exit(PROBLEMS_STATUS if delta.affected_names else 0)
+
+
+def _printed_changes(before: "EndpointSpec", after: "EndpointSpec") -> PrintedChanges:
+    """Return the values of the fields that differ, before and after."""
+    changes = {}
+    for printed, field in PRINTED_FIELDS.items():
+        values = [getattr(before, field), getattr(after, field)]
+        if values[0] != values[1]:
+            changes[printed] = [_plain_value(value) for value in values]
+    return changes
 
 
 def _plain_value(value: Any) -> Any:
+    """Return an address as HOST:PORT, and an enum's member as its value."""
     if isinstance(value, tuple):
         return ":".join(map(str, value))
     return getattr(value, "value", value)
@@ -105,31 +129,34 @@
 @lists.command("format")
 @click.argument("paths", nargs=-1, required=True, type=FILE_ARGUMENT)
 @click.option("--write", is_flag=True, help="Rewrite the files instead of printing.")
-@click.option("--check", "only", is_flag=True, help="Only say which files would change (1 if any would).")
-def format_(paths: tuple[Path, ...], write: bool, only: bool) -> None:
+@click.option(
+    "--check", "check_only", is_flag=True, help="Only say which files would change (1 if any would)."
+)
+def format_(paths: tuple[Path, ...], write: bool, check_only: bool) -> None:
     """Lay files out the usual way; comments stay. A file that can't be read is left alone."""
     from umberlead.membership.formatting import format_list
     from umberlead.membership.grammar import parse_file
 
-    failed = differ = False
+    any_failed = False
+    any_differs = False
     for path in paths:
         text = _read_text_or_exit(path)
         problems = parse_file(text, str(path)).problems
         if problems:
-            failed = True
-            for problem in problems:
-                click.echo(str(problem), err=True)
+            any_failed = True
+            _print_problems(problems)
             continue
-        made = format_list(text)
-        differ |= made != text
-        if only:
-            if made != text:
+        formatted = format_list(text)
+        differs = formatted != text
+        any_differs |= differs
+        if check_only:
+            if differs:
                 click.echo(f"{path} would change")
         elif not write:
-            click.echo(made, nl=False)
-        elif made != text:
-            _write_or_exit(path, made)
-    sys.exit(2 if failed else int(only and differ))
+            click.echo(formatted, nl=False)
+        elif differs:
+            _write_or_exit(path, formatted)
+    sys.exit(FAILED_STATUS if any_failed else int(check_only and any_differs))
 
 
 @lists.command()
@@ -140,122 +167,169 @@
 
     from umberlead.membership import files
 
-    got = files.read_set(path)
-    own = [p for p in got.problems if p.code not in ("L405", "L406")]
-    problems = own + [p for parsed in got.parsed_files for p in parsed.problems]
-    if problems or not got.parsed_files:
-        for problem in problems:
-            if problem.code != "L401" or got.parsed_files[0].manifest is None:
-                click.echo(str(problem), err=True)
-        if not got.parsed_files or any(p.code != "L401" for p in problems):
-            sys.exit(1)
-    told = got.parsed_files[0].manifest
-    if told is None:
+    file_set = files.read_set(path)
+    _exit_unless_sealable(file_set)
+    manifest = file_set.parsed_files[0].manifest
+    if manifest is None:
         click.echo(f"{path}: the list names no manifest", err=True)
-        sys.exit(1)
+        sys.exit(PROBLEMS_STATUS)
     rows = ["format 1"]
-    for parsed in sorted(got.parsed_files, key=lambda f: f.file):
-        digest = hashlib.sha256(got.text_by_file[parsed.file].encode()).hexdigest()
+    for parsed in sorted(file_set.parsed_files, key=lambda parsed: parsed.file):
+        digest = hashlib.sha256(file_set.text_by_file[parsed.file].encode()).hexdigest()
         rows.append(f"file {parsed.file} sha256 {digest}")
-    _write_or_exit(path.parent / told[0], "\n".join([*rows, f"end {len(rows)}", ""]))
-
+    _write_or_exit(path.parent / manifest.value, "\n".join([*rows, f"end {len(rows)}", ""]))
 
-def _read_text_or_exit(path: Path) -> str:
-    try:
-        return path.read_text()
-    except (OSError, UnicodeDecodeError) as fault:
-        click.echo(f"{path}: {fault}", err=True)
-        sys.exit(2)
 
+def _exit_unless_sealable(file_set: "FileSet") -> None:
+    """Print problems and exit, unless there are none but those that a new manifest mends.
 
-def _write_or_exit(path: Path, text: str) -> None:
-    from umberlead.membership.snapshot import write
-
-    try:
-        write(path, text.encode())
-    except OSError as fault:
-        click.echo(f"{path}: {fault}", err=True)
-        sys.exit(2)
+    With a manifest named, problem L401 is that the manifest is not there yet.
+    """
+    problems = [problem for problem in file_set.problems if problem.code not in MANIFEST_CODES]
+    problems += [problem for parsed in file_set.parsed_files for problem in parsed.problems]
+    if not problems and file_set.parsed_files:
+        return
+    names_manifest = bool(file_set.parsed_files) and file_set.parsed_files[0].manifest is not None
+    _print_problems(problem for problem in problems if problem.code != "L401" or not names_manifest)
+    if not file_set.parsed_files or any(problem.code != "L401" for problem in problems):
+        sys.exit(PROBLEMS_STATUS)
 
 
 @lists.command()
 @click.argument("path", type=FILE_ARGUMENT, required=False)
-@click.option("--door", metavar="HOST:PORT", help="Show what a running front has in force.")
-@click.option("--snapshot", "saved", is_flag=True, help="PATH is a front's snapshot.")
+@click.option("--door", "admin_address", metavar="HOST:PORT", help="Show what a running front has in force.")
+@click.option("--snapshot", "is_snapshot", is_flag=True, help="PATH is a front's snapshot.")
 @JSON_OPTION
-def show(path: Path | None, door: str | None, saved: bool, as_json: bool) -> None:
+def show(path: Path | None, admin_address: str | None, is_snapshot: bool, as_json: bool) -> None:
     """Show the servers of a list, of a snapshot, or of a running front."""
-    if (path is None) == (door is None):
+    if (path is None) == (admin_address is None):
         raise click.UsageError("name either a file or --door")
-    if door is not None:
-        rows, told = (
-            json.loads(_call_admin_api(door, "/control/list/servers")),
-            json.loads(_call_admin_api(door, "/control/list")),
-        )
-        head = f"generation {told['generation']} from {told['origin']}, version {told['version']}"
-        head += f", {told['age_s']:.0f} s old"
-        lines = [head, *(f"! {p['file']}:{p['line']}: {p['code']}: {p['text']}" for p in told["complaint"])]
-        if "pending" in told:
-            lines.append(f"! held; confirm with: umberlead list confirm {told['pending']['confirm']}")
-        _print_result(told | {"list": rows}, as_json, "\n".join(lines + [_format_row(r) for r in rows]))
+    if admin_address is not None:
+        _show_running_front(admin_address, as_json)
         return
     assert path is not None
-    listing = _snapshot_list_or_exit(path) if saved else _checked_list_or_exit(path)
+    checked_list = _snapshot_list_or_exit(path) if is_snapshot else checked_list_or_exit(path)
     rows = [
         {
-            "name": s.name,
-            "address": _plain_value(s.address),
-            "shard": s.shard,
-            "room": s.room,
-            "weight": s.weight,
-            "state": "ready" if s.state.value == "up" else "draining",
+            "name": endpoint.name,
+            "address": _plain_value(endpoint.address),
+            "shard": endpoint.shard,
+            "room": endpoint.zone,
+            "weight": endpoint.weight,
+            "state": "ready" if endpoint.status.value == "up" else "draining",
         }
-        for s in listing.endpoints.values()
+        for endpoint in checked_list.endpoints.values()
     ]
-    _print_result(
-        {"version": listing.version, "list": rows}, as_json, "\n".join(_format_row(r) for r in rows)
-    )
+    result = {"version": checked_list.version, "list": rows}
+    _print_result(result, as_json, "\n".join(_format_row(row) for row in rows))
 
 
-def _format_row(row: dict[str, Any]) -> str:
-    more = [f"weight {row['weight']:g}"] if row["weight"] is not None else []
-    more += [f"room {row['room']}"] if row["room"] else []
-    more += [w for w in ("held", "by_hand") if row.get(w)]
-    return " ".join(
-        [f"{row['name']:<24} {row['address']!s:<22} shard {row['shard']:<6} {row['state']}", *more]
-    )
-
+def _show_running_front(admin_address: str, as_json: bool) -> None:
+    rows = json.loads(_call_admin_api(admin_address, ENDPOINTS_PATH))
+    status = json.loads(_call_admin_api(admin_address, STATUS_PATH))
+    heading = f"generation {status['generation']} from {status['origin']}, version {status['version']}"
+    lines = [f"{heading}, {status['age_s']:.0f} s old"]
+    for problem in status["complaint"]:
+        lines.append(f"! {problem['file']}:{problem['line']}: {problem['code']}: {problem['text']}")
+    if "pending" in status:
+        lines.append(f"! held; confirm with: umberlead list confirm {status['pending']['confirm']}")
+    lines += [_format_row(row) for row in rows]
+    _print_result(status | {"list": rows}, as_json, "\n".join(lines))
 
-def _snapshot_list_or_exit(path: Path) -> Any:
-    from umberlead.membership import snapshot
 
-    try:
-        found = snapshot.read_snapshot(path)
-    except (snapshot.SnapshotDamagedError, OSError) as fault:
-        click.echo(f"{path}: {fault}", err=True)
-        sys.exit(2)
-    if found is None:
-        click.echo(f"{path}: there is no such file", err=True)
-        sys.exit(2)
-    return found[0]
+def _format_row(row: dict[str, Any]) -> str:
+    words = [f"{row['name']:<24} {row['address']!s:<22} shard {row['shard']:<6} {row['state']}"]
+    if row["weight"] is not None:
+        words.append(f"weight {row['weight']:g}")
+    if row["room"]:
+        words.append(f"room {row['room']}")
+    words += [flag for flag in ("held", "by_hand") if row.get(flag)]
+    return " ".join(words)
 
 
 @lists.command()
 @click.argument("digest")
 @ADMIN_ADDRESS_OPTION
-def confirm(digest: str, door: str) -> None:
+def confirm(digest: str, admin_address: str) -> None:
     """Confirm the list that a front holds back, by its digest."""
-    click.echo(_call_admin_api(door, f"/control/list/confirm/{digest}", "PUT").strip())
+    click.echo(_call_admin_api(admin_address, f"{CONFIRM_PATH}{digest}", "PUT").strip())
+
+
+def _check(path: Path, shard_count: int, resolve_names: bool) -> "CheckResult":
+    from umberlead.membership.loading import ListLoader
+    from umberlead.membership.name_resolution import NameResolver, system_lookup
+
+    # Unless asked for, no host name is looked up: each then stands for itself.
+    lookup = system_lookup if resolve_names else lambda host: (host,)
+    resolver = NameResolver(lookup, timeout_seconds=RESOLVE_TIMEOUT_SECONDS)
+    return ListLoader(path, shard_count, resolver).load(None).check_result
+
+
+def checked_list_or_exit(path: Path, resolve_names: bool = False) -> "CheckedList":
+    """Return the checked list of a main file, or print its problems and exit.
+
+    Unless `resolve_names`, no host name is looked up.
+    """
+    check_result = _check(path, 0, resolve_names)
+    if check_result.checked_list is None:
+        _print_problems(check_result.problems)
+        sys.exit(PROBLEMS_STATUS)
+    return check_result.checked_list
+
+
+def _snapshot_list_or_exit(path: Path) -> "CheckedList":
+    """Return the list of a snapshot, or print why there is none and exit."""
+    from umberlead.membership import snapshot
+
+    try:
+        saved = snapshot.read_snapshot(path)
+    except (snapshot.SnapshotDamagedError, OSError) as error:
+        _exit_failed(path, error)
+    if saved is None:
+        _exit_failed(path, "there is no such file")
+    return saved.checked_list
+
+
+def _read_text_or_exit(path: Path) -> str:
+    try:
+        return path.read_text()
+    except (OSError, UnicodeDecodeError) as error:
+        _exit_failed(path, error)
+
+
+def _write_or_exit(path: Path, text: str) -> None:
+    from umberlead.membership.snapshot import write_atomically
+
+    try:
+        write_atomically(path, text.encode())
+    except OSError as error:
+        _exit_failed(path, error)
 
 
-def _call_admin_api(door: str, path: str, method: str = "GET") -> str:
-    request = urllib.request.Request(f"http://{door}{path}", method=method)
+def _call_admin_api(admin_address: str, path: str, method: str = "GET") -> str:
+    """Return the body of a running front's response, or print its error and exit."""
+    request = urllib.request.Request(f"http://{admin_address}{path}", method=method)
+    opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     try:
-        with urllib.request.build_opener(urllib.request.ProxyHandler({})).open(request, timeout=5) as answer:
-            return str(answer.read().decode())
-    except urllib.error.HTTPError as fault:
-        click.echo(f"{door}: {fault.code}: {fault.read().decode().strip()}", err=True)
-        sys.exit(1 if fault.code == 409 else 2)
-    except OSError as fault:
-        click.echo(f"{door}: {fault}", err=True)
-        sys.exit(2)
+        with opener.open(request, timeout=ADMIN_API_TIMEOUT_SECONDS) as response:
+            return str(response.read().decode())
+    except urllib.error.HTTPError as error:
+        message = f"{error.code}: {error.read().decode().strip()}"
+        status = PROBLEMS_STATUS if error.code == CONFLICT_STATUS else FAILED_STATUS
+        _exit_failed(admin_address, message, status)
+    except OSError as error:
+        _exit_failed(admin_address, error)
+
+
+def _exit_failed(source: object, reason: object, status: int = FAILED_STATUS) -> NoReturn:
+    click.echo(f"{source}: {reason}", err=True)
+    sys.exit(status)
+
+
+def _print_problems(problems: "Iterable[ListProblem]") -> None:
+    for problem in problems:
+        click.echo(str(problem), err=True)
+
+
+def _print_result(result: Any, as_json: bool, text: str) -> None:
+    click.echo(json.dumps(result, indent=1) if as_json else text)
--- a/umberlead/commands/play.py
+++ b/umberlead/commands/play.py
@@ -30,11 +30,11 @@
     quiet: bool,
 ) -> None:
     """Stand in for every chunk server of the list PATH, on loopback."""
-    from umberlead.commands.lists import _checked_list_or_exit
+    from umberlead.commands.lists import checked_list_or_exit
     from umberlead.standins import fleet
     from umberlead.standins.chunkserver import Model
 
-    servers = list(_checked_list_or_exit(path, names=True).servers.values())
+    servers = list(checked_list_or_exit(path, resolve_names=True).endpoints.values())
     model = Model(unit=unit_ms / 1000, errors=errors, resets=resets, synthetic=synthetic)
     try:
         fleet.main(servers, model, record, seed, quiet, emulated)
@@ -53,20 +53,22 @@
 
     Every object read is compared byte for byte with what was stored. Exit code 1: one was not the same, or
     the front did not end well."""
-    from umberlead import config as read
-    from umberlead.commands.lists import _checked_list_or_exit
+    from umberlead import configuration
+    from umberlead.commands.lists import checked_list_or_exit
     from umberlead.load import showing
 
     try:
-        conf = read.load_operator_file(str(config))
-    except read.ConfigError as fault:
+        conf = configuration.load_operator_file(str(config))
+    except configuration.ConfigError as fault:
         click.echo(f"{config}: {fault}", err=True)
         sys.exit(2)
     if conf.watched_lists is None or conf.object_api is None:
         key = "membership" if conf.watched_lists is None else "objects"
         click.echo(f"{config}: {key}: the demo needs a watched list and an object front", err=True)
         sys.exit(2)
-    servers = list(_checked_list_or_exit(conf.watched_lists.manifest_path, names=True).servers.values())
+    servers = list(
+        checked_list_or_exit(conf.watched_lists.manifest_path, resolve_names=True).endpoints.values()
+    )
     try:
         sound = showing.main(config, servers, sorted(conf.object_api.plan_by_bucket), seconds, rate, seed)
     except (OSError, showing.NoFront) as fault:
--- /dev/null
+++ b/umberlead/configuration/membership_table.py
@@ -0,0 +1,77 @@
+"""The table `[membership]` of an operator's file: watched endpoint lists."""
+
+from dataclasses import dataclass
+from pathlib import Path
+
+from umberlead.configuration.keys import Keys
+
+KNOWN_KEYS = (
+    "flap_half_life_s",
+    "flap_reuse",
+    "flap_suppress",
+    "gate",
+    "gate_within_s",
+    "list",
+    "poll_ms",
+    "settle_ms",
+    "snapshot",
+    "withdrawn_most",
+)
+
+
+@dataclass(frozen=True, slots=True)
+class WatchedListConfig:
+    """Watched endpoint lists.
+
+    Attributes:
+        manifest_path: The main file of the list.
+        snapshot_path: Where the last good list is saved; None where it isn't.
+        settle_us: How long a burst of changes is waited for.
+        poll_interval_us: The time between two comparisons of the files with what was read.
+        max_withdrawn_ratio: The share of ready endpoints that one list may withdraw unconfirmed.
+        flap_half_life_us: The time in which the penalty of a flapping endpoint halves.
+        flap_suppress_threshold: The number of returns above which an endpoint is suppressed.
+        flap_reuse_threshold: The number of returns below which it is used again.
+        gate_suite_path: A suite of routing tests that must hold under a new list.
+        gate_timeout_seconds: The time that this suite may take.
+    """
+
+    manifest_path: Path
+    snapshot_path: Path | None
+    settle_us: int
+    poll_interval_us: int
+    max_withdrawn_ratio: float
+    flap_half_life_us: int
+    flap_suppress_threshold: float
+    flap_reuse_threshold: float
+    gate_suite_path: Path | None = None
+    gate_timeout_seconds: float = 30.0
+
+
+def parse_membership(keys: Keys, folder: Path) -> WatchedListConfig:
+    """Return the table `[membership]`; its paths are relative to `folder`.
+
+    Raises:
+        ConfigError: A key is unknown, a value can't be used, or a file that must exist doesn't.
+    """
+    keys.reject_unknown(KNOWN_KEYS)
+    snapshot = keys.text("snapshot", "")
+    config = WatchedListConfig(
+        manifest_path=(folder / keys.text("list")).absolute(),
+        snapshot_path=(folder / snapshot).absolute() if snapshot else None,
+        settle_us=int(keys.number("settle_ms", 10, 0, 200) * 1000),
+        poll_interval_us=int(keys.number("poll_ms", 250, 20, 400) * 1000),
+        max_withdrawn_ratio=keys.number("withdrawn_most", 0.25, 0, 1),
+        flap_half_life_us=int(keys.number("flap_half_life_s", 15, 0.1, 3600) * 1_000_000),
+        flap_suppress_threshold=keys.number("flap_suppress", 3, 1, 8),
+        flap_reuse_threshold=keys.number("flap_reuse", 1, 0.1, 8),
+        gate_suite_path=(folder / keys.text("gate")).absolute() if "gate" in keys.values else None,
+        gate_timeout_seconds=keys.number("gate_within_s", 30, 1, 600),
+    )
+    if config.gate_suite_path is not None and not config.gate_suite_path.is_file():
+        raise keys.error("gate", f"no such file: {config.gate_suite_path}")
+    if config.flap_reuse_threshold >= config.flap_suppress_threshold:
+        raise keys.error("flap_reuse", "must be below flap_suppress")
+    if config.snapshot_path is not None and not config.snapshot_path.parent.is_dir():
+        raise keys.error("snapshot", f"no such folder: {config.snapshot_path.parent}")
+    return config
--- /dev/null
+++ b/umberlead/configuration/reload.py
@@ -0,0 +1,40 @@
+"""Which fields of a configuration a running process takes over, and which wait for its next start."""
+
+from dataclasses import fields
+from typing import NamedTuple
+
+from umberlead.configuration.process_config import Config
+
+RELOADABLE_FIELDS = (
+    "discovery",
+    "max_descriptors",
+    "memory_limit_bytes",
+    "keepalive_us",
+    "retry_after_us",
+    "client_idle_timeout_us",
+    "log_level",
+)
+# These matter at the start alone, so that another value is no change.
+START_ONLY_FIELDS = ("seed", "known_endpoints")
+
+
+class ChangedFields(NamedTuple):
+    """The names of the fields that differ between two configurations.
+
+    Attributes:
+        reloadable: Those that a reload applies.
+        restart_needed: Those that wait for the next start.
+    """
+
+    reloadable: list[str]
+    restart_needed: list[str]
+
+
+def changed_fields(old: Config, new: Config) -> ChangedFields:
+    """Return which fields differ, without those that matter at the start alone."""
+    names = [field.name for field in fields(Config) if getattr(old, field.name) != getattr(new, field.name)]
+    not_restart = RELOADABLE_FIELDS + START_ONLY_FIELDS
+    return ChangedFields(
+        reloadable=[name for name in names if name in RELOADABLE_FIELDS],
+        restart_needed=[name for name in names if name not in not_restart],
+    )
--- /dev/null
+++ b/umberlead/configuration/sources.py
@@ -0,0 +1,214 @@
+"""Reads a process's configuration from the platform's JSON file or from an operator's TOML file."""
+
+import json
+import os
+from collections.abc import Mapping
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+from umberlead.configuration.discovery_message import parse_discovery_message
+from umberlead.configuration.errors import ConfigError
+from umberlead.configuration.keys import Keys, flatten
+from umberlead.configuration.membership_table import parse_membership
+from umberlead.configuration.objects_table import parse_objects
+from umberlead.configuration.process_config import Config
+from umberlead.configuration.request_settings import parse_settings
+from umberlead.configuration.rooms_table import parse_zones
+
+DEFAULT_NAME = "front"
+OPERATOR_TABLES = (
+    "name",
+    "listen",
+    "management",
+    "discovery",
+    "seed",
+    "limits",
+    "known",
+    "settings",
+    "objects",
+    "plugins",
+    "log",
+    "membership",
+    "state",
+    "rooms",
+)
+PLATFORM_VARIABLES = {
+    "EDGE_NAME": "name",
+    "EDGE_LISTEN": "listen",
+    "EDGE_DISCOVERY": "discovery",
+    "EDGE_MANAGEMENT": "management",
+}
+LOG_LEVELS = {word: word for word in ("debug", "info", "warning", "error")}
+COLLECTOR_SCHEMES = ("tcp://", "unix://")
+DEFAULT_MAX_RETRY_AFTER_US = 500_000
+DEFAULT_KEEPALIVE_US = 15_000_000
+# A response is due within 15 ms of its request's end here, which a coarser tick would miss.
+MIN_TICK_US = 100
+MAX_TICK_US = 2000
+
+
+def load(environment: Mapping[str, str] | None = None) -> Config:
+    """Return the configuration that the environment names.
+
+    Args:
+        environment: The environment's variables; the process's own without it. `UMBERLEAD_CONFIG` goes before
+            `EDGE_CONFIG`.
+
+    Raises:
+        ConfigError: The configuration can't be read or used, or it gives the process nothing to serve.
+    """
+    environment = os.environ if environment is None else environment
+    source = "UMBERLEAD_CONFIG" if environment.get("UMBERLEAD_CONFIG") else "EDGE_CONFIG"
+    if source not in environment:
+        raise ConfigError("EDGE_CONFIG", "is not set, and neither is UMBERLEAD_CONFIG")
+    try:
+        if source == "EDGE_CONFIG":
+            config = load_platform(environment)
+        else:
+            config = load_operator_file(environment[source])
+    except RecursionError:
+        raise ConfigError(source, "is nested too deeply") from None
+    _check_has_listener(config)
+    _check_has_endpoints(config)
+    return config
+
+
+def _check_has_listener(config: Config) -> None:
+    if config.listen is None and config.object_api is None:
+        raise ConfigError("listen", "neither the platform front nor the object front is set up")
+
+
+def _check_has_endpoints(config: Config) -> None:
+    if config.discovery is None and not config.known_endpoints.endpoints and config.watched_lists is None:
+        raise ConfigError(
+            "discovery", "is missing, known lists no endpoints, and there is no membership table"
+        )
+
+
+def load_platform(environment: Mapping[str, str]) -> Config:
+    """Return the configuration that the platform gives by its environment and the file it names.
+
+    Raises:
+        ConfigError: The file can't be read, or a value can't be used.
+    """
+    try:
+        # Bytes are read as UTF-8, whatever the locale is.
+        values = json.loads(Path(environment["EDGE_CONFIG"]).read_bytes())
+    except (OSError, ValueError) as error:
+        raise ConfigError("EDGE_CONFIG", str(error)) from None
+    if not isinstance(values, dict):
+        raise ConfigError("EDGE_CONFIG", "must hold an object")
+    for variable, key in PLATFORM_VARIABLES.items():
+        # The file goes before the environment: it may be replaced while the process runs.
+        if variable in environment and values.get(key) is None:
+            values[key] = environment[variable]
+    keys = Keys(values)
+    setting_values = flatten(keys.table("settings").values)
+    name = keys.text("name", DEFAULT_NAME)
+    listen = keys.address("listen")
+    discovery = keys.address("discovery")
+    admin_listen = keys.address("management") if keys.raw("management") is not None else None
+    temporary_folder = environment.get("TMPDIR")
+    return replace(
+        _common_config(keys, setting_values),
+        name=name,
+        listen=listen,
+        discovery=discovery,
+        admin_listen=admin_listen,
+        state_folder=Path(temporary_folder) / "umberlead" if temporary_folder else None,
+    )
+
+
+def load_operator_file(path: str) -> Config:
+    """Return the configuration of an operator's TOML file.
+
+    It has the same keys as the platform's JSON, and tables of its own. Its paths are relative to its folder.
+
+    Raises:
+        ConfigError: The file can't be read, a table is unknown, or a value can't be used.
+    """
+    import tomllib  # Only here: each import delays the start of a process on the platform.
+
+    file = Path(path)
+    try:
+        values = tomllib.loads(file.read_text())
+    except (OSError, ValueError) as error:
+        raise ConfigError("UMBERLEAD_CONFIG", str(error)) from None
+    keys = Keys(values)
+    keys.reject_unknown(OPERATOR_TABLES)
+    log = keys.table("log")
+    plugins = keys.table("plugins")
+    setting_values = flatten(keys.table("settings").values)
+    common = _common_config(keys, setting_values)
+    plugin_paths = _plugin_paths(plugins, file.parent)
+    log_collector = _log_collector(log)
+    return replace(
+        common,
+        name=keys.text("name", DEFAULT_NAME),
+        listen=keys.address("listen") if "listen" in values else None,
+        discovery=keys.address("discovery") if "discovery" in values else None,
+        admin_listen=keys.address("management") if "management" in values else None,
+        object_api=(
+            parse_objects(keys.table("objects"), setting_values, common.settings)
+            if "objects" in values
+            else None
+        ),
+        watched_lists=(
+            parse_membership(keys.table("membership"), file.parent) if "membership" in values else None
+        ),
+        zones=parse_zones(keys.table("rooms"), file.parent) if "rooms" in values else None,
+        # Never taken from the environment: processes of other files may have the same $TMPDIR.
+        state_folder=file.parent / keys.text("state", "") if "state" in values else None,
+        plugin_paths=plugin_paths,
+        plugin_timeout_us=int(plugins.number("limit_ms", 5, 0.1, 1000) * 1000),
+        log_collector=log_collector,
+        log_level=log.choice("level", LOG_LEVELS, "info"),
+    )
+
+
+def _common_config(keys: Keys, setting_values: dict[str, Any]) -> Config:
+    """Return what both sources give in the same way, under the default name."""
+    setting_keys = Keys(setting_values, "settings")
+    # 0 stands for the default as a missing value does.
+    retry_after_us = setting_keys.integer("bounds.maxRetryAfter", DEFAULT_MAX_RETRY_AFTER_US)
+    known = keys.values.get("known")
+    return Config(
+        name=DEFAULT_NAME,
+        seed=_seed(keys),
+        settings=parse_settings(setting_values),
+        load_fields=setting_keys.words("loadReport.fields"),
+        known_endpoints=parse_discovery_message({} if known is None else known, "known"),
+        max_descriptors=keys.table("limits").integer("sockets", 1024, 32, 1_000_000),
+        cores=keys.table("limits").number("cores", 1.0, 0.01, 1024),
+        memory_limit_bytes=keys.table("limits").integer("memory_mb", 192, 16, 1 << 20) << 20,
+        keepalive_us=setting_keys.integer("bounds.keepalive", DEFAULT_KEEPALIVE_US, 1),
+        # The setting is the simulator's interval between batches, which may be as coarse as it likes.
+        tick_us=min(max(setting_keys.integer("tick", MAX_TICK_US, 1), MIN_TICK_US), MAX_TICK_US),
+        retry_after_us=retry_after_us or DEFAULT_MAX_RETRY_AFTER_US,
+    )
+
+
+def _seed(keys: Keys) -> int:
+    text = keys.text("seed", "0")
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise keys.error("seed", f"must be hex digits, not {text!r}") from None
+
+
+def _plugin_paths(plugins: Keys, folder: Path) -> tuple[Path, ...]:
+    paths = tuple((folder / str(script)).resolve() for script in plugins.items("scripts"))
+    for index, path in enumerate(paths):
+        if not path.is_file():
+            raise plugins.error(f"scripts.{index}", f"no such file: {path}")
+    return paths
+
+
+def _log_collector(log: Keys) -> str:
+    collector = log.text("collector", "")
+    if collector and not collector.startswith(COLLECTOR_SCHEMES):
+        raise log.error("collector", "must begin with tcp:// or unix://")
+    if collector.startswith("tcp://"):
+        log.parse_address("collector", collector.removeprefix("tcp://"))
+    return collector
--- a/umberlead/emulator/plan.py
+++ b/umberlead/emulator/plan.py
@@ -352,14 +352,15 @@
 
 def checked(made: Plan) -> Settings:
     """The fronts' settings through the one reader of configurations."""
-    from umberlead import config
+    from umberlead import configuration
 
     told = {k: v for k, v in made.told.items() if k not in BESIDE}
-    settings = config.parse_settings(config.flatten(told))
+    settings = configuration.parse_settings(configuration.flatten(told))
     if "rooms" in made.told:
         from umberlead.zones.integration import with_retry_budget
 
         settings = with_retry_budget(
-            settings, config.parse_zones(config.Keys(made.told["rooms"], "rooms")).retry_budget_ratio
+            settings,
+            configuration.parse_zones(configuration.Keys(made.told["rooms"], "rooms")).retry_budget_ratio,
         )
     return settings
--- a/umberlead/emulator/virtual.py
+++ b/umberlead/emulator/virtual.py
@@ -30,9 +30,9 @@
 
 def room_table(plan: Plan, front: int) -> Any:
     """A front's [rooms], its own room and the others by distance filled in; through the one reader."""
-    from umberlead import config
+    from umberlead import configuration
 
-    return config.parse_zones(config.Keys(rooms_told(plan, front), "rooms"))
+    return configuration.parse_zones(configuration.Keys(rooms_told(plan, front), "rooms"))
 
 
 class _Out:
--- a/umberlead/expect/altered.py
+++ b/umberlead/expect/altered.py
@@ -127,7 +127,7 @@
     takes = {
         n: 1.0 if s.weight is None else s.weight
         for n, s in listing.endpoints.items()
-        if s.state is EndpointStatus.UP and s.weight != 0
+        if s.status is EndpointStatus.UP and s.weight != 0
     }
     whole = sum(takes.values())
     return {n: w / whole for n, w in takes.items()}
--- a/umberlead/expect/suggest.py
+++ b/umberlead/expect/suggest.py
@@ -42,7 +42,7 @@
     lines += _loads(settings, len(listing.endpoints), once) + ["expect answered-once"]
     lines += [f"expect class {c} sent once" for c in once]
 
-    ready = {n: [s for s in by_shard[n] if listing.endpoints[s].state is EndpointStatus.UP] for n in shards}
+    ready = {n: [s for s in by_shard[n] if listing.endpoints[s].status is EndpointStatus.UP] for n in shards}
     drains = [names[0] for names in ready.values() if len(names) > 1][:DRAINS_MOST]
     for name in drains:
         shard = listing.endpoints[name].shard
--- a/umberlead/expect/suites.py
+++ b/umberlead/expect/suites.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.expect.language import parse
 from umberlead.expect.model import Suite
 from umberlead.expect.verdict import contradictions
@@ -58,8 +58,8 @@
         )
     else:
         try:
-            settings = config.load_operator_file(str(conf)).settings
-        except config.ConfigError as fault:
+            settings = configuration.load_operator_file(str(conf)).settings
+        except configuration.ConfigError as fault:
             problems.append(ListProblem("E110", FilePosition(str(conf)), str(fault)))
     if listed is None and suite.listed is not None:
         listed = path.parent / suite.listed[0]
@@ -125,8 +125,8 @@
 def side(path: Path, listed: Path | None = None) -> tuple[Settings, CheckedList, Path]:
     """A configuration, the list that it or the call names, and that list's path. `Unreadable`."""
     try:
-        made = config.load_operator_file(str(path))
-    except config.ConfigError as fault:
+        made = configuration.load_operator_file(str(path))
+    except configuration.ConfigError as fault:
         raise Unreadable([ListProblem("E110", FilePosition(str(path)), str(fault))]) from None
     where = (
         listed
--- a/umberlead/expect/world.py
+++ b/umberlead/expect/world.py
@@ -18,8 +18,8 @@
 from umberlead.emulator.loop import START, Alarm, Loop
 from umberlead.expect.model import Collection, Happening, Life, Load, Scenario, Step
 from umberlead.membership.flap_damping import FlapDampingSettings
-from umberlead.membership.list_merge import apply_change
-from umberlead.membership.machine import Membership, MembershipSettings
+from umberlead.membership.integration import apply_change
+from umberlead.membership.list_merge import Membership, MembershipSettings
 from umberlead.membership.model import CheckedList, EndpointSpec, MembershipChange, diff_endpoints
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, Attempt, IncomingRequest
@@ -130,14 +130,14 @@
                     f"{of.place}: {of.what} at {of.at / 1e6:g} s: no server {name} is listed then"
                 )
             if of.what == "drain":
-                servers[name] = replace(servers[name], state=EndpointStatus.DRAINING)
+                servers[name] = replace(servers[name], status=EndpointStatus.DRAINING)
             elif of.what == "back":
                 model.alive, model.slow, model.mix = True, 1.0, {}
-                servers[name] = replace(servers.get(name) or self._first[name], state=EndpointStatus.UP)
+                servers[name] = replace(servers.get(name) or self._first[name], status=EndpointStatus.UP)
             elif of.what == "leave":
                 servers.pop(name, None)
             elif of.what == "cold":
-                servers[name] = replace(servers[name], state=EndpointStatus.UP, started=self.loop.now)
+                servers[name] = replace(servers[name], status=EndpointStatus.UP, started_us=self.loop.now)
             elif of.what == "slow":
                 model.slow = of.value
             elif of.what == "outcome":
--- a/umberlead/front.py
+++ b/umberlead/front.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.frontends.admin_api import AdminApi
@@ -80,7 +80,7 @@
 class FrontProcess:
     """The parts of one process, wired together."""
 
-    def __init__(self, conf: config.Config, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, conf: configuration.Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config, self.loop, self.reserved_descriptor = conf, loop, ReservedDescriptor()
         descriptors, memory = descriptors_and_memory_in_use()
         self.resources_in_use = descriptors + descriptors_to_come(conf), memory
@@ -155,13 +155,13 @@
         self.done = asyncio.Event()
         self.stop_requested = self.stopping = False
 
-    def apply_discovery_message(self, message: config.DiscoveryMessage, is_new: bool = True) -> None:
+    def apply_discovery_message(self, message: configuration.DiscoveryMessage, is_new: bool = True) -> None:
         """A list, or a change of it; `news` unless it is what the configuration knew."""
         message = self._by_own_clock(message)
         if is_new:
             self.start_times.record_list()
         if self.watched_lists is not None:
-            from umberlead.membership.list_merge import endpoint_from_discovery
+            from umberlead.membership.integration import endpoint_from_discovery
 
             self.watched_lists.apply_discovery(
                 message.complete, [endpoint_from_discovery(listed) for listed in message.endpoints]
@@ -181,7 +181,7 @@
             EndpointList(message.complete, tuple(listed.endpoint for listed in message.endpoints))
         )
 
-    def _by_own_clock(self, message: config.DiscoveryMessage) -> config.DiscoveryMessage:
+    def _by_own_clock(self, message: configuration.DiscoveryMessage) -> configuration.DiscoveryMessage:
         """The list with chunk servers' starts by this process's clock: the wall clock may step."""
         self._observe_wall_clock()
         endpoints = tuple(
@@ -203,9 +203,9 @@
             self.counters.add("wall_clock_steps")
             self.log.warning("wall_clock_stepped")
 
-    def start_watched_lists(self, list_config: config.WatchedListConfig) -> None:
+    def start_watched_lists(self, list_config: configuration.WatchedListConfig) -> None:
         """The list in force comes from watched files: what only that needs is loaded only for it."""
-        from umberlead.membership.list_merge import start_watched_lists
+        from umberlead.membership.integration import start_watched_lists
 
         self.watched_lists = start_watched_lists(list_config, self)
 
@@ -326,7 +326,7 @@
         if self.trace is not None:
             self.trace("client_closed", reason=reason, calls=calls)
 
-    def listen(self, handler: RequestHandler, clients: ClientGroup, address: config.Address) -> None:
+    def listen(self, handler: RequestHandler, clients: ClientGroup, address: configuration.Address) -> None:
         self.lifecycle.invariants.listening(clients.max_connections > 0 and self.pool.max_connections > 0)
         share = (
             self.config.state_folder is not None
@@ -362,7 +362,7 @@
                 self.shared_state.record_agent,
             )
             self.discovery_watch.start()
-        ready: list[tuple[RequestHandler, ClientGroup, config.Address]] = []
+        ready: list[tuple[RequestHandler, ClientGroup, configuration.Address]] = []
         if conf.listen is not None:
             platform = PlatformFrontend(self.lifecycle, conf.retry_after_us, conf.answer_margin_us)
             ready.append((platform, self.new_client_group(), conf.listen))
@@ -442,7 +442,7 @@
         await self.descriptor_quota.settled.wait()
         timeout.cancel()
 
-    async def start_gossip(self, gossip_config: config.GossipConfig) -> None:
+    async def start_gossip(self, gossip_config: configuration.GossipConfig) -> None:
         """What is held of rooms goes to other fronts, and theirs comes here: only where it is configured."""
         from umberlead.gossip.messages import GossipKeysError
         from umberlead.gossip.udp_transport import start_gossip
@@ -452,7 +452,7 @@
                 gossip_config, self.config.name, self.config.seed ^ os.getpid(), self.zones, self.clock
             )
         except GossipKeysError as error:
-            raise config.ConfigError("rooms.peers.keys", str(error)) from None
+            raise configuration.ConfigError("rooms.peers.keys", str(error)) from None
         self.log.info("peers", address=self.gossip[0].gossip.address)
 
     def sweep(self) -> None:
@@ -482,12 +482,12 @@
         self.counters.add("reloads")
         try:
             with self.reserved_descriptor.lent():  # an operator's word is not lost for want of a descriptor
-                new_config = config.load()
-        except config.ConfigError as error:
+                new_config = configuration.load()
+        except configuration.ConfigError as error:
             self.counters.add("reloads_refused")
             self.log.error("reload_refused", key=error.key, why=str(error))
             return
-        applied, at_next_start = config.changed_fields(self.config, new_config)
+        applied, at_next_start = configuration.changed_fields(self.config, new_config)
         self.config = replace(self.config, **{name: getattr(new_config, name) for name in applied})
         self.apply_limits()
         if self.watched_lists is not None:
@@ -568,7 +568,7 @@
         self.syslog.close()
 
 
-def serve(conf: config.Config) -> None:
+def serve(conf: configuration.Config) -> None:
     """Run a front to its end. ConfigError where its files can't be used, OSError where it can't listen."""
 
     async def run() -> None:
--- a/umberlead/frontends/object_api/blocks.py
+++ b/umberlead/frontends/object_api/blocks.py
@@ -5,7 +5,7 @@
 from typing import TypeVar
 from urllib.parse import quote
 
-from umberlead.config import ObjectApiConfig, ObjectOperation
+from umberlead.configuration import ObjectApiConfig, ObjectOperation
 from umberlead.frontends.object_api.errors import S3Error
 from umberlead.frontends.object_api.manifest import BlockRange, Manifest, hashed_name
 from umberlead.frontends.object_api.requests import ObjectRequest
--- a/umberlead/frontends/object_api/handler.py
+++ b/umberlead/frontends/object_api/handler.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from umberlead.config import ObjectApiConfig, ObjectOperation
+from umberlead.configuration import ObjectApiConfig, ObjectOperation
 from umberlead.frontends.object_api.blocks import BlockStore
 from umberlead.frontends.object_api.errors import S3Error
 from umberlead.frontends.object_api.multipart import MultipartWriter
--- a/umberlead/frontends/object_api/multipart.py
+++ b/umberlead/frontends/object_api/multipart.py
@@ -4,7 +4,7 @@
 import hashlib
 from urllib.parse import quote
 
-from umberlead.config import ObjectApiConfig
+from umberlead.configuration import ObjectApiConfig
 from umberlead.frontends.object_api.blocks import BlockStore, set_result_if_pending
 from umberlead.frontends.object_api.errors import S3Error, uncertain_part_error
 from umberlead.frontends.object_api.manifest import Manifest
--- a/umberlead/frontends/object_api/writes.py
+++ b/umberlead/frontends/object_api/writes.py
@@ -4,7 +4,7 @@
 import hashlib
 from typing import NamedTuple
 
-from umberlead.config import ObjectApiConfig
+from umberlead.configuration import ObjectApiConfig
 from umberlead.frontends.object_api.blocks import BlockStore
 from umberlead.frontends.object_api.errors import S3Error
 from umberlead.frontends.object_api.manifest import DELETED_MANIFEST, Manifest
--- a/umberlead/gossip/udp_transport.py
+++ b/umberlead/gossip/udp_transport.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.gossip.messages import GossipKeys
 from umberlead.gossip.swim import Gossip
 from umberlead.zones.integration import ZoneIntegration
@@ -36,7 +36,7 @@
 
 
 async def start_gossip(
-    gossip_config: config.GossipConfig, name: str, seed: int, zones: ZoneIntegration, clock: Any
+    gossip_config: configuration.GossipConfig, name: str, seed: int, zones: ZoneIntegration, clock: Any
 ) -> tuple[GossipProtocol, asyncio.Task[None]]:
     """The socket and its ticks. BadKeys where the keys can't be read, OSError where it can't listen."""
     loop, keys = asyncio.get_running_loop(), GossipKeys.read(gossip_config.keys_path)
--- a/umberlead/membership/__init__.py
+++ b/umberlead/membership/__init__.py
@@ -1,5 +1,7 @@
-"""Which chunk servers there are: watched lists, discovery and marks by hand, merged into one list in force.
+"""Which endpoints there are: watched lists, discovery and manual drains, merged into one list in force.
 
-`model`, `grammar`, `formatting`, `checks`, `damping` and `machine` are free of I/O; `files`, `resolve`,
-`snapshot` and `watching` do it; `service` joins them to a front. Nothing here is loaded unless a front's
-configuration has a `[membership]` table."""
+`model`, `grammar`, `formatting`, `checks`, `flap_damping` and `list_merge` are free of I/O; `files`,
+`name_resolution`, `snapshot`, `watching` and `change_gate` do it. `loading` joins the steps from files to a
+checked list; `service` watches the files and keeps the list in force; `integration` joins that to a front
+process. Nothing here is loaded unless the configuration has a `[membership]` table.
+"""
--- a/umberlead/membership/change_gate.py
+++ b/umberlead/membership/change_gate.py
@@ -1,7 +1,9 @@
 """A gate before a watched list: it is taken only when a suite of routing tests holds under it.
 
-The suite is played by a process of its own (`umberlead expect`), so that neither the loop nor the loading
-thread computes; the thread waits for it up to a budget, and the old list stays in force meanwhile."""
+The suite runs in a process of its own (`umberlead expect`), so that neither the event loop nor the loading
+thread computes. The loading thread waits for it up to a time limit; the earlier list stays in force
+meanwhile.
+"""
 
 import json
 import subprocess
@@ -11,20 +13,60 @@
 
 from umberlead.membership.model import FilePosition, ListProblem
 
-MAX_REPORTED_PROBLEMS_COUNT = 10  # failed expectations told
+MAX_REPORTED_PROBLEMS_COUNT = 10
 
 
 @dataclass(eq=False)
 class ChangeGate:
+    """Runs a suite against a list.
+
+    Attributes:
+        suite_path: The suite of routing tests.
+        timeout_seconds: The time that one run may take.
+    """
+
     suite_path: Path
-    timeout_seconds: float  # s
+    timeout_seconds: float
     _process: "subprocess.Popen[str] | None" = None
     _closed: bool = False
 
     def evaluate(self, main_path: Path) -> list[ListProblem]:
-        """Why the list at `main` must not be taken; empty where the suite holds. Blocks up to the budget."""
-        place = FilePosition(self.suite_path.name)
-        call = [
+        """Return why the list at `main_path` must not be taken; nothing where the suite holds.
+
+        Blocks until the suite has ended, up to the time limit.
+        """
+        try:
+            process = subprocess.Popen(
+                self._command(main_path), stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
+            )
+        except OSError as error:
+            return [self._problem("L502", f"the suite can't be played: {error}")]
+        with process:
+            self._process = process
+            if self._closed:  # Closed in between: nobody else would end it.
+                process.kill()
+            try:
+                output, errors = process.communicate(timeout=self.timeout_seconds)
+            except subprocess.TimeoutExpired:
+                process.kill()
+                return [self._problem("L503", f"the suite has not ended within {self.timeout_seconds:g} s")]
+            finally:
+                self._process = None
+        if process.returncode == 0:
+            return []
+        if process.returncode == 1 and (failed := self._failed_expectations(output)):
+            return failed
+        reason = (errors.strip().splitlines() or [f"exit code {process.returncode}"])[0]
+        return [self._problem("L502", f"the suite can't be played: {reason}")]
+
+    def close(self) -> None:
+        """End a suite that is running, so that the process can end; may be called from any thread."""
+        self._closed = True
+        if (process := self._process) is not None:
+            process.kill()
+
+    def _command(self, main_path: Path) -> list[str]:
+        return [
             sys.executable,
             "-B",
             "-m",
@@ -35,45 +77,18 @@
             str(main_path),
             "--json",
         ]
-        try:
-            playing = subprocess.Popen(call, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
-        except OSError as fault:
-            return [ListProblem("L502", place, f"the suite can't be played: {fault}")]
-        with playing:
-            self._process = playing
-            if self._closed:  # in between: nobody would end it any more
-                playing.kill()
-            try:
-                out, err = playing.communicate(timeout=self.timeout_seconds)
-            except subprocess.TimeoutExpired:
-                playing.kill()
-                return [
-                    ListProblem("L503", place, f"the suite has not ended within {self.timeout_seconds:g} s")
-                ]
-            finally:
-                self._process = None
-        if playing.returncode == 0:
-            return []
-        if playing.returncode == 1 and (found := self._failed_expectations(out)):
-            return found
-        why = (err.strip().splitlines() or [f"exit code {playing.returncode}"])[0]
-        return [ListProblem("L502", place, f"the suite can't be played: {why}")]
 
-    def close(self) -> None:
-        """From another thread: a suite that is being played ends, so that the process can."""
-        self._closed = True
-        if (playing := self._process) is not None:
-            playing.kill()
+    def _problem(self, code: str, message: str, line: int = 0) -> ListProblem:
+        return ListProblem(code, FilePosition(self.suite_path.name, line), message)
 
-    def _failed_expectations(self, text: str) -> list[ListProblem]:
+    def _failed_expectations(self, output: str) -> list[ListProblem]:
+        """Return the expectations that failed, by the command's JSON; nothing where it can't be read."""
         try:
-            told = [row for of in json.loads(text).values() for row in of["verdicts"]]
+            verdicts = [verdict for suite in json.loads(output).values() for verdict in suite["verdicts"]]
         except (ValueError, KeyError, AttributeError):
             return []
-        bad = [row for row in told if row["outcome"] != "held"]
+        failed = [verdict for verdict in verdicts if verdict["outcome"] != "held"]
         return [
-            ListProblem(
-                "L501", FilePosition(self.suite_path.name, row["line"]), f"{row['text']}: {row['why']}"
-            )
-            for row in bad[:MAX_REPORTED_PROBLEMS_COUNT]
+            self._problem("L501", f"{verdict['text']}: {verdict['why']}", verdict["line"])
+            for verdict in failed[:MAX_REPORTED_PROBLEMS_COUNT]
         ]
--- a/umberlead/membership/checks.py
+++ b/umberlead/membership/checks.py
@@ -1,8 +1,8 @@
-"""What a parsed set of files must satisfy before it may be taken. Free of I/O: names are resolved before, and
-what the files held is handed in.
+"""What a parsed set of files must satisfy before it may be taken.
 
-Each check has a code; docs/watched-lists.md has an entry for each. All of a set's problems are found in one
-go."""
+Free of I/O: host names are resolved before, and what the files hold is handed in. Each check has a code,
+with an entry in docs/watched-lists.md. All problems of a set are found at once.
+"""
 
 import difflib
 from collections.abc import Collection, Iterable, Mapping
@@ -51,247 +51,295 @@
     "L406": "a file is missing from the manifest, or stands there alone",
     "L407": "the files changed while they were read",
 }
-TRANSIENT_CODES = frozenset(
-    ("L102", "L103", "L405", "L406", "L407", "L401", "L404")
-)  # perhaps still being written
+# Problems that a set may have because it is still being written.
+TRANSIENT_CODES = frozenset(("L102", "L103", "L405", "L406", "L407", "L401", "L404"))
+NO_VERSION_STATUS = -1
+SIMILARITY_THRESHOLD = 0.6
+MAX_SHOWN_SHARDS_COUNT = 8
+
+ResolvedHosts = Mapping[str, Collection[str]]
 
 
 @dataclass(frozen=True, slots=True)
 class CurrentList:
-    """What stands in force, as far as checks ask for it."""
+    """What the checks need to know of the list in force.
+
+    Attributes:
+        version: Its version; -1 where there is none.
+        digest: Its digest; "" where there is none.
+    """
 
-    version: int = -1  # -1: none
+    version: int = NO_VERSION_STATUS
     digest: str = ""
 
 
 class PermittedNetworks:
-    """The permitted networks as one set, remembering what was found: lists are checked again and again."""
+    """The permitted networks as one set.
+
+    Answers are cached, as lists are checked again and again.
+    """
 
     def __init__(self, networks: Iterable[str]) -> None:
+        """Take the networks, such as "10.1.0.0/16"."""
         self.networks = tuple(networks)
-        self._ip_set = IPSet(IPNetwork(text) for text in self.networks)
+        self._ip_set = IPSet(IPNetwork(network) for network in self.networks)
         self._decisions: dict[str, bool] = {}
 
     def __contains__(self, address: str) -> bool:
-        found = self._decisions.get(address)
-        if found is None:
-            found = self._decisions[address] = IPAddress(address) in self._ip_set
-        return found
+        """Return whether an IP address lies in one of the networks."""
+        permitted = self._decisions.get(address)
+        if permitted is None:
+            permitted = self._decisions[address] = IPAddress(address) in self._ip_set
+        return permitted
 
 
 def is_ip_address(host: str) -> bool:
+    """Return whether a host looks like an IP address, right or wrong, and not like a name."""
     return ":" in host or host.replace(".", "").isdigit()
 
 
 def host_names(files: Iterable[ParsedFile]) -> set[str]:
-    """Host names that have to be resolved."""
-    found = set()
+    """Return the host names that have to be resolved."""
+    names = set()
     for parsed in files:
-        for entry in parsed.endpoint_statements:
-            address = entry.endpoint.address
+        for statement in parsed.endpoint_statements:
+            address = statement.endpoint.address
             if address is not None and not is_ip_address(address[0]):
-                found.add(address[0])
-    return found
+                names.add(address[0])
+    return names
+
+
+def format_shards(shards: Collection[int]) -> str:
+    """Return the numbers of shards for a message, the first few of many."""
+    shown = ", ".join(map(str, list(shards)[:MAX_SHOWN_SHARDS_COUNT]))
+    return shown + (" ..." if len(shards) > MAX_SHOWN_SHARDS_COUNT else "")
 
 
 @dataclass(slots=True)
 class CheckResult:
+    """A list that passed its checks, or the problems of one that didn't."""
+
     checked_list: CheckedList | None
     problems: list[ListProblem]
 
     @property
     def is_transient(self) -> bool:
-        """Whether all of it may be a set that is still being written."""
-        return bool(self.problems) and all(p.code in TRANSIENT_CODES for p in self.problems)
+        """Whether the set may be one that is still being written."""
+        return bool(self.problems) and all(problem.code in TRANSIENT_CODES for problem in self.problems)
 
 
 class ListChecker:
     """Checks sets one after the other; keeps the permitted networks between them."""
 
     def __init__(self, shard_count: int = 0) -> None:
-        self.shard_count = shard_count  # how many there are, counted from 0; 0: not told
+        """Check for shards 0 to `shard_count - 1`; 0 where their number is not known."""
+        self.shard_count = shard_count
         self._permitted_cache: PermittedNetworks | None = None
 
     def check(
-        self,
-        files: list[ParsedFile],
-        digest: str,
-        current: CurrentList,
-        resolved: Mapping[str, Collection[str]],
+        self, files: list[ParsedFile], digest: str, current: CurrentList, resolved: ResolvedHosts
     ) -> CheckResult:
-        """`files`: the main file first. `resolved`: addresses by host name; a name that failed is absent."""
-        problems = [p for parsed in files for p in parsed.problems]
+        """Return the checked list, or all problems of the set.
+
+        Args:
+            files: The parsed files, the main one first.
+            digest: The set's digest.
+            current: The list in force.
+            resolved: Addresses by host name; a name that could not be resolved is absent.
+        """
+        problems = [problem for parsed in files for problem in parsed.problems]
         main = files[0]
         problems += self._misplaced_statements(main, files[1:])
         version = self._check_version(main, digest, current, problems)
         permitted = self._permitted_networks(files, problems)
-        servers = self._check_endpoints(files, permitted, resolved, problems)
+        inventory = {host for parsed in files for host, _ in parsed.hosts}
+        checker = _EndpointChecker(inventory, permitted, resolved, problems)
+        for parsed in files:
+            for statement in parsed.endpoint_statements:
+                checker.add(statement)
         if not problems:
-            self._check_coverage(main, servers, problems)
+            self._check_coverage(main, checker.endpoints, problems)
         if problems:
             return CheckResult(None, problems)
-        return CheckResult(CheckedList(version, digest, servers, tuple(f.file for f in files)), [])
+        names = tuple(parsed.file for parsed in files)
+        return CheckResult(CheckedList(version, digest, checker.endpoints, names), [])
 
     @staticmethod
     def _misplaced_statements(main: ParsedFile, others: list[ParsedFile]) -> list[ListProblem]:
-        found = []
+        problems = []
         for parsed in others:
-            for what, at in (("version", parsed.version), ("manifest", parsed.manifest)):
-                if at is not None:
-                    found.append(ListProblem("L107", at[1], f"{what} belongs into {main.file} alone"))
-        return found + [
-            ListProblem("L107", place, "digests belong into the manifest")
+            for keyword, statement in (("version", parsed.version), ("manifest", parsed.manifest)):
+                if statement is not None:
+                    message = f"{keyword} belongs into {main.file} alone"
+                    problems.append(ListProblem("L107", statement.position, message))
+        return problems + [
+            ListProblem("L107", digest.position, "digests belong into the manifest")
             for parsed in (main, *others)
-            for _, _, place in parsed.digests
+            for digest in parsed.digests
         ]
 
     @staticmethod
     def _check_version(
-        main: ParsedFile, digest: str, before: CurrentList, problems: list[ListProblem]
+        main: ParsedFile, digest: str, current: CurrentList, problems: list[ListProblem]
     ) -> int:
         if main.version is None:
             if not main.problems:
                 problems.append(ListProblem("L212", FilePosition(main.file), "the list has no version"))
-            return -1
-        version, place = main.version
-        if version < before.version:
-            why = f"version {version} is older than {before.version}, which is in force"
-            problems.append(ListProblem("L209", place, why))
-        elif version == before.version and digest != before.digest:
-            why = f"version {version} is in force with other content: a changed list needs a higher version"
-            problems.append(ListProblem("L210", place, why))
+            return NO_VERSION_STATUS
+        version, position = main.version
+        if version < current.version:
+            message = f"version {version} is older than {current.version}, which is in force"
+            problems.append(ListProblem("L209", position, message))
+        elif version == current.version and digest != current.digest:
+            message = f"version {version} is in force with other content"
+            message += ": a changed list needs a higher version"
+            problems.append(ListProblem("L210", position, message))
         return version
 
     def _permitted_networks(
         self, files: list[ParsedFile], problems: list[ListProblem]
     ) -> PermittedNetworks | None:
-        texts, sound = [], True
+        """Return the permitted networks; None where there are none, or one can't be read."""
+        networks = []
+        all_valid = True
         for parsed in files:
-            for text, place in parsed.networks:
+            for network, position in parsed.networks:
                 try:
-                    IPNetwork(text)
-                    texts.append(text)
+                    IPNetwork(network)
+                    networks.append(network)
                 except (AddrFormatError, ValueError):
-                    problems.append(ListProblem("L211", place, f"{text} is no network"))
-                    sound = False
-        if not texts or not sound:
+                    problems.append(ListProblem("L211", position, f"{network} is no network"))
+                    all_valid = False
+        if not networks or not all_valid:
             return None
-        if self._permitted_cache is None or self._permitted_cache.networks != tuple(texts):
-            self._permitted_cache = PermittedNetworks(texts)
+        if self._permitted_cache is None or self._permitted_cache.networks != tuple(networks):
+            self._permitted_cache = PermittedNetworks(networks)
         return self._permitted_cache
 
-    @staticmethod
-    def _inventory_hosts(files: list[ParsedFile]) -> set[str]:
-        return {name for parsed in files for name, _ in parsed.hosts}
+    def _check_coverage(
+        self, main: ParsedFile, endpoints: dict[str, EndpointSpec], problems: list[ListProblem]
+    ) -> None:
+        """Check that each shard has a ready endpoint, and that one may take new objects."""
+        position = FilePosition(main.file)
+        if not endpoints:
+            problems.append(ListProblem("L213", position, "the list has no servers"))
+            return
+        ready = [endpoint for endpoint in endpoints.values() if endpoint.status is EndpointStatus.UP]
+        shards = {endpoint.shard for endpoint in ready}
+        if missing := sorted(set(range(self.shard_count)) - shards):
+            message = f"no ready server for shard {format_shards(missing)}"
+            problems.append(ListProblem("L206", position, message))
+        weights = [endpoint.weight for endpoint in ready if endpoint.weight is not None]
+        if weights and len(weights) == len(ready) and not any(weights):
+            problems.append(ListProblem("L208", position, "all ready servers have weight 0"))
 
-    def _check_endpoints(
-        self,
-        files: list[ParsedFile],
-        permitted: PermittedNetworks | None,
-        resolved: Mapping[str, Collection[str]],
-        problems: list[ListProblem],
-    ) -> dict[str, EndpointSpec]:
-        found: dict[str, EndpointSpec] = {}
-        at: dict[str, FilePosition] = {}
-        taken: dict[Address, str] = {}
-        inventory = self._inventory_hosts(files)
-        for parsed in files:
-            for entry in parsed.endpoint_statements:
-                server, place = entry.endpoint, entry.position
-                if server.name in found:
-                    first = at[server.name]
-                    problems.append(
-                        ListProblem("L201", place, f"server {server.name} stands at {first} already")
-                    )
-                    continue
-                at[server.name], found[server.name] = place, server
-                address = self._resolve_address(entry, inventory, resolved, problems)
-                if address is None:
-                    continue
-                if address != server.address:
-                    found[server.name] = replace(server, address=address)
-                if address in taken:
-                    text = f"{address[0]}:{address[1]} is {taken[address]}'s already"
-                    problems.append(ListProblem("L202", place, text))
-                taken[address] = server.name
-                if permitted is not None and address[0] not in permitted:
-                    networks = ", ".join(permitted.networks)
-                    text = f"server {server.name}: {address[0]} lies outside {networks}"
-                    problems.append(ListProblem("L203", place, text))
-        return found
 
-    @staticmethod
-    def _resolve_address(
-        entry: EndpointStatement,
+class _EndpointChecker:
+    """Collects a set's endpoints with their addresses resolved, and the problems found on the way."""
+
+    def __init__(
+        self,
         inventory: set[str],
-        resolved: Mapping[str, Collection[str]],
+        permitted: PermittedNetworks | None,
+        resolved: ResolvedHosts,
         problems: list[ListProblem],
-    ) -> Address | None:
-        assert entry.endpoint.address is not None  # the grammar demands one
-        host, port = entry.endpoint.address
-        name, place = entry.endpoint.name, entry.position
+    ) -> None:
+        self.endpoints: dict[str, EndpointSpec] = {}
+        self._inventory = inventory
+        self._permitted = permitted
+        self._resolved = resolved
+        self._problems = problems
+        self._positions: dict[str, FilePosition] = {}
+        self._name_by_address: dict[Address, str] = {}
+
+    def add(self, statement: EndpointStatement) -> None:
+        endpoint = statement.endpoint
+        position = statement.position
+        name = endpoint.name
+        if name in self.endpoints:
+            message = f"server {name} stands at {self._positions[name]} already"
+            self._problems.append(ListProblem("L201", position, message))
+            return
+        self._positions[name] = position
+        self.endpoints[name] = endpoint
+        address = self._resolve_address(statement)
+        if address is None:
+            return
+        if address != endpoint.address:
+            self.endpoints[name] = replace(endpoint, address=address)
+        host, port = address
+        if address in self._name_by_address:
+            message = f"{host}:{port} is {self._name_by_address[address]}'s already"
+            self._problems.append(ListProblem("L202", position, message))
+        self._name_by_address[address] = name
+        if self._permitted is not None and host not in self._permitted:
+            networks = ", ".join(self._permitted.networks)
+            message = f"server {name}: {host} lies outside {networks}"
+            self._problems.append(ListProblem("L203", position, message))
+
+    def _resolve_address(self, statement: EndpointStatement) -> Address | None:
+        """Return the IP address and port; None with a problem where there is none."""
+        assert statement.endpoint.address is not None  # The grammar demands one.
+        host, port = statement.endpoint.address
+        label = f"server {statement.endpoint.name}:"
+        position = statement.position
         if is_ip_address(host):
             try:
-                return str(IPAddress(host)) if ":" in host else host, _checked_port(host, port)
+                address = IPAddress(host)
+                return (str(address) if ":" in host else host), port
             except (AddrFormatError, ValueError):
-                problems.append(ListProblem("L101", place, f"server {name}: {host} is no address"))
+                self._problems.append(ListProblem("L101", position, f"{label} {host} is no address"))
                 return None
-        if inventory and host not in inventory:
-            near = difflib.get_close_matches(host, inventory, 1, 0.6)
-            text = f"server {name}: host {host} is not in the inventory"
-            problems.append(ListProblem("L204", place, text, near[0] if near else ""))
+        if self._inventory and host not in self._inventory:
+            suggestion = _nearest(host, self._inventory)
+            message = f"{label} host {host} is not in the inventory"
+            self._problems.append(ListProblem("L204", position, message, suggestion))
             return None
-        addresses = resolved.get(host, ())
+        addresses = self._resolved.get(host, ())
         if len(addresses) != 1:
-            why = "does not resolve" if not addresses else f"has {len(addresses)} addresses"
-            near = difflib.get_close_matches(host, [h for h, a in resolved.items() if len(a) == 1], 1, 0.6)
-            text = f"server {name}: host {host} {why}"
-            problems.append(ListProblem("L205", place, text, near[0] if near else ""))
+            reason = "does not resolve" if not addresses else f"has {len(addresses)} addresses"
+            usable = [name for name, found in self._resolved.items() if len(found) == 1]
+            message = f"{label} host {host} {reason}"
+            self._problems.append(ListProblem("L205", position, message, _nearest(host, usable)))
             return None
         return next(iter(addresses)), port
 
-    def _check_coverage(
-        self, main: ParsedFile, servers: dict[str, EndpointSpec], problems: list[ListProblem]
-    ) -> None:
-        place = FilePosition(main.file)
-        if not servers:
-            problems.append(ListProblem("L213", place, "the list has no servers"))
-            return
-        ready = [s for s in servers.values() if s.state is EndpointStatus.UP]
-        shards = {s.shard for s in ready}
-        if missing := sorted(set(range(self.shard_count)) - shards):
-            shown = ", ".join(map(str, missing[:8])) + (" ..." if len(missing) > 8 else "")
-            problems.append(ListProblem("L206", place, f"no ready server for shard {shown}"))
-        weights = [s.weight for s in ready if s.weight is not None]
-        if weights and len(weights) == len(ready) and not any(weights):
-            problems.append(ListProblem("L208", place, "all ready servers have weight 0"))
-
 
-def _checked_port(host: str, port: int) -> int:
-    """The port, once the address has been read as one."""
-    IPAddress(host)
-    return port
+def _nearest(host: str, hosts: Collection[str]) -> str:
+    """Return the most similar of some hosts; "" where none is similar."""
+    nearest = difflib.get_close_matches(host, hosts, 1, SIMILARITY_THRESHOLD)
+    return nearest[0] if nearest else ""
 
 
 def manifest_problems(
-    main: str, manifest: ParsedFile, digests: Mapping[str, str], place: FilePosition
+    main: str, manifest: ParsedFile, digests: Mapping[str, str], position: FilePosition
 ) -> list[ListProblem]:
-    """`digests`: SHA-256 by file of the set, as read, the main file's included."""
+    """Return what is wrong with a set by its manifest.
+
+    Args:
+        main: The main file's name.
+        manifest: The parsed manifest.
+        digests: The SHA-256 of each file of the set as read, the main file's included.
+        position: Where the main file names the manifest.
+    """
     problems = list(manifest.problems)
-    for what in (manifest.endpoint_statements, manifest.includes, manifest.networks, manifest.hosts):
-        for thing in what:
-            at = thing.position if isinstance(thing, EndpointStatement) else thing[1]
-            problems.append(ListProblem("L107", at, "a manifest holds digests alone"))
-    told: dict[str, str] = {}
+    misplaced = (manifest.endpoint_statements, manifest.includes, manifest.networks, manifest.hosts)
+    for statements in misplaced:
+        for statement in statements:
+            message = "a manifest holds digests alone"
+            problems.append(ListProblem("L107", statement.position, message))
+    listed: set[str] = set()
     for name, digest, at in manifest.digests:
-        if name in told:
+        if name in listed:
             problems.append(ListProblem("L106", at, f"{name} is given twice"))
-        told[name] = digest
+        listed.add(name)
         if name not in digests:
             problems.append(ListProblem("L406", at, f"{name} is no file of this set"))
         elif digests[name] != digest:
             problems.append(ListProblem("L405", at, f"{name} is not what the manifest says: half written?"))
-    for name in digests:
-        if name not in told:
-            problems.append(ListProblem("L406", place, f"{name} is not in the manifest"))
+    problems += [
+        ListProblem("L406", position, f"{name} is not in the manifest")
+        for name in digests
+        if name not in listed
+    ]
     return problems
--- a/umberlead/membership/formatting.py
+++ b/umberlead/membership/formatting.py
@@ -1,32 +1,50 @@
-"""Lays a list out: one blank line at most, attributes in one order, columns of runs of servers aligned,
-comments kept as they are. The meaning never changes, and laying out twice is laying out once."""
+"""Lays an endpoint list out.
+
+There is at most one blank line in a row, attributes have one order, runs of `server` lines are aligned, and
+comments stay as they are. The meaning never changes, and formatting twice is formatting once.
+"""
+
+from typing import NamedTuple
 
 from umberlead.membership import grammar
 from umberlead.membership.model import EndpointSpec
 from umberlead.scheduling.events import EndpointStatus
 
+ALIGNED_COLUMNS_COUNT = 3
+
+
+class _EndpointLine(NamedTuple):
+    endpoint: EndpointSpec
+    comment: str
+
 
 def _format_number(value: float) -> str:
     return f"{value:.9f}".rstrip("0").rstrip(".")
 
 
 def endpoint_attributes(endpoint: EndpointSpec) -> list[str]:
-    """As words, in the usual order."""
+    """Return an endpoint's attributes as they are written, in the usual order.
+
+    Args:
+        endpoint: An endpoint of a list, which has an address.
+    """
     assert endpoint.address is not None
     host, port = endpoint.address
-    made = [f"address {f'[{host}]' if ':' in host else host}:{port}", f"shard {endpoint.shard}"]
-    if endpoint.room:
-        made.append(f"room {endpoint.room}")
+    written_host = f"[{host}]" if ":" in host else host
+    attributes = [f"address {written_host}:{port}", f"shard {endpoint.shard}"]
+    if endpoint.zone:
+        attributes.append(f"room {endpoint.zone}")
     if endpoint.weight is not None:
-        made.append(f"weight {_format_number(endpoint.weight)}")
-    if endpoint.state is EndpointStatus.DRAINING:
-        made.append("state draining")
-    if endpoint.units:
-        made.append(f"max-units {_format_number(endpoint.units)}")
-    return made
+        attributes.append(f"weight {_format_number(endpoint.weight)}")
+    if endpoint.status is EndpointStatus.DRAINING:
+        attributes.append("state draining")
+    if endpoint.max_units:
+        attributes.append(f"max-units {_format_number(endpoint.max_units)}")
+    return attributes
 
 
 def endpoint_statement(endpoint: EndpointSpec) -> str:
+    """Return an endpoint as a `server` statement."""
     return " ".join([f"server {endpoint.name}", *endpoint_attributes(endpoint)])
 
 
@@ -35,49 +53,49 @@
     return f"# {comment.strip()}".rstrip() if found else ""
 
 
-def _format_statement(kind: str, value: object, text: str) -> str:
+def _with_comment(line: str, comment: str) -> str:
+    return f"{line}  {comment}" if comment else line
+
+
+def _format_statement(kind: str, value: object) -> str:
     if kind == "file":
         assert isinstance(value, tuple)
         return f"file {value[0]} sha256 {value[1]}"
     return f"{kind} {value}"
 
 
-def _aligned_lines(run: list[tuple[EndpointSpec, str]]) -> list[str]:
-    """A run of server lines: name, address and shard in columns, then what else there is."""
-    cells = [[f"server {s.name}", *endpoint_attributes(s)] for s, _ in run]
-    widths = [max(len(row[k]) for row in cells) for k in range(3)]
+def _aligned_lines(run: list[_EndpointLine]) -> list[str]:
+    """Return a run of `server` lines with name, address and shard in columns."""
+    rows = [[f"server {line.endpoint.name}", *endpoint_attributes(line.endpoint)] for line in run]
+    widths = [max(len(row[column]) for row in rows) for column in range(ALIGNED_COLUMNS_COUNT)]
     lines = []
-    for row, (_, comment) in zip(cells, run, strict=True):
+    for row, (_, comment) in zip(rows, run, strict=True):
         padded = [cell.ljust(width) for cell, width in zip(row, widths, strict=False)]
-        line = " ".join([*padded, *row[3:]]).rstrip()
-        lines.append(f"{line}  {comment}" if comment else line)
+        line = " ".join([*padded, *row[ALIGNED_COLUMNS_COUNT:]]).rstrip()
+        lines.append(_with_comment(line, comment))
     return lines
 
 
 def format_list(text: str) -> str:
-    """A file that parses without problems, laid out."""
-    made, run = list[str](), list[tuple[EndpointSpec, str]]()
-
-    def flush() -> None:
-        if run:
-            made.extend(_aligned_lines(run))
-            run.clear()
-
+    """Return the text of a list file laid out; it must parse without problems."""
+    lines: list[str] = []
+    run: list[_EndpointLine] = []
     for row in text.split("\n")[:-1]:
         row = row.rstrip("\r")
-        got, comment = grammar.parse_line(row), _extract_comment(row)
-        if got is not None and got[0] == "server":
-            run.append((got[1], comment))
+        parsed = grammar.parse_line(row)
+        comment = _extract_comment(row)
+        if parsed is not None and parsed.kind == "server":
+            run.append(_EndpointLine(parsed.value, comment))
             continue
-        flush()
-        if got is not None:
-            line = _format_statement(got[0], got[1], row)
-            made.append(f"{line}  {comment}" if comment else line)
+        lines += _aligned_lines(run) if run else []
+        run = []
+        if parsed is not None:
+            lines.append(_with_comment(_format_statement(parsed.kind, parsed.value), comment))
         elif comment:
-            made.append(comment)
-        elif made and made[-1]:
-            made.append("")
-    flush()
-    while made and not made[-1]:
-        made.pop()
-    return "\n".join([*made, ""])
+            lines.append(comment)
+        elif lines and lines[-1]:
+            lines.append("")
+    lines += _aligned_lines(run) if run else []
+    while lines and not lines[-1]:
+        lines.pop()
+    return "\n".join([*lines, ""])
--- a/umberlead/membership/grammar.py
+++ b/umberlead/membership/grammar.py
@@ -1,33 +1,40 @@
-"""The line-based list format: one statement a line, read by a Lark grammar.
+"""The line-based format of endpoint lists: one statement a line, read by a Lark grammar.
 
-A statement's meaning depends on its own line alone, so the result of a line is remembered by its text: of a
-changed list only the changed lines are parsed. Errors tell the column, what was expected there, and the
-nearest known word. `end N` closes a file, N being the number of statements before it: no part of a file
-passes for the whole."""
+A statement's meaning depends on its own line alone, so that the result of a line is cached by its text: of a
+changed list only the changed lines are parsed. Errors give the column, what was expected there and the
+nearest known word. `end N` closes a file, N being the number of statements before it, so that no part of a
+file passes for all of it.
+"""
 
 import difflib
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from lark import Lark, Token, Transformer
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, VisitError
 
+from umberlead.membership.errors import MembershipError
 from umberlead.membership.model import (
     MAX_WEIGHT,
     SHARD_INDEX_LIMIT,
-    STATE_BY_KEYWORD,
+    STATUS_BY_KEYWORD,
     EndpointSpec,
     EndpointStatement,
+    FileDigest,
     FilePosition,
     ListProblem,
     ParsedFile,
+    Positioned,
 )
 from umberlead.scheduling.events import EndpointStatus
 
 FORMAT_VERSION = 1
-MAX_CACHED_LINES = 100_000  # parsed lines remembered: more than the largest list has
-MAX_LINE_CHARACTERS_COUNT = 4096  # characters
-FIRST_KEYWORD = "format"
+MAX_CACHED_LINES = 100_000  # More than the longest list has.
+MAX_LINE_CHARACTERS_COUNT = 4096
+MIN_ENDPOINT_UNITS = 0.1
+MAX_ENDPOINT_UNITS = 1e6
+SIMILARITY_THRESHOLD = 0.6
+PROBLEM_KIND = "!"
 
 GRAMMAR = r"""
 start: statement?
@@ -75,15 +82,43 @@
     "CIDR": "a network such as 10.1.0.0/16",
     "$END": "the end of the line",
 }
-ATTRIBUTE_ORDER = ("address", "shard", "room", "weight", "state", "max-units")  # as the formatter has it
 
 
-class InvalidValueError(ValueError):
-    """A value out of its range: the column it stands at and what is wrong."""
+class InvalidValueError(MembershipError):
+    """A value that parses but can't be used, such as one out of its range.
+
+    Attributes:
+        column: The column of the line at which the value stands.
+        reason: What is wrong with it.
+    """
+
+    def __init__(self, token: Token, reason: str) -> None:
+        """Take the column from the value's token."""
+        super().__init__(reason)
+        self.column = token.column or 1
+        self.reason = reason
+
+
+class ParsedLine(NamedTuple):
+    """One statement, or an attribute of one while its line is parsed.
+
+    Attributes:
+        kind: Its keyword; `PROBLEM_KIND` for a line that can't be read, whose value is a `SyntaxProblem`.
+        value: What it says.
+        column: Where it stands.
+    """
+
+    kind: str
+    value: Any
+    column: int
+
+
+class SyntaxProblem(NamedTuple):
+    """Why a line can't be read; `suggestion` is the nearest known word, "" for none."""
 
-    def __init__(self, token: Token, why: str) -> None:
-        super().__init__(why)
-        self.column, self.reason = token.column or 1, why
+    column: int
+    message: str
+    suggestion: str
 
 
 def _number_in_range(token: Token, label: str, maximum: float, minimum: float = 0) -> float:
@@ -93,206 +128,242 @@
     return value
 
 
+def _one_token(kind: str, convert: Callable[[Token], Any] = str) -> Any:
+    """Return the method for a rule with one token."""
+
+    def convert_rule(transformer: Any, tokens: list[Token]) -> ParsedLine:
+        return ParsedLine(kind, convert(tokens[0]), tokens[0].column or 1)
+
+    return convert_rule
+
+
 class _StatementTransformer(Transformer[Token, Any]):
-    """A line's tree to (kind, values). Attributes become (name, value, column)."""
-
-    def start(self, got: list[Any]) -> Any:
-        return got[0] if got else None
-
-    def _one(kind: str, of: Callable[[Token], Any] = str) -> Any:  # type: ignore[misc]
-        def read(self: Any, got: list[Token]) -> tuple[str, Any, int]:
-            return kind, of(got[0]), got[0].column or 1
-
-        return read
-
-    format = _one("format", int)
-    version = _one("version", int)
-    network = _one("network")
-    host = _one("host", lambda t: str(t).lower())
-    include = _one("include")
-    manifest = _one("manifest")
-    end = _one("end", int)
-    shard = _one("shard", lambda t: int(_number_in_range(t, "shard", SHARD_INDEX_LIMIT)))
-    room = _one("room")
-    state = _one("state", lambda t: STATE_BY_KEYWORD[str(t)])
-    weight = _one("weight", lambda t: _number_in_range(t, "weight", MAX_WEIGHT))
-    units = _one("max-units", lambda t: _number_in_range(t, "max-units", 1e6, 0.1))
-
-    def digest(self, got: list[Token]) -> tuple[str, Any, int]:
-        return "file", (str(got[0]), str(got[1])), got[0].column or 1
-
-    def address(self, got: list[Token]) -> tuple[str, Any, int]:
-        host, _, port = str(got[0]).rpartition(":")
+    """Turns a line's tree into a `ParsedLine`; lark calls its methods by the names of the grammar's rules."""
+
+    format = _one_token("format", int)
+    version = _one_token("version", int)
+    network = _one_token("network")
+    host = _one_token("host", lambda token: str(token).lower())
+    include = _one_token("include")
+    manifest = _one_token("manifest")
+    end = _one_token("end", int)
+    shard = _one_token("shard", lambda token: int(_number_in_range(token, "shard", SHARD_INDEX_LIMIT)))
+    room = _one_token("room")
+    state = _one_token("state", lambda token: STATUS_BY_KEYWORD[str(token)])
+    weight = _one_token("weight", lambda token: _number_in_range(token, "weight", MAX_WEIGHT))
+    units = _one_token(
+        "max-units",
+        lambda token: _number_in_range(token, "max-units", MAX_ENDPOINT_UNITS, MIN_ENDPOINT_UNITS),
+    )
+
+    def start(self, children: list[Any]) -> ParsedLine | None:
+        return children[0] if children else None
+
+    def digest(self, tokens: list[Token]) -> ParsedLine:
+        path, digest = tokens
+        return ParsedLine("file", (str(path), str(digest)), path.column or 1)
+
+    def address(self, tokens: list[Token]) -> ParsedLine:
+        (token,) = tokens
+        host, _, port = str(token).rpartition(":")
         if not 0 < int(port) < 65536:
-            raise InvalidValueError(got[0], f"port must be from 1 to 65535, not {port}")
-        return "address", (host.strip("[]").lower(), int(port)), got[0].column or 1
-
-    def server(self, got: list[Any]) -> tuple[str, Any, int]:
-        name, found = got[0], dict[str, Any]()
-        for key, value, column in got[1:]:
-            if key in found:
+            raise InvalidValueError(token, f"port must be from 1 to 65535, not {port}")
+        return ParsedLine("address", (host.strip("[]").lower(), int(port)), token.column or 1)
+
+    def server(self, children: list[Any]) -> ParsedLine:
+        name, *attributes = children
+        values: dict[str, Any] = {}
+        for key, value, column in attributes:
+            if key in values:
                 raise InvalidValueError(Token("NAME", key, column=column), f"{key} is given twice")
-            found[key] = value
+            values[key] = value
         for key in ("address", "shard"):
-            if key not in found:
+            if key not in values:
                 raise InvalidValueError(name, f"server {name} has no {key}")
-        made = EndpointSpec(
-            str(name),
-            found["address"],
-            found["shard"],
-            found.get("state", EndpointStatus.UP),
-            found.get("room", ""),
-            found.get("weight"),
-            found.get("max-units", 0.0),
+        endpoint = EndpointSpec(
+            name=str(name),
+            address=values["address"],
+            shard=values["shard"],
+            status=values.get("state", EndpointStatus.UP),
+            zone=values.get("room", ""),
+            weight=values.get("weight"),
+            max_units=values.get("max-units", 0.0),
         )
-        return "server", made, name.column or 1
+        return ParsedLine("server", endpoint, name.column or 1)
 
 
 def keyword_by_terminal(parser: Lark) -> dict[str, str]:
+    """Return the keywords of a grammar by the names of their terminals."""
     return {t.name: str(t.pattern.value) for t in parser.terminals if t.pattern.type == "str"}
 
 
 _parser = Lark(GRAMMAR, parser="lalr", lexer="contextual", propagate_positions=False)
 _transformer = _StatementTransformer()
 _keywords = keyword_by_terminal(_parser)
-_parsed_lines: dict[str, Any] = {}
+_parsed_lines: dict[str, ParsedLine | None] = {}
 
 
 def _token_at(text: str, column: int) -> str:
     return next(iter(text[column - 1 :].split("#")[0].split()), "")
 
 
-def _expected_terminals(fault: UnexpectedInput) -> list[str]:
-    told = [getattr(fault, n, None) for n in ("accepts", "allowed", "expected")]
-    names = {str(name) for name in next((t for t in told if t), ())}
+def _token_start(text: str, column: int) -> int:
+    """Return the column at which the token that reaches to `column` begins."""
+    index = column - 1
+    while index > 0 and not text[index - 1].isspace():
+        index -= 1
+    return index + 1
+
+
+def _expected_terminals(error: UnexpectedInput) -> list[str]:
+    candidates = [getattr(error, attribute, None) for attribute in ("accepts", "allowed", "expected")]
+    names = {str(name) for name in next((found for found in candidates if found), ())}
     return sorted(names - {"COMMENT", "__IGNORE_0"})
 
 
-def describe_syntax_error(
-    text: str, fault: UnexpectedInput, keywords: dict[str, str]
-) -> tuple[int, str, str]:
-    """Column, what was expected, and the nearest known word; `keywords` by their terminals' names."""
-    column = fault.column if isinstance(fault.column, int) and fault.column > 0 else len(text.rstrip()) + 1
-    if isinstance(fault, UnexpectedEOF) or getattr(getattr(fault, "token", None), "type", "") == "$END":
-        column = len(text.split("#")[0].rstrip()) + 1
-    word, names = _token_at(text, column), _expected_terminals(fault)
-    if isinstance(fault, UnexpectedCharacters):
-        # A keyword with more behind it is a word of its own: what the line began with is what was meant.
-        column, word = _token_start(text, column)
-    if word:  # that the line might have ended there is no help
-        names = [n for n in names if n != "$END"] or names
-    known = [keywords[n] for n in names if n in keywords]
-    wanted = [TERMINAL_DESCRIPTIONS[n] for n in names if n in TERMINAL_DESCRIPTIONS] + [
-        repr(w) for w in sorted(known)
-    ]
-    near = difflib.get_close_matches(word.lower(), known, 1, 0.6) if word else []
-    found = f"found {word!r}" if word else "the line ends"
-    return column, f"expected {' or '.join(wanted) or 'nothing more'}, {found}", near[0] if near else ""
-
-
-def _token_start(text: str, column: int) -> tuple[int, str]:
-    at = column - 1
-    while at > 0 and not text[at - 1].isspace():
-        at -= 1
-    return at + 1, _token_at(text, at + 1)
-
-
-def parse_line(text: str) -> Any:
-    """One line as (kind, value, column), None where it is empty, or a `Problem`-like (column, why, near)
-    under kind "!"."""
+def _error_column(text: str, error: UnexpectedInput) -> int:
+    at_end = isinstance(error, UnexpectedEOF) or getattr(getattr(error, "token", None), "type", "") == "$END"
+    if at_end:
+        return len(text.split("#")[0].rstrip()) + 1
+    if isinstance(error.column, int) and error.column > 0:
+        return error.column
+    return len(text.rstrip()) + 1
+
+
+def describe_syntax_error(text: str, error: UnexpectedInput, keywords: dict[str, str]) -> SyntaxProblem:
+    """Return where a line's error is, what was expected there and the nearest known word.
+
+    Args:
+        text: The line.
+        error: What lark raised for it.
+        keywords: The grammar's keywords by the names of their terminals.
+    """
+    column = _error_column(text, error)
+    names = _expected_terminals(error)
+    if isinstance(error, UnexpectedCharacters):
+        # A keyword with more behind it is a word of its own: it is compared from its beginning.
+        column = _token_start(text, column)
+    token = _token_at(text, column)
+    if token:  # That the line might have ended there is no help.
+        names = [name for name in names if name != "$END"] or names
+    known = [keywords[name] for name in names if name in keywords]
+    wanted = [TERMINAL_DESCRIPTIONS[name] for name in names if name in TERMINAL_DESCRIPTIONS]
+    wanted += [repr(keyword) for keyword in sorted(known)]
+    nearest = difflib.get_close_matches(token.lower(), known, 1, SIMILARITY_THRESHOLD) if token else []
+    found = f"found {token!r}" if token else "the line ends"
+    message = f"expected {' or '.join(wanted) or 'nothing more'}, {found}"
+    return SyntaxProblem(column, message, nearest[0] if nearest else "")
+
+
+def parse_line(text: str) -> ParsedLine | None:
+    """Return the statement of a line; None where it is empty.
+
+    A line that can't be read has the kind `PROBLEM_KIND` and a `SyntaxProblem` as its value.
+    """
     if text in _parsed_lines:
         return _parsed_lines[text]
     if len(text) > MAX_LINE_CHARACTERS_COUNT:
-        return (
-            "!",
-            (
-                MAX_LINE_CHARACTERS_COUNT + 1,
-                f"the line is longer than {MAX_LINE_CHARACTERS_COUNT} characters",
-                "",
-            ),
-            0,
-        )
+        message = f"the line is longer than {MAX_LINE_CHARACTERS_COUNT} characters"
+        return ParsedLine(PROBLEM_KIND, SyntaxProblem(MAX_LINE_CHARACTERS_COUNT + 1, message, ""), 0)
     try:
-        got = _transformer.transform(_parser.parse(text))
-    except UnexpectedInput as fault:
-        return "!", describe_syntax_error(text, fault, _keywords), 0
-    except VisitError as fault:
-        if not isinstance(fault.orig_exc, InvalidValueError):
+        parsed: ParsedLine | None = _transformer.transform(_parser.parse(text))
+    except UnexpectedInput as error:
+        return ParsedLine(PROBLEM_KIND, describe_syntax_error(text, error, _keywords), 0)
+    except VisitError as error:
+        invalid = error.orig_exc
+        if not isinstance(invalid, InvalidValueError):
             raise
-        return "!", (fault.orig_exc.column, fault.orig_exc.reason, ""), 0
+        return ParsedLine(PROBLEM_KIND, SyntaxProblem(invalid.column, invalid.reason, ""), 0)
     if len(_parsed_lines) >= MAX_CACHED_LINES:
         _parsed_lines.clear()
-    _parsed_lines[text] = got
-    return got
+    _parsed_lines[text] = parsed
+    return parsed
 
 
 def parse_file(text: str, file: str) -> ParsedFile:
-    """All statements of a file, and every problem found on the way (not only the first)."""
-    made, count, closed = ParsedFile(file), 0, False
-
-    def bad(code: str, number: int, column: int, why: str, near: str = "") -> None:
-        made.problems.append(ListProblem(code, FilePosition(file, number, column), why, near))
-
-    lines = text.split("\n")
-    last = lines.pop()
-    for number, row in enumerate(lines, 1):
-        got = parse_line(row.rstrip("\r"))
-        if got is None:
-            continue
-        kind, value, column = got
-        if kind == "!":
-            bad("L101", number, *value)
-            count += 1
-            continue
-        place = FilePosition(file, number, column)
-        if closed:
-            bad("L105", number, column, f"{kind} stands behind the closing line")
+    """Return all statements of a file and all problems found in them.
+
+    Args:
+        text: The file's text.
+        file: The file's name in positions.
+    """
+    return _FileParser(file).parse(text)
+
+
+class _FileParser:
+    """Collects the statements of one file."""
+
+    def __init__(self, file: str) -> None:
+        self.result = ParsedFile(file)
+        self.statement_count = 0
+        self.closed = False
+
+    def parse(self, text: str) -> ParsedFile:
+        lines = text.split("\n")
+        rest = lines.pop()
+        for number, line in enumerate(lines, 1):
+            parsed = parse_line(line.rstrip("\r"))
+            if parsed is not None:
+                self._add_line(number, parsed)
+        end_line = len(lines) + 1
+        if rest:
+            message = "the last line has no line end: perhaps half written"
+            self._add_problem("L103", self._position(end_line, len(rest) + 1), message)
+        if not self.closed:
+            message = "there is no closing line 'end N': the file may be half written"
+            self._add_problem("L102", self._position(end_line, 0), message)
+        return self.result
+
+    def _position(self, line: int, column: int) -> FilePosition:
+        return FilePosition(self.result.file, line, column)
+
+    def _add_problem(self, code: str, position: FilePosition, message: str, suggestion: str = "") -> None:
+        self.result.problems.append(ListProblem(code, position, message, suggestion))
+
+    def _add_line(self, number: int, parsed: ParsedLine) -> None:
+        kind, value, column = parsed
+        if kind == PROBLEM_KIND:
+            problem: SyntaxProblem = value
+            position = self._position(number, problem.column)
+            self._add_problem("L101", position, problem.message, problem.suggestion)
+            self.statement_count += 1
+            return
+        position = self._position(number, column)
+        if self.closed:
+            self._add_problem("L105", position, f"{kind} stands behind the closing line")
         elif kind == "end":
-            closed = True
-            if value != count:
-                bad("L102", number, column, f"the file ends after {value} statements, but has {count}")
+            self.closed = True
+            if value != self.statement_count:
+                message = f"the file ends after {value} statements, but has {self.statement_count}"
+                self._add_problem("L102", position, message)
         else:
-            count += 1
-            _record_statement(made, kind, value, place, count, bad)
-    if last:
-        bad(
-            "L103",
-            len(lines) + 1,
-            len(last) + 1,
-            "the last line has no line end: perhaps half written",
-        )
-    if not closed:
-        bad("L102", len(lines) + 1, 0, "there is no closing line 'end N': the file may be half written")
-    return made
-
-
-def _record_statement(
-    made: ParsedFile, kind: str, value: Any, place: FilePosition, count: int, bad: Callable[..., None]
-) -> None:
-    line_of = (place.line, place.column)
-    if kind == FIRST_KEYWORD:
-        made.format_version = value
-        if value != FORMAT_VERSION:
-            bad("L104", *line_of, f"format {value} is unknown; this program reads format {FORMAT_VERSION}")
-        elif count != 1:
-            bad("L104", *line_of, "format must be the first statement")
-    elif count == 1:
-        bad("L104", *line_of, f"the first statement must be 'format {FORMAT_VERSION}'")
-    if kind == "version":
-        if made.version is not None:
-            bad("L106", *line_of, "version is given twice")
-        made.version = (value, place)
-    elif kind == "manifest":
-        if made.manifest is not None:
-            bad("L106", *line_of, "manifest is given twice")
-        made.manifest = (value, place)
-    elif kind == "network":
-        made.networks.append((value, place))
-    elif kind == "host":
-        made.hosts.append((value, place))
-    elif kind == "include":
-        made.includes.append((value, place))
-    elif kind == "file":
-        made.digests.append((*value, place))
-    elif kind == "server":
-        made.endpoint_statements.append(EndpointStatement(value, place))
+            self.statement_count += 1
+            self._check_format(kind, value, position)
+            self._add_statement(kind, value, position)
+
+    def _check_format(self, kind: str, value: Any, position: FilePosition) -> None:
+        if kind == "format":
+            self.result.format_version = value
+            if value != FORMAT_VERSION:
+                message = f"format {value} is unknown; this program reads format {FORMAT_VERSION}"
+                self._add_problem("L104", position, message)
+            elif self.statement_count != 1:
+                self._add_problem("L104", position, "format must be the first statement")
+        elif self.statement_count == 1:
+            message = f"the first statement must be 'format {FORMAT_VERSION}'"
+            self._add_problem("L104", position, message)
+
+    def _add_statement(self, kind: str, value: Any, position: FilePosition) -> None:
+        result = self.result
+        if kind == "server":
+            result.endpoint_statements.append(EndpointStatement(value, position))
+        elif kind == "file":
+            path, digest = value
+            result.digests.append(FileDigest(path, digest, position))
+        elif kind in ("network", "host", "include"):
+            several = {"network": result.networks, "host": result.hosts, "include": result.includes}
+            several[kind].append(Positioned(value, position))
+        elif kind in ("version", "manifest"):
+            if getattr(result, kind) is not None:
+                self._add_problem("L106", position, f"{kind} is given twice")
+            setattr(result, kind, Positioned(value, position))
--- a/umberlead/membership/list_merge.py
+++ b/umberlead/membership/list_merge.py
@@ -1,111 +1,386 @@
-"""Between the list in force and the parts of a front: what the engine and the pool are told of a change."""
-
-import asyncio
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
-
-from umberlead import config
-from umberlead.common.counters import Counters
-from umberlead.membership.change_gate import ChangeGate
-from umberlead.membership.flap_damping import RETURN_PENALTY_UNITS, FlapDampingSettings
-from umberlead.membership.machine import MembershipSettings
-from umberlead.membership.model import ActiveEndpoint, EndpointSpec, MembershipChange
-from umberlead.membership.service import NoUsableListError, WatchedListService, WatchedListSettings
-from umberlead.scheduling.events import Endpoint, EndpointList, EndpointStatus
-
-if TYPE_CHECKING:
-    from umberlead.net.endpoint_pool import EndpointPool
-    from umberlead.requests.lifecycle import RequestLifecycle
-
-
-class MembershipHost(Protocol):
-    """What of a front the lists are joined to."""
-
-    config: config.Config
-    loop: asyncio.AbstractEventLoop
-    clock: Callable[[], int]
-    counters: Counters
-    log: Any
-    lifecycle: "RequestLifecycle"
-    pool: "EndpointPool"
-
-
-def endpoint_from_discovery(endpoint: config.ListedEndpoint) -> EndpointSpec:
-    """What discovery tells."""
-    node = endpoint.endpoint
-    return EndpointSpec(
-        node.name, endpoint.address, node.shard, node.status, node.zone, started=node.started_us
-    )
-
-
-def scheduler_endpoint(member: ActiveEndpoint, state: EndpointStatus | None = None) -> Endpoint:
-    server = member.endpoint
-    return Endpoint(
-        member.id,
-        state or server.state,
-        server.shard,
-        server.started,
-        server.weight,
-        server.units,
-        zone=server.room,
-    )
-
-
-def apply_change(change: MembershipChange, engine: "RequestLifecycle", pool: "EndpointPool") -> None:
-    """All of a change in one turn of the loop: no request is decided on between its parts. Marks come first,
-    so that a server out by hand is out when it comes in."""
-    for node, out, at in change.manual_drains:
-        engine.set_manual_drain(node, out, at)
-    if pool.endpoint_counts is None:
-        pool.endpoint_counts = {}
-    live, left, gone = pool.endpoint_counts, set[config.Address](), {m.id for m in change.removed}
-    moves: list[tuple[str, config.Address | None]] = [(m.id, None) for m in change.removed]
-    moves += [(m.id, m.endpoint.address) for m in (*change.added, *(after for _, after in change.changed))]
-    for node, new in moves:  # counted, not gathered anew: a turn costs what changed, not the list's length
-        old = pool.addresses.pop(node, None)
-        if new is None and node not in gone:  # what drains may come without an address: it keeps its own
-            new = old
-        if new is not None:
-            pool.addresses[node] = new
-            live[new] = live.get(new, 0) + 1
-        if old is not None:
-            live[old] -= 1
-            left.add(old)
-    left = {address for address in left if live[address] <= 0}
-    for address in left:
-        del live[address]
-    pool.close_unlisted(left)
-    nodes = [scheduler_endpoint(m, EndpointStatus.GONE) for m in change.removed]
-    nodes += [scheduler_endpoint(m) for m in (*(after for _, after in change.changed), *change.added)]
-    if nodes:
-        engine.apply_endpoint_list(EndpointList(False, tuple(nodes)))
-
-
-def start_watched_lists(of: config.WatchedListConfig, front: MembershipHost) -> WatchedListService:
-    """The watch, with its first list in force; ConfigError where there is none to begin with."""
-    damping = FlapDampingSettings(
-        of.flap_half_life_us,
-        of.flap_suppress_threshold * RETURN_PENALTY_UNITS,
-        of.flap_reuse_threshold * RETURN_PENALTY_UNITS,
-    )
-    longest = max(c.timeout_us for c in front.config.settings.classes)
-    rules = MembershipSettings(of.max_withdrawn_ratio, max(2 * longest, 60_000_000), damping)
-    gate = ChangeGate(of.gate_suite_path, of.gate_timeout_seconds) if of.gate_suite_path is not None else None
-    watched = WatchedListSettings(
-        of.manifest_path, of.snapshot_path, of.settle_us / 1e6, of.poll_interval_us / 1e6, rules, gate
-    )
-    made = WatchedListService(
-        watched,
-        front.config.settings.shard_count,
-        front.loop,
-        front.clock,
-        front.counters,
-        front.log,
-        lambda change: apply_change(change, front.lifecycle, front.pool),
-    )
-    try:
-        made.load_first_list()
-    except NoUsableListError as fault:
-        raise config.ConfigError("membership.list", str(fault)) from None
-    made.start_watching()
-    return made
+"""The list in force: files, discovery and manual drains merged. Free of I/O and of clocks.
+
+Precedence, name by name: a manual drain, then the files, then discovery. The first source that lists an
+endpoint gives address, shard, zone, weight and limits; the endpoint drains if any source that lists it says
+so, and its start is the latest that any gives. Each event touches the names that it is about and no others,
+so that its cost follows what changed and not the length of the list. All times are in microseconds.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field, replace
+from typing import NamedTuple
+
+from umberlead.membership.flap_damping import FlapDamper, FlapDampingSettings
+from umberlead.membership.model import (
+    ActiveEndpoint,
+    Address,
+    CheckedList,
+    EndpointChange,
+    EndpointSpec,
+    ListDelta,
+    ListProblem,
+    ManualDrain,
+    MembershipChange,
+    Source,
+    diff_endpoints,
+)
+from umberlead.membership.pending_list import NoPendingListError, PendingList, confirmation_problems
+from umberlead.scheduling.events import EndpointStatus
+
+
+@dataclass(frozen=True, slots=True)
+class MembershipSettings:
+    """How lists are merged.
+
+    Attributes:
+        max_withdrawn_ratio: The share of the ready endpoints that one list may withdraw unconfirmed.
+        identity_retention_us: How long an endpoint's id is kept after it left: longer than any request.
+        flap_damping: The parameters of flap damping.
+    """
+
+    max_withdrawn_ratio: float = 0.25
+    identity_retention_us: int = 120_000_000
+    flap_damping: FlapDampingSettings = field(default_factory=FlapDampingSettings)
+
+
+class _MergedEndpoint(NamedTuple):
+    """What all sources together say of an endpoint, and the one that takes precedence."""
+
+    endpoint: EndpointSpec
+    source: Source
+
+
+class _MachineIdentity(NamedTuple):
+    """What makes an endpoint of the same name another machine."""
+
+    address: Address | None
+    shard: int
+
+
+class _Identity(NamedTuple):
+    machine: _MachineIdentity
+    id: str
+
+
+def _machine_identity(endpoint: EndpointSpec) -> _MachineIdentity:
+    return _MachineIdentity(endpoint.address, endpoint.shard)
+
+
+class Membership:
+    """The list in force.
+
+    Attributes:
+        settings: How lists are merged.
+        generation: Grows with each change of the endpoints in force.
+        file_list: The list of the files that is in force; None before the first.
+        file_list_origin: Where that list came from: "none", "snapshot" or "files".
+        file_list_changed_us: When that list was taken.
+        pending: The list that waits to be confirmed; None for none.
+        rejection_problems: Why the files as they are now are not in force; nothing where they are.
+        active_endpoints: The endpoints in force by name.
+        manual_drains: The names under a manual drain, and since when in Unix time.
+    """
+
+    def __init__(self, settings: MembershipSettings) -> None:
+        """Start with an empty list of generation 0."""
+        self.settings = settings
+        self.generation = 0
+        self.file_list: CheckedList | None = None
+        self.file_list_origin = "none"
+        self.file_list_changed_us = 0
+        self.pending: PendingList | None = None
+        self.rejection_problems: tuple[ListProblem, ...] = ()
+        self.active_endpoints: dict[str, ActiveEndpoint] = {}
+        self.manual_drains: dict[str, int] = {}
+        self._endpoints_by_source: dict[Source, dict[str, EndpointSpec]] = {source: {} for source in Source}
+        self._flap_damper = FlapDamper(settings.flap_damping)
+        # Names that are ready by all sources, whether suppressed or not.
+        self._ready_names_by_shard: dict[int, set[str]] = {}
+        self._shard_by_ready_name: dict[str, int] = {}
+        # By name, also of endpoints that left.
+        self._identities: dict[str, _Identity] = {}
+        # When a name that is no longer ready ceased to be, and when one left the list in force.
+        self._not_ready_since_us: dict[str, int] = {}
+        self._removed_us: dict[str, int] = {}
+        # The id that a name's manual drain was last announced for.
+        self._drained_ids: dict[str, str] = {}
+
+    def restore(self, now_us: int, checked_list: CheckedList) -> MembershipChange:
+        """Take the last good list, before the files have been read."""
+        assert self.file_list is None
+        delta = diff_endpoints({}, checked_list.endpoints)
+        return self._replace_file_list(now_us, checked_list, delta, "snapshot")
+
+    def apply_files(
+        self,
+        now_us: int,
+        checked_list: CheckedList,
+        delta: ListDelta | None = None,
+        base_digest: str = "",
+    ) -> MembershipChange:
+        """Take a set of files that passed its checks, or keep it pending.
+
+        Args:
+            now_us: The time.
+            checked_list: The list.
+            delta: Its difference from the list of digest `base_digest`, if that is known.
+            base_digest: The digest of the list that `delta` was taken against; "" for none.
+        """
+        current = self.file_list
+        if current is not None and checked_list.digest == current.digest:
+            self.pending = None
+            self.rejection_problems = ()
+            self.file_list_origin = "files"
+            return self._no_change()
+        if delta is None or base_digest != (current.digest if current else ""):
+            delta = diff_endpoints(current.endpoints if current else {}, checked_list.endpoints)
+        max_withdrawn_ratio = self.settings.max_withdrawn_ratio
+        problems = confirmation_problems(checked_list, delta, max_withdrawn_ratio) if current else ()
+        if problems:
+            pending = self.pending
+            is_same = pending is not None and pending.checked_list.digest == checked_list.digest
+            since_us = pending.since_us if pending is not None and is_same else now_us
+            self.pending = PendingList(checked_list, delta, problems, since_us)
+            self.rejection_problems = problems
+            return self._no_change()
+        return self._replace_file_list(now_us, checked_list, delta, "files")
+
+    def reject_files(self, problems: Iterable[ListProblem]) -> None:
+        """Record that the files as they are now can't be taken; a pending list is no longer what they say."""
+        self.pending = None
+        self.rejection_problems = tuple(problems)
+
+    def confirm(self, now_us: int, digest: str) -> MembershipChange:
+        """Take the pending list on an operator's word.
+
+        Args:
+            now_us: The time.
+            digest: The first digits of the list's digest, see `PendingList.check_digest`.
+
+        Raises:
+            NoPendingListError: No list is pending, or another one.
+        """
+        if self.pending is None:
+            raise NoPendingListError("no list is held")
+        self.pending.check_digest(digest)
+        checked_list = self.pending.checked_list
+        current = self.file_list.endpoints if self.file_list else {}
+        delta = diff_endpoints(current, checked_list.endpoints)
+        return self._replace_file_list(now_us, checked_list, delta, "files")
+
+    def apply_discovery(
+        self, now_us: int, complete: bool, endpoints: Iterable[EndpointSpec]
+    ) -> MembershipChange:
+        """Take a message of discovery.
+
+        Args:
+            now_us: The time.
+            complete: Whether discovery lists these endpoints and no others.
+            endpoints: The endpoints; one with status GONE is no longer listed there.
+        """
+        listed = self._endpoints_by_source[Source.DISCOVERY]
+        touched = dict.fromkeys(listed if complete else ())
+        if complete:
+            listed.clear()
+        for endpoint in endpoints:
+            touched[endpoint.name] = None
+            if endpoint.status is EndpointStatus.GONE:
+                listed.pop(endpoint.name, None)
+                continue
+            before = listed.get(endpoint.name)
+            if endpoint.address is None and before is not None:  # One that drains may come without it.
+                endpoint = replace(endpoint, address=before.address)
+            listed[endpoint.name] = endpoint
+        return self._update_endpoints(now_us, touched)
+
+    def set_manual_drain(
+        self, now_us: int, name: str, drained: bool, drained_us: int = 0
+    ) -> MembershipChange:
+        """Set a manual drain, or lift it; it stays while its endpoint comes and goes.
+
+        Args:
+            now_us: The time.
+            name: The endpoint's name.
+            drained: Whether to set it.
+            drained_us: When it was set, in Unix time; one that is set already keeps its time.
+        """
+        if drained:
+            self.manual_drains.setdefault(name, drained_us)
+        else:
+            self.manual_drains.pop(name, None)
+        return self._update_endpoints(now_us, [name])
+
+    def advance_time(self, now_us: int) -> MembershipChange:
+        """Release what was suppressed long enough, and forget what left long ago."""
+        expired_us = now_us - self.settings.identity_retention_us
+        for name in [name for name, at_us in self._not_ready_since_us.items() if at_us <= expired_us]:
+            del self._not_ready_since_us[name]
+        for name in [name for name, at_us in self._removed_us.items() if at_us <= expired_us]:
+            del self._removed_us[name]
+            del self._identities[name]
+        return self._update_endpoints(now_us, self._flap_damper.release_due(now_us))
+
+    def next_change_us(self) -> int | None:
+        """Return when `advance_time` will next change the list; None for never."""
+        return self._flap_damper.next_release_us()
+
+    def knows_endpoint(self, name: str) -> bool:
+        """Return whether a name is in force or under a manual drain."""
+        return name in self.active_endpoints or name in self.manual_drains
+
+    def _no_change(self) -> MembershipChange:
+        return MembershipChange(self.generation)
+
+    def _replace_file_list(
+        self, now_us: int, checked_list: CheckedList, delta: ListDelta, origin: str
+    ) -> MembershipChange:
+        self._endpoints_by_source[Source.FILES] = checked_list.endpoints
+        self.file_list = checked_list
+        self.file_list_origin = origin
+        self.file_list_changed_us = now_us
+        self.pending = None
+        self.rejection_problems = ()
+        return self._update_endpoints(now_us, delta.affected_names)
+
+    def _merge_sources(self, name: str) -> _MergedEndpoint | None:
+        """Return what the sources say of a name, before flap damping; None where none lists it."""
+        merged: EndpointSpec | None = None
+        precedent = Source.DISCOVERY
+        for source in Source:
+            listed = self._endpoints_by_source[source].get(name)
+            if listed is None:
+                continue
+            if merged is None:
+                merged = listed
+                precedent = source
+                continue
+            if listed.status is not EndpointStatus.UP and merged.status is EndpointStatus.UP:
+                merged = replace(merged, status=listed.status)
+            if listed.started_us > merged.started_us:
+                merged = replace(merged, started_us=listed.started_us)
+        return None if merged is None else _MergedEndpoint(merged, precedent)
+
+    def _update_endpoints(self, now_us: int, names: Iterable[str]) -> MembershipChange:
+        """Bring the list in force up to date for some names."""
+        merged_by_name = {name: self._merge_sources(name) for name in dict.fromkeys(names)}
+        if not merged_by_name:
+            return self._no_change()
+        self._add_suppressed_neighbours(now_us, merged_by_name)
+        added: list[ActiveEndpoint] = []
+        changed: list[EndpointChange] = []
+        removed: list[ActiveEndpoint] = []
+        for name, merged in merged_by_name.items():
+            before = self.active_endpoints.get(name)
+            after = self._active_endpoint(name, merged)
+            if before == after:
+                continue
+            self._replace_active(now_us, name, after)
+            if before is not None and after is not None and before.id == after.id:
+                changed.append(EndpointChange(before, after))
+                continue
+            if before is not None:
+                removed.append(before)
+            if after is not None:
+                added.append(after)
+        manual_drains = self._manual_drain_changes(merged_by_name)
+        if added or changed or removed:
+            self.generation += 1
+        return MembershipChange(self.generation, tuple(added), tuple(changed), tuple(removed), manual_drains)
+
+    def _add_suppressed_neighbours(
+        self, now_us: int, merged_by_name: dict[str, _MergedEndpoint | None]
+    ) -> None:
+        """Add the suppressed endpoints of the same shards: whether they stay so depends on the others."""
+        shards = {
+            shard
+            for name, merged in merged_by_name.items()
+            for shard in self._record_readiness(now_us, name, merged)
+        }
+        for shard in shards:
+            for name in self._ready_names_by_shard.get(shard, ()):
+                if name in self._flap_damper.suppressed and name not in merged_by_name:
+                    merged_by_name[name] = self._merge_sources(name)
+
+    def _replace_active(self, now_us: int, name: str, after: ActiveEndpoint | None) -> None:
+        if after is None:
+            del self.active_endpoints[name]
+            self._removed_us[name] = now_us
+        else:
+            self.active_endpoints[name] = after
+            self._removed_us.pop(name, None)
+
+    def _record_readiness(self, now_us: int, name: str, merged: _MergedEndpoint | None) -> list[int]:
+        """Record whether a name is ready and for which shard; return the shards whose suppression may
+        change."""
+        endpoint = merged.endpoint if merged is not None else None
+        old_shard = self._shard_by_ready_name.get(name)
+        new_shard = endpoint.shard if endpoint is not None and endpoint.status is EndpointStatus.UP else None
+        if new_shard is not None and self._has_returned(name, endpoint, old_shard):
+            self._not_ready_since_us.pop(name, None)
+            self._flap_damper.record_return(name, now_us)
+        if old_shard is not None and new_shard is None:
+            self._not_ready_since_us[name] = now_us
+        if old_shard is not None and old_shard != new_shard:
+            self._ready_names_by_shard[old_shard].discard(name)
+            if not self._ready_names_by_shard[old_shard]:
+                del self._ready_names_by_shard[old_shard]
+            del self._shard_by_ready_name[name]
+        if new_shard is not None:
+            self._ready_names_by_shard.setdefault(new_shard, set()).add(name)
+            self._shard_by_ready_name[name] = new_shard
+        return [shard for shard in (old_shard, new_shard) if shard is not None]
+
+    def _has_returned(self, name: str, endpoint: EndpointSpec | None, old_shard: int | None) -> bool:
+        """Return whether a ready endpoint is back after it was away, or is another machine than before."""
+        if name in self._not_ready_since_us:
+            return True
+        identity = self._identities.get(name)
+        if endpoint is None or identity is None or old_shard is None:
+            return False
+        return identity.machine != _machine_identity(endpoint)
+
+    def _is_suppressed(self, name: str, shard: int) -> bool:
+        """Return whether a flapping endpoint is suppressed, which it isn't where its shard has no other."""
+        suppressed = self._flap_damper.suppressed
+        if name not in suppressed:
+            return False
+        return any(
+            other not in suppressed and other not in self.manual_drains
+            for other in self._ready_names_by_shard.get(shard, ())
+            if other != name
+        )
+
+    def _active_endpoint(self, name: str, merged: _MergedEndpoint | None) -> ActiveEndpoint | None:
+        if merged is None:
+            return None
+        endpoint, source = merged
+        suppressed = endpoint.status is EndpointStatus.UP and self._is_suppressed(name, endpoint.shard)
+        if suppressed:
+            endpoint = replace(endpoint, status=EndpointStatus.DRAINING)
+        machine = _machine_identity(endpoint)
+        identity = self._identities.get(name)
+        if identity is None:
+            identity = self._identities[name] = _Identity(machine, name)
+        elif identity.machine != machine:
+            # Another machine gets another id: responses of the earlier one say nothing of it, and requests in
+            # flight there end with the earlier id.
+            identity = self._identities[name] = _Identity(machine, f"{name}~{self.generation + 1}")
+        return ActiveEndpoint(identity.id, endpoint, source, suppressed)
+
+    def _manual_drain_changes(self, names: Iterable[str]) -> tuple[ManualDrain, ...]:
+        """Return the drains to announce.
+
+        One is announced for the id that the name has now; one announced for an earlier id is lifted.
+        """
+        changes: list[ManualDrain] = []
+        for name in names:
+            active = self.active_endpoints.get(name)
+            announced_id = self._drained_ids.get(name)
+            due_id = active.id if active is not None and name in self.manual_drains else None
+            if announced_id is not None and announced_id != due_id:
+                changes.append(ManualDrain(announced_id, False, 0))
+                del self._drained_ids[name]
+            if due_id is not None and announced_id != due_id:
+                changes.append(ManualDrain(due_id, True, self.manual_drains[name]))
+                self._drained_ids[name] = due_id
+        return tuple(changes)
--- a/umberlead/membership/loading.py
+++ b/umberlead/membership/loading.py
@@ -1,12 +1,13 @@
-"""From files on disk to a verdict, in one call that a worker thread makes: read, parse, resolve, check,
-compare.
+"""From files on disk to a checked list, in one call on a worker thread: read, parse, resolve, check, compare.
 
-What it hands back is finished: the loop only looks at it."""
+What it returns is finished: the event loop only looks at it.
+"""
 
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
+from typing import NamedTuple
 
 from umberlead.membership import files
 from umberlead.membership.checks import CheckResult, CurrentList, ListChecker, host_names
@@ -14,21 +15,45 @@
 from umberlead.membership.name_resolution import NameResolver
 from umberlead.membership.watching import ChangeDetector
 
-MAX_REPORTED_PROBLEMS_COUNT = 50  # told of one set
+MAX_REPORTED_PROBLEMS_COUNT = 50
 
 
 @dataclass(slots=True)
 class LoadResult:
+    """What a load gave.
+
+    Attributes:
+        check_result: The checked list, or its problems.
+        digest: The set's digest.
+        watched_folders: The folders of its files.
+        base_digest: The digest of the list that `delta` was taken against; "" for none.
+        delta: The difference from the list in force; None where there is no checked list.
+        duration_seconds: How long the load took.
+    """
+
     check_result: CheckResult
     digest: str
     watched_folders: set[Path]
-    base_digest: str = ""  # the digest of the list that `delta` was taken against
+    base_digest: str = ""
     delta: ListDelta | None = None
-    duration_seconds: float = 0.0  # s
+    duration_seconds: float = 0.0
+
+
+class _GateResult(NamedTuple):
+    digest: str
+    problems: list[ListProblem]
 
 
 class ListLoader:
-    """One set of files, loaded again and again. For one thread at a time."""
+    """Loads one set of files again and again; for one thread at a time.
+
+    Attributes:
+        main_path: The main file.
+        resolver: Resolves host names.
+        gate: Returns why a list must not be taken; None for no gate.
+        checker: The checks.
+        change_detector: Is told what was read.
+    """
 
     def __init__(
         self,
@@ -38,57 +63,63 @@
         change_detector: ChangeDetector | None = None,
         gate: Callable[[Path], list[ListProblem]] | None = None,
     ) -> None:
-        """`gate` has the last word on a list that is sound and new; it may take its time."""
-        self.main_path, self.resolver, self.gate = main_path, resolver, gate
-        self._gate_result: tuple[str, list[ListProblem]] = (
-            "",
-            [],
-        )  # the digest that the gate saw last, and its word
-        self.checker, self.change_detector = ListChecker(shard_count), change_detector or ChangeDetector()
+        """Load nothing yet.
+
+        Args:
+            main_path: The main file.
+            shard_count: How many shards there are; 0 where that is not known.
+            resolver: Resolves host names.
+            change_detector: Is told what was read; one of its own by default.
+            gate: Called last, for a list that is checked and new; it may take its time.
+        """
+        self.main_path = main_path
+        self.resolver = resolver
+        self.gate = gate
+        self.checker = ListChecker(shard_count)
+        self.change_detector = change_detector or ChangeDetector()
+        self._gate_result = _GateResult("", [])
 
     def load(self, current: CheckedList | None) -> LoadResult:
-        """`before` is the list in force, for versions and the difference."""
-        began = time.perf_counter()
-        got = files.read_stable_set(self.main_path)
-        self.change_detector.record(got)
-        resolved = self.resolver.resolve(host_names(got.parsed_files))
-        if got.parsed_files:
-            of = CurrentList() if current is None else CurrentList(current.version, current.digest)
-            verdict = self.checker.check(got.parsed_files, got.digest, of, resolved)
-        else:
-            verdict = CheckResult(None, [])
-        if got.problems:
-            # The set's own problems explain the rest: first what can't be read, then what it says.
-            verdict = CheckResult(None, got.problems + verdict.problems)
-        if verdict.checked_list is None and not verdict.problems:
-            verdict = CheckResult(
-                None, [ListProblem("L401", FilePosition(self.main_path.name), "nothing could be read")]
-            )
-        new = verdict.checked_list is not None and (current is None or current.digest != got.digest)
-        if self.gate is not None and new and (found := self._gate_problems(got.digest)):
-            verdict = CheckResult(None, found)
-        del verdict.problems[MAX_REPORTED_PROBLEMS_COUNT:]
-        made = LoadResult(verdict, got.digest, got.watched_folders)
-        if verdict.checked_list is not None:
-            made.base_digest = current.digest if current else ""
-            made.delta = diff_endpoints(current.endpoints if current else {}, verdict.checked_list.endpoints)
-        made.duration_seconds = time.perf_counter() - began
-        return made
-
-    def _gate_problems(self, digest: str) -> list[ListProblem]:
-        """The gate's word on this set, asked once for each: what it judged is what was loaded."""
-        assert self.gate is not None
-        if self._gate_result[0] != digest:
-            found = self.gate(self.main_path)
-            if (
-                files.read_set(self.main_path).digest != digest
-            ):  # it read the files itself, and they have moved on
-                return [
-                    ListProblem(
-                        "L407",
-                        FilePosition(self.main_path.name),
-                        "the files changed while their suite was played",
-                    )
-                ]
-            self._gate_result = (digest, found)
-        return list(self._gate_result[1])
+        """Load the set as it is now; `current` is the list in force."""
+        began_seconds = time.perf_counter()
+        file_set = files.read_stable_set(self.main_path)
+        self.change_detector.record(file_set)
+        check_result = self._check(file_set, current)
+        is_new = current is None or current.digest != file_set.digest
+        if check_result.checked_list is not None and is_new and self.gate is not None:
+            objections = self._gate_problems(self.gate, file_set.digest)
+            if objections:
+                check_result = CheckResult(None, objections)
+        del check_result.problems[MAX_REPORTED_PROBLEMS_COUNT:]
+        result = LoadResult(check_result, file_set.digest, file_set.watched_folders)
+        if check_result.checked_list is not None:
+            result.base_digest = current.digest if current else ""
+            old_endpoints = current.endpoints if current else {}
+            result.delta = diff_endpoints(old_endpoints, check_result.checked_list.endpoints)
+        result.duration_seconds = time.perf_counter() - began_seconds
+        return result
+
+    def _check(self, file_set: files.FileSet, current: CheckedList | None) -> CheckResult:
+        resolved = self.resolver.resolve(host_names(file_set.parsed_files))
+        check_result = CheckResult(None, [])
+        if file_set.parsed_files:
+            in_force = CurrentList() if current is None else CurrentList(current.version, current.digest)
+            check_result = self.checker.check(file_set.parsed_files, file_set.digest, in_force, resolved)
+        if file_set.problems:
+            # The set's own problems explain the others: first what can't be read, then what it says.
+            check_result = CheckResult(None, file_set.problems + check_result.problems)
+        if check_result.checked_list is None and not check_result.problems:
+            position = FilePosition(self.main_path.name)
+            check_result = CheckResult(None, [ListProblem("L401", position, "nothing could be read")])
+        return check_result
+
+    def _gate_problems(self, gate: Callable[[Path], list[ListProblem]], digest: str) -> list[ListProblem]:
+        """Return the gate's objections to this set; it is asked once for each."""
+        if self._gate_result.digest != digest:
+            objections = gate(self.main_path)
+            if files.read_set(self.main_path).digest != digest:
+                # The gate reads the files itself, and they have changed: it judged another set.
+                message = "the files changed while their suite was played"
+                return [ListProblem("L407", FilePosition(self.main_path.name), message)]
+            self._gate_result = _GateResult(digest, objections)
+        return list(self._gate_result.problems)
