--- a/umberlead/membership/service.py
+++ b/umberlead/membership/service.py
@@ -1,74 +1,94 @@
-"""Joins watched lists to a front: threads read and save, the loop takes what they bring in one turn.
+"""Watches lists and keeps the list in force: threads read and save, the event loop takes what they bring in
+one turn.
 
-One thread loads, another writes the snapshot (a slow disk must not hold up a removal). While a load runs,
-any number of wakes make one more load."""
+While a load runs, any number of wake-ups make one more load.
+"""
 
 import asyncio
 import gc
 import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 from umberlead.common.counters import Counters
-from umberlead.membership import snapshot
 from umberlead.membership.change_gate import ChangeGate
+from umberlead.membership.checks import NO_VERSION_STATUS
+from umberlead.membership.errors import MembershipError
+from umberlead.membership.list_merge import Membership, MembershipSettings
 from umberlead.membership.loading import ListLoader, LoadResult
-from umberlead.membership.machine import (
-    MIN_DIGEST_PREFIX_SIZE,
-    Membership,
-    MembershipSettings,
-)
-from umberlead.membership.model import (
-    ActiveEndpoint,
-    CheckedList,
-    EndpointSpec,
-    ListProblem,
-    MembershipChange,
-)
+from umberlead.membership.model import CheckedList, EndpointSpec, ListProblem, MembershipChange
 from umberlead.membership.name_resolution import Lookup, NameResolver, system_lookup
+from umberlead.membership.pending_list import MIN_DIGEST_PREFIX_SIZE
+from umberlead.membership.snapshot_store import SnapshotStore
+from umberlead.membership.status import JsonObject, endpoint_rows, list_status
 from umberlead.membership.watching import FolderWatcher
-from umberlead.scheduling.events import EndpointStatus
 
-THREAD_SWITCH_INTERVAL_SECONDS = 0.0005  # s after which the loading thread gives way to the loop
-SAVE_INTERVAL_SECONDS = 0.2  # s between two snapshots
-SAVE_RETRY_SECONDS = 5.0  # s until a snapshot that failed is tried again
-INCOMPLETE_FILES_GRACE_SECONDS = 0.25  # s that what may be half written is given before it is complained of
+# The time after which the loading thread gives way to the event loop.
+THREAD_SWITCH_INTERVAL_SECONDS = 0.0005
+# The time that files which may be half written get before a problem is logged.
+INCOMPLETE_FILES_GRACE_SECONDS = 0.25
+INCOMPLETE_FILES_CHECK_SECONDS = INCOMPLETE_FILES_GRACE_SECONDS / 4
 MAX_LOGGED_NAMES_COUNT = 8
-LARGE_LIST_ENDPOINTS_COUNT = 2000  # servers from which a load is kept from the collector of cycles
+# The number of endpoints from which a load runs without collections of cycles.
+LARGE_LIST_ENDPOINTS_COUNT = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class WatchedListSettings:
-    """The configuration's table."""
+    """How a list is watched.
+
+    Attributes:
+        main_path: The main file.
+        snapshot_path: Where the last good list is saved; None for nowhere.
+        settle_seconds: How long a burst of changes is waited for.
+        poll_interval_seconds: The time between two comparisons of signatures.
+        membership: How lists are merged.
+        gate: The gate before new lists; None for none.
+    """
 
     main_path: Path
     snapshot_path: Path | None = None
-    settle_seconds: float = 0.01  # s of a burst that are waited for
-    poll_interval_seconds: float = 0.25  # s between comparisons of signatures
+    settle_seconds: float = 0.01
+    poll_interval_seconds: float = 0.25
     membership: MembershipSettings = MembershipSettings()
     gate: ChangeGate | None = None
 
 
-class NoUsableListError(ValueError):
+class NoUsableListError(MembershipError):
     """Neither the files nor a snapshot give a list to begin with."""
 
     def __init__(self, problems: list[ListProblem], reason: str) -> None:
+        """Make a message of the first of the files' problems and of why there is no snapshot, "" for none."""
         first = f"{problems[0]}" if problems else reason
         more = f" (and {len(problems) - 1} more)" if len(problems) > 1 else ""
         super().__init__(f"{first}{more}" + (f"; {reason}" if reason and problems else ""))
 
 
-def _abbreviated(names: list[str]) -> str:
-    return ",".join(names[:MAX_LOGGED_NAMES_COUNT]) + (
-        f",+{len(names) - MAX_LOGGED_NAMES_COUNT}" if len(names) > MAX_LOGGED_NAMES_COUNT else ""
-    )
+def _abbreviated(names: Iterable[str]) -> str:
+    """Return names for a field of a log event, the first few of many."""
+    names = list(names)
+    shown = ",".join(names[:MAX_LOGGED_NAMES_COUNT])
+    hidden_count = len(names) - MAX_LOGGED_NAMES_COUNT
+    return f"{shown},+{hidden_count}" if hidden_count > 0 else shown
 
 
 class WatchedListService:
+    """Watches one list for a front process.
+
+    Attributes:
+        settings: How the list is watched.
+        loop: The event loop.
+        clock: Gives microseconds.
+        counters: Count loads, changes and problems.
+        log: The process's log.
+        membership: The list in force.
+        load_count: How many loads there were.
+    """
+
     def __init__(
         self,
         settings: WatchedListSettings,
@@ -81,336 +101,242 @@
         lookup: Lookup = system_lookup,
         new_observer: Callable[[], Any] | None = None,
     ) -> None:
-        self.settings, self.loop, self.clock, self.counters, self.log = settings, loop, clock, counters, log
+        """Watch nothing yet.
+
+        Args:
+            settings: How the list is watched.
+            shard_count: How many shards there are; 0 where that is not known.
+            loop: The event loop.
+            clock: Gives microseconds.
+            counters: Count loads, changes and problems.
+            log: The process's log.
+            apply_to_front: Called with each change of the list in force.
+            lookup: Resolves a host name.
+            new_observer: Makes a watchdog observer; watchdog's own by default.
+        """
+        self.settings = settings
+        self.loop = loop
+        self.clock = clock
+        self.counters = counters
+        self.log = log
         self.membership = Membership(settings.membership)
+        self.load_count = 0
         self._apply_to_front = apply_to_front
-        self._loader = ListLoader(
-            settings.main_path,
-            shard_count,
-            NameResolver(lookup),
-            gate=settings.gate.evaluate if settings.gate is not None else None,
-        )
-        made = {"new_observer": new_observer} if new_observer is not None else {}
-        self._watcher = FolderWatcher(self._on_files_changed, log.warning, **made)
+        gate = settings.gate.evaluate if settings.gate is not None else None
+        self._loader = ListLoader(settings.main_path, shard_count, NameResolver(lookup), gate=gate)
+        observer_options = {"new_observer": new_observer} if new_observer is not None else {}
+        self._watcher = FolderWatcher(self._on_files_changed, log.warning, **observer_options)
+        self._snapshot_store: SnapshotStore | None = None
+        if settings.snapshot_path is not None:
+            self._snapshot_store = SnapshotStore(
+                settings.snapshot_path, clock, counters, log, self._latest_list
+            )
         self._load_executor = ThreadPoolExecutor(1, "list")
-        self._save_executor = ThreadPoolExecutor(1, "list-save")
         self._wake = asyncio.Event()
         self._watch_task: asyncio.Task[None] | None = None
-        self._save_task: asyncio.Task[None] | None = None
-        self._saved_digest = ""  # digest of the list that the snapshot holds
-        self._reported_problems: tuple[ListProblem, ...] = ()  # what was last complained of
+        self._reported_problems: tuple[ListProblem, ...] = ()
         self._incomplete_since_seconds: float | None = None
         self._closed = False
-        self.load_count = 0
-
-    # Start and end
 
     def load_first_list(self) -> None:
-        """The first list, before anything listens. Blocks; `Unusable` where there is none."""
+        """Load the first list, before anything listens; blocks.
+
+        Raises:
+            NoUsableListError: Neither the files nor the snapshot give one.
+        """
         sys.setswitchinterval(min(sys.getswitchinterval(), THREAD_SWITCH_INTERVAL_SECONDS))
-        saved, why = self._restore_snapshot()
+        store = self._snapshot_store
+        saved = store.restore() if store is not None else None
         if saved is not None:
             self._apply_change(self.membership.restore(self.clock(), saved), "snapshot")
-        got = self._loader.load(saved)
-        self._watcher.watch_folders(got.watched_folders)
-        self._apply_load_result(got, is_first=True)
+        result = self._loader.load(saved)
+        self._watcher.watch_folders(result.watched_folders)
+        self._apply_load_result(result, is_first=True)
         if self.membership.file_list is None:
             self.close()
-            raise NoUsableListError(got.check_result.problems, why)
+            reason = store.restore_error if store is not None else ""
+            raise NoUsableListError(result.check_result.problems, reason)
         if self.membership.file_list_origin == "snapshot":
             self.counters.add("list_from_snapshot")
-            self.log.error(
-                "list_from_snapshot", generation=self.membership.generation, **self._problem_fields()
-            )
-
-    def _restore_snapshot(self) -> tuple[CheckedList | None, str]:
-        if self.settings.snapshot_path is None:
-            return None, ""
-        try:
-            found = snapshot.read_snapshot(self.settings.snapshot_path)
-        except (snapshot.SnapshotDamagedError, OSError) as fault:
-            self.counters.add("list_snapshots_damaged")
-            self.log.error("list_snapshot_damaged", path=str(self.settings.snapshot_path), why=str(fault))
-            return None, f"{self.settings.snapshot_path}: {fault}"
-        if found is None:
-            return None, ""
-        self._saved_digest = found[0].digest
-        return found[0], ""
+            generation = self.membership.generation
+            self.log.error("endpoint_list_restored", generation=generation, **self._problem_fields())
 
     def start_watching(self) -> None:
-        """Watch from here on."""
+        """Watch the list from here on."""
         self._watch_task = self.loop.create_task(self._watch_files())
-        listing = self.membership.file_list
-        unsaved = listing is not None and listing.digest != self._saved_digest
-        if (
-            self.settings.snapshot_path is not None
-            and unsaved
-            and self.membership.file_list_origin == "files"
-        ):
-            self._save_task = self.loop.create_task(
-                self._save_latest()
-            )  # the disk may have been full for a moment
+        store = self._snapshot_store
+        if store is not None and store.unsaved_list() and self.membership.file_list_origin == "files":
+            store.save_in_background(self.loop)  # The disk may have been full for a moment.
 
     def close(self) -> None:
+        """Stop watching, and save the list in force."""
         self._closed = True
         self._watcher.close()
         if self.settings.gate is not None:
             self.settings.gate.close()
-        for task in (self._watch_task, self._save_task):
-            if task is not None:
-                task.cancel()
-        listing = self.membership.file_list
-        if (
-            listing is not None
-            and self.settings.snapshot_path is not None
-            and listing.digest != self._saved_digest
-        ):
-            try:
-                snapshot.write(self.settings.snapshot_path, snapshot.encode_snapshot(listing, self.clock()))
-            except OSError as fault:
-                self.log.error("list_snapshot_failed", why=str(fault))
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+        if self._snapshot_store is not None:
+            self._snapshot_store.close()
         self._load_executor.shutdown(wait=False, cancel_futures=True)
-        self._save_executor.shutdown(wait=False, cancel_futures=True)
         self._loader.resolver.close()
 
-    # The watch
+    def _latest_list(self) -> CheckedList | None:
+        return self.membership.file_list
 
     def _on_files_changed(self) -> None:
-        """From the watcher's thread."""
+        """Wake the watch; called from the watcher's thread."""
         if not self._closed:
             self.loop.call_soon_threadsafe(self._wake.set)
 
     def request_load(self) -> None:
-        """Look at the files now, whatever the watch says: SIGHUP."""
+        """Load the files now, whether they have changed or not."""
         self._wake.set()
 
     async def _watch_files(self) -> None:
         while not self._closed:
             try:
                 await asyncio.wait_for(self._wake.wait(), self.settings.poll_interval_seconds)
-                await asyncio.sleep(self.settings.settle_seconds)  # the rest of a burst
-                due = True
+                await asyncio.sleep(self.settings.settle_seconds)  # For the rest of a burst.
+                is_due = True
             except TimeoutError:
-                due = await self.loop.run_in_executor(
-                    self._load_executor, self._loader.change_detector.has_changed
-                )
+                detector = self._loader.change_detector
+                is_due = await self.loop.run_in_executor(self._load_executor, detector.has_changed)
             self._wake.clear()
-            if due:
-                got = await self.loop.run_in_executor(self._load_executor, self._load_in_thread)
+            if is_due:
+                result = await self.loop.run_in_executor(self._load_executor, self._load_in_thread)
                 if not self._closed:
-                    self._apply_load_result(got)
-            self._advance_time()
+                    self._apply_load_result(result)
+            self._apply_change(self.membership.advance_time(self.clock()), "time")
 
     def _load_in_thread(self) -> LoadResult:
-        """On the loading thread. A collection of cycles there holds the interpreter, and the loop with it, as
-        long as it walks what a long list has made: 8 to 60 ms at 20,000 servers. Such a load makes no cycles,
-        so none are looked for meanwhile, and what it made is set apart from later collections and goes by
-        count. The loop's young cycles of that moment are set apart too: a few objects."""
-        listing = self.membership.file_list
-        if listing is None or len(listing.endpoints) < LARGE_LIST_ENDPOINTS_COUNT or not gc.isenabled():
-            got = self._loader.load(listing)
+        """Load on the loading thread.
+
+        A collection of cycles there holds the interpreter, and the event loop with it, while it walks all
+        that a long list has made. Such a load makes no cycles: none are looked for meanwhile, and what it
+        made is set apart from later collections, to be freed by its reference count. The event loop's few
+        cycles of that moment are set apart too.
+        """
+        current = self.membership.file_list
+        if current is None or len(current.endpoints) < LARGE_LIST_ENDPOINTS_COUNT or not gc.isenabled():
+            result = self._loader.load(current)
         else:
             gc.disable()
             try:
-                got = self._loader.load(listing)
+                result = self._loader.load(current)
             finally:
                 gc.freeze()
                 gc.enable()
-        self._watcher.watch_folders(got.watched_folders)
-        return got
-
-    def _advance_time(self) -> None:
-        self._apply_change(self.membership.advance_time(self.clock()), "time")
-
-    # What was brought
+        self._watcher.watch_folders(result.watched_folders)
+        return result
 
     def _apply_load_result(self, result: LoadResult, is_first: bool = False) -> None:
         self.load_count += 1
         self.counters.add("list_loads")
-        machine, verdict = self.membership, result.check_result
-        if verdict.checked_list is None:
-            machine.reject_files(verdict.problems)
-            self._report_problems(verdict.is_transient and not is_first)
+        check_result = result.check_result
+        checked_list = check_result.checked_list
+        if checked_list is None:
+            self.membership.reject_files(check_result.problems)
+            self._report_problems(check_result.is_transient and not is_first)
             return
         self._incomplete_since_seconds = None
-        before = machine.file_list_origin
-        change = machine.apply_files(self.clock(), verdict.checked_list, result.delta, result.base_digest)
-        if machine.pending is not None:
-            self._report_problems(False)
+        origin_before = self.membership.file_list_origin
+        change = self.membership.apply_files(self.clock(), checked_list, result.delta, result.base_digest)
+        if self.membership.pending is not None:
+            self._report_problems(is_transient=False)
             return
         if self._reported_problems:
             self._reported_problems = ()
-            self.log.info("list_sound_again", version=verdict.checked_list.version)
-        elif before == "snapshot" and not change:
-            self.log.info("list_files_as_saved", version=verdict.checked_list.version)
+            self.log.info("endpoint_list_accepted_again", version=checked_list.version)
+        elif origin_before == "snapshot" and not change:
+            self.log.info("endpoint_list_matched_snapshot", version=checked_list.version)
         self._apply_change(change, "files", round(result.duration_seconds * 1000, 1))
 
     def _report_problems(self, is_transient: bool) -> None:
-        """Once for each state of the files; what may be half written is given a moment first."""
-        now = time.monotonic()
+        """Log the problems once for each state of the files; half-written files get a moment before."""
+        now_seconds = time.monotonic()
         if is_transient:
             if self._incomplete_since_seconds is None:
-                self._incomplete_since_seconds = now
-            if now - self._incomplete_since_seconds < INCOMPLETE_FILES_GRACE_SECONDS:
-                self.loop.call_later(INCOMPLETE_FILES_GRACE_SECONDS / 4, self._wake.set)
+                self._incomplete_since_seconds = now_seconds
+            if now_seconds - self._incomplete_since_seconds < INCOMPLETE_FILES_GRACE_SECONDS:
+                self.loop.call_later(INCOMPLETE_FILES_CHECK_SECONDS, self._wake.set)
                 return
-        told = self.membership.rejection_problems
-        if told == self._reported_problems:
+        problems = self.membership.rejection_problems
+        if problems == self._reported_problems:
             return
-        self._reported_problems = told
-        event = "list_held" if self.membership.pending is not None else "list_refused"
-        self.counters.add(event)
+        self._reported_problems = problems
+        is_pending = self.membership.pending is not None
+        self.counters.add("list_held" if is_pending else "list_refused")
+        event = "endpoint_list_held" if is_pending else "endpoint_list_rejected"
         self.log.error(event, in_force=self.membership.generation, **self._problem_fields())
 
     def _problem_fields(self) -> dict[str, Any]:
-        told = self.membership.rejection_problems
-        made: dict[str, Any] = {}
-        if told:
-            made = {"code": told[0].code, "at": str(told[0].position), "why": told[0].message}
-            if told[0].suggestion:
-                made["near"] = told[0].suggestion
-            made["problems"] = len(told)
+        """Return the fields of a log event that say what is wrong with the files."""
+        problems = self.membership.rejection_problems
+        fields: dict[str, Any] = {}
+        if problems:
+            first = problems[0]
+            fields = {"code": first.code, "position": str(first.position), "message": first.message}
+            if first.suggestion:
+                fields["suggestion"] = first.suggestion
+            fields["problems"] = len(problems)
         if self.membership.pending is not None:
-            made["confirm"] = self.membership.pending.checked_list.digest[:MIN_DIGEST_PREFIX_SIZE]
-        return made
+            fields["confirm"] = self.membership.pending.checked_list.digest[:MIN_DIGEST_PREFIX_SIZE]
+        return fields
 
-    def _apply_change(self, change: MembershipChange, reason: str, load_ms: float = 0.0) -> None:
-        """In force from this turn on."""
+    def _apply_change(self, change: MembershipChange, source: str, load_ms: float = 0.0) -> None:
+        """Put a change in force from this turn of the event loop on."""
         if not change:
             return
         self._apply_to_front(change)
         self.counters.add("list_changes")
-        gone = [m.id for m in change.removed]
+        updated = [after for _, after in change.changed]
+        file_list = self.membership.file_list
         self.log.info(
-            "list_changed",
+            "endpoint_list_changed",
             generation=change.generation,
-            by=reason,
-            version=self._current_version(),
-            came=_abbreviated([m.id for m in change.added]),
-            went=_abbreviated(gone),
-            changed=_abbreviated([m.id for _, m in change.changed]),
-            held=_abbreviated([m.id for m in self._suppressed_endpoints(change)]),
+            source=source,
+            version=file_list.version if file_list else NO_VERSION_STATUS,
+            added=_abbreviated(active.id for active in change.added),
+            removed=_abbreviated(active.id for active in change.removed),
+            changed=_abbreviated(active.id for active in updated),
+            suppressed=_abbreviated(active.id for active in (*change.added, *updated) if active.suppressed),
             load_ms=load_ms,
         )
-        if (
-            self.settings.snapshot_path is not None
-            and self._save_task is None
-            and self.membership.file_list_origin == "files"
-        ):
-            if self._watch_task is None:  # at the start there is time
-                return self._save_now()
-            self._save_task = self.loop.create_task(self._save_latest())
-
-    @staticmethod
-    def _suppressed_endpoints(change: MembershipChange) -> list[ActiveEndpoint]:
-        return [m for m in (*change.added, *(m for _, m in change.changed)) if m.suppressed]
-
-    def _current_version(self) -> int:
-        return self.membership.file_list.version if self.membership.file_list else -1
-
-    # The snapshot
-
-    def _save_now(self) -> None:
-        listing = self.membership.file_list
-        assert listing is not None and self.settings.snapshot_path is not None
-        if listing.digest != self._saved_digest:
-            try:
-                snapshot.write(self.settings.snapshot_path, snapshot.encode_snapshot(listing, self.clock()))
-                self._saved_digest = listing.digest
-            except OSError as fault:
-                self._record_save_error(fault)
-
-    def _record_save_error(self, error: OSError) -> None:
-        self.counters.add("list_snapshots_failed")
-        self.log.error("list_snapshot_failed", path=str(self.settings.snapshot_path), why=str(error))
-
-    async def _save_latest(self) -> None:
-        """The latest list, not each: a burst of changes is a few writes."""
-        path = self.settings.snapshot_path
-        assert path is not None
-        try:
-            while (listing := self.membership.file_list) is not None and listing.digest != self._saved_digest:
-                now = self.clock()
-                try:
-                    await self.loop.run_in_executor(self._save_executor, _write_snapshot, path, listing, now)
-                except OSError as fault:
-                    self._record_save_error(fault)
-                    await asyncio.sleep(SAVE_RETRY_SECONDS)
-                else:
-                    self._saved_digest = listing.digest
-                    self.counters.add("list_snapshots_saved")
-                    await asyncio.sleep(SAVE_INTERVAL_SECONDS)
-        finally:
-            self._save_task = None
-
-    # From the front and its door
+        store = self._snapshot_store
+        if store is None or self.membership.file_list_origin != "files":
+            return
+        if self._watch_task is None:  # At the start there is time for it.
+            store.save_now()
+        else:
+            store.save_in_background(self.loop)
 
     def apply_discovery(self, complete: bool, endpoints: list[EndpointSpec]) -> None:
-        self._apply_change(self.membership.apply_discovery(self.clock(), complete, endpoints), "discovery")
+        """Take a message of discovery; see `Membership.apply_discovery`."""
+        change = self.membership.apply_discovery(self.clock(), complete, endpoints)
+        self._apply_change(change, "discovery")
 
     def set_manual_drain(self, name: str, drained: bool, drained_us: int) -> None:
-        self._apply_change(self.membership.set_manual_drain(self.clock(), name, drained, drained_us), "hand")
+        """Set a manual drain, or lift it; see `Membership.set_manual_drain`."""
+        change = self.membership.set_manual_drain(self.clock(), name, drained, drained_us)
+        self._apply_change(change, "hand")
 
     def confirm(self, digest: str) -> int:
-        """The generation now in force; `NotPending` where no such list is held."""
+        """Take the pending list, and return the generation that is in force then.
+
+        Raises:
+            NoPendingListError: No list is pending, or another one.
+        """
         change = self.membership.confirm(self.clock(), digest)
         self._reported_problems = ()
-        self.log.warning("list_confirmed", digest=digest, generation=change.generation)
+        self.log.warning("endpoint_list_confirmed", digest=digest, generation=change.generation)
         self._apply_change(change, "confirmed")
         return change.generation
 
-    def status(self) -> dict[str, Any]:
-        """What the door answers."""
-        machine, now = self.membership, self.clock()
-        listing, pending = machine.file_list, machine.pending
-        members = list(machine.active_endpoints.values())
-        made: dict[str, Any] = {
-            "generation": machine.generation,
-            "origin": machine.file_list_origin,
-            "version": listing.version if listing else None,
-            "digest": listing.digest if listing else None,
-            "age_s": round((now - machine.file_list_changed_us) / 1e6, 3),
-            "servers": len(members),
-            "ready": sum(m.endpoint.state is EndpointStatus.UP for m in members),
-            "held_for_flapping": sorted(m.id for m in members if m.suppressed),
-            "out_by_hand": sorted(machine.manual_drains),
-            "polling": self._watcher.is_polling,
-            "complaint": [p.to_json_row() for p in machine.rejection_problems],
-        }
-        if pending is not None:
-            made["pending"] = {
-                "confirm": pending.checked_list.digest[:16],
-                "version": pending.checked_list.version,
-                "age_s": round((now - pending.since_us) / 1e6, 3),
-                "came": len(pending.delta.added),
-                "went": len(pending.delta.removed),
-                "changed": len(pending.delta.changed),
-            }
-        return made
-
-    def endpoint_rows(self) -> list[dict[str, Any]]:
-        rows = []
-        for name, m in sorted(self.membership.active_endpoints.items()):
-            s = m.endpoint
-            rows.append(
-                {
-                    "name": name,
-                    "id": m.id,
-                    "shard": s.shard,
-                    "room": s.room,
-                    "weight": s.weight,
-                    "address": f"{s.address[0]}:{s.address[1]}" if s.address else None,
-                    "state": "draining" if s.state is not EndpointStatus.UP else "ready",
-                    "source": m.source.name.lower(),
-                    "held": m.suppressed,
-                    "by_hand": name in self.membership.manual_drains,
-                }
-            )
-        return rows
-
-
-def _write_snapshot(path: Path, listing: CheckedList, saved: int) -> None:
-    snapshot.write(path, snapshot.encode_snapshot(listing, saved))
-
+    def status(self) -> JsonObject:
+        """Return what the admin API shows of the list in force."""
+        return list_status(self.membership, self.clock(), self._watcher.is_polling)
 
-__all__ = ["ListService", "NotPending", "Unusable", "Watched"]
+    def endpoint_rows(self) -> list[JsonObject]:
+        """Return what the admin API shows of the endpoints in force."""
+        return endpoint_rows(self.membership)
--- a/umberlead/membership/snapshot.py
+++ b/umberlead/membership/snapshot.py
@@ -1,98 +1,145 @@
-"""The last good list on disk, so that a front which starts while the files are broken can serve.
+"""The last good list on disk, so that a front that starts while the files are broken can serve.
 
-One line of header (name, format, length and SHA-256 of what follows), then MessagePack. Written beside,
-synced, renamed into place, and the folder synced: a crash or a full disk leaves the old one whole. A
-snapshot that is not what its header says is never used."""
+The file is one line of header (name, format, length and SHA-256 of what follows) and MessagePack. It is
+written beside its place, synced, renamed into place, and the folder synced: a crash or a full disk leaves
+the earlier one whole. A snapshot that is not what its header says is never used.
+"""
 
 import hashlib
 import os
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
+from umberlead.membership.errors import MembershipError
 from umberlead.membership.model import CheckedList, EndpointSpec
 from umberlead.scheduling.events import EndpointStatus
 
-MAGIC, FORMAT_VERSION = "umberlead-list", 1
-MAX_HEADER_BYTES, MAX_BODY_BYTES = 256, 256 << 20
+MAGIC = "umberlead-list"
+FORMAT_VERSION = 1
+MAX_HEADER_BYTES = 256
+HEADER_WORDS_COUNT = 4
 
 
-class SnapshotDamagedError(ValueError):
-    """What stands there is no snapshot, or not all of one; the text tells why."""
+class SnapshotDamagedError(MembershipError):
+    """The file is no snapshot, or not all of one; the message says why."""
 
 
-class _Row(msgspec.Struct, array_like=True):
+class SavedList(NamedTuple):
+    """A list from a snapshot, and when it was saved, in Unix time."""
+
+    checked_list: CheckedList
+    saved_us: int
+
+
+class _EndpointRow(msgspec.Struct, array_like=True):
+    """An endpoint as stored: an array in the order of these fields."""
+
     name: str
     host: str
     port: int
     shard: int
-    state: str
-    room: str
+    status: str
+    zone: str
     weight: float | None
-    units: float
+    max_units: float
 
 
 class _Body(msgspec.Struct):
-    version: int
-    digest: str
-    files: list[str]
-    saved: int  # us of Unix time
-    servers: list[_Row]
+    """A list as stored: a map with the names given here."""
+
+    version: int = msgspec.field(name="version")
+    digest: str = msgspec.field(name="digest")
+    files: list[str] = msgspec.field(name="files")
+    saved_us: int = msgspec.field(name="saved")
+    endpoints: list[_EndpointRow] = msgspec.field(name="servers")
 
 
 def encode_snapshot(checked_list: CheckedList, saved_us: int) -> bytes:
-    rows = []
-    for s in checked_list.endpoints.values():
-        host, port = s.address or ("", 0)
-        rows.append(_Row(s.name, host, port, s.shard, s.state.value, s.room, s.weight, s.units))
+    """Return a list as the bytes of a snapshot.
+
+    Args:
+        checked_list: The list.
+        saved_us: The time, in Unix time.
+    """
     body = msgspec.msgpack.encode(
-        _Body(checked_list.version, checked_list.digest, list(checked_list.files), saved_us, rows)
+        _Body(
+            version=checked_list.version,
+            digest=checked_list.digest,
+            files=list(checked_list.files),
+            saved_us=saved_us,
+            endpoints=[_to_row(endpoint) for endpoint in checked_list.endpoints.values()],
+        )
+    )
+    header = f"{MAGIC} {FORMAT_VERSION} {len(body)} {hashlib.sha256(body).hexdigest()}\n"
+    return header.encode() + body
+
+
+def _to_row(endpoint: EndpointSpec) -> _EndpointRow:
+    host, port = endpoint.address or ("", 0)
+    return _EndpointRow(
+        endpoint.name,
+        host,
+        port,
+        endpoint.shard,
+        endpoint.status.value,
+        endpoint.zone,
+        endpoint.weight,
+        endpoint.max_units,
+    )
+
+
+def _from_row(row: _EndpointRow) -> EndpointSpec:
+    return EndpointSpec(
+        name=row.name,
+        address=(row.host, row.port),
+        shard=row.shard,
+        status=EndpointStatus(row.status),
+        zone=row.zone,
+        weight=row.weight,
+        max_units=row.max_units,
     )
-    head = f"{MAGIC} {FORMAT_VERSION} {len(body)} {hashlib.sha256(body).hexdigest()}\n"
-    return head.encode() + body
 
 
-def decode_snapshot(data: bytes) -> tuple[CheckedList, int]:
-    """The list and when it was saved; `Damaged` if it is anything but a whole snapshot."""
-    head, found, body = data.partition(b"\n")
-    words = head[:MAX_HEADER_BYTES].decode("latin-1").split(" ")
-    if not found or len(words) != 4 or words[0] != MAGIC:
+def decode_snapshot(data: bytes) -> SavedList:
+    """Return the list of a snapshot's bytes.
+
+    Raises:
+        SnapshotDamagedError: The bytes are anything but a whole snapshot.
+    """
+    header, found, body = data.partition(b"\n")
+    words = header[:MAX_HEADER_BYTES].decode("latin-1").split(" ")
+    if not found or len(words) != HEADER_WORDS_COUNT or words[0] != MAGIC:
         raise SnapshotDamagedError("it is no snapshot of a list")
-    if words[1] != str(FORMAT_VERSION):
-        raise SnapshotDamagedError(f"its format is {words[1]}; this program reads {FORMAT_VERSION}")
-    if words[2] != str(len(body)):
-        raise SnapshotDamagedError(f"it holds {len(body)} bytes of {words[2]}")
-    if hashlib.sha256(body).hexdigest() != words[3]:
+    _, format_version, length, digest = words
+    if format_version != str(FORMAT_VERSION):
+        raise SnapshotDamagedError(f"its format is {format_version}; this program reads {FORMAT_VERSION}")
+    if length != str(len(body)):
+        raise SnapshotDamagedError(f"it holds {len(body)} bytes of {length}")
+    if hashlib.sha256(body).hexdigest() != digest:
         raise SnapshotDamagedError("its digest does not match")
     try:
-        got: _Body = msgspec.msgpack.decode(body, type=_Body)
-        servers = {
-            r.name: EndpointSpec(
-                r.name, (r.host, r.port), r.shard, EndpointStatus(r.state), r.room, r.weight, r.units
-            )
-            for r in got.servers
-        }
-    except (msgspec.MsgspecError, ValueError) as fault:
-        raise SnapshotDamagedError(str(fault)) from None
-    return CheckedList(got.version, got.digest, servers, tuple(got.files)), got.saved
-
-
-def write(path: Path, data: bytes) -> None:
-    """OSError leaves what stood there before."""
-    beside = path.with_name(f".{path.name}.{os.getpid()}")
+        stored: _Body = msgspec.msgpack.decode(body, type=_Body)
+        endpoints = {row.name: _from_row(row) for row in stored.endpoints}
+    except (msgspec.MsgspecError, ValueError) as error:
+        raise SnapshotDamagedError(str(error)) from None
+    checked_list = CheckedList(stored.version, stored.digest, endpoints, tuple(stored.files))
+    return SavedList(checked_list, stored.saved_us)
+
+
+def write_atomically(path: Path, data: bytes) -> None:
+    """Write a file so that it is there with all of `data`, or as it was.
+
+    Raises:
+        OSError: It could not be written; what was there before is untouched.
+    """
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        descriptor = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o644)
-        try:
-            with memoryview(data) as view:
-                at = 0
-                while at < len(view):
-                    at += os.write(descriptor, view[at:])
-            os.fsync(descriptor)
-        finally:
-            os.close(descriptor)
-        os.rename(beside, path)
+        _write_synced(temporary, data)
+        os.rename(temporary, path)
     except OSError:
-        beside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
@@ -101,8 +148,25 @@
         os.close(folder)
 
 
-def read_snapshot(path: Path) -> tuple[CheckedList, int] | None:
-    """None where there is none yet; `Damaged` or OSError where it can't be used."""
+def _write_synced(path: Path, data: bytes) -> None:
+    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o644)
+    try:
+        with memoryview(data) as view:
+            written_bytes = 0
+            while written_bytes < len(view):
+                written_bytes += os.write(descriptor, view[written_bytes:])
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
+
+
+def read_snapshot(path: Path) -> SavedList | None:
+    """Return the list of a snapshot; None where there is no file.
+
+    Raises:
+        SnapshotDamagedError: The file is no whole snapshot.
+        OSError: The file can't be read.
+    """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
--- /dev/null
+++ b/umberlead/membership/snapshot_store.py
@@ -0,0 +1,128 @@
+"""Keeps the snapshot of the last good list up to date, off the event loop."""
+
+import asyncio
+from collections.abc import Callable
+from concurrent.futures import ThreadPoolExecutor
+from pathlib import Path
+from typing import Any
+
+from umberlead.common.counters import Counters
+from umberlead.membership import snapshot
+from umberlead.membership.model import CheckedList
+
+SAVE_INTERVAL_SECONDS = 0.2
+SAVE_RETRY_SECONDS = 5.0
+
+
+class SnapshotStore:
+    """Reads the snapshot at the start, and writes the latest list to it.
+
+    Writing has a thread of its own, as a slow disk must not delay the removal of an endpoint.
+
+    Attributes:
+        path: The snapshot's file.
+        restore_error: Why the snapshot could not be read at the start; "" where it could, or there is none.
+    """
+
+    def __init__(
+        self,
+        path: Path,
+        clock: Callable[[], int],
+        counters: Counters,
+        log: Any,
+        latest_list: Callable[[], CheckedList | None],
+    ) -> None:
+        """Read and write nothing yet.
+
+        Args:
+            path: The snapshot's file.
+            clock: Gives microseconds of Unix time.
+            counters: Count what is saved, what could not be, and what could not be read.
+            log: The process's log.
+            latest_list: Gives the list to save.
+        """
+        self.path = path
+        self.restore_error = ""
+        self._clock = clock
+        self._counters = counters
+        self._log = log
+        self._latest_list = latest_list
+        self._saved_digest = ""
+        self._executor = ThreadPoolExecutor(1, "list-save")
+        self._task: asyncio.Task[None] | None = None
+
+    def restore(self) -> CheckedList | None:
+        """Return the list of the snapshot; None where there is none that can be used."""
+        try:
+            saved = snapshot.read_snapshot(self.path)
+        except (snapshot.SnapshotDamagedError, OSError) as error:
+            self._counters.add("list_snapshots_damaged")
+            self._log.error("endpoint_list_snapshot_damaged", path=str(self.path), error=str(error))
+            self.restore_error = f"{self.path}: {error}"
+            return None
+        if saved is None:
+            return None
+        self._saved_digest = saved.checked_list.digest
+        return saved.checked_list
+
+    def unsaved_list(self) -> CheckedList | None:
+        """Return the latest list; None where there is none, or the snapshot holds it."""
+        checked_list = self._latest_list()
+        if checked_list is None or checked_list.digest == self._saved_digest:
+            return None
+        return checked_list
+
+    def save_now(self) -> None:
+        """Save the latest list before returning; one that can't be saved is logged."""
+        checked_list = self.unsaved_list()
+        if checked_list is None:
+            return
+        try:
+            _write_snapshot(self.path, checked_list, self._clock())
+            self._saved_digest = checked_list.digest
+        except OSError as error:
+            self._record_error(error)
+
+    def save_in_background(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Save the latest list, and those that follow it meanwhile."""
+        if self._task is None:
+            self._task = loop.create_task(self._save_latest(loop))
+
+    async def _save_latest(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Save the latest list and not each, so that a burst of changes is a few writes."""
+        try:
+            while (checked_list := self.unsaved_list()) is not None:
+                saved_us = self._clock()
+                try:
+                    await loop.run_in_executor(
+                        self._executor, _write_snapshot, self.path, checked_list, saved_us
+                    )
+                except OSError as error:
+                    self._record_error(error)
+                    await asyncio.sleep(SAVE_RETRY_SECONDS)
+                else:
+                    self._saved_digest = checked_list.digest
+                    self._counters.add("list_snapshots_saved")
+                    await asyncio.sleep(SAVE_INTERVAL_SECONDS)
+        finally:
+            self._task = None
+
+    def _record_error(self, error: OSError) -> None:
+        self._counters.add("list_snapshots_failed")
+        self._log.error("endpoint_list_snapshot_failed", path=str(self.path), error=str(error))
+
+    def close(self) -> None:
+        """Save the latest list, and end the thread."""
+        if self._task is not None:
+            self._task.cancel()
+        checked_list = self.unsaved_list()
+        if checked_list is not None:
+            try:
+                _write_snapshot(self.path, checked_list, self._clock())
+            except OSError as error:
+                self._log.error("endpoint_list_snapshot_failed", error=str(error))
+        self._executor.shutdown(wait=False, cancel_futures=True)
+
+
+def _write_snapshot(path: Path, checked_list: CheckedList, saved_us: int) -> None:
+    snapshot.write_atomically(path, snapshot.encode_snapshot(checked_list, saved_us))
--- a/umberlead/membership/watching.py
+++ b/umberlead/membership/watching.py
@@ -1,7 +1,9 @@
-"""Tells that list files may have changed: inotify through watchdog, and a comparison of signatures for all
-that inotify misses (an overflowing queue, watches that ran out, a folder made again, a network file system).
+"""Notices that list files may have changed.
 
-watchdog's events only wake whoever reads the files; they decide nothing."""
+inotify is used through watchdog, and signatures are compared for all that inotify misses: an overflowing
+queue, watches that ran out, a folder that was made again, a network file system. watchdog's events only wake
+whoever reads the files; they decide nothing.
+"""
 
 import contextlib
 import threading
@@ -15,10 +17,12 @@
 
 from umberlead.membership.files import FileSet, Signature, paths_signature
 
-READ_EVENT_TYPES = frozenset(("opened", "closed_no_write"))  # our own reading is no news
-RECENT_CHANGE_SECONDS = (
-    2.0  # s within which a file system may give two contents one time: such a file is read again
-)
+# Events of reading, as this program does itself.
+READ_EVENT_TYPES = frozenset(("opened", "closed_no_write"))
+# Within this time a file system may give two contents of a file the same times: such a file is read again.
+RECENT_CHANGE_SECONDS = 2.0
+NANOSECONDS_PER_SECOND_FACTOR = 1e9
+STOP_TIMEOUT_SECONDS = 1.0
 
 
 class _EventHandler(FileSystemEventHandler):
@@ -31,7 +35,11 @@
 
 
 class FolderWatcher:
-    """`changed` is called from a thread of its own, as often as it likes."""
+    """Calls back when something in some folders may have changed.
+
+    Attributes:
+        is_polling: Whether inotify is not available, so that comparing signatures has to do.
+    """
 
     def __init__(
         self,
@@ -39,23 +47,35 @@
         log: Callable[..., Any],
         new_observer: Callable[[], Any] = Observer,
     ) -> None:
-        self._event_handler, self._log, self._new_observer = _EventHandler(on_change), log, new_observer
+        """Watch nothing yet.
+
+        Args:
+            on_change: Called from a thread of the watcher's, as often as it likes.
+            log: Called with an event and its fields.
+            new_observer: Makes a watchdog observer.
+        """
+        self.is_polling = False
+        self._event_handler = _EventHandler(on_change)
+        self._log = log
+        self._new_observer = new_observer
         self._observer: Any = None
         self._watches: dict[Path, Any] = {}
         self._lock = threading.Lock()
-        self.is_polling = False  # inotify is not to be had: polling alone
         self._failed_folders: set[Path] = set()
 
     def watch_folders(self, folders: Iterable[Path]) -> None:
-        """Watch just these folders. One that can't be watched is found by polling, and tried again with the
-        next call."""
+        """Watch just these folders.
+
+        Changes in one that can't be watched are found by polling; it is tried again with the next call.
+        """
         with self._lock:
             wanted = set(folders)
             if self._observer is None and not self.is_polling:
                 self._start_observer()
             if self.is_polling or self._observer is None:
                 return
-            for folder in [f for f in self._watches if f not in wanted or not f.is_dir()]:
+            dropped = [folder for folder in self._watches if folder not in wanted or not folder.is_dir()]
+            for folder in dropped:
                 self._remove_watch(folder)
             for folder in wanted - self._watches.keys():
                 self._add_watch(folder)
@@ -64,37 +84,42 @@
         try:
             self._observer = self._new_observer()
             self._observer.start()
-        except OSError as fault:  # no inotify instance left, or no descriptor
-            self._observer, self.is_polling = None, True
-            self._log("list_watch_polls", why=str(fault))
+        except OSError as error:  # No inotify instance or no descriptor is left.
+            self._observer = None
+            self.is_polling = True
+            self._log("endpoint_list_polling_started", error=str(error))
 
     def _add_watch(self, folder: Path) -> None:
         try:
-            self._watches[folder] = self._observer.schedule(self._event_handler, str(folder), recursive=False)
-            self._failed_folders.discard(folder)
-        except OSError as fault:  # not there, or the system's number of watches is reached
+            watch = self._observer.schedule(self._event_handler, str(folder), recursive=False)
+        except OSError as error:  # It doesn't exist, or the system's number of watches is reached.
             if folder not in self._failed_folders:
                 self._failed_folders.add(folder)
-                self._log("list_watch_failed", folder=str(folder), why=str(fault))
+                self._log("endpoint_list_watch_failed", folder=str(folder), error=str(error))
+            return
+        self._watches[folder] = watch
+        self._failed_folders.discard(folder)
 
     def _remove_watch(self, folder: Path) -> None:
         watch = self._watches.pop(folder)
-        with contextlib.suppress(OSError, KeyError):  # it ended with its folder
+        with contextlib.suppress(OSError, KeyError):  # It ended with its folder.
             self._observer.unschedule(watch)
 
     def close(self) -> None:
+        """Watch nothing any more."""
         with self._lock:
             if self._observer is not None:
                 self._observer.stop()
-                self._observer.join(1.0)
+                self._observer.join(STOP_TIMEOUT_SECONDS)
                 self._observer = None
             self._watches.clear()
 
 
 class ChangeDetector:
-    """Whether a set may differ from what was read of it."""
+    """Decides by signatures whether a set may differ from what was read of it."""
 
     def __init__(self, clock: Callable[[], float] = time.time) -> None:
+        """Start as if an empty set had been read; `clock` gives seconds of Unix time."""
         self._clock = clock
         self._last_signature: Signature = ()
         self._paths: list[Path] = []
@@ -102,14 +127,19 @@
         self._recently_changed = False
 
     def record(self, file_set: FileSet) -> None:
-        """Note what was just read. Written a moment ago, it may be written again without a sign."""
-        self._last_signature = file_set.paths_signature
+        """Record what was just read.
+
+        A file that was written a moment ago may be written again without a sign.
+        """
+        signature = file_set.paths_signature
+        self._last_signature = signature
         self._paths = list(file_set.paths)
-        names = {name for name, *_ in file_set.paths_signature}
-        self._folders = [f for f in file_set.watched_folders if str(f) in names]
-        now = self._clock() * 1e9
-        newest = max((max(mtime, ctime) for *_, mtime, ctime in file_set.paths_signature), default=0)
-        self._recently_changed = now - newest < RECENT_CHANGE_SECONDS * 1e9
+        signed_paths = {entry.path for entry in signature}
+        self._folders = [folder for folder in file_set.watched_folders if str(folder) in signed_paths]
+        now_ns = self._clock() * NANOSECONDS_PER_SECOND_FACTOR
+        newest_ns = max((max(entry.modified_ns, entry.status_changed_ns) for entry in signature), default=0)
+        self._recently_changed = now_ns - newest_ns < RECENT_CHANGE_SECONDS * NANOSECONDS_PER_SECOND_FACTOR
 
     def has_changed(self) -> bool:
+        """Return whether the set has to be read again."""
         return self._recently_changed or paths_signature(self._paths, self._folders) != self._last_signature
--- a/umberlead/net/dialing.py
+++ b/umberlead/net/dialing.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from umberlead.common.slot_table import SlotTable
-from umberlead.config import Address
+from umberlead.configuration import Address
 from umberlead.net.endpoint_connection import EndpointConnection
 from umberlead.net.pool_interface import ConnectionPool
 from umberlead.requests.types import Attempt
--- a/umberlead/net/discovery.py
+++ b/umberlead/net/discovery.py
@@ -12,7 +12,7 @@
 
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import Timer, TimerWheel
-from umberlead.config import Address, DiscoveryMessage, parse_discovery_message
+from umberlead.configuration import Address, DiscoveryMessage, parse_discovery_message
 from umberlead.recovery.discovery_pacing import UNKNOWN_RESPONSE_TIMEOUT_US, WatchPacing
 
 JSON_STRING_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"')
@@ -238,7 +238,7 @@
     def apply_line(self, stream: _WatchStream, line: bytes) -> bool:
         """False where it can't be read as a list."""
         try:
-            message = parse_discovery_message(json.loads(line), bad=self._record_malformed)
+            message = parse_discovery_message(json.loads(line), on_bad_entry=self._record_malformed)
         except (ValueError, RecursionError) as error:  # a ConfigError too
             self._record_malformed(error)
             return False
--- a/umberlead/net/endpoint_connection.py
+++ b/umberlead/net/endpoint_connection.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from umberlead.common.timer_wheel import Timer
-from umberlead.config import Address
+from umberlead.configuration import Address
 from umberlead.net.endpoint_protocol import (
     OutgoingRequest,
     decode_response,
--- a/umberlead/net/endpoint_pool.py
+++ b/umberlead/net/endpoint_pool.py
@@ -7,7 +7,7 @@
 from umberlead.common.counters import Counters
 from umberlead.common.slot_table import SlotTable
 from umberlead.common.timer_wheel import TimerWheel
-from umberlead.config import Address
+from umberlead.configuration import Address
 from umberlead.net.dialing import CONNECT_TIMEOUT_MULTIPLIER, Dialer
 from umberlead.net.endpoint_connection import EndpointConnection
 from umberlead.requests.lifecycle import RequestLifecycle
--- a/umberlead/net/listener.py
+++ b/umberlead/net/listener.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from umberlead.config import Address
+from umberlead.configuration import Address
 from umberlead.net.client_connections import ClientConnection, ClientGroup
 from umberlead.net.server_connection import RequestHandler, ServerConnection
 from umberlead.resource_limits import LOCAL_RESOURCE_ERRNOS, surplus_connections
--- a/umberlead/net/pool_interface.py
+++ b/umberlead/net/pool_interface.py
@@ -5,7 +5,7 @@
 
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
-from umberlead.config import Address
+from umberlead.configuration import Address
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.send_guard import Denial
 from umberlead.requests.types import Attempt
--- a/umberlead/plugins.py
+++ b/umberlead/plugins.py
@@ -22,7 +22,7 @@
 
 from umberlead.common.counters import Counters
 from umberlead.common.errors import UmberleadError
-from umberlead.config import ConfigError
+from umberlead.configuration import ConfigError
 from umberlead.requests.types import Answer, InFlightRequest
 from umberlead.scheduling.events import AttemptResult
 
--- a/umberlead/resource_limits.py
+++ b/umberlead/resource_limits.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from umberlead.config import Config
+    from umberlead.configuration import Config
 
 MAX_HEAD_BYTES = 16 * 1024  # of an HTTP message's head, where memory allows
 MIN_HEAD_BYTES = 2 * 1024
--- a/umberlead/simulator_adapter/session.py
+++ b/umberlead/simulator_adapter/session.py
@@ -4,7 +4,7 @@
 import traceback
 from typing import TextIO
 
-from umberlead.config import parse_settings
+from umberlead.configuration import parse_settings
 from umberlead.scheduling.actions import Action
 from umberlead.scheduling.events import Endpoint, Event
 from umberlead.scheduling.scheduler import Scheduler
--- a/umberlead/standins/explore.py
+++ b/umberlead/standins/explore.py
@@ -10,8 +10,9 @@
 from dataclasses import dataclass
 
 from umberlead.membership.flap_damping import FlapDampingSettings
-from umberlead.membership.machine import Membership, MembershipSettings, NoPendingListError
+from umberlead.membership.list_merge import Membership, MembershipSettings
 from umberlead.membership.model import CheckedList, EndpointSpec, FilePosition, ListProblem, MembershipChange
+from umberlead.membership.pending_list import NoPendingListError
 from umberlead.scheduling.events import EndpointStatus
 from umberlead.standins.reference import Broken, Follower, Reference, compare
 
@@ -23,7 +24,7 @@
 def server(
     name: str, port: int, shard: int = 0, state: EndpointStatus = UP, started: int = 0
 ) -> EndpointSpec:
-    return EndpointSpec(name, ("127.0.0.1", port), shard, state, started=started)
+    return EndpointSpec(name, ("127.0.0.1", port), shard, state, started_us=started)
 
 
 def listing(digest: str, *servers: EndpointSpec) -> CheckedList:
@@ -108,7 +109,7 @@
         if whole:
             known.clear()
         for s in servers:
-            if s.state is GONE:
+            if s.status is GONE:
                 known.pop(s.name, None)
             else:
                 known[s.name] = s
@@ -148,7 +149,7 @@
             tuple(sorted(facts.marks)),
             tuple(sorted(facts.held)),
             tuple(ages),
-            tuple(sorted((n, s.address, s.shard, s.state.value) for n, s in facts.discovered.items())),
+            tuple(sorted((n, s.address, s.shard, s.status.value) for n, s in facts.discovered.items())),
             tuple(sorted((n, self.now - at) for n, at in facts.lost.items())),
             tuple(sorted((n, m.endpoint.address, m.endpoint.shard) for n, m in m.active_endpoints.items())),
         )
@@ -178,7 +179,7 @@
 
 
 def replace_started(of: EndpointSpec, at: int) -> EndpointSpec:
-    return EndpointSpec(of.name, of.address, of.shard, of.state, started=at)
+    return EndpointSpec(of.name, of.address, of.shard, of.status, started_us=at)
 
 
 def explore(depth: int, rules: MembershipSettings = RULES) -> tuple[int, int]:
--- a/umberlead/standins/reference.py
+++ b/umberlead/standins/reference.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from umberlead.membership.machine import Membership
+from umberlead.membership.list_merge import Membership
 from umberlead.membership.model import CheckedList, EndpointSpec, MembershipChange, Source
 from umberlead.scheduling.events import EndpointStatus
 
@@ -59,8 +59,10 @@
             return other, Source.DISCOVERY
         if other is None:
             return listed, Source.FILES
-        state = listed.state if listed.state is not EndpointStatus.UP else other.state
-        return replace(listed, state=state, started=max(listed.started, other.started)), Source.FILES
+        state = listed.status if listed.status is not EndpointStatus.UP else other.status
+        return replace(
+            listed, status=state, started_us=max(listed.started_us, other.started_us)
+        ), Source.FILES
 
     def names(self) -> set[str]:
         listed = set(self.facts.listing.endpoints) if self.facts.listing else set()
@@ -77,7 +79,7 @@
         ready = set()
         for name in self.names() | facts.ready_before:
             got = self.say(name)
-            is_ready = got is not None and got[0].state is EndpointStatus.UP
+            is_ready = got is not None and got[0].status is EndpointStatus.UP
             if got is not None:
                 place = (got[0].address, got[0].shard)
                 moved = name in facts.places and facts.places[name] != place
@@ -117,11 +119,11 @@
             assert got is not None
             server = got[0]
             held = False
-            if server.state is EndpointStatus.UP and name in facts.held:
+            if server.status is EndpointStatus.UP and name in facts.held:
                 others = [n for n in facts.ready_before if n != name and self._shard(n) == server.shard]
                 held = any(n not in facts.held and n not in facts.marks for n in others)
             if held:
-                server = replace(server, state=EndpointStatus.DRAINING)
+                server = replace(server, status=EndpointStatus.DRAINING)
             made[name] = (server, held)
         return made
 
@@ -134,8 +136,8 @@
         old = self.facts.listing
         if old is None:
             return True
-        ready = {n for n, s in old.endpoints.items() if s.state is EndpointStatus.UP}
-        kept = {n for n, s in listing.endpoints.items() if s.state is EndpointStatus.UP}
+        ready = {n for n, s in old.endpoints.items() if s.status is EndpointStatus.UP}
+        kept = {n for n, s in listing.endpoints.items() if s.status is EndpointStatus.UP}
         served, will = (
             {of.endpoints[n].shard for n in names} for of, names in ((old, ready), (listing, kept))
         )
--- a/umberlead/start.py
+++ b/umberlead/start.py
@@ -23,7 +23,7 @@
     early_reload_signals: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_reload_signals.append(number))
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
-    from umberlead import config, front
+    from umberlead import configuration, front
     from umberlead.front import serve
 
     front.EARLY_RELOAD_SIGNALS = early_reload_signals
@@ -31,10 +31,10 @@
     front.record_stage("imports")
 
     try:
-        conf = config.load()
+        conf = configuration.load()
         front.record_stage("configuration")
         serve(conf)
-    except config.ConfigError as error:
+    except configuration.ConfigError as error:
         print(f"umberlead: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/umberlead/zones/integration.py
+++ b/umberlead/zones/integration.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from umberlead import config
+from umberlead import configuration
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, AnswerKind, Attempt, InFlightRequest, Rejection, RequestHooks
 from umberlead.scheduling.events import AttemptResult, EndpointList
@@ -16,7 +16,7 @@
 TICK_US = 100_000  # us
 
 
-def zone_settings(zone_config: config.ZoneConfig) -> ZoneSettings:
+def zone_settings(zone_config: configuration.ZoneConfig) -> ZoneSettings:
     tier_by_zone = {name: index + 1 for index, name in enumerate(zone_config.nearby_zones)}
     return ZoneSettings(
         tier_by_zone=tier_by_zone,
@@ -242,7 +242,7 @@
 
 
 def integrate_zones(
-    zone_config: config.ZoneConfig,
+    zone_config: configuration.ZoneConfig,
     lifecycle: RequestLifecycle,
     seed: int,
     clock: Callable[[], int],
