--- a/umberlead/frontends/platform.py
+++ b/umberlead/frontends/platform.py
@@ -120,10 +120,13 @@
 
 
 def _parse_io(headers: dict[bytes, bytes], settings: Settings) -> IoFields:
-    pairs = headers.get(b"x-io", b"").decode("latin-1").split(",")
-    fields = {"hosts": "1"} | dict(pair.strip().partition("=")[::2] for pair in pairs)
-    if any(pattern.fullmatch(fields.get(name, "")) is None for name, pattern in IO_FIELD_PATTERNS.items()):
-        raise BadRequestError("X-IO is missing or malformed")
+    fields = {"hosts": "1"}
+    for pair in headers.get(b"x-io", b"").decode("latin-1").split(","):
+        name, _, value = pair.strip().partition("=")
+        fields[name] = value
+    for name, pattern in IO_FIELD_PATTERNS.items():
+        if pattern.fullmatch(fields.get(name, "")) is None:
+            raise BadRequestError("X-IO is missing or malformed")
     io = IoFields(float(fields["units"]), int(fields["shard"]), int(fields["hosts"]), fields["volume"])
     shard_count = settings.shard_count or MAX_SHARDS_COUNT
     max_units = max(settings.max_request_units, 1)
