--- a/Makefile
+++ b/Makefile
@@ -62,7 +62,7 @@
 # All orders of events through the lists' machine, to DEPTH.
 DEPTH ?= 5
 explore-lists: $(DEV)/requirements.done
-	$(DEV)/bin/python -B -m umberlead.standins.explore $(DEPTH)
+	$(DEV)/bin/python -B -m umberlead.testing.explore $(DEPTH)
 
 # 50 swaps a second under load; 3 minutes and a quiet machine. Writes docs/measurements/.
 bench-lists bench-watch: $(DEV)/requirements.done
@@ -120,7 +120,7 @@
 # --trouble clock_step --keep FOLDER --verbose": seed, length, troubles, records.
 SOAK ?= --verbose
 soak: $(DEV)/requirements.done
-	$(DEV)/bin/python -B -m umberlead.standins.soak $(SOAK)
+	$(DEV)/bin/python -B -m umberlead.testing.soak $(SOAK)
 
 clean:
 	rm -rf .venv $(DEV) $(FULL) .pytest_cache .mypy_cache .ruff_cache .hypothesis
--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -20,11 +20,11 @@
 from typing import Any
 
 from umberlead import configuration
-from umberlead.expect.model import Collection, Happening, Load
-from umberlead.expect.world import START, Modelled, World
 from umberlead.membership.loading import ListLoader
 from umberlead.membership.name_resolution import NameResolver
-from umberlead.standins.chunkserver import ChunkServer, Model, Record
+from umberlead.routing_tests.model import Collection, Happening, Load
+from umberlead.routing_tests.world import START, Modelled, World
+from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "both-ways.md"
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -32,7 +32,7 @@
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.node import FOREVER, Job, Node, Traits
 from umberlead.emulator.settings import settings as told_by
-from umberlead.load.day import Day, Request, draw
+from umberlead.load_generator.day import Day, Request, draw
 from umberlead.scheduling import events
 from umberlead.scheduling.actions import Cancel, Fail, Reject, Send, SetTimer
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus, Event, Outcome
--- a/benchmarks/fleet_speed.py
+++ b/benchmarks/fleet_speed.py
@@ -18,7 +18,7 @@
     """In this process: its peak memory is the world's."""
     from umberlead.emulator import rehearsal
     from umberlead.emulator.figures import Figures
-    from umberlead.expect.language import parse
+    from umberlead.routing_tests.language import parse
 
     text = f"format 1\nscenario s seed 1\nfleet servers {servers} fronts {fronts}\n"
     text += f"day seconds {seconds:g} load 56%\nend 4\n"
--- a/benchmarks/virtual_time.py
+++ b/benchmarks/virtual_time.py
@@ -17,11 +17,11 @@
 
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
-from umberlead.expect.model import Collection, Load, Scenario
-from umberlead.expect.world import World
 from umberlead.membership.model import CheckedList, EndpointSpec, FilePosition
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Attempt, IncomingRequest, Reply
+from umberlead.routing_tests.model import Collection, Load, Scenario
+from umberlead.routing_tests.world import World
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
 from umberlead.scheduling.settings import Plan, RequestClass, Settings
 
--- a/benchmarks/watched_lists.py
+++ b/benchmarks/watched_lists.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead.load import platform
+from umberlead.load_generator import platform
 
 ROOT = Path(__file__).parent.parent
 # Lists are swapped in a memory file system where there is one: a disk that stalls under the generator's own
@@ -189,7 +189,9 @@
 
     def forced(self) -> list[tuple[int, float]]:
         """Versions and when they came into force, in Unix time."""
-        found = re.findall(r'^<\d+>1 (\S+)Z .* endpoint_list_changed .*version="(\d+)"', self.log.read_text(), re.M)
+        found = re.findall(
+            r'^<\d+>1 (\S+)Z .* endpoint_list_changed .*version="(\d+)"', self.log.read_text(), re.M
+        )
         return [(int(v), datetime.fromisoformat(f"{at}+00:00").timestamp()) for at, v in found]
 
 
--- a/tests/golden/exported.py
+++ b/tests/golden/exported.py
@@ -21,7 +21,6 @@
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.loop import Alarm, Loop
-from umberlead.expect.model import Outcome
 from umberlead.frontends.admin_api import AdminApi
 from umberlead.membership.model import FilePosition, ListProblem, Source
 from umberlead.membership.service import WatchedListService, WatchedListSettings
@@ -33,6 +32,7 @@
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.send_guard import Denial
 from umberlead.requests.types import Answer, AnswerKind, Attempt, IncomingRequest
+from umberlead.routing_tests.model import Outcome
 from umberlead.scheduling.actions import EndReason
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
 from umberlead.scheduling.settings import Repeatability
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -12,9 +12,9 @@
 
 from umberlead.commands import command
 from umberlead.emulator.stored import StoringNode
-from umberlead.load.objects import Objects, call, content
-from umberlead.load.showing import rows, summary
-from umberlead.standins.chunkserver import Model, Record
+from umberlead.load_generator.objects import Objects, call, content
+from umberlead.load_generator.showing import rows, summary
+from umberlead.testing.chunkserver import Model, Record
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,9 +11,9 @@
 from umberlead.emulator.node import FOREVER, SECOND, Job, Meter, Node, Spell, Traits, traits
 from umberlead.emulator.plan import BadScript, plan
 from umberlead.emulator.settings import settings
-from umberlead.expect.language import parse
-from umberlead.load.clients import Clients
-from umberlead.load.day import Wave, draw, noise
+from umberlead.load_generator.clients import Clients
+from umberlead.load_generator.day import Wave, draw, noise
+from umberlead.routing_tests.language import parse
 
 FIGURES = Figures()
 
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -9,12 +9,12 @@
 from click.testing import CliRunner
 
 from umberlead.commands import command
-from umberlead.expect import reach, running, suites
-from umberlead.expect.language import parse, spread
-from umberlead.expect.model import Expectation, Life, Outcome, Selector, Step
-from umberlead.expect.proportion import Judged, judge, needed
-from umberlead.expect.verdict import contradictions, judged, may_have_run, sent_again
 from umberlead.membership.model import CheckedList, EndpointSpec
+from umberlead.routing_tests import reach, running, suites
+from umberlead.routing_tests.language import parse, spread
+from umberlead.routing_tests.model import Expectation, Life, Outcome, Selector, Step
+from umberlead.routing_tests.proportion import Judged, judge, needed
+from umberlead.routing_tests.verdict import contradictions, judged, may_have_run, sent_again
 from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_expect_tools.py
+++ b/tests/test_expect_tools.py
@@ -10,9 +10,9 @@
 
 from tests.helpers import settings
 from umberlead.commands import command
-from umberlead.expect.altered import differences
-from umberlead.expect.suggest import suite
 from umberlead.membership.model import CheckedList, EndpointSpec
+from umberlead.routing_tests.altered import differences
+from umberlead.routing_tests.suggest import suite
 from umberlead.scheduling.events import EndpointStatus
 from umberlead.scheduling.settings import Plan, Repeatability, RequestClass
 
@@ -41,7 +41,7 @@
 
 
 def test_the_same_differs_in_nothing_and_is_not_walked(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("umberlead.expect.altered.walk", lambda *_: pytest.fail("walked"))
+    monkeypatch.setattr("umberlead.routing_tests.altered.walk", lambda *_: pytest.fail("walked"))
     assert told(listing()) == []
 
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -125,7 +125,7 @@
     for name, text in (
         ("scheduling/scheduler.py", "old"),
         ("emulator/node.py", "old world"),
-        ("load/day.py", "x"),
+        ("load_generator/day.py", "x"),
     ):
         (repo / "umberlead" / name).parent.mkdir(parents=True, exist_ok=True)
         (repo / "umberlead" / name).write_text(text)
@@ -141,7 +141,7 @@
     git("init", "-q")
     git("add", "-A")
     git("commit", "-qm", "old")
-    for name in ("emulator", "load", "expect", "experiments", "membership"):
+    for name in ("emulator", "load_generator", "routing_tests", "experiments", "membership"):
         (repo / "umberlead" / name).mkdir(exist_ok=True)
         (repo / "umberlead" / name / "ours.py").write_text("new world")
     (repo / "umberlead/scheduling/scheduler.py").write_text("new")
@@ -154,10 +154,41 @@
     assert versions.lay_out("HEAD", tmp_path / "trees") == tree
     assert (tree / "umberlead/emulator/ours.py").read_text() == "newer world"
     assert versions.lay_out("", tmp_path / "trees") == repo
-    with pytest.raises(versions.NoVersion, match="nowhere"):
+    with pytest.raises(versions.UnknownVersionError, match="nowhere"):
         versions.lay_out("nowhere", tmp_path / "trees")
 
 
+def test_a_version_of_the_earlier_layout_gets_the_world_of_its_names(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    repo = tmp_path / "repo"
+    names = ("core/decide.py", "emulator/node.py", "load/day.py", "expect/model.py", "experiments/one.py")
+    for name in (*names, "membership/model.py"):
+        (repo / "umberlead" / name).parent.mkdir(parents=True, exist_ok=True)
+        (repo / "umberlead" / name).write_text("old")
+
+    def git(*words: str) -> str:
+        call = ["git", "-c", "user.name=t", "-c", "user.email=t@example.org", *words]
+        return subprocess.run(call, cwd=repo, check=True, capture_output=True, text=True).stdout.strip()
+
+    def commit(text: str) -> str:
+        git("add", "-A")
+        git("commit", "-qm", text)
+        return git("rev-parse", "HEAD")
+
+    git("init", "-q")
+    old = commit("old")
+    (repo / "umberlead/emulator/node.py").write_text("last of the earlier layout")
+    last = commit("last")
+    (repo / "umberlead/scheduling").mkdir()
+    (repo / "umberlead/emulator/node.py").write_text("present")
+    monkeypatch.setattr(versions, "ROOT", repo)
+    monkeypatch.setattr(versions, "LAST_EARLIER_LAYOUT_REVISION", last)
+    tree = versions.lay_out(old, tmp_path / "trees")
+    assert (tree / "umberlead/emulator/node.py").read_text() == "last of the earlier layout"
+    assert (tree / "umberlead/core/decide.py").read_text() == "old"
+
+
 def row(version: str, seed: int, value: float, measure: str = "service", second: int = -1) -> dict[str, Any]:
     return {
         "script": "s",
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -10,8 +10,8 @@
 from umberlead.emulator.plan import Plan, checked, plan
 from umberlead.emulator.price import Pricing, Tiers, shares
 from umberlead.emulator.records import Answered, Asked, Came, Ended, Left, Life, Records, Told
-from umberlead.expect.language import parse
-from umberlead.load.day import Request
+from umberlead.load_generator.day import Request
+from umberlead.routing_tests.language import parse
 
 TEXT = "format 1\nscenario s seed 5\nfleet servers 4 fronts 2\nday seconds 10 load 30%\nend 4\n"
 S = 1_000_000
--- a/tests/test_lists_front.py
+++ b/tests/test_lists_front.py
@@ -19,7 +19,7 @@
 
 from umberlead.commands import command
 from umberlead.handover.process_registry import SPARE_FILES_COUNT, ProcessRegistry
-from umberlead.standins.chunkserver import ChunkServer, Model, Record
+from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
 ROOT = Path(__file__).parent.parent
 PATIENCE = 20.0
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -13,7 +13,7 @@
 from umberlead.scheduling.actions import Send
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointStatus, Outcome
 from umberlead.scheduling.weighted_round_robin import SmoothWeightedRoundRobin
-from umberlead.standins.explore import A, B, C, World, explore, listing, server
+from umberlead.testing.explore import A, B, C, World, explore, listing, server
 
 DEPTH = 3
 SECOND = 1_000_000
--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -24,9 +24,9 @@
 from umberlead.emulator.plan import plan
 from umberlead.emulator.sockets import Agent, Blackhole, Lateness, Sockets
 from umberlead.emulator.virtual import Front, Virtual
-from umberlead.expect.language import parse
-from umberlead.load.clients import Try
+from umberlead.load_generator.clients import Try
 from umberlead.requests.types import Answer, AnswerKind, Attempt, Reply
+from umberlead.routing_tests.language import parse
 from umberlead.scheduling.events import AttemptResult
 
 PATIENCE = 20.0
--- a/tests/test_rooms_front.py
+++ b/tests/test_rooms_front.py
@@ -17,9 +17,9 @@
 from umberlead.emulator.loop import Alarm, Loop
 from umberlead.emulator.plan import plan
 from umberlead.emulator.virtual import Virtual
-from umberlead.expect.language import parse
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, AnswerKind, Attempt, IncomingRequest
+from umberlead.routing_tests.language import parse
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
 from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings
 from umberlead.zones.integration import ZoneIntegration, with_retry_budget, zone_settings
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -3,10 +3,10 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead.standins.soak.judge import Evidence, Limits, judge
-from umberlead.standins.soak.plan import FRONT_ENDS, FRONT_ENDS_SECONDS, Size, Trouble, draw
-from umberlead.standins.soak.records import ClientRecord, Event, NodeRecord, Writer, read
-from umberlead.standins.soak.run import play
+from umberlead.testing.soak.judge import Evidence, Limits, judge
+from umberlead.testing.soak.plan import FRONT_ENDS, FRONT_ENDS_SECONDS, Size, Trouble, draw
+from umberlead.testing.soak.records import ClientRecord, Event, NodeRecord, Writer, read
+from umberlead.testing.soak.run import play
 
 SECOND = 1_000_000_000
 LIMITS = Limits(frozenset(("store",)), 3, 10.0, 0.2, 2 * SECOND, 8 * SECOND, 1.0)
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -11,12 +11,12 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from umberlead.standins.soak.fleet import FrontProcess
-from umberlead.standins.soak.judge import Evidence, budgets, slow_starts
-from umberlead.standins.soak.plan import Size
-from umberlead.standins.soak.records import ClientRecord, Event, NodeRecord, read
-from umberlead.standins.soak.run import Run
-from umberlead.standins.soak.scenario import COLD_WINDOW_SECONDS, FRONT_HOST, PORT, limits
+from umberlead.testing.soak.fleet import FrontProcess
+from umberlead.testing.soak.judge import Evidence, budgets, slow_starts
+from umberlead.testing.soak.plan import Size
+from umberlead.testing.soak.records import ClientRecord, Event, NodeRecord, read
+from umberlead.testing.soak.run import Run
+from umberlead.testing.soak.scenario import COLD_WINDOW_SECONDS, FRONT_HOST, PORT, limits
 
 HOUR_NS = 3600 * 1_000_000_000
 SEED = 1
--- a/umberlead/commands/expect.py
+++ b/umberlead/commands/expect.py
@@ -39,8 +39,8 @@
     `umberlead expect diff OLD NEW` tells what the configuration NEW alters in who may reach whom; `--list`
     goes before the list that either names.
     """
-    from umberlead.expect import report, running
-    from umberlead.expect.suites import Unreadable
+    from umberlead.routing_tests import report, running
+    from umberlead.routing_tests.suites import Unreadable
 
     if suggest:
         return _suggest(suites, conf, listed)
@@ -84,8 +84,8 @@
 
 
 def _suggest(suites: tuple[Path, ...], conf: Path | None, listed: Path | None) -> None:
-    from umberlead.expect.suggest import beside, suite
-    from umberlead.expect.suites import Unreadable, side
+    from umberlead.routing_tests.suggest import beside, suite
+    from umberlead.routing_tests.suites import Unreadable, side
 
     if suites or conf is None:
         raise click.UsageError("--suggest takes --config FILE, perhaps --list FILE, and no suites")
@@ -100,9 +100,9 @@
 
 
 def _diff(files: tuple[Path, ...], listed: Path | None, as_json: bool) -> None:
-    from umberlead.expect.altered import differences
-    from umberlead.expect.reach import TooMany
-    from umberlead.expect.suites import Unreadable, side
+    from umberlead.routing_tests.altered import differences
+    from umberlead.routing_tests.reach import TooMany
+    from umberlead.routing_tests.suites import Unreadable, side
 
     if len(files) != 2:
         raise click.UsageError("diff takes two configurations: OLD NEW")
@@ -126,8 +126,8 @@
     out: Path, path: Path, conf: Path | None, listed: Path | None, ready: Any, played: list[Any]
 ) -> bool:
     """Write the first failure's smallest scenario; whether there was one."""
-    from umberlead.expect.model import Outcome
-    from umberlead.expect.smallest import smallest, suite
+    from umberlead.routing_tests.model import Outcome
+    from umberlead.routing_tests.smallest import smallest, suite
 
     scenarios = {s.name: s for s in ready.suite.scenarios}
     for verdict in (v for of in played for v in of.verdicts if v.outcome is Outcome.FAILED):
--- a/umberlead/commands/experiment.py
+++ b/umberlead/commands/experiment.py
@@ -24,7 +24,7 @@
 
     try:
         from umberlead.experiments import dataset, matrix, report, running
-        from umberlead.experiments.versions import NoVersion
+        from umberlead.experiments.versions import UnknownVersionError
     except ModuleNotFoundError as fault:
         click.echo(f"experiment: needs the group experiments ({fault.name})", err=True)
         sys.exit(2)
@@ -50,7 +50,7 @@
         dataset.write(cells, folder)
         about = {"name": made.name, "baseline": made.baseline, "measures": made.measures}
         (folder / "experiment.json").write_text(json.dumps(about, indent=1) + "\n")
-    except (matrix.BadMatrix, NoVersion, OSError) as fault:
+    except (matrix.BadMatrix, UnknownVersionError, OSError) as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
     rows, faults = dataset.read(folder)
--- a/umberlead/commands/play.py
+++ b/umberlead/commands/play.py
@@ -31,8 +31,8 @@
 ) -> None:
     """Stand in for every chunk server of the list PATH, on loopback."""
     from umberlead.commands.lists import checked_list_or_exit
-    from umberlead.standins import fleet
-    from umberlead.standins.chunkserver import Model
+    from umberlead.testing import fleet
+    from umberlead.testing.chunkserver import Model
 
     servers = list(checked_list_or_exit(path, resolve_names=True).endpoints.values())
     model = Model(unit=unit_ms / 1000, errors=errors, resets=resets, synthetic=synthetic)
@@ -55,7 +55,7 @@
     the front did not end well."""
     from umberlead import configuration
     from umberlead.commands.lists import checked_list_or_exit
-    from umberlead.load import showing
+    from umberlead.load_generator import showing
 
     try:
         conf = configuration.load_operator_file(str(config))
--- a/umberlead/emulator/plan.py
+++ b/umberlead/emulator/plan.py
@@ -9,9 +9,9 @@
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.node import FOREVER, Node, Spell, Traits, traits
 from umberlead.emulator.settings import settings
-from umberlead.expect.model import Fleet, Happening, Scenario
-from umberlead.load.day import SECOND, Day, Wave, draw
+from umberlead.load_generator.day import SECOND, Day, Wave, draw
 from umberlead.membership.model import ListProblem
+from umberlead.routing_tests.model import Fleet, Happening, Scenario
 from umberlead.scheduling.settings import Settings
 
 BESIDE = ("rooms", "gossip")  # told to fronts beside their settings
--- a/umberlead/emulator/price.py
+++ b/umberlead/emulator/price.py
@@ -11,7 +11,7 @@
 
 from umberlead.emulator.plan import Plan
 from umberlead.emulator.records import Records
-from umberlead.load.day import SECOND, Request
+from umberlead.load_generator.day import SECOND, Request
 
 WINDOW = 10  # s of the worst stretch
 
--- a/umberlead/emulator/rehearsal.py
+++ b/umberlead/emulator/rehearsal.py
@@ -15,10 +15,10 @@
 from umberlead.emulator.plan import BadScript, Plan, checked, plan
 from umberlead.emulator.price import service
 from umberlead.emulator.records import Records
-from umberlead.expect.language import parse
-from umberlead.expect.model import Expectation, Life, Outcome, Scenario, Step, Verdict
-from umberlead.expect.verdict import judged
 from umberlead.membership.model import FilePosition, ListProblem
+from umberlead.routing_tests.language import parse
+from umberlead.routing_tests.model import Expectation, Life, Outcome, Scenario, Step, Verdict
+from umberlead.routing_tests.verdict import judged
 
 Progress = Callable[[float], None]
 
--- a/umberlead/emulator/settings.py
+++ b/umberlead/emulator/settings.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from umberlead.emulator.figures import Figures
-from umberlead.load.day import Day
+from umberlead.load_generator.day import Day
 
 SECOND = 1_000_000
 COLD_ALWAYS = (
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -27,8 +27,8 @@
 from umberlead.emulator.plan import BESIDE, Hand, Notice, Plan, Turn, rooms_told
 from umberlead.emulator.records import Records
 from umberlead.emulator.world import Stage
-from umberlead.load.clients import Try
-from umberlead.load.day import SECOND
+from umberlead.load_generator.clients import Try
+from umberlead.load_generator.day import SECOND
 
 START_UP = 30.0  # s in which every front must listen
 END = 15.0  # s for a front to end after SIGTERM
--- a/umberlead/emulator/stored.py
+++ b/umberlead/emulator/stored.py
@@ -7,7 +7,7 @@
 
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.node import FOREVER, SECOND, Job, Node, traits
-from umberlead.standins.chunkserver import ChunkServer, Model, Record
+from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
 UNIT = 25_000.0  # us of work of a unit, near the middle of the operators' days
 NOISE = 0.45  # sigma of the factor on it
--- a/umberlead/emulator/virtual.py
+++ b/umberlead/emulator/virtual.py
@@ -14,8 +14,8 @@
 from umberlead.emulator.plan import Birth, Hand, Notice, Plan, Turn, checked, rooms_told
 from umberlead.emulator.records import Records
 from umberlead.emulator.world import Stage
-from umberlead.load.clients import Try
-from umberlead.load.day import Request
+from umberlead.load_generator.clients import Try
+from umberlead.load_generator.day import Request
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, Attempt, IncomingRequest, Reply
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
--- a/umberlead/emulator/world.py
+++ b/umberlead/emulator/world.py
@@ -6,8 +6,8 @@
 from umberlead.emulator.node import Job, Meter, Node
 from umberlead.emulator.plan import Birth, Plan, Turn
 from umberlead.emulator.records import Answered, Asked, Came, Ended, Left, Life, Records, Told
-from umberlead.load.clients import Clients, Try
-from umberlead.load.day import noise
+from umberlead.load_generator.clients import Clients, Try
+from umberlead.load_generator.day import noise
 
 
 class Stage:
--- a/umberlead/experiments/running.py
+++ b/umberlead/experiments/running.py
@@ -55,7 +55,7 @@
 def play(
     matrix: Matrix, folder: Path, workers: int, progress: Callable[[int, int, Cell], None] | None = None
 ) -> list[Cell]:
-    """All cells, in the matrix's order. NoVersion where a version can't be laid out."""
+    """All cells, in the matrix's order. UnknownVersionError where a version can't be laid out."""
     runs = list(matrix.runs())
     roots = {v: lay_out(v.rev, folder) for v in matrix.versions}
     made: dict[int, Cell] = {}
--- a/umberlead/experiments/versions.py
+++ b/umberlead/experiments/versions.py
@@ -1,5 +1,8 @@
-"""States of this repository's own history, each laid out in a folder, with this one's emulator over it: the
-world is the same for all, decisions are each version's own."""
+"""States of this repository's own history, each laid out in a folder under the present emulator.
+
+The world is the same for all versions, decisions are each version's own. A version from before the packages had
+their present names gets the emulator as it was last under the earlier names: it plays the same world.
+"""
 
 import io
 import shutil
@@ -7,41 +10,70 @@
 import tarfile
 from pathlib import Path
 
+from umberlead.common.errors import UmberleadError
+
 ROOT = Path(__file__).parents[2]
-OURS = ("emulator", "load", "expect", "experiments")  # the world, in each version's place
-IF_MISSING = ("membership",)  # what the world needs and old versions lack
+WORLD_PACKAGES = ("emulator", "load_generator", "routing_tests", "experiments")
+EARLIER_WORLD_PACKAGES = ("emulator", "load", "expect", "experiments")
+PACKAGES_IF_MISSING = ("membership",)  # what the world needs and old versions lack
+PRESENT_LAYOUT_PACKAGE = "scheduling"  # a version without it has the earlier layout
+LAST_EARLIER_LAYOUT_REVISION = "bc811251bccf5247fb26fc8b338d5d0c5dfeb3c1"
 
 
-class NoVersion(ValueError):
+class UnknownVersionError(UmberleadError, ValueError):
     """A revision that can't be laid out; the text names it."""
 
 
 def _git(*words: str) -> bytes:
-    got = subprocess.run(["git", *words], cwd=ROOT, capture_output=True)
-    if got.returncode:
-        raise NoVersion(f"git {' '.join(words)}: {got.stderr.decode().strip()}")
-    return got.stdout
+    done = subprocess.run(["git", *words], cwd=ROOT, capture_output=True)
+    if done.returncode:
+        raise UnknownVersionError(f"git {' '.join(words)}: {done.stderr.decode().strip()}")
+    return done.stdout
+
 
+def _extract(commit: str, folder: Path) -> None:
+    """Lay the program of a commit out in a folder."""
+    with tarfile.open(fileobj=io.BytesIO(_git("archive", commit, "umberlead"))) as packed:
+        packed.extractall(folder, filter="data")
 
-def lay_out(rev: str, folder: Path) -> Path:
-    """A tree with the program of `rev`, or of the files as they lie here where that is empty."""
-    if not rev:
+
+def lay_out(revision: str, folder: Path) -> Path:
+    """Return a tree with the program of `revision`, or of the files as they lie here where that is empty.
+
+    Raises:
+        UnknownVersionError: there is no such revision.
+    """
+    if not revision:
         return ROOT
-    commit = _git("rev-parse", "--verify", f"{rev}^{{commit}}").decode().strip()
+    commit = _git("rev-parse", "--verify", f"{revision}^{{commit}}").decode().strip()
     tree = folder / commit[:12]
     if not (tree / "done").exists():
         shutil.rmtree(tree, ignore_errors=True)
         tree.mkdir(parents=True)
-        with tarfile.open(fileobj=io.BytesIO(_git("archive", commit, "umberlead"))) as packed:
-            packed.extractall(tree, filter="data")
+        _extract(commit, tree)
         (tree / "done").write_text(commit)
     package = tree / "umberlead"
-    for name in (
-        *OURS,
-        *(n for n in IF_MISSING if not (package / n).exists()),
-    ):  # anew each time: ours changes
-        shutil.rmtree(package / name, ignore_errors=True)
-        shutil.copytree(
-            ROOT / "umberlead" / name, package / name, ignore=shutil.ignore_patterns("__pycache__")
-        )
+    if (package / PRESENT_LAYOUT_PACKAGE).exists():
+        _overlay(package, ROOT / "umberlead", WORLD_PACKAGES)
+    else:
+        _overlay(package, _earlier_world(folder), EARLIER_WORLD_PACKAGES)
     return tree
+
+
+def _earlier_world(folder: Path) -> Path:
+    """Return the package of the last version with the earlier layout."""
+    world = folder / f"world-{LAST_EARLIER_LAYOUT_REVISION[:12]}"
+    if not (world / "done").exists():
+        shutil.rmtree(world, ignore_errors=True)
+        world.mkdir(parents=True)
+        _extract(LAST_EARLIER_LAYOUT_REVISION, world)
+        (world / "done").write_text(LAST_EARLIER_LAYOUT_REVISION)
+    return world / "umberlead"
+
+
+def _overlay(package: Path, world: Path, world_packages: tuple[str, ...]) -> None:
+    """Put the world's packages in place of a version's own, anew each time: the present ones change."""
+    missing = [name for name in PACKAGES_IF_MISSING if not (package / name).exists()]
+    for name in (*world_packages, *missing):
+        shutil.rmtree(package / name, ignore_errors=True)
+        shutil.copytree(world / name, package / name, ignore=shutil.ignore_patterns("__pycache__"))
--- a/umberlead/load/clients.py
+++ b/umberlead/load_generator/clients.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from umberlead.load.day import Day, Request
+from umberlead.load_generator.day import Day, Request
 
 HARMLESS = ("refused",)
 LEAST = 20_000  # us: with less left, nobody asks again
--- a/umberlead/load/showing.py
+++ b/umberlead/load_generator/showing.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead.load.objects import PLACES, Objects, Tally
+from umberlead.load_generator.objects import PLACES, Objects, Tally
 from umberlead.membership.model import EndpointSpec
-from umberlead.standins import fleet
-from umberlead.standins.chunkserver import Model, Record
+from umberlead.testing import fleet
+from umberlead.testing.chunkserver import Model, Record
 
 START_UP = 20.0  # s for the front to listen
 EVERY = 1.0  # s between two looks
--- a/umberlead/expect/altered.py
+++ b/umberlead/routing_tests/altered.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from umberlead.expect.reach import Shape, TooMany, walk
 from umberlead.membership.model import CheckedList, EndpointSpec
+from umberlead.routing_tests.reach import Shape, TooMany, walk
 from umberlead.scheduling.events import EndpointStatus
 from umberlead.scheduling.settings import Settings
 
--- a/umberlead/expect/language.py
+++ b/umberlead/routing_tests/language.py
@@ -11,7 +11,14 @@
 from lark import Lark, Token, Transformer, Tree
 from lark.exceptions import UnexpectedInput, VisitError
 
-from umberlead.expect.model import (
+from umberlead.membership.grammar import (
+    TERMINAL_DESCRIPTIONS,
+    InvalidValueError,
+    describe_syntax_error,
+    keyword_by_terminal,
+)
+from umberlead.membership.model import FilePosition, ListProblem
+from umberlead.routing_tests.model import (
     Collection,
     Expectation,
     Fleet,
@@ -21,13 +28,6 @@
     Selector,
     Suite,
 )
-from umberlead.membership.grammar import (
-    TERMINAL_DESCRIPTIONS,
-    InvalidValueError,
-    describe_syntax_error,
-    keyword_by_terminal,
-)
-from umberlead.membership.model import FilePosition, ListProblem
 
 FORMAT = 1
 LINES_MOST = 20_000  # statements of a suite, foreach written out: a suite that explodes is an error
--- a/umberlead/expect/reach.py
+++ b/umberlead/routing_tests/reach.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from umberlead.expect.model import Collection, Expectation, Life, Load, Outcome, Selector, Verdict
-from umberlead.expect.verdict import sent_again
-from umberlead.expect.world import QUIET, START, Modelled, World
 from umberlead.membership.model import CheckedList
+from umberlead.routing_tests.model import Collection, Expectation, Life, Load, Outcome, Selector, Verdict
+from umberlead.routing_tests.verdict import sent_again
+from umberlead.routing_tests.world import QUIET, START, Modelled, World
 from umberlead.scheduling.events import AttemptResult
 from umberlead.scheduling.settings import Settings
 
--- a/umberlead/expect/report.py
+++ b/umberlead/routing_tests/report.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead.expect.model import Life, Outcome, Verdict
-from umberlead.expect.running import Played
+from umberlead.routing_tests.model import Life, Outcome, Verdict
+from umberlead.routing_tests.running import Played
 
 
 def life(of: Life) -> list[str]:
--- a/umberlead/expect/running.py
+++ b/umberlead/routing_tests/running.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 
-from umberlead.expect import reach
-from umberlead.expect.model import Expectation, Life, Outcome, Scenario, Verdict
-from umberlead.expect.suites import Ready, load
-from umberlead.expect.verdict import judged
-from umberlead.expect.world import NotListed, World
+from umberlead.routing_tests import reach
+from umberlead.routing_tests.model import Expectation, Life, Outcome, Scenario, Verdict
+from umberlead.routing_tests.suites import Ready, load
+from umberlead.routing_tests.verdict import judged
+from umberlead.routing_tests.world import NotListed, World
 
 
 @dataclass(slots=True)
--- a/umberlead/expect/smallest.py
+++ b/umberlead/routing_tests/smallest.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from umberlead.expect.model import Collection, Expectation, Happening, Load, Outcome, Scenario
-from umberlead.expect.running import lives_of
-from umberlead.expect.suites import Ready
-from umberlead.expect.verdict import judged
-from umberlead.expect.world import NotListed
+from umberlead.routing_tests.model import Collection, Expectation, Happening, Load, Outcome, Scenario
+from umberlead.routing_tests.running import lives_of
+from umberlead.routing_tests.suites import Ready
+from umberlead.routing_tests.verdict import judged
+from umberlead.routing_tests.world import NotListed
 
 PLAYS_MOST = 200
 LEAST = 100_000  # us of load below which nothing is halved
--- a/umberlead/expect/suites.py
+++ b/umberlead/routing_tests/suites.py
@@ -5,12 +5,12 @@
 from pathlib import Path
 
 from umberlead import configuration
-from umberlead.expect.language import parse
-from umberlead.expect.model import Suite
-from umberlead.expect.verdict import contradictions
 from umberlead.membership.loading import ListLoader
 from umberlead.membership.model import CheckedList, FilePosition, ListProblem
 from umberlead.membership.name_resolution import NameResolver
+from umberlead.routing_tests.language import parse
+from umberlead.routing_tests.model import Suite
+from umberlead.routing_tests.verdict import contradictions
 from umberlead.scheduling.settings import Settings
 
 
--- a/umberlead/expect/verdict.py
+++ b/umberlead/routing_tests/verdict.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable, Iterable
 
-from umberlead.expect.model import Expectation, Life, Outcome, Selector, Step, Verdict
-from umberlead.expect.proportion import Judged, judge, needed
+from umberlead.routing_tests.model import Expectation, Life, Outcome, Selector, Step, Verdict
+from umberlead.routing_tests.proportion import Judged, judge, needed
 from umberlead.scheduling.settings import Settings
 
 NEVER_RAN = frozenset(("full", "no_link", "astray"))
--- a/umberlead/expect/world.py
+++ b/umberlead/routing_tests/world.py
@@ -16,13 +16,13 @@
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.loop import START, Alarm, Loop
-from umberlead.expect.model import Collection, Happening, Life, Load, Scenario, Step
 from umberlead.membership.flap_damping import FlapDampingSettings
 from umberlead.membership.integration import apply_change
 from umberlead.membership.list_merge import Membership, MembershipSettings
 from umberlead.membership.model import CheckedList, EndpointSpec, MembershipChange, diff_endpoints
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, Attempt, IncomingRequest
+from umberlead.routing_tests.model import Collection, Happening, Life, Load, Scenario, Step
 from umberlead.scheduling.actions import Action, Fail, Reject, Send
 from umberlead.scheduling.events import AttemptResult, EndpointStatus
 from umberlead.scheduling.settings import Settings
--- a/umberlead/standins/explore.py
+++ b/umberlead/testing/explore.py
@@ -1,7 +1,7 @@
 """Walks all orders of a small alphabet of events through the membership machine, to a stated depth.
 
 States that were met before at the same depth or less are not walked again. `python -m
-umberlead.standins.explore DEPTH` prints how many states and steps there were; any broken rule ends it with
+umberlead.testing.explore DEPTH` prints how many states and steps there were; any broken rule ends it with
 the events that led there."""
 
 import copy
@@ -14,7 +14,7 @@
 from umberlead.membership.model import CheckedList, EndpointSpec, FilePosition, ListProblem, MembershipChange
 from umberlead.membership.pending_list import NoPendingListError
 from umberlead.scheduling.events import EndpointStatus
-from umberlead.standins.reference import Broken, Follower, Reference, compare
+from umberlead.testing.reference import Broken, Follower, Reference, compare
 
 UP, DRAINING, GONE = EndpointStatus.UP, EndpointStatus.DRAINING, EndpointStatus.GONE
 SECOND = 1_000_000
--- a/umberlead/standins/fleet.py
+++ b/umberlead/testing/fleet.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from umberlead.membership.model import EndpointSpec
-from umberlead.standins.chunkserver import ChunkServer, Model, Record
+from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
 TELL = 2.0  # s between two lines of what was asked
 
--- a/umberlead/standins/soak/__main__.py
+++ b/umberlead/testing/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m umberlead.standins.soak`: play soak runs and print their verdicts."""
+"""`python -m umberlead.testing.soak`: play soak runs and print their verdicts."""
 
 import sys
 import tempfile
@@ -6,8 +6,8 @@
 
 import click
 
-from umberlead.standins.soak.plan import Size, Trouble
-from umberlead.standins.soak.run import Verdict, play
+from umberlead.testing.soak.plan import Size, Trouble
+from umberlead.testing.soak.run import Verdict, play
 
 SHOWN_COUNTERS = ("invariant_", "unexpected_", "module_errors", "clients_closed_", "attempts_barred_")
 
--- a/umberlead/standins/soak/client.py
+++ b/umberlead/testing/soak/client.py
@@ -1,6 +1,6 @@
 """Clients of one soak run, as a process.
 
-`python -m umberlead.standins.soak.client SEED SECONDS RATE SHARDS FILE
+`python -m umberlead.testing.soak.client SEED SECONDS RATE SHARDS FILE
 FRONT=ADDRESS...`.
 
 Each client asks one front on a connection of its own and behaves in one way, well or badly. All write down
@@ -21,7 +21,7 @@
 import httptools
 import uvloop
 
-from umberlead.standins.soak.records import ClientRecord, Writer
+from umberlead.testing.soak.records import ClientRecord, Writer
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 CROSSING_SECONDS = 0.05  # behind an end, in which a reset shows that what was sent went unread
--- a/umberlead/standins/soak/fleet.py
+++ b/umberlead/testing/soak/fleet.py
@@ -21,7 +21,7 @@
 CALL_SECONDS = 1.0  # for an operator's call
 FAULTS_SOURCE = Path(__file__).with_name("faults.c")
 FAULTS_FORMAT = struct.Struct("<q12iq256s")  # `struct faults`
-MODULE = "umberlead.standins.soak"
+MODULE = "umberlead.testing.soak"
 
 
 class StartError(RuntimeError):
--- a/umberlead/standins/soak/judge.py
+++ b/umberlead/testing/soak/judge.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from umberlead.requests.invariants import slow_start_bound
-from umberlead.standins.soak.records import ClientRecord, Event, NodeRecord
+from umberlead.testing.soak.records import ClientRecord, Event, NodeRecord
 
 MS = 1_000_000
 LATE_ANSWER_NS = 500 * MS  # behind a request's time, from which its answer counts as lost
--- a/umberlead/standins/soak/node.py
+++ b/umberlead/testing/soak/node.py
@@ -1,4 +1,4 @@
-"""A chunk server of the soak test: `python -m umberlead.standins.soak.node ADDRESS NAME FILE`."""
+"""A chunk server of the soak test: `python -m umberlead.testing.soak.node ADDRESS NAME FILE`."""
 
 import asyncio
 import random
@@ -10,8 +10,8 @@
 
 import uvloop
 
-from umberlead.standins.soak.processes import Lateness, Orders, RequestReader
-from umberlead.standins.soak.records import NodeRecord, Writer
+from umberlead.testing.soak.processes import Lateness, Orders, RequestReader
+from umberlead.testing.soak.records import NodeRecord, Writer
 
 WORK_SECONDS = 0.004  # mean, of a unit
 IDLE_CLOSE_SECONDS = 3.0  # the keepalive of the settings
--- a/umberlead/standins/soak/parts.py
+++ b/umberlead/testing/soak/parts.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from umberlead.standins.soak.fleet import Child, FrontProcess
-from umberlead.standins.soak.lists import Agent
+from umberlead.testing.soak.fleet import Child, FrontProcess
+from umberlead.testing.soak.lists import Agent
 
 
 @dataclass(slots=True)
--- a/umberlead/standins/soak/proxy.py
+++ b/umberlead/testing/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy between fronts and one chunk server: `python -m umberlead.standins.soak.proxy LISTEN TARGET`.
+"""A proxy between fronts and one chunk server: `python -m umberlead.testing.soak.proxy LISTEN TARGET`.
 
 Orders change how it carries: `stalls` carries nothing, `pieces` a few bytes at a time; `reset` breaks, once,
 all connections that stand.
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from umberlead.standins.soak.processes import Orders
+from umberlead.testing.soak.processes import Orders
 
 PIECE_BYTES, PIECE_SECONDS = 24, 0.0005
 RETRY_SECONDS = 0.02  # while it carries nothing
--- a/umberlead/standins/soak/run.py
+++ b/umberlead/testing/soak/run.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from umberlead.standins.soak import fleet
-from umberlead.standins.soak.fleet import Child, FaultsFile, FrontProcess, StartError
-from umberlead.standins.soak.judge import Evidence, Violation, judge
-from umberlead.standins.soak.lists import BEAT_SECONDS, Agent, Entry
-from umberlead.standins.soak.parts import Front, Server
-from umberlead.standins.soak.plan import Interval, Size, Trouble, draw
-from umberlead.standins.soak.records import ClientRecord, Event, NodeRecord, Writer, read
-from umberlead.standins.soak.scenario import (
+from umberlead.testing.soak import fleet
+from umberlead.testing.soak.fleet import Child, FaultsFile, FrontProcess, StartError
+from umberlead.testing.soak.judge import Evidence, Violation, judge
+from umberlead.testing.soak.lists import BEAT_SECONDS, Agent, Entry
+from umberlead.testing.soak.parts import Front, Server
+from umberlead.testing.soak.plan import Interval, Size, Trouble, draw
+from umberlead.testing.soak.records import ClientRecord, Event, NodeRecord, Writer, read
+from umberlead.testing.soak.scenario import (
     CLIENT_PROCESS_RATE,
     DESCRIPTORS,
     END_SECONDS,
@@ -36,7 +36,7 @@
     limits,
     settings,
 )
-from umberlead.standins.soak.troubles import Troubles
+from umberlead.testing.soak.troubles import Troubles
 
 _numbers = itertools.count()  # of the runs in this process
 
--- a/umberlead/standins/soak/scenario.py
+++ b/umberlead/testing/soak/scenario.py
@@ -3,8 +3,8 @@
 import errno
 from typing import Any
 
-from umberlead.standins.soak.judge import Limits
-from umberlead.standins.soak.plan import CLOCK_STEPS_SECONDS, Interval, Size, Trouble
+from umberlead.testing.soak.judge import Limits
+from umberlead.testing.soak.plan import CLOCK_STEPS_SECONDS, Interval, Size, Trouble
 
 PORT, MANAGEMENT_PORT, OTHER_MANAGEMENT_PORT, LISTS_PORT, OTHER_LISTS_PORT = 8000, 8001, 8002, 8003, 8004
 FRONT_HOST, NODE_HOST, PROXY_HOST = 10, 50, 120  # last part of the addresses of the first of each
--- a/umberlead/standins/soak/troubles.py
+++ b/umberlead/testing/soak/troubles.py
@@ -7,11 +7,11 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from umberlead.standins.soak.fleet import FrontProcess
-from umberlead.standins.soak.lists import Entry
-from umberlead.standins.soak.parts import Front, Server
-from umberlead.standins.soak.plan import Interval, Trouble
-from umberlead.standins.soak.scenario import ACCEPT_FAILS_SECONDS, DRAINED_AFTER_SECONDS, faults_of
+from umberlead.testing.soak.fleet import FrontProcess
+from umberlead.testing.soak.lists import Entry
+from umberlead.testing.soak.parts import Front, Server
+from umberlead.testing.soak.plan import Interval, Trouble
+from umberlead.testing.soak.scenario import ACCEPT_FAILS_SECONDS, DRAINED_AFTER_SECONDS, faults_of
 
 
 class Fleet(Protocol):
