--- a/umberlead/experiments/versions.py
+++ b/umberlead/experiments/versions.py
@@ -1,6 +1,6 @@
 """States of this repository's own history, each laid out in a folder under the present emulator.
 
-The world is the same for all versions, decisions are each version's own. A version from before the packages had
+The world is the same for all versions, decisions are each version's own. A version from before packages had
 their present names gets the emulator as it was last under the earlier names: it plays the same world.
 """
 
