--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -17,7 +17,7 @@
 from tests.test_client_leaves import DONE, Leaving, asks
 from tests.test_crossings import ANSWER, BEGIN, NOTHING_GOES, OPEN, SERVED, STOPPED, told, well
 from umberlead.front import FrontProcess
-from umberlead.net import discovery, server_connection
+from umberlead.net import server_connection, watch_stream
 
 
 class StandingClock(Clock):
@@ -84,7 +84,7 @@
         super().__init__(of)
         self.clock: StandingClock = StandingClock()
         self.read = Counter[int]()
-        for of_ in (server_connection.ServerConnection, discovery._WatchStream):
+        for of_ in (server_connection.ServerConnection, watch_stream.WatchStream):
             take = of_.data_received
 
             def counted(link: Any, data: bytes, take: Any = take) -> None:
--- a/umberlead/net/__init__.py
+++ b/umberlead/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: connections of clients and to chunk servers, and the watch on the list of chunk servers."""
+"""Sockets: clients' connections, connections to endpoints, and the watch of service discovery."""
--- a/umberlead/net/client_connections.py
+++ b/umberlead/net/client_connections.py
@@ -1,8 +1,8 @@
-"""The clients' connections of one listener: their cap, who is evicted for whom, and the memory they hold."""
+"""Client connections of one listener: their limit, the order of eviction, and the memory that they buffer."""
 
 import asyncio
 from collections.abc import Callable, Iterator
-from typing import Any, Protocol
+from typing import Any, Protocol, TypeAlias
 
 from umberlead.common.counters import Counters
 from umberlead.common.slot_table import SlotTable
@@ -13,12 +13,16 @@
 from umberlead.net.timeouts import idle_timeout_us
 from umberlead.resource_limits import MAX_HEAD_BYTES
 
-IDLE_EVICTION_THRESHOLD = 0.5  # of the places; beyond it new connections end with their first reply
-ACCEPT_GRACE_US = 100_000  # a new connection is not evicted: its request may be on the way
+IDLE_EVICTION_THRESHOLD = 0.5  # of the slots; above it new connections end with their first response
+ACCEPT_GRACE_US = 100_000  # in which a new connection is not evicted: its request may be on the way
+
+
+# Not partially read; ended; unused; longest in its state: such connections are evicted first.
+ClientEvictionKey: TypeAlias = tuple[bool, bool, bool, int]
 
 
 class ClientConnection(Protocol):
-    """What the registry needs of a connection; `ServerConnection` has it."""
+    """What the group needs of a connection; `ServerConnection` implements it."""
 
     transport: asyncio.Transport
     slot: int
@@ -31,64 +35,64 @@
     evicted: bool
 
     def timeout_us(self, idle_timeout_us: int) -> int:
-        """Return how long it may stay in its present state."""
+        """Return how long the connection may stay in its present state, in microseconds."""
 
     def on_timeout(self) -> None:
-        """End it: it stayed in its state for too long."""
+        """End the connection, which has exceeded the timeout of its state."""
 
     def is_write_stalled(self, now_us: int) -> bool:
-        """Tell whether the client has stopped reading what waits for it."""
+        """Return whether the client has stopped reading a response that waits for it."""
 
     def is_reading_paused(self) -> bool:
-        """Tell whether nothing is read, so that a client that leaves goes unseen."""
+        """Return whether reading is paused, so that a disconnect would go unnoticed."""
 
     def pending_events(self) -> int:
-        """Return the poll(2) events that were not taken yet."""
+        """Return the poll(2) events that the event loop has not handled yet."""
 
     def has_unread_request(self) -> bool:
-        """Tell whether bytes of a request came that were not read yet."""
+        """Return whether the socket's receive buffer holds bytes of a request."""
 
     def record_close(self, reason: CloseReason) -> None:
-        """Take note of why it ends, once."""
+        """Record why the connection ends, once."""
 
     def abort_disconnected(self) -> None:
-        """End it: the client has left, and the news of that stands unread."""
+        """End the connection of a client whose disconnect was not reported yet."""
 
     def close_if_idle(self) -> None:
-        """Close it where it has no request."""
+        """Close the connection if it has no request."""
 
     def begin_shutdown(self) -> None:
-        """Refuse a request that is half read, or close it where it has none."""
+        """Reject a partially read request, or close an idle connection."""
 
     def abort_response(self) -> None:
-        """End it in the middle of a reply."""
+        """Abort the connection within a response."""
 
     def abort_evicted(self) -> None:
-        """End it for another's need of its place; a request that is half read is refused first."""
+        """Free the connection's slot; a partially read request is rejected first."""
 
     def is_evictable(self, before_us: int) -> bool:
-        """Tell whether it has no open request and is in its state since `before_us`."""
+        """Return whether no request is open, and the state has lasted since `before_us`."""
 
-    def eviction_order(self) -> tuple[bool, bool, bool, int]:
-        """Return its place in the order of eviction, the smallest first."""
+    def eviction_order(self) -> ClientEvictionKey:
+        """Return the sort key for eviction; the smallest is evicted first."""
 
 
 class ClientGroup:
-    """The connections of one listener in their slots, their cap, and the memory of request bodies.
+    """The connections of one listener in their slots, their limit, and the memory that they buffer.
 
     Attributes:
-        max_connections: how many may have a place.
-        idle_timeout_us: how long an idle one may stay; 0 stands for no limit.
-        memory_limit_bytes: how much all may hold: bodies, bytes read ahead, replies not read yet.
-        held_bytes: how much they hold now.
-        max_head_bytes: how long the head of a request may be.
-        on_shortage: asks for a higher cap.
-        on_close: is told of a connection's end: whether a request on it is owed an answer, why it ends, and
-            the call ids of the requests on it.
-        evicting: connections that were evicted, and have a slot for one more turn of the loop.
-        stopping: the front stops; connections that stand are served on.
-        close_after_reply: another process takes over, so connections end with their next reply.
-        refusing: the process ends; requests that come from now on are refused unread.
+        max_connections: limit on connections that have a slot.
+        idle_timeout_us: how long an idle connection may stay; 0 means no limit.
+        buffer_limit_bytes: limit on request bodies, unparsed input and unread responses of all connections.
+        buffered_bytes: how much of that is in use.
+        max_header_bytes: limit on the headers of a request.
+        on_capacity_shortage: requests a higher connection limit.
+        on_close: is called at a connection's end with whether a response is owed on it, the reason, and the
+            call ids of its open requests.
+        evicting_count: connections that were evicted and keep their slot for one more turn of the event loop.
+        stopping: the process stops; established connections are still served.
+        close_after_reply: another process takes over, so connections end with their next response.
+        rejecting: the process ends; further requests are rejected unread.
     """
 
     def __init__(
@@ -100,11 +104,24 @@
         buffer_limit_bytes: int,
         log: Callable[..., Any],
     ) -> None:
-        """Begin without connections; `clock` tells microseconds."""
+        """Start without connections.
+
+        Args:
+            max_connections: limit on connections that have a slot.
+            clock: returns microseconds of one monotonic clock.
+            counters: where events are counted.
+            idle_timeout_us: how long an idle connection may stay; 0 means no limit.
+            buffer_limit_bytes: limit on what all connections buffer.
+            log: takes an event's name and its fields.
+        """
         self.log = log
-        self.max_connections, self.clock, self.counters = max_connections, clock, counters
-        self.idle_timeout_us, self.buffer_limit_bytes = idle_timeout_us, buffer_limit_bytes
-        self.buffered_bytes, self.max_header_bytes = 0, MAX_HEAD_BYTES
+        self.max_connections = max_connections
+        self.clock = clock
+        self.counters = counters
+        self.idle_timeout_us = idle_timeout_us
+        self.buffer_limit_bytes = buffer_limit_bytes
+        self.buffered_bytes = 0
+        self.max_header_bytes = MAX_HEAD_BYTES
         self.slots: SlotTable[ClientConnection] = SlotTable()
         self.evicting_count = 0
         self.on_capacity_shortage: Callable[[], None] = lambda: None
@@ -113,14 +130,14 @@
 
     @property
     def count(self) -> int:
-        """How many connections have a place, without those that were evicted."""
+        """The number of connections that have a slot, without evicted ones."""
         return len(self.slots) - self.evicting_count
 
     def close_expired(self) -> None:
-        """End what has stayed too long: lingering, half sent, silent, or idle.
+        """End connections that exceed the timeout of their present state.
 
-        When most places are taken an idle connection goes sooner. Where the cap came down, what is over it
-        goes.
+        Once most slots are in use, idle connections end sooner. Connections above a lowered limit are
+        evicted.
         """
         now_us = self.clock()
         self.evict_excess()
@@ -136,7 +153,7 @@
                 conn.on_timeout()
 
     def evict_excess(self) -> None:
-        """Evict what is over a cap that came down, as far as it can go."""
+        """Evict the connections above a lowered limit, as far as they are evictable."""
         evictable = self.evictable()
         for _ in range(self.count - self.max_connections):
             if not self.evict(evictable):
@@ -148,53 +165,55 @@
         return sum(conn.active_request is not None or not conn.is_evictable(before_us) for conn in self.slots)
 
     def above_idle_threshold(self) -> bool:
-        """Tell whether the first reply on a connection ends it, since many stand.
+        """Return whether a connection ends with its first response, since many are established.
 
-        Clients that ask once and keep their connections would fill what they and we may hold, and the next
-        one find no place. Not where a connection was used again, and not once no new ones are taken.
+        Clients that send one request and keep their connections would use up all slots, also of the peer
+        process. This excludes connections that were used again, and does not apply while the listener is
+        stopping.
         """
         return self.count > self.max_connections * IDLE_EVICTION_THRESHOLD and not self.stopping
 
     def is_full(self) -> bool:
-        """Tell whether requests take all places.
+        """Return whether requests occupy all slots.
 
-        A connection that has asked nothing yet keeps none from a request that is here.
+        A connection without a request so far takes no slot from a request that has arrived.
         """
         busy = sum(conn.active_request is not None or conn.write_blocked for conn in self.slots)
         return busy >= self.max_connections
 
     def has_buffer_for(self, size_bytes: int) -> bool:
-        """Tell whether memory allows so many bytes more, should the client not read them."""
+        """Return whether `size_bytes` more could be buffered if their client does not read them."""
         return self.buffered_bytes + size_bytes <= self.buffer_limit_bytes
 
     def drain(self) -> None:
-        """Close connections without a request now, and the others with their next reply."""
+        """Close connections without a request now, and the others with their next response."""
         self.close_after_reply = True
         for conn in self.slots:
             conn.close_if_idle()
 
     def reject_new_requests(self) -> None:
-        """Serve nothing any more.
+        """Serve no further request.
 
-        What comes is refused at once, also what is half read, and what waits behind a request gets a refusal
-        of its own.
+        Requests that arrive or are partially read are rejected at once, and pipelined ones get a rejection
+        each.
         """
         self.rejecting = self.close_after_reply = True
         for conn in self.slots:
             conn.begin_shutdown()
 
     def close(self) -> None:
-        """Break off replies that are not read by now: the process ends, and clients see it at once."""
+        """Abort responses that are unread by now: the process ends, and clients notice at once."""
         for conn in self.slots:
             if conn.write_blocked:
                 conn.abort_response()
             conn.record_close(CloseReason.PROCESS_EXIT)
 
     def evictable(self) -> Iterator[ClientConnection]:
-        """Iterate over the connections that can be evicted, the first to go first.
+        """Iterate over the connections that can be evicted, in order.
 
-        They are looked for once, as the first is asked for: one search serves a whole turn of accepts. One
-        that ends anyway goes first, then one that has sent nothing, then the one idle for longest.
+        They are searched once, on the first request for one: a search serves a whole batch of accepts. First
+        come connections that are ending anyway, then those that have sent nothing, then the one idle for
+        longest.
         """
         before_us = self.clock() - ACCEPT_GRACE_US
         found = [conn for conn in self.slots if conn.is_evictable(before_us)]
@@ -202,18 +221,18 @@
         yield from found
 
     def ensure_capacity(self) -> bool:
-        """Evict a connection where all places are taken; False where none can go.
+        """Evict a connection if all slots are in use; return False if none can be evicted.
 
-        A client that is evicted opens another connection when it needs one. Where all have an open request, a
-        long reply goes that is far past its request's time. A flood of silent connections takes no usual
-        client's place.
+        An evicted client reconnects when it needs to. If all connections have an open request, a streamed
+        response is aborted that is far past its request's deadline. A flood of silent connections displaces
+        no usual client.
         """
         return self.count < self.max_connections or self.evict(self.evictable())
 
     def evict(self, evictable: Iterator[ClientConnection]) -> bool:
-        """Evict the next of `evictable`, or else a long reply far past its time; False if none can go.
+        """Evict the next of `evictable`, or else an overdue response; return False if there is none.
 
-        The connection's place is free now, and its descriptor a turn of the loop later.
+        The connection's slot is free now, and its descriptor one turn of the event loop later.
         """
         for victim in evictable:
             if victim.has_unread_request():
--- /dev/null
+++ b/umberlead/net/connection_input.py
@@ -0,0 +1,141 @@
+"""The input side of a client's connection: what is parsed, what waits, and when it was received."""
+
+from typing import Protocol
+
+from umberlead.net.client_connections import ClientGroup
+from umberlead.net.connection_state import ConnectionState
+from umberlead.net.http_message import HttpRequest, RequestRejection
+from umberlead.net.request_parser import RequestLimits, RequestParser
+
+MAX_READ_BYTES = 256_000  # of one read of the event loop; a shorter one leaves nothing unread
+CATCH_UP_WINDOW_US = 50_000  # after reading was resumed, in which the receive buffer is read
+MAX_PIPELINED_REQUESTS = 256  # of one read; later reads wait unparsed
+
+
+class InputRules(RequestLimits, Protocol):
+    """What the input side needs of a front end's handler.
+
+    Attributes:
+        allows_slow_bodies: whether a body may take long as long as it progresses.
+    """
+
+    allows_slow_bodies: bool
+
+
+class ConnectionInput(ConnectionState):
+    """Reads and queues a client's requests; `ServerConnection` responds to them."""
+
+    def __init__(self, rules: InputRules, clients: ClientGroup) -> None:
+        """Read requests within `rules` and the limits of `clients`."""
+        super().__init__(clients)
+        self._rules = rules
+        self._parser = RequestParser(self, rules, clients)
+        self._timeout_deferred = False  # the timeout has passed while input of the request was unread
+        self._ignored_bytes = 0  # read after the end
+
+    def _start_next_request(self) -> None:
+        """Hand the next request over if it is its turn."""
+        raise NotImplementedError
+
+    def _send_rejection(self) -> None:
+        """Write the last response of the connection."""
+        raise NotImplementedError
+
+    def data_received(self, data: bytes) -> None:
+        """Parse input, or buffer it until its turn."""
+        received_us = self._received_us(data)
+        if not self.accepts_requests:
+            # Read on for a moment, so that the response is not lost to a reset, but not without limit.
+            self._ignored_bytes += len(data)
+            if self._ignored_bytes > self.clients.max_header_bytes and not self.closed:
+                self.transport.pause_reading()
+        elif self._pending_input:
+            self._buffer_input(data, received_us)
+        else:
+            self._parser.feed(data, received_us)
+
+    def _received_us(self, data: bytes) -> int:
+        """Return when input that is read now may have arrived, in microseconds.
+
+        For what waited in the receive buffer while reading was paused, only the time of the pause is known. A
+        request's time runs from then, since its client's does.
+        """
+        now_us = self.clients.clock()
+        if self.backlog_since_us:
+            since_us = self.backlog_since_us
+            self.backlog_since_us = 0
+            age_us = self._socket.last_data_age_us()
+            return now_us if age_us is None else max(since_us, now_us - age_us)
+        if not self._unread_since_us:
+            return now_us
+        since_us = self._unread_since_us
+        caught_up = now_us > self._resumed_us + CATCH_UP_WINDOW_US
+        if caught_up or len(data) < MAX_READ_BYTES:  # the receive buffer is empty
+            self._unread_since_us = 0
+        return now_us if caught_up else since_us
+
+    def _buffer_input(self, data: bytes, received_us: int) -> None:
+        """Buffer input that is not its turn yet.
+
+        Reading goes on so that a disconnect is noticed. Beyond the header limit it is paused, and
+        `ClientGroup.close_expired` looks for disconnects.
+        """
+        self._pending_input.put_unparsed(data, received_us)
+        if self.clients.buffered_bytes > self.clients.buffer_limit_bytes:
+            self.clients.counters.add("bodies_over_memory")
+            self._pending_input.discard_unparsed()
+            self.reject(503, "too much is held at present")
+        elif self._pending_input.unparsed_bytes > self.clients.max_header_bytes:
+            self._unread_since_us = self.clients.clock()
+            self.transport.pause_reading()
+
+    def _parse_buffered_input(self) -> None:
+        """Parse buffered input, unless called from within the parser, which is not reentrant."""
+        if self._parser.feeding:
+            return
+        while (
+            self._pending_input.has_unparsed
+            and self.accepts_requests
+            and not (self.pipelined_requests or self.closed)
+        ):
+            self._parser.feed(*self._pending_input.take_unparsed())
+        caught_up = not (self._pending_input or self.ended or self.closed)
+        if caught_up and not self.transport.is_reading():
+            self._resumed_us = self.clients.clock()
+            self.transport.resume_reading()
+
+    # RequestReceiver: called by the parser
+
+    def request_started(self) -> None:
+        """Start a request's time; that of the first request runs from the accept."""
+        self._timeout_deferred = False
+        if self.active_request is None and self.served_count:
+            self.state_since_us = self.clients.clock()
+
+    def headers_complete(self, request: HttpRequest) -> None:
+        """Request the body from a client that waits for 100 Continue."""
+        expects = request.headers.get(b"expect", b"").lower() == b"100-continue"
+        if expects and self.active_request is None:
+            self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def body_progressed(self) -> None:
+        """Restart the body's timeout: a slow upload that progresses is not stalled."""
+        if self.active_request is None and self._rules.allows_slow_bodies:
+            self.state_since_us = self.clients.clock()
+
+    def request_complete(self, request: HttpRequest) -> None:
+        """Queue a complete request."""
+        self.pipelined_requests.append(request)
+        if len(self.pipelined_requests) > MAX_PIPELINED_REQUESTS:
+            return self.reject(400, "too many requests sent ahead")
+        self._start_next_request()
+
+    def reject(self, status: int, reason: str, target: bytes = b"") -> None:
+        """Reject what can't be read or served; the connection ends with that response."""
+        partial = self._parser.partial_request
+        rejected = partial.target if partial is not None else target
+        self._parser.discard()
+        self._rejection = RequestRejection(status, reason, rejected)
+        self.clients.counters.add(f"bad_requests_{status}")
+        if self.active_request is None and not (self.pipelined_requests or self.closed):
+            self._send_rejection()
--- a/umberlead/net/dialing.py
+++ b/umberlead/net/dialing.py
@@ -1,7 +1,7 @@
-"""Dials to chunk servers: slow ones are raced by others, as in happy eyeballs (RFC 8305).
+"""Dials to endpoints: slow ones are raced by others, as in happy eyeballs (RFC 8305).
 
-The first connection that comes up carries the oldest attempt that waits; those that come up later carry the
-next ones, also after the end of the attempt that began them.
+The first connection to be established carries the oldest waiting attempt. Those established later carry the
+next ones, also after the end of the attempt that started them.
 """
 
 import asyncio
@@ -16,21 +16,21 @@
 from umberlead.resource_limits import LOCAL_RESOURCE_ERRNOS
 from umberlead.scheduling.events import AttemptResult
 
-CONNECTION_ATTEMPT_DELAY_RATIO = 0.2  # of the connect time-out: a dial that is not up by then may be raced
-MAX_RACING_DIALS_COUNT = 2  # that an attempt's first dial is raced by
-CONNECT_TIMEOUT_MULTIPLIER = 6  # connect time-outs that a dial may take to come up, for whoever waits then
-SUCCESS_EWMA_WEIGHT = 0.1  # of one more slow dial in the part of those that come up
-MIN_SUCCESS_RATE = 0.25  # of slow dials, for which racing is worth it: of a lost server none comes up
-LOCAL_DIAL_ERRNOS = LOCAL_RESOURCE_ERRNOS | {errno.EADDRNOTAVAIL}
+CONNECTION_ATTEMPT_DELAY_RATIO = 0.2  # of the connect timeout, after which a dial may be raced
+MAX_RACING_DIALS_COUNT = 2  # beside an attempt's first dial
+CONNECT_TIMEOUT_MULTIPLIER = 6  # connect timeouts after which a dial is abandoned
+SUCCESS_EWMA_WEIGHT = 0.1  # of the latest slow dial in the success rate
+MIN_SUCCESS_RATE = 0.25  # of slow dials, below which none is raced: to a lost endpoint none succeeds
+LOCAL_DIAL_ERRNOS = LOCAL_RESOURCE_ERRNOS.union((errno.EADDRNOTAVAIL,))
 
 
 class DialingPool(ConnectionPool[EndpointConnection], Protocol):
     """What dials need of the pool.
 
     Attributes:
-        loop: where dials run.
-        slots: all connections, and those that are being dialled.
-        max_connections: how many there may be.
+        loop: the event loop that runs them.
+        slots: all connections, with those being dialed.
+        max_connections: limit on these.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -39,11 +39,11 @@
 
 
 class Dialer:
-    """Begins dials for a pool, and races those that are slow.
+    """Starts dials for a pool, and races slow ones.
 
     Attributes:
-        pending: dials that are not up yet by their address, the oldest first.
-        success_rate: the part of slow dials that come up, as learnt.
+        pending: unfinished dials by address, oldest first.
+        success_rate: moving average of the share of slow dials that succeed.
     """
 
     def __init__(self, pool: DialingPool) -> None:
@@ -53,13 +53,14 @@
         self.success_rate = 2 * MIN_SUCCESS_RATE
 
     def dial(self, attempt: Attempt, address: Address) -> None:
-        """Begin a dial that carries `attempt`."""
+        """Start a dial that carries `attempt`."""
         conn = self._begin(address)
-        conn.attempt, attempt.transport_state = attempt, conn
+        conn.attempt = attempt
+        attempt.transport_state = conn
         self._schedule(conn, self._next_check_us(conn))
 
     def unclaimed(self, address: Address | None = None) -> list[EndpointConnection]:
-        """Return the dials, there or anywhere, that no attempt waits for."""
+        """Return the dials to `address`, or to any, that no attempt waits for."""
         lists = self.pending.values() if address is None else [self.pending.get(address, [])]
         return [conn for dials in lists for conn in dials if conn.attempt is None]
 
@@ -82,10 +83,10 @@
             self._pool.counters.add("node_connections_failed")
 
     def _dial_ended(self, conn: EndpointConnection, task: "asyncio.Task[None]") -> None:
-        """End a dial without a connection: refused, not up in time, or given up.
+        """Handle a dial that ended without a connection: refused, timed out or cancelled.
 
-        One that comes up in the very turn in which its dial is cancelled is closed by uvloop without a call
-        of connection_lost: left to that, its attempt would never have an outcome.
+        If a connection is established in the very turn that cancels its dial, uvloop closes it without
+        calling connection_lost; the attempt would never get a result.
         """
         cancelled = task.cancelled() or task.exception() is not None
         if conn.transport is not None:
@@ -99,27 +100,28 @@
         conn.timer = self._pool.wheel.call_at(at_us, self._check_next_tick, conn)
 
     def _next_check_us(self, conn: EndpointConnection) -> int:
-        """When a dial that carries an attempt is looked at next: to be raced, or given up."""
+        """Return when a dial that carries an attempt is checked next, to race it or end its attempt."""
         raced = conn.race_count < MAX_RACING_DIALS_COUNT
         delay_ratio = CONNECTION_ATTEMPT_DELAY_RATIO * (conn.race_count + 1) if raced else 1.0
         return conn.state_since_us + int(delay_ratio * self._pool.connect_timeout_us)
 
     def _check_next_tick(self, conn: EndpointConnection) -> None:
-        """Look at a dial that is not up yet, a tick later.
+        """Check an unfinished dial one tick later.
 
-        Where the front itself stood still (a slow core, SIGSTOP), timers run before what came meanwhile is
-        looked at: without one more tick, a connection that is up counts as a server that is not.
+        If the process was suspended (slow core, SIGSTOP), timers run before pending input is handled. Without
+        one more tick an established connection would count as an unreachable endpoint.
         """
         conn.timer = self._pool.wheel.call_after(1, self._check, conn)
 
     def _check(self, conn: EndpointConnection) -> None:
-        """Race a slow dial, or end its attempt at the connect time-out.
+        """Race a slow dial, or end its attempt at the connect timeout.
 
-        Connections may come up late one by one, at a server that is well: another dial is begun beside it,
-        and the first that is up carries the attempt. At the time-out the attempt ends; its dial goes on for
-        whoever waits when it comes up.
+        Connections to a healthy endpoint may be established late, one by one. Another dial starts beside a
+        slow one, and the first to succeed carries the attempt. At the timeout the attempt ends; its dial goes
+        on for whichever attempt waits when it succeeds.
         """
-        pool, now_us = self._pool, self._pool.clock()
+        pool = self._pool
+        now_us = pool.clock()
         if conn.attempt is None:
             self.success_rate -= SUCCESS_EWMA_WEIGHT * self.success_rate
             pool.counters.add("node_connections_never_up")
@@ -135,22 +137,22 @@
         conn.end_attempt(AttemptResult.CONNECT_FAILED)
 
     def _race(self, address: Address) -> None:
-        """Begin another dial there, where slow ones have been seen to come up and there is room for it."""
+        """Start another dial if slow dials have succeeded before and the pool has capacity."""
         pool = self._pool
         if self.success_rate >= MIN_SUCCESS_RATE and len(pool.slots) < pool.max_connections:
             pool.counters.add("node_connections_raced")
             self._keep_dialing(self._begin(address))
 
     def _keep_dialing(self, conn: EndpointConnection) -> None:
-        """Let a dial go on without its attempt, which goes elsewhere or has ended: it may still come up."""
+        """Let a dial continue without its attempt: it may still succeed."""
         if conn.timer is not None:
             conn.timer.cancel()
         self._schedule(conn, conn.state_since_us + CONNECT_TIMEOUT_MULTIPLIER * self._pool.connect_timeout_us)
 
     def connection_established(self, conn: EndpointConnection) -> None:
-        """Take a dial that came up from the pending ones.
+        """Remove a dial that succeeded from the pending ones.
 
-        Without an attempt of its own it takes that of the oldest that still dials.
+        Without an attempt of its own it takes over that of the oldest unfinished dial.
         """
         now_us = self._pool.clock()
         if now_us - conn.state_since_us > CONNECTION_ATTEMPT_DELAY_RATIO * self._pool.connect_timeout_us:
@@ -160,13 +162,15 @@
         dials = self.pending.get(conn.address, [])
         waiting = [other for other in dials if other.attempt is not None and not other.closed]
         if conn.attempt is None and waiting:
-            attempt, waiting[0].attempt = waiting[0].attempt, None
+            attempt = waiting[0].attempt
+            waiting[0].attempt = None
             assert attempt is not None
-            conn.attempt, attempt.transport_state = attempt, conn
+            conn.attempt = attempt
+            attempt.transport_state = conn
             self._keep_dialing(waiting[0])
 
     def remove(self, conn: EndpointConnection) -> None:
-        """Forget a dial that came up or ended."""
+        """Forget a dial that succeeded or ended."""
         dials = self.pending.get(conn.address)
         if dials and conn in dials:
             dials.remove(conn)
--- a/umberlead/net/endpoint_connection.py
+++ b/umberlead/net/endpoint_connection.py
@@ -1,7 +1,7 @@
-"""One connection to a chunk server: writing a request, its reply, and what its end means.
+"""One connection to an endpoint: writing a request, reading its response, and what a disconnect means.
 
-Whether a request's bytes were all handed to the system decides between a failed connection, which proves that
-nothing ran, and a reset, which does not. Nothing is ever sent again from here.
+If the request was not completely handed to the system, a failed connection proves that nothing was executed;
+afterwards it is a reset, which proves nothing. A request is never sent twice from here.
 """
 
 import asyncio
@@ -24,29 +24,36 @@
 
 
 class EndpointConnection(asyncio.Protocol):
-    """One connection to a chunk server; it carries an attempt at a time.
+    """One connection to an endpoint; it carries one attempt at a time.
 
     Attributes:
-        attempt: what it carries now.
-        stop_reason: why that was given up.
-        written: all of the request was handed to the system.
-        write_paused: some of it was not.
-        dial_task: the dial that makes it.
-        since_us: when its dial began, then when it came up.
-        races: times that another dial was thought of beside this one.
-        idle_since_us: when its latest reply ended; 0 before the first.
-        used: it has carried an attempt.
-        closed: it was given up.
-        finished: it has ended, and the pool knows.
-        connect_error: why no connection came up.
-        local_fault: that was our own lack of something.
-        dropped: neither refused nor silent: it came up, or nearly, and broke.
-        stream: the long reply that is on its way, or was the latest.
+        pool: the pool that the connection belongs to.
+        address: host and port of the endpoint.
+        transport: the transport; None while dialing.
+        attempt: the attempt that the connection carries.
+        cancel_result: the result for which this attempt was cancelled.
+        written: the request was completely handed to the system.
+        write_paused: some of the request waits for the system.
+        dial_task: the dial that establishes the connection.
+        timer: of the dial or of the response.
+        slot: index among the pool's connections.
+        state_since_us: when the dial started, then when it succeeded.
+        race_count: how many times racing this dial was considered.
+        idle_since_us: when the latest response ended; 0 before the first.
+        has_carried_attempt: the connection was used.
+        closed: the connection was closed from this side.
+        finished: the connection has ended, and the pool has removed it.
+        connect_error: why no connection was established.
+        failed_locally: that was for a lack of local resources.
+        broke_early: neither refused nor timed out: established, or nearly, and then broken.
+        stream: the streamed response that is in progress, or was the latest.
+        response: parses the responses.
     """
 
     def __init__(self, pool: "ConnectionPool[EndpointConnection]", address: Address) -> None:
-        """Begin before the dial to `address`."""
-        self.pool, self.address = pool, address
+        """Start before the dial to `address`."""
+        self.pool = pool
+        self.address = address
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
         self.cancel_result: AttemptResult | None = None
@@ -66,11 +73,11 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether a long reply is on its way to a sink."""
+        """Whether a response is being streamed to a sink."""
         return self.stream is not None and self.stream.sink is not None
 
     def has_no_unread_bytes(self) -> bool:
-        """Tell that nothing has come that was not read yet: it would be taken for the next reply."""
+        """Return whether the receive buffer is empty; its bytes would count as the next response."""
         return not self._socket_state().pending_events()
 
     def _socket_state(self) -> SocketState:
@@ -80,11 +87,11 @@
         return self._socket
 
     def is_open(self) -> bool:
-        """Tell whether it is up, and not on its way to its end: of that the protocol is told a turn later."""
+        """Return whether the connection is established and not closing, which is reported a turn later."""
         return self.transport is not None and not self.transport.is_closing()
 
     def cancel_timer(self) -> None:
-        """Stop the timer of the dial or the reply."""
+        """Stop the timer of the dial or the response."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -92,12 +99,12 @@
     # asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the attempt that waits for it, if that can still go."""
+        """Send the waiting attempt, if that may still be sent."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.closed:  # given up while it came up
+        if self.closed:  # cancelled while the connection was being established
             self.transport.abort()
             return
-        # With a mark of 0 a write is tried at once, and resume_writing says when all of it is out.
+        # With a high-water mark of 0 a write is tried at once, and resume_writing follows once all is sent.
         self.transport.set_write_buffer_limits(high=0)
         self.cancel_timer()
         self.pool.counters.add("node_connections_opened")
@@ -113,7 +120,8 @@
 
     def send_request(self) -> None:
         """Write the attempt's request."""
-        attempt, transport = self.attempt, self.transport
+        attempt = self.attempt
+        transport = self.transport
         assert attempt is not None and transport is not None
         self.has_carried_attempt = True
         request: OutgoingRequest = attempt.request.request.payload
@@ -129,40 +137,40 @@
         self.pool.counters.add("attempts_written")
 
     def pause_writing(self) -> None:
-        """Take note that the system has not taken all of the request."""
+        """Record that the system has not accepted all of the request."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """Take note that it has now."""
+        """Record that the system has accepted all of the request."""
         self.write_paused = False
         if self.is_open() and not self.written:
             self._mark_written()
 
     def data_received(self, data: bytes) -> None:
-        """Read what came of a reply."""
+        """Parse input of a response."""
         if self.stream is not None and self.streaming:
             return self.stream.feed(data)
         if self.attempt is None or self.cancel_result is not None:
             if self.cancel_result is None:
                 self.pool.counters.add("node_answers_surplus")
-            self.close()  # nobody asked: the connection is of no further use
+            self.close()  # unsolicited input: the connection is not usable any more
             return
         if not self.response.feed(data, self.pool.clock()):
             return self._response_malformed()
         if self.stream is not None and self.streaming and self.response.complete:
-            return self.stream.finish()  # all of a long reply in the read that began it
+            return self.stream.finish()  # the read that started the stream also ended it
         if not self.attempt_cancelled and self.attempt is not None:
             self._continue_response()
 
     def _response_malformed(self) -> None:
-        """End the reply, or break it off where the read that turned malformed began to pass it on."""
+        """Fail the response, or abort it if the malformed input has started its stream."""
         if self.stream is not None and self.streaming:
             self.stream.abort()
         else:
             self.response_failed("malformed")
 
     def _continue_response(self) -> None:
-        """End a reply that is complete, or wait for more of it."""
+        """End a complete response, or wait for more of it."""
         if self.response.complete:
             self._end_response()
         elif not self.response.headers_complete and self.response.header_bytes > self.pool.max_header_bytes:
@@ -171,9 +179,9 @@
             self.timer = self.pool.wheel.call_after(self.pool.connect_timeout_us, self._check_progress)
 
     def eof_received(self) -> bool:
-        """End a reply that ends with its connection."""
+        """End a response that is delimited by its connection's end."""
         if self.response.framed or self._socket_state().was_reset():
-            return False  # `connection_lost` follows: what came breaks off, or counts as a reset
+            return False  # `connection_lost` follows: the response is incomplete, or counts as reset
         if self.stream is not None and self.streaming:
             self.stream.finish()
         if self.attempt is not None and not self.attempt_cancelled and self.response.headers_complete:
@@ -181,33 +189,33 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End what it carries."""
+        """End the stream or the attempt that the connection carries."""
         if self.finished:
             return
         self.finished = True
         self.close()
         self.pool.remove(self)
         self.response.release_body()
-        self.broke_early = not self.connect_error  # one that came up too late has not broken
+        self.broke_early = not self.connect_error  # one that was established too late did not break
         if self.stream is not None and self.streaming:
             self.stream.abort()
         if self.attempt is not None:
-            # A stale pooled connection ends here too: what was written may have been read.
+            # A stale pooled connection ends here too; what was written may have been read.
             self.end_attempt(AttemptResult.RESET if self.written else AttemptResult.CONNECT_FAILED)
 
-    # ReplyReceiver: what the parser reads
+    # ResponseReceiver: called by the parser
 
     @property
     def attempt_cancelled(self) -> bool:
-        """Whether nothing more is wanted of the reply."""
+        """Whether the remainder of the response is not needed."""
         return self.cancel_result is not None
 
     def body_received(self, data: bytes) -> None:
-        """Keep a piece of the body, or pass it on where the reply is a long one."""
+        """Buffer a piece of the body, or forward it if the response is streamed."""
         if self.stream is not None and self.streaming:
             return self.stream.write(data)
         if self.attempt is None:
-            return  # given up within this read
+            return  # cancelled within this read
         response = self.response
         response.buffer_body(data)
         if is_long_response(
@@ -224,27 +232,29 @@
             self.response_failed("too_large")
 
     def interim_response_complete(self) -> None:
-        """Wait for the reply itself, which may be long in coming."""
+        """Wait for the final response, which may take long."""
         self.cancel_timer()
 
     def response_failed(self, failure: str) -> None:
-        """End the attempt: the node has answered, and may have run the request.
+        """End the attempt with an error: the endpoint has responded, and may have executed the request.
 
-        An error of its own, and no news of its links. Where the reply ends can't be told, so the connection
-        ends.
+        This says nothing about the network path. The end of the response is unknown, so the connection is
+        closed.
         """
         if self.attempt is not None and not self.attempt_cancelled:
             self.pool.counters.add(f"node_answers_{failure}")
             self.cancel_attempt(AttemptResult.ERROR)
 
     def _check_progress(self) -> None:
-        """Once begun, a reply goes on.
+        """Fail a response that has started and stopped.
 
-        A length that says too much would hold the request, and its place at the node, to the end of its time.
+        A Content-Length that is too large would hold the request, and its capacity at the endpoint, until the
+        deadline.
         """
-        wait_us, attempt = self.pool.connect_timeout_us, self.attempt
+        wait_us = self.pool.connect_timeout_us
+        attempt = self.attempt
         if attempt is not None and attempt.must_not_repeat and self.response.headers_complete:
-            # Nothing is tried elsewhere in its place, and the server may only pause.
+            # There is no retry in its place, and the endpoint may only pause.
             wait_us = max(wait_us, SERVER_PAUSE_TIMEOUT_US)
         due_us = self.response.last_received_us + wait_us
         if due_us > self.pool.clock():
@@ -258,29 +268,33 @@
         )
 
     def _start_stream(self) -> None:
-        """End the attempt with its first bytes; the rest goes through as its reader takes it."""
-        attempt, reply = self.attempt, self._decode_response()
+        """End the attempt with the first bytes; the remainder is forwarded as its reader takes it."""
+        attempt = self.attempt
+        reply = self._decode_response()
         assert attempt is not None
         self.stream = ResponseStream(self, self.pool, self.response.body_bytes)
-        reply.stream, reply.body_length = self.stream, self.response.content_length
+        reply.stream = self.stream
+        reply.body_length = self.response.content_length
         self.response.release_body()
-        self.attempt, self.cancel_result = None, None
+        self.attempt = None
+        self.cancel_result = None
         self.cancel_timer()
         self.pool.counters.add("node_answers_long")
         self.pool.lifecycle.attempt_ended(attempt, AttemptResult.OK, reply)
         if self.streaming:
             self.stream.start(attempt.deadline_us)
         else:
-            self.close()  # its client has left
+            self.close()  # its client has disconnected
 
     def reuse(self) -> None:
-        """Begin the next reply, and rest in the pool until then."""
+        """Prepare for the next response, and return to the pool."""
         self.response.reset()
         self.pool.put_idle(self)
 
     def _end_response(self) -> None:
-        """End the attempt with its whole reply."""
-        attempt, reply = self.attempt, self._decode_response()
+        """End the attempt with its complete response."""
+        attempt = self.attempt
+        reply = self._decode_response()
         assert attempt is not None
         result = result_of_response(
             attempt.request.request.payload, self.response.status, self.response.headers
@@ -303,11 +317,12 @@
             self.pool.put_idle(self)
         self.pool.lifecycle.attempt_ended(attempt, result, reply)
 
-    # Ends
+    # Ending
 
     def end_attempt(self, result: AttemptResult) -> None:
-        """Report the attempt's outcome, or dial once more where nothing of it was sent."""
-        attempt, self.attempt = self.attempt, None
+        """Report the attempt's result, or reconnect once if nothing of it was sent."""
+        attempt = self.attempt
+        self.attempt = None
         if attempt is None:
             return
         reason = self.cancel_result
@@ -316,12 +331,12 @@
                 reason if self.written or reason is AttemptResult.NOT_SENT else AttemptResult.CONNECT_FAILED
             )
         elif result is AttemptResult.CONNECT_FAILED and self.broke_early and not attempt.reconnected:
-            # Dropped before the request was on it: nothing was sent, and the node itself may be well.
+            # Broken before the request was written: nothing was sent, and the endpoint may be healthy.
             self.pool.counters.add("node_connections_broke_early")
             attempt.reconnected = True
             return self.pool.reconnect(attempt, self.address)
         if result is AttemptResult.CONNECT_FAILED and self.failed_locally:
-            result = AttemptResult.NOT_SENT  # the node has no part in it
+            result = AttemptResult.NOT_SENT  # not a fault of the endpoint
         if result is AttemptResult.RESET and self.idle_since_us and not self.response.header_bytes:
             self.pool.record_reuse(self, True)
         if result is AttemptResult.CONNECT_FAILED:
@@ -331,13 +346,19 @@
     def _log_failure(self, attempt: Attempt) -> None:
         elapsed_ms = (self.pool.clock() - attempt.started_us) // 1000
         state = "dialling" if self.transport is None else "writing"
-        why = self.cancel_result.value if self.cancel_result else self.connect_error or "broken"
-        self.pool.log("link_failed", node=attempt.endpoint, state=state, why=why, ms=elapsed_ms)
+        reason = self.cancel_result.value if self.cancel_result else self.connect_error or "broken"
+        self.pool.log(
+            "endpoint_connection_failed",
+            endpoint=attempt.endpoint,
+            state=state,
+            reason=reason,
+            elapsed_ms=elapsed_ms,
+        )
 
     def cancel_attempt(self, result: AttemptResult) -> None:
-        """End the attempt for `reason`.
+        """End the attempt with `result`.
 
-        The outcome comes once the connection is closed, so the next attempt never overlaps this one.
+        It is reported once the connection is closed, so the next attempt never overlaps this one.
         """
         if self.cancel_result is None and not self.closed:
             self.cancel_result = result
@@ -346,7 +367,7 @@
             self.close()
 
     def close(self) -> None:
-        """End it, or its dial."""
+        """Abort the connection or its dial."""
         if self.closed:
             return
         self.closed = True
--- a/umberlead/net/endpoint_pool.py
+++ b/umberlead/net/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to chunk servers: kept ones, new ones, and whose place goes to another."""
+"""The pool of connections to endpoints: reuse, dials, eviction."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,24 +16,35 @@
 from umberlead.resource_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from umberlead.scheduling.events import AttemptResult
 
-IDLE_KEEPALIVE_RATIO = 0.6  # the chunk server may close at any time up to the whole of its keepalive
-RESET_PROBABILITY_THRESHOLD = 0.02  # of kept connections, above which a write takes a new one
-RESET_EWMA_WEIGHT = 0.02  # of one more reuse in that probability
-REUSE_DELAY_US = 5_000  # behind a reply: what comes in it belongs to no request
+IDLE_KEEPALIVE_RATIO = 0.6  # the endpoint may close at any time within its keepalive timeout
+RESET_PROBABILITY_THRESHOLD = 0.02  # above which a write takes a new connection
+RESET_EWMA_WEIGHT = 0.02  # of the latest reuse in that probability
+REUSE_DELAY_US = 5_000  # after a response, in which input belongs to no request
 
 
 class EndpointPool:
-    """Carries attempts: on an idle connection to the node's address, or a new one.
+    """Carries attempts on an idle connection to the endpoint's address, or on a new one.
 
     Attributes:
-        addresses: where nodes are, by their names.
-        endpoint_counts: the addresses that connections may be kept to, and for how many nodes; None: any.
-        idle: connections at rest by their address, the one used last at the end.
-        slots: all connections, and those that are being dialled.
-        max_connections: how many there may be.
-        idle_timeout_us: how long one may rest.
-        reset_probability: the part of kept connections that break under a request, as learnt.
-        dialer: the dials that are not up yet.
+        lifecycle: takes the attempts' results.
+        addresses: the endpoints' addresses by name.
+        endpoint_counts: number of listed endpoints by address; connections are pooled for these only; None:
+            for all.
+        idle_connections: idle connections by address, most recently used last.
+        write_denial: returns why an attempt may not be written now; None permits it.
+        on_write: is called with an attempt before its first byte is written, and its time budget in
+            microseconds.
+        slots: all connections, with those being dialed.
+        max_connections: limit on these.
+        idle_timeout_us: how long a connection may be idle, a ratio of the endpoints' keepalive timeout.
+        connect_timeout_us: how long a connection may take to be established.
+        host_line: the Host field of each request, with its line end.
+        reset_probability: moving average of the share of reused connections that are reset under a request.
+        buffered_bytes: size of the responses that are being read, of at most `buffer_limit_bytes`.
+        max_response_bytes: limit on a response that is buffered until it is complete.
+        max_header_bytes: limit on the headers of a response.
+        on_capacity_shortage: requests a higher connection limit.
+        dialer: the unfinished dials.
     """
 
     def __init__(
@@ -49,16 +60,15 @@
         service: str,
         log: Callable[..., Any],
     ) -> None:
-        """Begin without connections; `clock` tells microseconds, `service` is what Host says."""
+        """Start without connections."""
         self.log = log
-        self.lifecycle, self.loop, self.wheel, self.clock, self.counters = (
-            lifecycle,
-            loop,
-            wheel,
-            clock,
-            counters,
-        )
-        self.max_connections, self.connect_timeout_us = max_connections, connect_timeout_us
+        self.lifecycle = lifecycle
+        self.loop = loop
+        self.wheel = wheel
+        self.clock = clock
+        self.counters = counters
+        self.max_connections = max_connections
+        self.connect_timeout_us = connect_timeout_us
         self.idle_timeout_us = int(keepalive_us * IDLE_KEEPALIVE_RATIO)
         self.host_line = b"Host: %s\r\n" % service.encode()
         self.addresses: dict[str, Address] = {}
@@ -68,35 +78,38 @@
         self.on_write: Callable[[Attempt, int], None] = lambda attempt, budget_us: None
         self.reset_probability = 0.0
         self.slots: SlotTable[EndpointConnection] = SlotTable()
-        self.buffer_limit_bytes, self.buffered_bytes = MAX_BODY_BYTES, 0
-        self.max_response_bytes, self.max_header_bytes = MAX_BODY_BYTES, MAX_HEAD_BYTES
-        self.on_capacity_shortage: Callable[[], None] = lambda: None  # asks for a higher cap
+        self.buffer_limit_bytes = MAX_BODY_BYTES
+        self.buffered_bytes = 0
+        self.max_response_bytes = MAX_BODY_BYTES
+        self.max_header_bytes = MAX_HEAD_BYTES
+        self.on_capacity_shortage: Callable[[], None] = lambda: None  # requests a higher limit
         self.dialer = Dialer(self)
 
-    # Carrier: what the engine asks
+    # Transport: what the request lifecycle calls
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt; `Engine.ended` is owed once."""
+        """Send an attempt; `RequestLifecycle.attempt_ended` is called once for it."""
         address = self.addresses.get(attempt.endpoint)
-        if address is None:  # listed without one, or gone
+        if address is None:  # listed without an address, or not listed any more
             self.lifecycle.attempt_ended(attempt, AttemptResult.NOT_SENT)
             return
-        # After a break, or where kept connections break and the request can't go out twice, only a new one.
+        # A retry, or a write that must not be repeated while reuse is risky, takes a new connection only.
         resets = self.reset_probability > RESET_PROBABILITY_THRESHOLD
         unused_only = attempt.number > 0 or (attempt.must_not_repeat and resets)
         conn = self._take_idle(address, unused_only)
         if conn is None:
             return self._dial(attempt, address)
-        conn.attempt, attempt.transport_state = attempt, conn
+        conn.attempt = attempt
+        attempt.transport_state = conn
         self.counters.add("node_connections_reused")
         conn.send_request()
 
     def stop(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Give an attempt up; `Engine.ended` is owed all the same."""
+        """Cancel an attempt; `RequestLifecycle.attempt_ended` is called all the same."""
         attempt.transport_state.cancel_attempt(result)
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
-        """Keep an attempt that nobody waits for from being sent; False where it is on its way."""
+        """Cancel an attempt that nothing waits for; return False if it was sent already."""
         conn = attempt.transport_state
         if conn is None or conn.attempt is not attempt or conn.written:
             return False
@@ -104,7 +117,7 @@
         conn.cancel_attempt(AttemptResult.NOT_SENT)
         return True
 
-    # ConnectionPool: what connections ask
+    # ConnectionPool: called by connections
 
     def reconnect(self, attempt: Attempt, address: Address) -> None:
         """Connect once more for an attempt of which nothing was sent."""
@@ -117,17 +130,17 @@
         self._dial(attempt, address)
 
     def connection_established(self, conn: EndpointConnection) -> None:
-        """Take note of a dial that came up."""
+        """Record a dial that succeeded."""
         self.dialer.connection_established(conn)
 
     def put_unclaimed(self, conn: EndpointConnection) -> None:
-        """Keep a connection that came up and that nobody waits for: the next attempt there has it."""
+        """Pool a new connection that no attempt waits for: the next attempt there takes it."""
         self.counters.add("node_connections_spare")
         self.put_idle(conn)
         conn.idle_since_us -= REUSE_DELAY_US
 
     def put_idle(self, conn: EndpointConnection) -> None:
-        """Keep a connection behind its reply, unless its address is not listed any more."""
+        """Pool a connection after its response, unless its address is not listed any more."""
         if self.endpoint_counts is not None and conn.address not in self.endpoint_counts:
             conn.close()
             return
@@ -145,10 +158,10 @@
             idle_here.remove(conn)
 
     def record_reuse(self, conn: EndpointConnection, reset: bool) -> None:
-        """Learn whether a kept connection broke under a request.
+        """Record whether a reused connection was reset under a request.
 
-        Chunk servers, or what stands between, may drop kept connections without a word long before the
-        keepalive: those that have stood there for longer have most likely gone the same way.
+        Endpoints, or middleboxes, may drop idle connections silently long before the keepalive timeout: those
+        that have been idle for longer have most likely been dropped too.
         """
         self.reset_probability += RESET_EWMA_WEIGHT * (reset - self.reset_probability)
         if reset:
@@ -166,17 +179,18 @@
             self.counters.add("node_connections_over_cap")
             self.lifecycle.attempt_ended(
                 attempt, AttemptResult.NOT_SENT
-            )  # our own cap, and none of the node's doing
+            )  # our own cap, and none of the endpoint's doing
             return
         self.dialer.dial(attempt, address)
 
     def _take_idle(self, address: Address, unused_only: bool) -> EndpointConnection | None:
-        """Take the connection used last, so that the others age and retire.
+        """Take the most recently used connection, so that the others age and expire.
 
-        With `unused_only` just one that came up a moment ago and has carried nothing yet, which is as good as
-        a new one.
+        With `unused_only`, only one that was established recently and has carried no attempt, which is as
+        good as new.
         """
-        idle_here, reusable_before_us = self.idle_connections.get(address, []), self.clock() - REUSE_DELAY_US
+        idle_here = self.idle_connections.get(address, [])
+        reusable_before_us = self.clock() - REUSE_DELAY_US
         oldest_us = reusable_before_us - CONNECT_TIMEOUT_MULTIPLIER * self.connect_timeout_us
         for position in range(len(idle_here) - 1, -1, -1):
             conn = idle_here[position]
@@ -190,27 +204,27 @@
         return None
 
     def close_unlisted(self, addresses: set[Address]) -> None:
-        """Close what rests and what is dialled for nobody at addresses where no node is listed any longer.
+        """Close idle connections and unclaimed dials to addresses that have no listed endpoint any more.
 
-        What is out ends there; other connections end with their replies.
+        Attempts in flight end there; other connections close after their responses.
         """
         for address in addresses:
             for conn in [*self.idle_connections.get(address, []), *self.dialer.unclaimed(address)]:
                 conn.close()
 
     def active_count(self) -> int:
-        """Count the connections that carry a request, or dial for one."""
+        """Count the connections that carry a request, or are dialed for one."""
         idle_count = sum(map(len, self.idle_connections.values()))
         return len(self.slots) - idle_count - len(self.dialer.unclaimed())
 
     def evict_excess(self) -> None:
-        """Close what is over a cap that came down, as far as it carries nothing."""
-        for _ in range(len(self.slots) - self.max_connections):  # their places are free a turn later
+        """Close the connections above a lowered limit, as far as they carry nothing."""
+        for _ in range(len(self.slots) - self.max_connections):  # their slots are free a turn later
             if not self._evict():
                 break
 
     def close_expired(self) -> None:
-        """Retire idle connections well before the chunk server may close them."""
+        """Close idle connections well before the endpoint may close them."""
         before_us = self.clock() - self.idle_timeout_us
         self.evict_excess()
         for address, idle_here in list(self.idle_connections.items()):
@@ -221,10 +235,10 @@
                 del self.idle_connections[address]
 
     def _evict(self) -> bool:
-        """Make a place for another connection; False where none can go.
+        """Free a slot for another connection; return False if there is none to free.
 
-        Of those at rest the one idle for longest goes, else a dial that nobody waits for, else that of a long
-        reply far past its request's time.
+        The connection idle for longest is closed, or else an unclaimed dial, or else that of a streamed
+        response far past its request's deadline.
         """
         idle_lists = [conns for conns in self.idle_connections.values() if conns]
         if idle_lists:
@@ -243,7 +257,7 @@
         return bool(overdue)
 
     def close(self) -> None:
-        """Close all connections; clients of long replies see at once that these are not whole."""
+        """Close all connections; clients of streamed responses notice at once that these are incomplete."""
         for conn in self.slots:
             if conn.stream is not None and conn.streaming:
                 conn.stream.abort()
--- a/umberlead/net/endpoint_protocol.py
+++ b/umberlead/net/endpoint_protocol.py
@@ -1,4 +1,4 @@
-"""What goes to a chunk server and what its reply says, beside how HTTP frames them."""
+"""What is sent to an endpoint and what its response means, apart from HTTP framing."""
 
 import re
 from dataclasses import dataclass, field
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class OutgoingRequest:
-    """What a front hands down with a request, as it goes to a chunk server.
+    """A request to an endpoint, as a front end passes it down.
 
     Attributes:
         method: the HTTP method.
         target: the request target.
-        headers: whole header lines, without line ends.
+        headers: complete header lines, without line ends.
         body: the body.
-        served: the statuses of replies that serve the request.
+        served_statuses: statuses of responses that serve the request.
     """
 
     method: bytes
@@ -31,7 +31,7 @@
 
 
 def encode_request(request: OutgoingRequest, host_line: bytes, budget_us: int) -> list[bytes]:
-    """Return the pieces of a request; `budget_us` is the time that is left to it."""
+    """Return the pieces of a request; `budget_us` is its remaining time in microseconds."""
     pieces = [request.method, b" ", request.target, b" HTTP/1.1\r\n", host_line]
     for line in request.headers:
         pieces += (line, b"\r\n")
@@ -43,7 +43,7 @@
 
 
 def decode_response(status: int, headers: dict[bytes, bytes], body: bytes) -> Reply:
-    """Read a reply's own header fields; figures are optional, and left out where they can't be read."""
+    """Read the headers of our protocol from a response; numbers are optional, and ignored if malformed."""
     return Reply(
         status,
         body,
@@ -54,9 +54,9 @@
 
 
 def result_of_response(request: OutgoingRequest, status: int, headers: dict[bytes, bytes]) -> AttemptResult:
-    """Return what a whole reply means for its attempt.
+    """Return what a complete response means for its attempt.
 
-    MOOT stands for a request that was not for this chunk server, or not any more: no news of its health.
+    NOT_SENT stands for a request that was misdirected to this endpoint, which says nothing about its health.
     """
     if status in request.served_statuses:
         return AttemptResult.OK
--- a/umberlead/net/http_message.py
+++ b/umberlead/net/http_message.py
@@ -1,12 +1,12 @@
-"""HTTP/1.1 messages as typed values: a parsed request, and how the head of a reply is written."""
+"""HTTP/1.1 messages as typed values: a parsed request, and the encoding of a response's headers."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from email.utils import formatdate
 
-# Header fields that may come once: two values could be read one way here and another way behind us.
+# Fields that must not be repeated: the endpoint could read another one of two values than we do.
 SINGLETON_HEADERS = frozenset((b"content-length", b"transfer-encoding", b"host", b"expect"))
-BODYLESS_STATUSES = (204, 304)  # a reply with one of these has neither body nor Content-Length
+BODYLESS_STATUSES = (204, 304)  # responses that have neither body nor Content-Length
 
 REASON_PHRASES = {
     200: b"OK",
@@ -40,10 +40,10 @@
         method: the method, in upper case.
         target: the request target in origin form, with its query.
         headers: field values by field name in lower case; repeated fields are joined by a comma.
-        body: the whole body, without its transfer coding.
+        body: the complete body, without its transfer coding.
         version: the HTTP version, such as "1.1".
-        keep_alive: whether the client keeps the connection after the reply.
-        received: when the last byte came, in microseconds of the front's clock.
+        keep_alive: whether the client keeps the connection after the response.
+        received_us: when the last byte was received, in microseconds of the process's clock.
     """
 
     method: bytes = b""
@@ -62,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRejection:
-    """What a request that can't be read is answered with.
+    """The response to a request that can't be read or served.
 
     Attributes:
-        status: the reply's HTTP status.
+        status: the HTTP status.
         reason: a text for the client.
-        target: the target of the request, as far as it is known.
+        target: the request target, as far as it is known.
     """
 
     status: int
@@ -82,17 +82,17 @@
     date_us: int | None,
     close_connection: bool,
 ) -> list[bytes]:
-    """Write the head of a reply.
+    """Encode the status line and the headers of a response.
 
     Args:
         status: the HTTP status.
-        headers: whole header lines, without line ends.
-        length: the value of Content-Length; None leaves it out.
-        date_us: the time of the Date field, in microseconds since the epoch; None leaves it out.
-        close: whether the reply says that its connection ends.
+        headers: complete header lines, without line ends.
+        content_length: the value of Content-Length; None omits it.
+        date_us: the time of the Date field, in microseconds since the epoch; None omits it.
+        close_connection: whether the response announces the connection's end.
 
     Returns:
-        The pieces of the head, to be written in this order.
+        The pieces, in the order to be written.
     """
     pieces = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))]
     if date_us is not None:
--- a/umberlead/net/listener.py
+++ b/umberlead/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepting clients' connections on one address, as far as there is room for them."""
+"""Accepting clients' connections on one address, as far as there is capacity."""
 
 import asyncio
 import socket
@@ -10,21 +10,25 @@
 from umberlead.net.server_connection import RequestHandler, ServerConnection
 from umberlead.resource_limits import LOCAL_RESOURCE_ERRNOS, surplus_connections
 
-ACCEPT_BATCH_SIZE = 16  # connections accepted in a turn: a flood must not hold up those that are here
-ACCEPT_RETRY_SECONDS = 0.02  # until what can't be accepted now is tried again
+ACCEPT_BATCH_SIZE = 16  # connections accepted in a turn: a flood must not delay established ones
+ACCEPT_RETRY_SECONDS = 0.02  # until a failed accept is retried
 LISTEN_BACKLOG_SIZE = 1024
 
 
 class Listener:
-    """A listening socket that takes connections while there is room for them.
+    """A listening socket that accepts connections while there is capacity.
 
-    The others wait with the system, where they cost no descriptor. With TCP_DEFER_ACCEPT those that send
-    nothing stay there for a second.
+    Other connections wait in the system's backlog, where they use no descriptor. With TCP_DEFER_ACCEPT those
+    that send nothing stay there for a second.
 
     Attributes:
+        handler: serves the requests.
+        clients: the accepted connections.
         address: the host and port it listens on.
-        is_open: whether it takes connections.
-        accepting: connections that were accepted and have no slot yet.
+        is_open: whether it accepts connections.
+        paused: whether accepting waits for capacity.
+        accepting_count: connections that were accepted and have no slot yet.
+        accept_tasks: the tasks that set these connections up.
     """
 
     def __init__(
@@ -35,15 +39,26 @@
         loop: asyncio.AbstractEventLoop,
         reuse_port: bool = False,
     ) -> None:
-        """Listen on `address`, with `reuse_port` beside the process that replaces this one.
+        """Listen on `address`.
+
+        Args:
+            handler: serves the requests.
+            clients: the group of the accepted connections.
+            address: host and port.
+            loop: the event loop.
+            reuse_port: whether to listen beside the process that this one replaces.
 
         Raises:
             OSError: the address can't be listened on.
         """
-        self.handler, self.clients, self.loop = handler, clients, loop
-        self.is_open, self.paused, self.accepting_count = True, False, 0
-        self._backlog_since_us = 0  # since when connections wait with the system for more than a turn
-        self.accept_tasks: dict[asyncio.Task[Any], ServerConnection] = {}  # of connections being accepted
+        self.handler = handler
+        self.clients = clients
+        self.loop = loop
+        self.is_open = True
+        self.paused = False
+        self.accepting_count = 0
+        self._backlog_since_us = 0  # since when connections wait in the backlog for more than a turn
+        self.accept_tasks: dict[asyncio.Task[Any], ServerConnection] = {}
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_STREAM)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -65,15 +80,16 @@
         return sum(conn.slot < 0 for conn in self.accept_tasks.values())
 
     def _excess_count(self) -> int:
-        """Connections past the cap, with those being accepted and without those that were evicted."""
+        """Connections above the limit, with those being accepted and without evicted ones."""
         return self.clients.count + self.pending_count() - self.clients.max_connections
 
     def _accept_batch(self) -> None:
-        """Accept one turn's share of what waits: those that came before are read in between."""
+        """Accept one batch of the backlog; established connections are read in between."""
         clients = self.clients
         if self._excess_count() >= 0:
             clients.on_capacity_shortage()
-        evictable, excess = clients.evictable(), self._excess_count()
+        evictable = clients.evictable()
+        excess = self._excess_count()
         max_excess = surplus_connections(
             clients.max_connections
         )  # for telling those at once that there is no room
@@ -87,7 +103,7 @@
             try:
                 sock, _ = self.socket.accept()
             except OSError as error:
-                # A lack of descriptors is told though nobody may wait: behind others the next turn knows.
+                # A lack of descriptors is reported even with an empty backlog.
                 return self._accept_failed(error, evictable, first=not accepted)
             self._connect(sock)
             excess += 1
@@ -95,7 +111,7 @@
                 excess -= 1
 
     def _accept_failed(self, error: OSError, evictable: Iterator[ClientConnection], first: bool) -> None:
-        """End a turn's accepts: nobody waits, the next turn goes on, or a pause is due."""
+        """End a batch of accepts: the backlog is empty, the next turn continues, or a pause follows."""
         if isinstance(error, BlockingIOError):
             self._backlog_since_us = 0
             return
@@ -104,8 +120,8 @@
             return
         clients = self.clients
         clients.counters.add("accepts_failed")
-        clients.log("accept_failed", why=str(error))
-        if error.errno in LOCAL_RESOURCE_ERRNOS:  # what is held now must go first
+        clients.log("accept_failed", reason=str(error))
+        if error.errno in LOCAL_RESOURCE_ERRNOS:  # free a descriptor first
             clients.evict(evictable)
         self.loop.call_later(ACCEPT_RETRY_SECONDS, self.resume)
         self._pause()
@@ -122,7 +138,7 @@
     def _connected(self, task: "asyncio.Task[Any]") -> None:
         del self.accept_tasks[task]
         self.accepting_count -= 1
-        if not task.cancelled() and task.exception() is not None:  # it left before it was taken
+        if not task.cancelled() and task.exception() is not None:  # the client disconnected before
             self.clients.counters.add("accepts_failed")
 
     def _record_backlog(self) -> None:
@@ -134,17 +150,17 @@
         self.loop.remove_reader(self.socket)
 
     def resume(self) -> None:
-        """Accept again after a pause for want of room."""
+        """Accept again after a pause for lack of capacity."""
         if self.paused and self.is_open:
             self.paused = False
             self.loop.add_reader(self.socket, self._accept_batch)
 
     def disable_deferred_accept(self) -> None:
-        """Take silent connections too: it will close, and the system's queue closes with it."""
+        """Accept silent connections too: the listener will close, and its backlog with it."""
         self._defer_accept(0)
 
     def close(self) -> None:
-        """Accept what waits with the system, and close."""
+        """Accept the backlog, and close."""
         if self.is_open:
             self.is_open = False
             if not self.paused:
@@ -152,12 +168,14 @@
             self._accept_backlog()
 
     def _accept_backlog(self) -> None:
-        """Accept what the system has accepted: closed on, it would be reset.
+        """Accept the system's backlog, which would be reset with the socket.
 
-        Where there is no place for it now there will be, as replies end their connections; where none came,
-        the surplus is told that there is no room.
+        If there is no capacity now, there will be as connections end with their responses. If none is freed,
+        the surplus is rejected.
         """
-        clients, evictable, excess = self.clients, self.clients.evictable(), self._excess_count()
+        clients = self.clients
+        evictable = clients.evictable()
+        excess = self._excess_count()
         max_excess = surplus_connections(clients.max_connections)
         limit = 0 if excess < 0 else max_excess
         try:
@@ -170,7 +188,7 @@
             clients.counters.add("accepts_failed")
         for _ in range(excess):
             clients.evict(evictable)
-        self.accepting_count += 1  # the process does not end meanwhile
+        self.accepting_count += 1  # the process does not exit meanwhile
         self.loop.call_later(ACCEPT_RETRY_SECONDS, self._retry_backlog)
 
     def _retry_backlog(self) -> None:
--- a/umberlead/net/pool_interface.py
+++ b/umberlead/net/pool_interface.py
@@ -1,4 +1,4 @@
-"""What connections to chunk servers need of the pool that they belong to."""
+"""What connections to endpoints need of their pool."""
 
 from collections.abc import Callable
 from typing import Any, Protocol, TypeVar
@@ -14,14 +14,19 @@
 
 
 class ConnectionPool(Protocol[ConnectionT]):
-    """What a connection needs of its pool; `node_pool.Pool` has it.
+    """What a connection needs of its pool; `endpoint_pool.EndpointPool` implements it.
 
     Attributes:
+        lifecycle: takes the attempts' results.
+        clock: returns microseconds of one monotonic clock.
+        wheel: the timers.
+        counters: where events are counted.
+        log: takes an event's name and its fields.
         host_line: the Host field of each request, with its line end.
-        connect_timeout_us: how long a connection may take to come up, and a reply may stop.
-        held_bytes: what replies that are being read hold, of `memory_limit_bytes`.
-        max_reply_bytes: how long a reply may be that is kept until it is whole.
-        max_head_bytes: how long the head of a reply may be.
+        connect_timeout_us: how long a connection may take to be established, and a response may pause.
+        buffered_bytes: size of the responses that are being read, of at most `buffer_limit_bytes`.
+        max_response_bytes: limit on a response that is buffered until it is complete.
+        max_header_bytes: limit on the headers of a response.
     """
 
     lifecycle: RequestLifecycle
@@ -38,26 +43,26 @@
 
     @property
     def write_denial(self) -> Callable[[Attempt], Denial | None]:
-        """Tells why an attempt may not be written now; None lets it."""
+        """Returns why an attempt may not be written now; None permits it."""
 
     @property
     def on_write(self) -> Callable[[Attempt, int], None]:
-        """Is told of an attempt as its first byte is written, and what time it is told to take (us)."""
+        """Is called with an attempt before its first byte is written, and its time budget in microseconds."""
 
     def connection_established(self, conn: ConnectionT) -> None:
-        """A dial has come up."""
+        """Record a dial that succeeded."""
 
     def put_unclaimed(self, conn: ConnectionT) -> None:
-        """Keep a connection that came up and that nobody waits for."""
+        """Pool a new connection that no attempt waits for."""
 
     def put_idle(self, conn: ConnectionT) -> None:
-        """Keep a connection behind its reply."""
+        """Pool a connection after its response."""
 
     def remove(self, conn: ConnectionT) -> None:
         """Forget a connection that has ended."""
 
     def record_reuse(self, conn: ConnectionT, reset: bool) -> None:
-        """Learn whether a kept connection broke under a request."""
+        """Record whether a reused connection was reset under a request."""
 
     def reconnect(self, attempt: Attempt, address: Address) -> None:
         """Connect once more for an attempt of which nothing was sent."""
--- a/umberlead/net/relay.py
+++ b/umberlead/net/relay.py
@@ -1,4 +1,4 @@
-"""Passing a long reply on to a client as it comes from a chunk server."""
+"""Forwarding a streamed response to a client as it is received from an endpoint."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,21 +8,21 @@
 
 
 class BodySource(Protocol):
-    """Where the rest of a long reply comes from."""
+    """Where the remainder of a streamed response comes from."""
 
     sink: Any
 
     def set_paused(self, paused: bool) -> None:
-        """Stop reading, or read on."""
+        """Pause or resume reading."""
 
     def cancel(self) -> None:
-        """End it: its reader has left."""
+        """End the source: its reader has disconnected."""
 
     def eviction_rank(self) -> Any:
-        """Return its place in the order of eviction, the smallest first; None keeps it."""
+        """Return the sort key for eviction, smallest first; None if it may not be evicted."""
 
     def evict(self) -> None:
-        """End it for another's need of its place."""
+        """Abort the response to free its connection's slot."""
 
 
 class StreamingConnection(Protocol):
@@ -33,42 +33,44 @@
     body_source: BodySource | None
 
     def abort_response(self) -> None:
-        """End it in the middle of a reply."""
+        """Abort the connection within a response."""
 
     def finish_response(self) -> None:
-        """The reply is out: the next request's turn."""
+        """End the response, which is written; the next request follows."""
 
 
 class ResponseRelay:
-    """A long reply on its way to one client: takes pieces from a `BodySource`, whose sink it is.
+    """Forwards a streamed response to one client; it is the sink of a `BodySource`.
 
-    Without a length it goes in chunks, or up to the connection's end where the client knows no chunks.
+    Without a length the body is sent in chunks, or delimited by the connection's end for HTTP/1.0.
     """
 
     def __init__(
         self, connection: StreamingConnection, chunked: bool, on_end: Callable[[bool], None]
     ) -> None:
-        """Relay to `connection`; `on_end` is told whether all is out, unless the client leaves."""
-        self._connection, self._chunked, self._on_end = connection, chunked, on_end
+        """Relay to `connection`; `on_end` gets whether all was written, unless the client disconnects."""
+        self._connection = connection
+        self._chunked = chunked
+        self._on_end = on_end
 
     @staticmethod
     def uses_chunks(length: int | None, request: HttpRequest | None) -> bool:
-        """Tell whether a reply to `request` goes in chunks."""
+        """Return whether a response to `request` uses chunked transfer coding."""
         return length is None and request is not None and request.version == "1.1"
 
     def encode(self, data: bytes) -> tuple[bytes, ...]:
-        """Frame a piece of the body as it goes to the client."""
+        """Frame a piece of the body."""
         if not data:
             return ()
         return (b"%x\r\n" % len(data), data, b"\r\n") if self._chunked else (data,)
 
     def write(self, piece: bytes) -> None:
-        """Pass a piece of the body on."""
+        """Forward a piece of the body."""
         if not self._connection.closed:
             self._connection.transport.writelines(self.encode(piece))
 
     def finish(self) -> None:
-        """End the reply: all of the body has come."""
+        """End the response: its body is complete."""
         connection = self._connection
         connection.body_source = None
         self._on_end(True)
@@ -77,7 +79,7 @@
         connection.finish_response()
 
     def abort(self) -> None:
-        """Break the reply off, since its rest will not come."""
+        """Abort the response: its remainder will not arrive."""
         self._connection.body_source = None
         self._on_end(False)
         self._connection.abort_response()
--- a/umberlead/net/request_parser.py
+++ b/umberlead/net/request_parser.py
@@ -1,22 +1,28 @@
-"""Reading HTTP/1.1 requests from a client's bytes: limits, framing, and what is refused."""
+"""Parsing of clients' HTTP/1.1 requests: limits, framing, and what is rejected."""
 
 import re
 from typing import Protocol
 
 import httptools
 
+from umberlead.common.errors import UmberleadError
 from umberlead.net.client_connections import ClientGroup
-from umberlead.net.http_message import SINGLETON_HEADERS, HttpRequest
+from umberlead.net.http_message import SINGLETON_HEADERS, HttpRequest, RequestRejection
 from umberlead.net.timeouts import RequestProgress
 
 CONTENT_LENGTH_PATTERN = re.compile(rb"[0-9]{1,15}")
 
 
 class RequestLimits(Protocol):
-    """What a front allows its clients to send."""
+    """What a front end permits its clients to send.
+
+    Attributes:
+        max_body_bytes: limit on a body.
+        singleton_headers: header fields, beside those of HTTP, that must not be repeated.
+    """
 
     max_body_bytes: int
-    singleton_headers: frozenset[bytes]  # fields, beside those of HTTP, that may come once
+    singleton_headers: frozenset[bytes]
 
 
 class RequestReceiver(Protocol):
@@ -24,40 +30,47 @@
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether what comes is still read as requests."""
+        """Whether input is still read as requests."""
 
     def request_started(self) -> None:
-        """The first byte of a request came."""
+        """Handle the first byte of a request."""
 
     def headers_complete(self, request: HttpRequest) -> None:
-        """The head of a request was read and can be used."""
+        """Handle a request whose headers were read and accepted."""
 
     def body_progressed(self) -> None:
-        """A piece of a body came."""
+        """Handle the arrival of a piece of a body."""
 
     def request_complete(self, request: HttpRequest) -> None:
-        """All of a request was read."""
+        """Take a complete request."""
 
     def reject(self, status: int, reason: str) -> None:
-        """Nothing more can be read: answer with this status."""
+        """Respond with `status`: no further input can be read."""
 
 
-class InputClosedError(Exception):
-    """Raised in a callback of httptools, and not passed on: nothing behind this is read as a request."""
+class InputClosedError(UmberleadError):
+    """Stops the parser from within a callback of httptools: no further input is read as a request."""
 
 
 class RequestParser:
-    """Parses the requests of one connection, one after the other; bytes of bodies count as held memory."""
+    """Parses the requests of one connection, one after the other; bodies count as buffered memory.
+
+    Attributes:
+        partial_request: the request that is being read.
+        feeding: whether `feed` is running; it is not reentrant.
+    """
 
     def __init__(self, receiver: RequestReceiver, limits: RequestLimits, clients: ClientGroup) -> None:
-        """Tell `receiver` of what is read, within the limits of a front and of its listener's clients."""
-        self._receiver, self._limits, self._clients = receiver, limits, clients
+        """Report to `receiver`, within the limits of a front end and of its listener's clients."""
+        self._receiver = receiver
+        self._limits = limits
+        self._clients = clients
         self._parser = httptools.HttpRequestParser(self)
-        self.partial_request: HttpRequest | None = None  # the request that is being read
-        self.feeding = False  # within `feed`, which is not entered twice
+        self.partial_request: HttpRequest | None = None
+        self.feeding = False
         self._header_bytes = self._field_bytes = self._body_bytes = 0
         self._in_headers = False
-        self._repeated_header = b""  # a field that came again and must not
+        self._repeated_header = b""  # a field that was repeated and must not be
         self._body: bytes | bytearray = b""
         self._body_since_us = self._received_us = 0
 
@@ -69,7 +82,7 @@
         return RequestProgress(not self._in_headers, self._body_since_us, self._body_bytes)
 
     def feed(self, data: bytes, received_us: int) -> None:
-        """Parse bytes that were read at that time; the receiver is told what they hold within this call."""
+        """Parse input received at `received_us`; the receiver is called within."""
         self._received_us = received_us
         if self._in_headers or self.partial_request is None:
             self._header_bytes += len(data)
@@ -87,7 +100,7 @@
             self._reject_headers()
 
     def discard(self) -> None:
-        """Drop the request that is being read, and what its body held."""
+        """Discard the request that is being read, and release its body."""
         if self.partial_request is not None:
             self._clients.buffered_bytes -= self._body_bytes
             self._body = b""
@@ -102,21 +115,25 @@
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         if not self._receiver.accepts_requests:
             raise InputClosedError
-        self.partial_request, self._body, self._body_bytes, self._in_headers = HttpRequest(), b"", 0, True
-        self._field_bytes, self._repeated_header = 0, b""
+        self.partial_request = HttpRequest()
+        self._body = b""
+        self._body_bytes = 0
+        self._in_headers = True
+        self._field_bytes = 0
+        self._repeated_header = b""
         self._receiver.request_started()
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the target."""
+        """Append a piece of the target."""
         if self.partial_request is not None:
             self.partial_request.target += url
             self._field_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header field, or a trailer, which must not change what the head said."""
+        """Store a header field; a trailer must not change what the headers said."""
         request = self.partial_request
         if request is None:
             return
@@ -125,7 +142,8 @@
             if self._field_bytes > self._clients.max_header_bytes:
                 self._reject_headers()
             return
-        name, value = name.lower(), value.strip(b" \t")  # RFC 9112: space around a value is none of it
+        name = name.lower()
+        value = value.strip(b" \t")  # RFC 9112: whitespace around a value is not part of it
         if name in request.headers:
             if name in SINGLETON_HEADERS or name in self._limits.singleton_headers:
                 self._repeated_header = self._repeated_header or name
@@ -133,40 +151,46 @@
         request.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Check the headers."""
         request = self.partial_request
         if request is None or not self._receiver.accepts_requests:
             return
-        self._in_headers, self._body_since_us = False, self._clients.clock()
+        self._in_headers = False
+        self._body_since_us = self._clients.clock()
         if self._field_bytes > self._clients.max_header_bytes:
             return self._reject_headers()
-        error = self._framing_error(request)
-        if error is not None:
-            return self._receiver.reject(*error)
+        rejection = self._framing_error(request)
+        if rejection is not None:
+            return self._receiver.reject(rejection.status, rejection.reason)
         self._receiver.headers_complete(request)
 
-    def _framing_error(self, request: HttpRequest) -> tuple[int, str] | None:
-        """Return the status and the reason for which this head is refused."""
+    def _framing_error(self, request: HttpRequest) -> RequestRejection | None:
+        """Return why these headers are rejected; None if they are not."""
         if self._repeated_header:
-            return 400, f"{self._repeated_header.decode('latin-1')} came twice"
-        length, coding = request.headers.get(b"content-length"), request.headers.get(b"transfer-encoding")
+            return RequestRejection(
+                400, f"{self._repeated_header.decode('latin-1')} came twice", request.target
+            )
+        length = request.headers.get(b"content-length")
+        coding = request.headers.get(b"transfer-encoding")
         if length is not None and (coding is not None or CONTENT_LENGTH_PATTERN.fullmatch(length) is None):
-            # Read by one and not by the other, the body would hide a second request.
-            return 400, "Content-Length is malformed, or comes with Transfer-Encoding"
+            # Request smuggling: the body could hide a second request.
+            return RequestRejection(
+                400, "Content-Length is malformed, or comes with Transfer-Encoding", request.target
+            )
         if coding is not None and coding.lower() != b"chunked":
-            return 400, "Transfer-Encoding may be chunked here"
+            return RequestRejection(400, "Transfer-Encoding may be chunked here", request.target)
         if length is not None and int(length) > self._max_body_bytes():
-            return 413, f"a body may have {self._max_body_bytes()} bytes"
+            return RequestRejection(413, f"a body may have {self._max_body_bytes()} bytes", request.target)
         return None
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
+        """Buffer a piece of the body."""
         if self.partial_request is None or not self._receiver.accepts_requests:
             return
         self._body_bytes += len(body)
         self._receiver.body_progressed()
         self._clients.buffered_bytes += len(body)
-        # One buffer that grows in place: pieces joined at the end would take the memory twice.
+        # One buffer that grows in place: joining pieces at the end would need the memory twice.
         if not self._body:
             self._body = body
         elif isinstance(self._body, bytearray):
@@ -180,11 +204,12 @@
             self._receiver.reject(503, "too many bodies are held at present")
 
     def on_message_complete(self) -> None:
-        """Hand the request over."""
+        """Pass a complete request on."""
         request = self.partial_request
         if request is None or not self._receiver.accepts_requests:
             return
-        self.partial_request, self._header_bytes = None, 0
+        self.partial_request = None
+        self._header_bytes = 0
         request.method = self._parser.get_method()
         if request.target[:7].lower() == b"http://":  # the absolute form says no more than Host
             request.target = b"/" + request.target[7:].partition(b"/")[2]
--- a/umberlead/net/response_parser.py
+++ b/umberlead/net/response_parser.py
@@ -1,4 +1,4 @@
-"""Reading HTTP/1.1 replies of chunk servers."""
+"""Parsing of endpoints' HTTP/1.1 responses."""
 
 import re
 from typing import Protocol
@@ -8,7 +8,8 @@
 from umberlead.net.streaming import exceeds_stream_limit
 
 CONTENT_LENGTH_PATTERN = re.compile(rb"[0-9]{1,15}")
-SWITCHING_PROTOCOLS_STATUS, FIRST_FINAL_STATUS = 101, 200
+SWITCHING_PROTOCOLS_STATUS = 101
+FIRST_FINAL_STATUS = 200
 
 
 class ResponseReceiver(Protocol):
@@ -16,51 +17,53 @@
 
     @property
     def attempt_cancelled(self) -> bool:
-        """Whether nothing more is wanted of the reply."""
+        """Whether the remainder of the response is not needed."""
 
     def body_received(self, data: bytes) -> None:
-        """A piece of the body came."""
+        """Take a piece of the body."""
 
     def interim_response_complete(self) -> None:
-        """An interim reply ended; the reply itself is still to come."""
+        """Handle the end of an interim response; the final one follows."""
 
     def response_failed(self, failure: str) -> None:
-        """The reply can't be read: "malformed", "too_large"."""
+        """Handle a response that can't be used: "malformed" or "too_large"."""
 
 
 class BufferAccounting(Protocol):
-    """Counts the bytes of all replies that are being read."""
+    """Counts the bytes of all responses that are being read."""
 
     buffered_bytes: int
 
 
 class ResponseParser:
-    """Parses the replies on one connection, one after the other.
+    """Parses the responses on one connection, one after the other.
 
     Attributes:
-        headers: the reply's header fields, by name in lower case.
-        body: the pieces of the body that are kept, `body_bytes` in all.
-        head_bytes: how much came before the head was complete.
-        length: what Content-Length says; None without one.
-        framed: whether the reply says where its body ends, other than with its connection.
-        head_complete: whether all of the head was read.
-        complete: whether all of the reply was read.
-        keep_alive: whether the connection can be used again, once it is complete.
-        surplus: whether more came than the reply.
-        begun: whether the reply, or an interim one, has begun.
-        first_us: when its first byte came.
-        heard_us: when its latest byte came.
+        headers: the header fields, by name in lower case.
+        body_pieces: the buffered pieces of the body.
+        body_bytes: their size.
+        header_bytes: size of the input up to the end of the headers.
+        content_length: the value of Content-Length; None without one.
+        framed: whether the response delimits its body, other than by its connection's end.
+        headers_complete: whether all headers were read.
+        complete: whether all of the response was read.
+        keep_alive: whether the connection can be reused once the response is complete.
+        has_surplus: whether there was input behind the response.
+        started: whether the response, or an interim one, has started.
+        first_received_us: when its first byte was received.
+        last_received_us: when its latest byte was received.
     """
 
     def __init__(self, receiver: ResponseReceiver, accounting: BufferAccounting) -> None:
-        """Tell `receiver` of what is read; what is kept counts in `memory`."""
-        self._receiver, self._accounting = receiver, accounting
+        """Report to `receiver`; buffered bytes count in `accounting`."""
+        self._receiver = receiver
+        self._accounting = accounting
         self.body_bytes = 0
         self.first_received_us = self.last_received_us = 0
         self.reset()
 
     def reset(self) -> None:
-        """Begin the next reply."""
+        """Prepare for the next response."""
         self._parser = httptools.HttpResponseParser(self)
         self.headers: dict[bytes, bytes] = {}
         self.release_body()
@@ -70,32 +73,33 @@
         self.has_surplus = self.started = False
 
     def release_body(self) -> None:
-        """Drop the body, and what it held."""
+        """Discard the body, and release its memory."""
         self._accounting.buffered_bytes -= self.body_bytes
         self.body_pieces: list[bytes] = []
         self.body_bytes = 0
 
     def buffer_body(self, data: bytes) -> None:
-        """Keep a piece of the body."""
+        """Buffer a piece of the body."""
         self.body_bytes += len(data)
         self._accounting.buffered_bytes += len(data)
         self.body_pieces.append(data)
 
     @property
     def status(self) -> int:
-        """The reply's HTTP status."""
+        """The response's HTTP status."""
         return self._parser.get_status_code()
 
     @property
     def reusable(self) -> bool:
-        """Whether the reply leaves its connection fit for another."""
+        """Whether the connection can carry another request after this response."""
         return self.keep_alive and not self.has_surplus
 
     def feed(self, data: bytes, now_us: int) -> bool:
-        """Parse bytes; False if they are no HTTP."""
+        """Parse input received at `now_us`; return False if it is not HTTP."""
         self.last_received_us = now_us
         if not self.started:
-            self.started, self.first_received_us = True, now_us
+            self.started = True
+            self.first_received_us = now_us
         if not self.headers_complete:
             self.header_bytes += len(data)
         try:
@@ -109,28 +113,31 @@
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Begin a reply: the first, one behind an interim one, or one that nobody asked for."""
+        """Start a response: the first, one behind an interim response, or an unsolicited one."""
         self.has_surplus |= self.complete
         if not self.started:
-            self.started, self.first_received_us = True, self.last_received_us
+            self.started = True
+            self.first_received_us = self.last_received_us
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header field; not a trailer, nor one of a surplus reply."""
+        """Store a header field; trailers and fields of a surplus response are ignored."""
         if self.complete or self.headers_complete:
             return
-        name, value = name.lower(), value.strip(b" \t")
+        name = name.lower()
+        value = value.strip(b" \t")
         if name in self.headers and name in (b"content-length", b"transfer-encoding"):
-            value = self.headers[name] + b", " + value  # two lengths are none
+            value = self.headers[name] + b", " + value  # two lengths are invalid
         self.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check the head of the reply, as far as it frames the body."""
+        """Check the headers that frame the body."""
         if self.complete or self._receiver.attempt_cancelled:
             return
         self.headers_complete = True
         if self.status < FIRST_FINAL_STATUS:
             return
-        length, coding = self.headers.get(b"content-length"), self.headers.get(b"transfer-encoding")
+        length = self.headers.get(b"content-length")
+        coding = self.headers.get(b"transfer-encoding")
         self.framed = length is not None or coding is not None
         if length is None:
             return
@@ -141,20 +148,21 @@
             self._receiver.response_failed("too_large")
 
     def on_body(self, body: bytes) -> None:
-        """Hand a piece of the body over."""
+        """Pass a piece of the body on."""
         if not self.complete and not self._receiver.attempt_cancelled:
             self._receiver.body_received(body)
 
     def on_message_complete(self) -> None:
-        """End the reply; what comes behind it is looked at, and never reaches the next one."""
+        """End the response; input behind it never counts as the next one."""
         if self.complete or self._receiver.attempt_cancelled:
             return
         if self.status == SWITCHING_PROTOCOLS_STATUS:
             self._receiver.response_failed("malformed")
         elif self.status < FIRST_FINAL_STATUS:
             self.release_body()
-            self.headers, self.headers_complete = {}, False
-            self.started = False  # the reply itself may be long in coming: the request's time bounds that
+            self.headers = {}
+            self.headers_complete = False
+            self.started = False  # the final response may take long, up to the request's deadline
             self._receiver.interim_response_complete()
         else:
             self.keep_alive = self._parser.should_keep_alive()
--- a/umberlead/net/socket_state.py
+++ b/umberlead/net/socket_state.py
@@ -1,4 +1,4 @@
-"""What the operating system holds of a connection, asked for now: uvloop tells of it a turn later."""
+"""The system's present state of a connection: uvloop reports it one turn of the event loop later."""
 
 import asyncio
 import contextlib
@@ -14,24 +14,26 @@
 DISCONNECT_POLL_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 # Of `struct tcp_info` in linux/tcp.h: the state, and `tcpi_last_data_recv`.
-TCP_INFO_BYTES, TCP_INFO_STATE_OFFSET, LAST_DATA_RECEIVED_OFFSET = 56, 0, 52
+TCP_INFO_BYTES = 56
+TCP_INFO_STATE_OFFSET_BYTES = 0
+LAST_DATA_RECEIVED_OFFSET_BYTES = 52
 LAST_DATA_RECEIVED_STRUCT = struct.Struct("=I")
 
-RESET_LINGER_OPTION = struct.pack("ii", 1, 0)  # SO_LINGER of no time
+RESET_LINGER_OPTION = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0
 
 
 class SocketState:
-    """Looks at the socket of one transport."""
+    """Queries the socket of one transport."""
 
     def __init__(self, transport: asyncio.Transport) -> None:
-        """Look at the socket of `transport`, if it has one."""
+        """Query the socket of `transport`, if it has one."""
         self._transport = transport
         self._poll: select.poll | None = None
 
     def pending_events(self) -> int:
-        """Return the poll(2) events that were not taken yet: POLLIN for unread bytes, DISCONNECT_EVENTS.
+        """Return pending poll(2) events: POLLIN for unread bytes, DISCONNECT_POLL_EVENTS.
 
-        0 on a transport that is closing or has no socket.
+        0 for a transport that is closing or has no socket.
         """
         if self._poll is None:
             sock = self._transport.get_extra_info("socket")
@@ -45,7 +47,7 @@
         return sum(events for _, events in self._poll.poll(0))
 
     def last_data_age_us(self) -> int | None:
-        """Return how long ago the peer's latest bytes came, within some ms; None where it is not told."""
+        """Return how long ago the peer's latest bytes arrived, to some milliseconds; None if unknown."""
         sock = self._transport.get_extra_info("socket")
         if sock is None:
             return None
@@ -53,12 +55,12 @@
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         except OSError:
             return None
-        if len(info) < TCP_INFO_BYTES or not info[TCP_INFO_STATE_OFFSET]:
+        if len(info) < TCP_INFO_BYTES or not info[TCP_INFO_STATE_OFFSET_BYTES]:
             return None
-        return LAST_DATA_RECEIVED_STRUCT.unpack_from(info, LAST_DATA_RECEIVED_OFFSET)[0] * 1000
+        return LAST_DATA_RECEIVED_STRUCT.unpack_from(info, LAST_DATA_RECEIVED_OFFSET_BYTES)[0] * 1000
 
     def unsent_bytes(self) -> int:
-        """Return how many bytes wait here or with the system for the peer to take them."""
+        """Return how many bytes wait here or in the socket's send buffer."""
         unsent = self._transport.get_write_buffer_size()
         if (sock := self._transport.get_extra_info("socket")) is not None:
             queued = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4)
@@ -71,9 +73,10 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER_OPTION)
 
     def was_reset(self) -> bool:
-        """Tell a break from an end: libuv reports an end where a break came with the last bytes.
+        """Return whether the connection broke, which libuv may report as an end of file.
 
-        A reset, or the system's own word that the peer can't be reached any more (ETIMEDOUT, EHOSTUNREACH).
+        A reset that arrives with the last bytes looks like an end. This includes the system's finding that
+        the peer is unreachable (ETIMEDOUT, EHOSTUNREACH).
         """
         with self._duplicate() as sock:
             try:
@@ -85,17 +88,17 @@
         return False
 
     def stop_sending(self) -> None:
-        """Keep the rest of what is partly written from following.
+        """Keep the remainder of a partially written request from being sent.
 
-        uvloop closes an aborted connection a turn later, and may find room for all of it in between. It would
-        run, and count as proven not to have.
+        uvloop closes an aborted connection one turn later and may write all of it in between. It would be
+        executed, although it counts as not sent.
         """
-        with self._duplicate() as sock, contextlib.suppress(OSError):  # it has ended already
+        with self._duplicate() as sock, contextlib.suppress(OSError):  # the connection has ended already
             sock.shutdown(socket.SHUT_WR)
 
     @contextlib.contextmanager
     def _duplicate(self) -> Iterator[socket.socket]:
-        """Within, the socket can be used past the transport; it takes no descriptor more."""
+        """Provide the socket apart from its transport; no further descriptor is used."""
         descriptor = self._transport.get_extra_info("socket").fileno()
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
         try:
--- a/umberlead/net/streaming.py
+++ b/umberlead/net/streaming.py
@@ -1,37 +1,41 @@
-"""Long replies: passed on as they come, for as long as they move and their place is not needed."""
+"""Streamed responses: forwarded as they are received while they progress and their slot is not needed."""
 
 import asyncio
 from collections.abc import Callable
-from typing import Protocol
+from typing import Protocol, TypeAlias
 
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import Timer, TimerWheel
 from umberlead.resource_limits import MAX_BODY_BYTES
 
-STREAM_IDLE_TIMEOUT_US = 10_000_000  # in which a long reply must move on
-SERVER_PAUSE_TIMEOUT_US = 650_000  # that a server may stop within a reply that it is still giving
-# Past its request's time a long reply can be evicted where places are short: one of no told length may never
-# end; one of a told length has an end, however slow.
-UNSIZED_EVICTION_AGE_US, SIZED_EVICTION_AGE_US = 10_000_000, 60_000_000
-STREAMING_THRESHOLD_US = 20_000  # after which a reply of no told length, still coming, counts as a long one
-MAX_STREAM_BYTES = 32 << 20  # the protocol's bytes of a long reply
+STREAM_IDLE_TIMEOUT_US = 10_000_000  # in which a streamed response must progress
+SERVER_PAUSE_TIMEOUT_US = 650_000  # that an endpoint may pause within a response
+# Past its request's deadline a streamed response can be evicted when slots are short. One without a length
+# may never end; one with a length ends, however slow.
+UNSIZED_EVICTION_AGE_US = 10_000_000
+SIZED_EVICTION_AGE_US = 60_000_000
+STREAMING_THRESHOLD_US = 20_000  # after which an incomplete response without a length is streamed
+MAX_STREAM_BYTES = 32 << 20  # the protocol's limit on a response
+
+
+StreamEvictionKey: TypeAlias = tuple[bool, int]  # whether the length is known, the deadline in microseconds
 
 
 class BodySink(Protocol):
-    """Who passes a long reply on as it comes."""
+    """Forwards a streamed response as it is received."""
 
     def write(self, piece: bytes) -> None:
         """Take a piece of the body."""
 
     def finish(self) -> None:
-        """All of the body has come."""
+        """End the response: its body is complete."""
 
     def abort(self) -> None:
-        """What is missing will not come."""
+        """Abort the response: its remainder will not arrive."""
 
 
 class IncomingResponse(Protocol):
-    """What a stream needs to know of the reply that is being parsed."""
+    """What a stream needs of the response that is being parsed."""
 
     last_received_us: int
     content_length: int | None
@@ -39,10 +43,10 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether the reply leaves its connection fit for another."""
+        """Whether the connection can carry another request after this response."""
 
     def feed(self, data: bytes, now_us: int) -> bool:
-        """Parse bytes; False if they are no HTTP."""
+        """Parse input; return False if it is not HTTP."""
 
 
 class StreamingPool(Protocol):
@@ -54,7 +58,7 @@
 
 
 class StreamOwner(Protocol):
-    """What a stream needs of its connection to the chunk server."""
+    """What a stream needs of its connection to the endpoint."""
 
     transport: asyncio.Transport | None
     timer: Timer | None
@@ -63,42 +67,43 @@
 
     @property
     def response(self) -> IncomingResponse:
-        """The reply that is being parsed."""
+        """The response that is being parsed."""
 
     def cancel_timer(self) -> None:
         """Stop the connection's timer."""
 
     def reuse(self) -> None:
-        """Begin the next reply, and rest in the pool until then."""
+        """Prepare for the next response, and return to the pool."""
 
     def close(self) -> None:
-        """End the connection."""
+        """Abort the connection."""
 
 
 def exceeds_stream_limit(size_bytes: int) -> bool:
-    """Tell whether a reply of this size is longer than the protocol allows."""
+    """Return whether a response of this size exceeds the protocol's limit."""
     return size_bytes > MAX_STREAM_BYTES
 
 
 def is_long_response(content_length: int | None, buffered_bytes: int, elapsed_us: int) -> bool:
-    """Tell whether a reply is passed on as it comes, rather than kept until it is whole."""
+    """Return whether a response is streamed, rather than buffered until it is complete."""
     slow = content_length is None and elapsed_us > STREAMING_THRESHOLD_US
     return slow or buffered_bytes > MAX_BODY_BYTES or (content_length or 0) > MAX_BODY_BYTES
 
 
 class ResponseStream:
-    """The rest of a long reply, on its way from a chunk server to a sink.
+    """The remainder of a streamed response, on its way from an endpoint to a sink.
 
     Attributes:
-        sink: who takes it; None once it has ended, or its reader has left.
-        deadline_us: the request's time, moved on by what its reader stood still for.
-        passed_bytes: how much of the body was passed on.
-        paused: its reader has enough for now.
+        sink: takes it; None once it has ended or its reader has disconnected.
+        deadline_us: the request's deadline, extended by the pauses of its reader.
+        forwarded_bytes: how much of the body was forwarded.
+        paused: its reader does not take more for now.
     """
 
     def __init__(self, owner: StreamOwner, pool: StreamingPool, forwarded_bytes: int) -> None:
-        """Begin behind the first `passed_bytes`, which the request's outcome carries."""
-        self._owner, self._pool = owner, pool
+        """Start behind the first `forwarded_bytes`, which are in the request's answer."""
+        self._owner = owner
+        self._pool = pool
         self.sink: BodySink | None = None
         self.deadline_us = 0
         self.forwarded_bytes = forwarded_bytes
@@ -106,33 +111,32 @@
         self._paused_since_us = 0
 
     def start(self, deadline_us: int) -> None:
-        """Watch over it from now on: it has a sink."""
+        """Supervise the stream from now on: it has a sink."""
         self.deadline_us = deadline_us
         now_us = self._pool.clock()
         self._check_at(min(now_us + STREAM_IDLE_TIMEOUT_US, deadline_us))
 
     def feed(self, data: bytes) -> None:
-        """Parse and pass on what came."""
+        """Parse and forward input."""
         response = self._owner.response
         if not response.feed(data, self._pool.clock()):
             self.abort()
         elif response.complete:
             self.finish()
-        elif exceeds_stream_limit(
-            self.forwarded_bytes
-        ):  # none of a told length: that is checked with the head
+        elif exceeds_stream_limit(self.forwarded_bytes):  # a Content-Length was checked with the headers
             self.abort()
 
     def write(self, data: bytes) -> None:
-        """Pass a piece of the body on."""
+        """Forward a piece of the body."""
         self.forwarded_bytes += len(data)
         if self.sink is not None:
             self.sink.write(data)
 
     def finish(self) -> None:
-        """End it: the reply is whole, or ends with its connection."""
+        """End the stream: the response is complete, or delimited by its connection's end."""
         owner = self._owner
-        sink, self.sink = self.sink, None
+        sink = self.sink
+        self.sink = None
         owner.cancel_timer()
         if owner.response.reusable and owner.written:
             self.set_paused(False)
@@ -143,8 +147,9 @@
             sink.finish()
 
     def abort(self) -> None:
-        """Break it off, since its rest will not come."""
-        sink, self.sink = self.sink, None
+        """Abort the stream: its remainder will not arrive."""
+        sink = self.sink
+        self.sink = None
         self._pool.counters.add("node_answers_broke_off")
         self._owner.close()
         if sink is not None:
@@ -154,14 +159,14 @@
         self._owner.timer = self._pool.wheel.call_at(at_us, self._check)
 
     def _check(self) -> None:
-        """Break off a reply whose node stopped in the middle.
+        """Abort a response whose endpoint has stopped within it.
 
-        While the node goes on, so does the reply, also past the request's time: what is still given is not
-        cut off. One of no told length and of no more than 64 KiB yet may be a small one, whose client waits
-        for its last byte: past that time it may only pause. Of a client that stands still its own connection
-        tells.
+        While the endpoint progresses the response continues, also past the request's deadline. One without a
+        length and of at most 64 KiB so far may be small, with a client that waits for its last byte: past the
+        deadline it may only pause. A reader that stalls is detected by its own connection.
         """
-        now_us, response = self._pool.clock(), self._owner.response
+        now_us = self._pool.clock()
+        response = self._owner.response
         due_us = (now_us if self.paused else response.last_received_us) + STREAM_IDLE_TIMEOUT_US
         if not self.paused and response.content_length is None and self.forwarded_bytes <= MAX_BODY_BYTES:
             due_us = min(due_us, max(response.last_received_us + SERVER_PAUSE_TIMEOUT_US, self.deadline_us))
@@ -170,40 +175,45 @@
         else:
             self._check_at(due_us)
 
-    # BodySource: what the sink's side asks
+    # BodySource: called by the sink's side
 
-    def eviction_rank(self) -> tuple[bool, int] | None:
-        """Return its place in the order of eviction, the smallest first; None keeps it.
+    def eviction_rank(self) -> StreamEvictionKey | None:
+        """Return the sort key for eviction, smallest first; None if it may not be evicted.
 
-        Those of no told length go first, then by their requests' time.
+        Responses without a length are evicted first, then by their requests' deadlines.
         """
         if self.sink is None or self._owner.closed:
             return None
-        now_us, sized = self._pool.clock(), self._owner.response.content_length is not None
+        now_us = self._pool.clock()
+        sized = self._owner.response.content_length is not None
         deadline_us = self.deadline_us + (now_us - self._paused_since_us if self.paused else 0)
         age_us = SIZED_EVICTION_AGE_US if sized else UNSIZED_EVICTION_AGE_US
         return (sized, deadline_us) if deadline_us + age_us <= now_us else None
 
     def evict(self) -> None:
-        """Break it off for another's need of its place."""
+        """Abort the stream to free its connection's slot."""
         self._pool.counters.add("node_answers_gave_way")
         self.abort()
 
     def set_paused(self, paused: bool) -> None:
-        """Stop reading, since its reader has enough for now, or read on."""
+        """Pause reading while the reader does not take more, or resume it."""
         transport = self._owner.transport
         if transport is None or transport.is_closing():
             return
         if paused and not self.paused:
-            self.paused, self._paused_since_us = True, self._pool.clock()
+            self.paused = True
+            self._paused_since_us = self._pool.clock()
             transport.pause_reading()
         elif not paused and self.paused:
             now_us = self._pool.clock()
-            self.paused, self._owner.response.last_received_us = False, now_us
-            self.deadline_us += now_us - self._paused_since_us  # its reader's time, not the node's
+            self.paused = False
+            self._owner.response.last_received_us = now_us
+            self.deadline_us += (
+                now_us - self._paused_since_us
+            )  # the pause was the reader's, not the endpoint's
             transport.resume_reading()
 
     def cancel(self) -> None:
-        """End it: its reader has left."""
+        """End the stream: its reader has disconnected."""
         self.sink = None
         self._owner.close()
--- a/umberlead/net/timeouts.py
+++ b/umberlead/net/timeouts.py
@@ -1,17 +1,17 @@
-"""How long a client's connection may stay in a state: rules on times, without I/O.
+"""Timeouts of a client connection's states: rules without I/O.
 
 All times are whole microseconds of one monotonic clock.
 """
 
 from dataclasses import dataclass
 
-REQUEST_TIMEOUT_US = 2_500_000  # for a request, from the connecting or from the request's first byte
-MIN_BODY_TIMEOUT_US = 400_000  # for a body at least, from its head's end, whether the head came late or not
-LINGER_TIMEOUT_US = 300_000  # after a reply that ends its connection, so that the reply arrives
-WRITE_STALL_TIMEOUT_US = 30_000_000  # for a client that reads nothing of a reply that waits for it
-SHORT_IDLE_TIMEOUT_US = 2_000_000  # for an idle connection, once over half of the places are taken
-MIN_BODY_BYTES_PER_S = 32_000  # bytes a second at which a body must come
-MIN_UPLOAD_BYTES_PER_S = 1_000  # bytes a second below which an upload that may take long can be evicted
+REQUEST_TIMEOUT_US = 2_500_000  # for a request, from the accept or from its first byte
+MIN_BODY_TIMEOUT_US = 400_000  # for a body, from the end of its headers, even if these were late
+LINGER_TIMEOUT_US = 300_000  # after the last response, so that it arrives
+WRITE_STALL_TIMEOUT_US = 30_000_000  # for a client that reads nothing of its response
+SHORT_IDLE_TIMEOUT_US = 2_000_000  # for an idle connection, once over half of the slots are in use
+MIN_BODY_BYTES_PER_S = 32_000  # at which a body must be received
+MIN_UPLOAD_BYTES_PER_S = 1_000  # below which a slow upload can be evicted
 NO_TIMEOUT_US = 1 << 62
 
 
@@ -20,9 +20,9 @@
     """How far a request has been read.
 
     Attributes:
-        head_complete: whether all of its head was read.
-        body_since_us: when its head was complete.
-        body_bytes: how much of its body was read.
+        headers_complete: whether all headers were read.
+        body_since_us: when the headers were complete.
+        body_bytes: how much of the body was read.
     """
 
     headers_complete: bool
@@ -31,7 +31,7 @@
 
 
 def partial_request_timeout_us(progress: RequestProgress, state_since_us: int) -> int:
-    """Return how long a connection may take over the request it is sending, from `state_since_us`."""
+    """Return the timeout of a request that is being received, from `state_since_us`."""
     if not progress.headers_complete:
         return REQUEST_TIMEOUT_US
     after_headers_us = progress.body_since_us + MIN_BODY_TIMEOUT_US - state_since_us
@@ -50,11 +50,11 @@
     """Return how long a connection may stay in its present state, from `state_since_us`.
 
     Args:
-        answering: a request of it is being answered.
-        ended: its last reply was written, and it only lingers.
-        progress: of the request that it is sending; None if there is none.
-        used: it has had a reply.
-        state_since_us: when its present state began.
+        answering: a request is being responded to.
+        ended: the last response was written, and the connection only lingers.
+        progress: of the request that is being received; None if there is none.
+        has_served: the connection has had a response.
+        state_since_us: when the present state began.
         idle_timeout_us: how long an idle connection may stay.
     """
     if answering:
@@ -67,7 +67,7 @@
 
 
 def idle_timeout_us(configured_us: int, connection_count: int, max_connections: int) -> int:
-    """Return how long an idle connection may stay; 0 in the configuration stands for no limit."""
+    """Return how long an idle connection may stay; a configured 0 means no limit."""
     timeout_us = configured_us or NO_TIMEOUT_US
     if connection_count > max_connections // 2:
         timeout_us = min(timeout_us, SHORT_IDLE_TIMEOUT_US)
@@ -75,7 +75,7 @@
 
 
 def is_slow_upload(progress: RequestProgress | None, now_us: int) -> bool:
-    """Tell whether a body that may take long hardly moves."""
+    """Return whether a body that may take long hardly progresses."""
     if progress is None or not progress.headers_complete:
         return False
     allowed_us = REQUEST_TIMEOUT_US + progress.body_bytes * 1_000_000 // MIN_UPLOAD_BYTES_PER_S
