--- a/benchmarks/planted_routes.py
+++ b/benchmarks/planted_routes.py
@@ -21,7 +21,7 @@
     "deploy/watched/servers.d/room-b.list",
 )
 MODULE, ENGINE = "umberlead/scheduling/scheduler.py", "umberlead/requests/lifecycle.py"
-MACHINE, JOIN = "umberlead/membership/list_merge.py", "umberlead/membership/list_merge.py"
+MACHINE, JOIN = "umberlead/membership/list_merge.py", "umberlead/membership/integration.py"
 NOT_LISTED = "error: no server is listed"  # something befalls it, and it is not there
 READ_ONLY = "read"  # the suite, the configuration or the list is refused before anything is played
 
@@ -45,17 +45,17 @@
     ("the heavy server lost its weight", "deploy/expectations/weighted.list", "shard 0 weight 4", "shard 0 weight 1", {"share"}),
     ("weights of two servers are exchanged", "deploy/expectations/weighted.list", "shard 4 weight 0", "shard 4 weight 1", {"share", "never"}),
     # membership machine, and what is told of its changes
-    ("a draining server counts as ready", MACHINE, "if told.state is not NodeState.UP and found.state is NodeState.UP:", "if False:", set()),
-    ("who left the list stays", JOIN, "nodes = [node_of(m, NodeState.GONE) for m in change.went]", "nodes = []", {"never", "only"}),
-    ("changes of a server are not told", JOIN, "for m in (*(after for _, after in change.changed), *change.came)]", "for m in change.came]", {"never", "only"}),
-    ("marks by hand are not told", JOIN, "        engine.by_hand(node, out, at)", "        pass", {"never", "only"}),
-    ("a mark goes out the other way", JOIN, "engine.by_hand(node, out, at)", "engine.by_hand(node, not out, at)", {"never", "only"}),
-    ("weights are not told", JOIN, "server.started, server.weight, server.units", "server.started, None, server.units", {"share", "never"}),
-    ("shards are told one too high", JOIN, "state or server.state, server.shard,", "state or server.state, server.shard + 1,", {"only", "may-only"}),
-    ("draining is told as ready", JOIN, "state or server.state, server.shard", "state or NodeState.UP, server.shard", {"never", "only"}),
-    ("merging forgets who went", MACHINE, "                went.append(before)\n                continue", "                continue", {"never", "only"}),
-    ("merging forgets who changed", MACHINE, "                changed.append((before, after))", "                pass", {"never", "only"}),
-    ("marks are forgotten as they are told", MACHINE, "                told.append((due, True, self.marks[name]))", "                pass", {"never", "only"}),
+    ("a draining server counts as ready", MACHINE, "if listed.status is not EndpointStatus.UP and merged.status is EndpointStatus.UP:", "if False:", set()),
+    ("who left the list stays", JOIN, "endpoints = [scheduler_endpoint(active, EndpointStatus.GONE) for active in change.removed]", "endpoints = []", {"never", "only"}),
+    ("changes of a server are not told", JOIN, "    endpoints += [scheduler_endpoint(after) for _, after in change.changed]\n", "", {"never", "only"}),
+    ("marks by hand are not told", JOIN, "        lifecycle.set_manual_drain(endpoint_id, drained, drained_us)", "        pass", {"never", "only"}),
+    ("a mark goes out the other way", JOIN, "lifecycle.set_manual_drain(endpoint_id, drained, drained_us)", "lifecycle.set_manual_drain(endpoint_id, not drained, drained_us)", {"never", "only"}),
+    ("weights are not told", JOIN, "        endpoint.weight,\n", "        None,\n", {"share", "never"}),
+    ("shards are told one too high", JOIN, "        endpoint.shard,\n", "        endpoint.shard + 1,\n", {"only", "may-only"}),
+    ("draining is told as ready", JOIN, "status or endpoint.status,", "status or EndpointStatus.UP,", {"never", "only"}),
+    ("merging forgets who went", MACHINE, "                removed.append(before)\n", "                pass\n", {"never", "only"}),
+    ("merging forgets who changed", MACHINE, "                changed.append(EndpointChange(before, after))", "                pass", {"never", "only"}),
+    ("marks are forgotten as they are told", MACHINE, "                changes.append(ManualDrain(due_id, True, self.manual_drains[name]))", "                pass", {"never", "only"}),
     # engine
     ("an upload that may have run is sent again", ENGINE, "or (ticket.may_have_run and self.classes[ticket.ask.class_name].effect is Effect.UNSAFE)", "", set()),
     ("what may have run is not noted", ENGINE, "ticket.may_have_run |= result not in NEVER_RAN", "pass", set()),
--- a/umberlead/configuration/objects_table.py
+++ b/umberlead/configuration/objects_table.py
@@ -80,10 +80,7 @@
     Raises:
         ConfigError: A value can't be used, or it names a class or plan that the settings don't have.
     """
-    if not settings.clients_mark_retries:
-        # The object API sends many blocks for one response, each with less time left: where retries are not
-        # marked, the scheduler would take the later blocks for a client's retries.
-        raise ConfigError("settings.callers.marksRetry", "must be true with the object front")
+    _check_retries_are_marked(settings)
     classes = {request_class.name: request_class for request_class in settings.classes}
     plan_by_bucket = _plan_by_bucket(keys, settings)
     read = _operation(keys, "read", classes)
@@ -113,6 +110,16 @@
     )
 
 
+def _check_retries_are_marked(settings: Settings) -> None:
+    """Check that clients mark retries.
+
+    The object API sends many blocks for one response, each with less time left: where retries are not marked,
+    the scheduler would take the later blocks for a client's retries.
+    """
+    if not settings.clients_mark_retries:
+        raise ConfigError("settings.callers.marksRetry", "must be true with the object front")
+
+
 def _operation(keys: Keys, name: str, classes: Mapping[str, RequestClass]) -> ObjectOperation:
     table = keys.table(name)
     class_name = table.text("class")
--- a/umberlead/configuration/rooms_table.py
+++ b/umberlead/configuration/rooms_table.py
@@ -54,7 +54,7 @@
         evidence_window_us: The time that evidence is looked back over.
         min_down_us: The shortest time that a zone is down.
         max_down_us: The longest time that a zone is down without a trial.
-        trial_interval_us: The time between two trials of a zone that is down.
+        trial_interval_us: The time between two trial requests to a zone that is down.
         recovery_us: The time in which a zone that is back gets its full load.
         retry_after_us: What clients are told to wait where no zone has capacity.
         retry_budget_ratio: The retries allowed, as a share of first attempts in 10 s; 0 for no bound.
--- a/umberlead/configuration/sources.py
+++ b/umberlead/configuration/sources.py
@@ -128,13 +128,8 @@
     Raises:
         ConfigError: The file can't be read, a table is unknown, or a value can't be used.
     """
-    import tomllib  # Only here: each import delays the start of a process on the platform.
-
     file = Path(path)
-    try:
-        values = tomllib.loads(file.read_text())
-    except (OSError, ValueError) as error:
-        raise ConfigError("UMBERLEAD_CONFIG", str(error)) from None
+    values = _read_toml(file)
     keys = Keys(values)
     keys.reject_unknown(OPERATOR_TABLES)
     log = keys.table("log")
@@ -167,6 +162,15 @@
     )
 
 
+def _read_toml(file: Path) -> dict[str, Any]:
+    import tomllib  # Only here: each import delays the start of a process on the platform.
+
+    try:
+        return tomllib.loads(file.read_text())
+    except (OSError, ValueError) as error:
+        raise ConfigError("UMBERLEAD_CONFIG", str(error)) from None
+
+
 def _common_config(keys: Keys, setting_values: dict[str, Any]) -> Config:
     """Return what both sources give in the same way, under the default name."""
     setting_keys = Keys(setting_values, "settings")
--- a/umberlead/membership/checks.py
+++ b/umberlead/membership/checks.py
@@ -253,6 +253,7 @@
         self._name_by_address: dict[Address, str] = {}
 
     def add(self, statement: EndpointStatement) -> None:
+        """Check one statement; of two with the same name the first counts."""
         endpoint = statement.endpoint
         position = statement.position
         name = endpoint.name
--- a/umberlead/membership/files.py
+++ b/umberlead/membership/files.py
@@ -117,6 +117,7 @@
         return os.path.relpath(path, self.main_path.parent)
 
     def add_problem(self, code: str, position: FilePosition, message: str) -> None:
+        """Record what keeps a file from being read."""
         self.file_set.problems.append(ListProblem(code, position, message))
 
     def read_file(self, path: Path, position: FilePosition) -> ParsedFile | None:
--- a/umberlead/membership/grammar.py
+++ b/umberlead/membership/grammar.py
@@ -157,13 +157,16 @@
     )
 
     def start(self, children: list[Any]) -> ParsedLine | None:
+        """Return the statement; None for an empty line."""
         return children[0] if children else None
 
     def digest(self, tokens: list[Token]) -> ParsedLine:
+        """Return a manifest's `file` statement."""
         path, digest = tokens
         return ParsedLine("file", (str(path), str(digest)), path.column or 1)
 
     def address(self, tokens: list[Token]) -> ParsedLine:
+        """Return an address, with its port checked."""
         (token,) = tokens
         host, _, port = str(token).rpartition(":")
         if not 0 < int(port) < 65536:
@@ -171,6 +174,7 @@
         return ParsedLine("address", (host.strip("[]").lower(), int(port)), token.column or 1)
 
     def server(self, children: list[Any]) -> ParsedLine:
+        """Return an endpoint, with its attributes checked."""
         name, *attributes = children
         values: dict[str, Any] = {}
         for key, value, column in attributes:
@@ -299,16 +303,17 @@
         self.closed = False
 
     def parse(self, text: str) -> ParsedFile:
+        """Parse the file's text."""
         lines = text.split("\n")
-        rest = lines.pop()
+        last_line = lines.pop()
         for number, line in enumerate(lines, 1):
             parsed = parse_line(line.rstrip("\r"))
             if parsed is not None:
                 self._add_line(number, parsed)
         end_line = len(lines) + 1
-        if rest:
+        if last_line:
             message = "the last line has no line end: perhaps half written"
-            self._add_problem("L103", self._position(end_line, len(rest) + 1), message)
+            self._add_problem("L103", self._position(end_line, len(last_line) + 1), message)
         if not self.closed:
             message = "there is no closing line 'end N': the file may be half written"
             self._add_problem("L102", self._position(end_line, 0), message)
--- a/umberlead/membership/list_merge.py
+++ b/umberlead/membership/list_merge.py
@@ -310,8 +310,7 @@
             self._removed_us.pop(name, None)
 
     def _record_readiness(self, now_us: int, name: str, merged: _MergedEndpoint | None) -> list[int]:
-        """Record whether a name is ready and for which shard; return the shards whose suppression may
-        change."""
+        """Record whether a name is ready, and for which shard; return the shards it matters to."""
         endpoint = merged.endpoint if merged is not None else None
         old_shard = self._shard_by_ready_name.get(name)
         new_shard = endpoint.shard if endpoint is not None and endpoint.status is EndpointStatus.UP else None
--- a/umberlead/membership/service.py
+++ b/umberlead/membership/service.py
@@ -1,7 +1,7 @@
-"""Watches lists and keeps the list in force: threads read and save, the event loop takes what they bring in
-one turn.
+"""Watches a list of endpoints and keeps the list in force.
 
-While a load runs, any number of wake-ups make one more load.
+Threads read and save; the event loop takes what they bring in one turn. While a load runs, any number of
+wake-ups make one more load.
 """
 
 import asyncio
@@ -124,13 +124,8 @@
         self._apply_to_front = apply_to_front
         gate = settings.gate.evaluate if settings.gate is not None else None
         self._loader = ListLoader(settings.main_path, shard_count, NameResolver(lookup), gate=gate)
-        observer_options = {"new_observer": new_observer} if new_observer is not None else {}
-        self._watcher = FolderWatcher(self._on_files_changed, log.warning, **observer_options)
-        self._snapshot_store: SnapshotStore | None = None
-        if settings.snapshot_path is not None:
-            self._snapshot_store = SnapshotStore(
-                settings.snapshot_path, clock, counters, log, self._latest_list
-            )
+        self._watcher = FolderWatcher(self._on_files_changed, log.warning, new_observer)
+        self._snapshot_store = self._new_snapshot_store()
         self._load_executor = ThreadPoolExecutor(1, "list")
         self._wake = asyncio.Event()
         self._watch_task: asyncio.Task[None] | None = None
@@ -138,6 +133,12 @@
         self._incomplete_since_seconds: float | None = None
         self._closed = False
 
+    def _new_snapshot_store(self) -> SnapshotStore | None:
+        path = self.settings.snapshot_path
+        if path is None:
+            return None
+        return SnapshotStore(path, self.clock, self.counters, self.log, self._latest_list)
+
     def load_first_list(self) -> None:
         """Load the first list, before anything listens; blocks.
 
--- a/umberlead/membership/watching.py
+++ b/umberlead/membership/watching.py
@@ -30,6 +30,7 @@
         self._on_change = on_change
 
     def on_any_event(self, event: FileSystemEvent) -> None:
+        """Pass on any event but one of reading; called by watchdog."""
         if event.event_type not in READ_EVENT_TYPES:
             self._on_change()
 
@@ -45,19 +46,19 @@
         self,
         on_change: Callable[[], None],
         log: Callable[..., Any],
-        new_observer: Callable[[], Any] = Observer,
+        new_observer: Callable[[], Any] | None = None,
     ) -> None:
         """Watch nothing yet.
 
         Args:
             on_change: Called from a thread of the watcher's, as often as it likes.
             log: Called with an event and its fields.
-            new_observer: Makes a watchdog observer.
+            new_observer: Makes a watchdog observer; watchdog's own by default.
         """
         self.is_polling = False
         self._event_handler = _EventHandler(on_change)
         self._log = log
-        self._new_observer = new_observer
+        self._new_observer = new_observer or Observer
         self._observer: Any = None
         self._watches: dict[Path, Any] = {}
         self._lock = threading.Lock()
