--- a/umberlead/recovery/discovery_pacing.py
+++ b/umberlead/recovery/discovery_pacing.py
@@ -106,7 +106,7 @@
             call.answered_quickly = connected_us is not None and now - connected_us <= AGENT_RESPONSE_US
 
     def record_status(self, call: WatchCall, status: int) -> None:
-        """Note the response's status: an agent never rejects a call, and a service is never quick."""
+        """Note the response's status: an agent rejects no call, and a service has a queue to answer first."""
         call.status = status
         if status != STATUS_OK:
             self.is_agent = False
--- a/umberlead/recovery/start_times.py
+++ b/umberlead/recovery/start_times.py
@@ -16,7 +16,7 @@
 
 
 class StartTimes:
-    """Converts starts from Unix time to this process's clock, each once: a repeated report changes nothing."""
+    """Converts starts from Unix time to the clock of this process; a repeated report changes nothing."""
 
     def __init__(self, ahead_us: Sequence[int] = ()) -> None:
         """Start with a clock that agrees with the wall clock.
--- a/umberlead/resource_limits.py
+++ b/umberlead/resource_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a process, from the descriptors and the memory that its configuration grants.
+"""Limits of a process, derived from the descriptors and the memory that its configuration grants.
 
 What the process uses before it serves is measured; the remainder is divided by fixed ratios.
 """
