--- a/umberlead/membership/list_merge.py
+++ b/umberlead/membership/list_merge.py
@@ -27,6 +27,8 @@
 from umberlead.membership.pending_list import NoPendingListError, PendingList, confirmation_problems
 from umberlead.scheduling.events import EndpointStatus
 
+SOURCES_BY_PRECEDENCE = tuple(sorted(Source))
+
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
@@ -246,7 +248,7 @@
         """Return what the sources say of a name, before flap damping; None where none lists it."""
         merged: EndpointSpec | None = None
         precedent = Source.DISCOVERY
-        for source in Source:
+        for source in SOURCES_BY_PRECEDENCE:
             listed = self._endpoints_by_source[source].get(name)
             if listed is None:
                 continue
