--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -140,7 +140,7 @@
     async def steps(setting: Setting) -> None:
         setting.client.sendall(get("a"))
         conn = await setting.requested(1)
-        setting.clients.close_after_reply = True
+        setting.clients.close_after_response = True
         setting.client.sendall(get("b"))
         conn.send_response(200, (), b"x")
         await setting.requested(2)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -131,7 +131,7 @@
 
     async def test() -> None:
         clients = ClientGroup(16, lambda: time.monotonic_ns() // 1000, Counters(), 0, 1 << 20, print)
-        clients.stopping = clients.close_after_reply = True
+        clients.stopping = clients.close_after_response = True
         listener, peak = _listener(clients)
         listener.disable_deferred_accept()
         came, loop = [_asks(listener.address) for _ in range(64)], asyncio.get_running_loop()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -96,7 +96,7 @@
         old = Listener(handler, clients, ("127.0.0.1", 0), loop, reuse_port=True)
         old.disable_deferred_accept()
         sockets = [socket.create_connection(old.address) for _ in range(3)]
-        clients.close_after_reply = True
+        clients.close_after_response = True
         new = Listener(handler, clients, old.address, loop, reuse_port=True)
         if code:
             real = old.socket
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -166,7 +166,7 @@
                 self.assertGreater(
                     of.client_connections, sockets // 3
                 )  # so many clients may hold for requests
-                heads = of.max_head_bytes * of.client_connections
+                heads = of.max_header_bytes * of.client_connections
                 self.assertLess(
                     26 << 20,
                     memory - of.request_body_bytes - of.response_bytes - heads - of.remembered_call_ids * 160,
--- a/umberlead/front.py
+++ b/umberlead/front.py
@@ -229,7 +229,7 @@
         )
         pool = self.pool
         pool.buffer_limit_bytes = limits.response_bytes
-        pool.max_header_bytes, pool.max_response_bytes = limits.max_head_bytes, limits.max_response_bytes
+        pool.max_header_bytes, pool.max_response_bytes = limits.max_header_bytes, limits.max_response_bytes
         pool.idle_timeout_us = int(conf.keepalive_us * IDLE_KEEPALIVE_RATIO)
         self.lifecycle.call_ids.max_remembered, self.syslog.max_queued_lines = (
             limits.remembered_call_ids,
@@ -241,11 +241,11 @@
             group.idle_timeout_us = conf.client_idle_timeout_us
             group.buffer_limit_bytes, group.max_header_bytes = (
                 limits.request_body_bytes // len(self.client_groups),
-                limits.max_head_bytes,
+                limits.max_header_bytes,
             )
         for _, group in self.admin_listeners:
             group.buffer_limit_bytes = MAX_BODY_BYTES
-            group.max_header_bytes = limits.max_head_bytes
+            group.max_header_bytes = limits.max_header_bytes
         if conf.object_api is not None:  # the operator's own cap holds below that
             objects = self.client_groups[-1]
             objects.buffer_limit_bytes = min(objects.buffer_limit_bytes, conf.object_api.memory_bytes)
@@ -512,7 +512,7 @@
             listener.disable_deferred_accept()
         for clients in self.client_groups:
             # What is closed here comes back to the other process.
-            clients.close_after_reply = self.process_count > 1
+            clients.close_after_response = self.process_count > 1
             clients.stopping = True
         max_timeout_us = max(request_class.timeout_us for request_class in self.config.settings.classes)
         kill_delay_us = min(max_timeout_us, MAX_KILL_DELAY_US) + KILL_DELAY_MARGIN_US
--- a/umberlead/frontends/admin_api.py
+++ b/umberlead/frontends/admin_api.py
@@ -135,7 +135,7 @@
 
     def handle_request(self, conn: ServerConnection, request: HttpRequest) -> None:
         """Answer a call, and close the connection."""
-        conn.close_after_reply = True
+        conn.close_after_response = True
         response = self._dispatch(request.method, request.split_target()[0].decode("latin-1"))
         conn.send_response(response.status, (b"Content-Type: text/plain; charset=utf-8",), response.body)
 
--- a/umberlead/net/client_connections.py
+++ b/umberlead/net/client_connections.py
@@ -11,7 +11,7 @@
 from umberlead.net.relay import BodySource
 from umberlead.net.socket_state import DISCONNECT_POLL_EVENTS
 from umberlead.net.timeouts import idle_timeout_us
-from umberlead.resource_limits import MAX_HEAD_BYTES
+from umberlead.resource_limits import MAX_HEADER_BYTES
 
 IDLE_EVICTION_THRESHOLD = 0.5  # of the slots; above it new connections end with their first response
 ACCEPT_GRACE_US = 100_000  # in which a new connection is not evicted: its request may be on the way
@@ -91,7 +91,7 @@
             call ids of its open requests.
         evicting_count: connections that were evicted and keep their slot for one more turn of the event loop.
         stopping: the process stops; established connections are still served.
-        close_after_reply: another process takes over, so connections end with their next response.
+        close_after_response: another process takes over, so connections end with their next response.
         rejecting: the process ends; further requests are rejected unread.
     """
 
@@ -121,12 +121,12 @@
         self.idle_timeout_us = idle_timeout_us
         self.buffer_limit_bytes = buffer_limit_bytes
         self.buffered_bytes = 0
-        self.max_header_bytes = MAX_HEAD_BYTES
+        self.max_header_bytes = MAX_HEADER_BYTES
         self.slots: SlotTable[ClientConnection] = SlotTable()
         self.evicting_count = 0
         self.on_capacity_shortage: Callable[[], None] = lambda: None
         self.on_close: Callable[[bool, str, str], None] | None = None
-        self.stopping = self.close_after_reply = self.rejecting = False
+        self.stopping = self.close_after_response = self.rejecting = False
 
     @property
     def count(self) -> int:
@@ -187,7 +187,7 @@
 
     def drain(self) -> None:
         """Close connections without a request now, and the others with their next response."""
-        self.close_after_reply = True
+        self.close_after_response = True
         for conn in self.slots:
             conn.close_if_idle()
 
@@ -197,7 +197,7 @@
         Requests that arrive or are partially read are rejected at once, and pipelined ones get a rejection
         each.
         """
-        self.rejecting = self.close_after_reply = True
+        self.rejecting = self.close_after_response = True
         for conn in self.slots:
             conn.begin_shutdown()
 
--- a/umberlead/net/connection_state.py
+++ b/umberlead/net/connection_state.py
@@ -24,7 +24,7 @@
         slot: index among the listener's connections; -1 before the connection has one.
         active_request: the request that is being responded to.
         ended: no further input is read or responded to.
-        close_after_reply: the connection closes after the present response.
+        close_after_response: the connection closes after the present response.
         served_count: number of responses given.
         closed: the transport is closed.
         client_disconnected: the client closed, reset or ended its sending, so no response is owed.
@@ -51,7 +51,7 @@
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.slot = -1
         self.active_request: HttpRequest | None = None
-        self.ended = self.close_after_reply = False
+        self.ended = self.close_after_response = False
         self.served_count = 0
         self.closed = self.evicted = self.client_disconnected = False
         self.state_since_us = 0
--- a/umberlead/net/endpoint_pool.py
+++ b/umberlead/net/endpoint_pool.py
@@ -13,7 +13,7 @@
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.send_guard import Denial
 from umberlead.requests.types import Attempt
-from umberlead.resource_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
+from umberlead.resource_limits import MAX_BODY_BYTES, MAX_HEADER_BYTES
 from umberlead.scheduling.events import AttemptResult
 
 IDLE_KEEPALIVE_RATIO = 0.6  # the endpoint may close at any time within its keepalive timeout
@@ -81,7 +81,7 @@
         self.buffer_limit_bytes = MAX_BODY_BYTES
         self.buffered_bytes = 0
         self.max_response_bytes = MAX_BODY_BYTES
-        self.max_header_bytes = MAX_HEAD_BYTES
+        self.max_header_bytes = MAX_HEADER_BYTES
         self.on_capacity_shortage: Callable[[], None] = lambda: None  # requests a higher limit
         self.dialer = Dialer(self)
 
--- a/umberlead/net/server_connection.py
+++ b/umberlead/net/server_connection.py
@@ -175,7 +175,7 @@
     def _start_request(self, request: HttpRequest) -> None:
         self.active_request = request
         if not request.keep_alive:
-            self.close_after_reply = True
+            self.close_after_response = True
         if self.clients.rejecting:
             self.rejected_target = request.target
             self.handler.reject(self, 503, "the front stops")
@@ -195,7 +195,7 @@
         self._rejection = None
         self.rejected_target = rejection.target
         self._pending_input.discard_all()
-        self.ended = self.close_after_reply = True
+        self.ended = self.close_after_response = True
         self.handler.reject(self, rejection.status, rejection.reason)
 
     # Responses
@@ -205,15 +205,15 @@
     ) -> list[bytes]:
         """Start the response to the active request, and return the pieces of its headers."""
         if self._closes_with_this_response() and not (self.has_more_input() or self.has_unread_request()):
-            self.close_after_reply = True
+            self.close_after_response = True
         self.response_status = status
         self.response_length = content_length or 0
         date_us = self.clients.clock() if self.handler.sends_date else None
-        return encode_response_headers(status, headers, content_length, date_us, self.close_after_reply)
+        return encode_response_headers(status, headers, content_length, date_us, self.close_after_response)
 
     def _closes_with_this_response(self) -> bool:
         first = not self.served_count
-        return self.clients.close_after_reply or (first and self.clients.above_idle_threshold())
+        return self.clients.close_after_response or (first and self.clients.above_idle_threshold())
 
     def send_response(
         self, status: int, headers: Iterable[bytes], body: bytes, content_length: int | None = None
@@ -252,7 +252,7 @@
             on_end: is called with whether all was written, unless the client disconnects.
         """
         self.chunked = ResponseRelay.uses_chunks(content_length, self.active_request)
-        self.close_after_reply |= content_length is None and not self.chunked
+        self.close_after_response |= content_length is None and not self.chunked
         coding = (b"Transfer-Encoding: chunked",) if self.chunked else ()
         relay = ResponseRelay(self, self.chunked, on_end)
         self.body_source = source
@@ -269,7 +269,7 @@
         self.state_since_us = self.clients.clock()
         if self.closed or self.client_disconnected:
             return
-        if self.close_after_reply:
+        if self.close_after_response:
             self.ended = True
             self.record_close(CloseReason.CONNECTION_CLOSE_SENT)
             self._pending_input.discard_all()
@@ -280,7 +280,7 @@
         self._parse_buffered_input()
         if self.clients.rejecting:
             self.begin_shutdown()
-        elif self.clients.close_after_reply:
+        elif self.clients.close_after_response:
             # Its response did not announce the end: what the client has sent since is still served.
             self.close_if_idle()
 
--- a/umberlead/resource_limits.py
+++ b/umberlead/resource_limits.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from umberlead.configuration import Config
 
-MAX_HEAD_BYTES = 16 * 1024  # of an HTTP message's head, where memory allows
-MIN_HEAD_BYTES = 2 * 1024
+MAX_HEADER_BYTES = 16 * 1024  # of an HTTP message's head, where memory allows
+MIN_HEADER_BYTES = 2 * 1024
 MAX_BODY_BYTES = 64 * 1024  # the platform protocol's
 CALL_ID_BYTES = 160  # of memory for a remembered call id, about
 LOG_LINE_BYTES = 512  # of memory for a queued log line, about
@@ -44,7 +44,7 @@
         request_body_bytes: of request bodies in memory, of all clients together.
         response_bytes: of endpoints' responses that are read whole, together.
         max_response_bytes: of one of them, where a front can't stream it.
-        max_head_bytes: of an HTTP message's head.
+        max_header_bytes: of an HTTP message's head.
         remembered_call_ids: call ids that are remembered to reject duplicates.
         queued_log_lines: log lines that wait to be written.
         open_requests: requests that are queued or at an endpoint.
@@ -56,7 +56,7 @@
     request_body_bytes: int
     response_bytes: int
     max_response_bytes: int
-    max_head_bytes: int
+    max_header_bytes: int
     remembered_call_ids: int
     queued_log_lines: int
     open_requests: int
@@ -134,7 +134,7 @@
     """
     connections = _divide_connections(max_descriptors - descriptors_in_use, listener_count)
     spare_bytes = max(memory_limit_bytes - memory_in_use_bytes, memory_limit_bytes // 16)
-    header_bytes = max(spare_bytes // 8 // (listener_count * connections.at_listener), MIN_HEAD_BYTES)
+    header_bytes = max(spare_bytes // 8 // (listener_count * connections.at_listener), MIN_HEADER_BYTES)
     return Limits(
         client_connections=connections.at_listener,
         endpoint_connections=connections.endpoint,
@@ -142,7 +142,7 @@
         request_body_bytes=max(spare_bytes // 2, 2 * MAX_BODY_BYTES),
         response_bytes=max(spare_bytes // 8, 2 * MAX_BODY_BYTES),
         max_response_bytes=max(spare_bytes // 32, MAX_BODY_BYTES),
-        max_head_bytes=min(header_bytes, MAX_HEAD_BYTES),
+        max_header_bytes=min(header_bytes, MAX_HEADER_BYTES),
         remembered_call_ids=max(spare_bytes // 16 // CALL_ID_BYTES, 1000),
         queued_log_lines=max(min(spare_bytes // 16 // LOG_LINE_BYTES, 2000), 50),
         open_requests=max(max_descriptors // DESCRIPTORS_PER_OPEN_REQUEST_COUNT, MIN_OPEN_REQUESTS),
