--- a/benchmarks/virtual_time.py
+++ b/benchmarks/virtual_time.py
@@ -83,7 +83,7 @@
     engine.transport = carrier = _Ends()
     if observed:
         seen: list[int] = []
-        engine.action_observer = lambda at, acts: seen.append(len(acts))
+        engine.decision_loop.action_observer = lambda at, acts: seen.append(len(acts))
     nodes = tuple(Endpoint(f"n{k}", EndpointStatus.UP, k % 8) for k in range(16))
     engine.apply_endpoint_list(EndpointList(True, nodes))
     reply, began = Reply(200), time.process_time()
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -205,7 +205,7 @@
             acts = handle(now, events)
             for act in acts:
                 if isinstance(act, Send):
-                    ticket = front.lifecycle.open_requests.get(int(act.request_id.partition(".")[0]))
+                    ticket = front.lifecycle.open_requests.find(act.request_id)
                     assert ticket is not None
                     seen += ticket.request.call_id[:1] in (b"", name.encode())  # an object's blocks have none
                     if seen == number and name in self.plain:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -50,7 +50,7 @@
 
     def cost(u: np.ndarray) -> float:
         miss = w @ (np.array(c.x) @ np.concatenate([u, y]) - TARGET_LATENCY_RATIO)
-        return float(miss @ miss + CONTROL_COST**2 * (u - c.rest) @ (u - c.rest))
+        return float(miss @ miss + CONTROL_COST**2 * (u - c.reference_shares) @ (u - c.reference_shares))
 
     u = np.array(c.law(y))
     assert np.isclose(u.sum(), 1.0)
--- a/umberlead/front.py
+++ b/umberlead/front.py
@@ -231,7 +231,7 @@
         pool.buffer_limit_bytes = limits.response_bytes
         pool.max_header_bytes, pool.max_response_bytes = limits.max_header_bytes, limits.max_response_bytes
         pool.idle_timeout_us = int(conf.keepalive_us * IDLE_KEEPALIVE_RATIO)
-        self.lifecycle.call_ids.max_remembered, self.syslog.max_queued_lines = (
+        self.lifecycle.open_requests.call_ids.max_remembered, self.syslog.max_queued_lines = (
             limits.remembered_call_ids,
             limits.queued_log_lines,
         )
--- a/umberlead/frontends/platform.py
+++ b/umberlead/frontends/platform.py
@@ -12,11 +12,11 @@
 from umberlead.net.http_message import HttpRequest
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.streaming import MAX_STREAM_BYTES
+from umberlead.requests.errors import DuplicateRequestError
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import (
     Answer,
     AnswerKind,
-    DuplicateRequestError,
     IncomingRequest,
     InFlightRequest,
 )
--- a/umberlead/requests/call_ids.py
+++ b/umberlead/requests/call_ids.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from umberlead.requests.types import DuplicateRequestError
+from umberlead.requests.errors import DuplicateRequestError
 
 RETENTION_US = 10_000_000  # at least that an id stays taken after its request came
 DEFAULT_MAX_REMEMBERED_COUNT = 20_000
--- /dev/null
+++ b/umberlead/requests/decision_loop.py
@@ -0,0 +1,88 @@
+"""Hands events to the scheduler batch by batch, and its actions on requests to who carries them out."""
+
+import traceback
+from collections.abc import Callable
+from typing import Any
+
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import TimerWheel
+from umberlead.requests.open_requests import OpenRequests
+from umberlead.requests.types import InFlightRequest
+from umberlead.scheduling.actions import Action, Cancel, Fail, LogNote, Reject, Send, SetTimer
+from umberlead.scheduling.events import Event, TimerExpired
+from umberlead.scheduling.scheduler import Scheduler
+
+RequestAction = Send | Reject | Fail | Cancel
+
+
+class DecisionLoop:
+    """Events of one turn of the event loop make one batch.
+
+    Attributes:
+        action_observer: is called with the time and actions of each decision.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        open_requests: OpenRequests,
+        carry_out: Callable[[InFlightRequest, RequestAction], None],
+        clock: Callable[[], int],
+        wheel: TimerWheel,
+        call_soon: Callable[[Callable[[], None]], Any],
+        counters: Counters,
+        log: Callable[..., None],
+    ) -> None:
+        """Begin without events.
+
+        Args:
+            scheduler: decides.
+            open_requests: those that actions name.
+            carry_out: carries out an action on an open request.
+            clock: tells microseconds.
+            wheel: holds the scheduler's timers.
+            call_soon: calls back in the next turn of the event loop.
+            counters: of the process.
+            log: takes an event's name and its fields.
+        """
+        self.action_observer: Callable[[int, list[Action]], None] | None = None
+        self._scheduler = scheduler
+        self._open_requests = open_requests
+        self._carry_out = carry_out
+        self._clock = clock
+        self._wheel = wheel
+        self._call_soon = call_soon
+        self._counters = counters
+        self._log = log
+        self._events: list[Event] = []
+
+    def post(self, event: Event) -> None:
+        """Let the scheduler take an event in the next turn."""
+        if not self._events:
+            self._call_soon(self._decide)
+        self._events.append(event)
+
+    def _decide(self) -> None:
+        events = self._events
+        self._events = []
+        now_us = self._clock()
+        try:
+            actions = self._scheduler.handle(now_us, events)
+        except Exception:  # open requests are still answered at their deadlines
+            self._counters.add("module_errors")
+            self._log("module_error", trace=traceback.format_exc())
+            return
+        if self.action_observer is not None:
+            self.action_observer(now_us, actions)
+        # All requests are found before any action is carried out: at one of them its client may turn out to
+        # have left, with other requests of its own, and each Send is owed an outcome.
+        for action, request in [(action, self._request_of(action)) for action in actions]:
+            if isinstance(action, SetTimer):
+                self._wheel.call_at(now_us + action.delay_us, self.post, TimerExpired(action.label))
+            elif isinstance(action, LogNote):
+                self._log("module_note", text=action.text)
+            elif isinstance(action, RequestAction) and request is not None:
+                self._carry_out(request, action)
+
+    def _request_of(self, action: Action) -> InFlightRequest | None:
+        return self._open_requests.find(action.request_id) if isinstance(action, RequestAction) else None
--- a/umberlead/requests/lifecycle.py
+++ b/umberlead/requests/lifecycle.py
@@ -5,16 +5,15 @@
 is known here.
 """
 
-import traceback
 from collections.abc import Callable
 from typing import Any
 
 from umberlead.common.counters import Counters
-from umberlead.common.errors import UmberleadError
-from umberlead.common.slot_table import SlotTable
 from umberlead.common.timer_wheel import TimerWheel
-from umberlead.requests.call_ids import RecentCallIds
+from umberlead.requests.decision_loop import DecisionLoop, RequestAction
+from umberlead.requests.errors import DuplicateRequestError, SecondOutcomeError, UnknownClassOrPlanError
 from umberlead.requests.invariants import InvariantChecker
+from umberlead.requests.open_requests import OpenRequests
 from umberlead.requests.send_guard import Denial, SendGuard
 from umberlead.requests.types import (
     RESULTS_WITHOUT_EFFECT,
@@ -22,7 +21,6 @@
     AnswerKind,
     Attempt,
     DecisionObserver,
-    DuplicateRequestError,
     IncomingRequest,
     InFlightRequest,
     Rejection,
@@ -30,19 +28,15 @@
     RequestHooks,
     Transport,
 )
-from umberlead.scheduling.actions import Action, Cancel, Fail, LogNote, Reject, Send, SetTimer
+from umberlead.scheduling.actions import Cancel, Fail, Reject, Send
 from umberlead.scheduling.events import (
     AttemptResult,
     ClientDisconnected,
     EndpointList,
-    EndpointStatus,
-    Event,
     ManualDrain,
     OpenRequestLimit,
     Outcome,
     ProcessShare,
-    Request,
-    TimerExpired,
 )
 from umberlead.scheduling.scheduler import Scheduler
 from umberlead.scheduling.settings import Repeatability, Settings
@@ -50,14 +44,6 @@
 DECISION_GRACE_US = 10_000  # after a request's deadline, by which it is answered in the scheduler's place
 
 
-class UnknownClassOrPlanError(UmberleadError, ValueError):
-    """A request of a class or plan that the settings don't have; the text names both."""
-
-
-class SecondOutcomeError(UmberleadError, RuntimeError):
-    """An attempt ended twice; the text names it."""
-
-
 class RequestLifecycle:
     """Owns the open requests, from their acceptance to their one final answer.
 
@@ -66,11 +52,10 @@
         classes: the settings' classes, by name.
         scheduler: decides who is sent where and when.
         open_requests: those that are not answered or have an attempt in flight.
-        call_ids: the ids of requests that came lately.
         transport: carries attempts; set before the first request.
         hooks: see requests, outcomes and answers.
         decision_observer: sees endpoint lists and attempts, and may change the former.
-        action_observer: is called with the time and actions of each decision.
+        decision_loop: hands events to the scheduler.
         trace_log: takes a line for each attempt.
         unanswered_count: requests accepted and not answered.
         answer_counts: answers, by kind and class.
@@ -112,11 +97,9 @@
         self.classes = {cls.name: cls for cls in settings.classes}
         self.plans = {plan.name for plan in settings.plans}
         self.scheduler = Scheduler(settings, seed, clock())
-        self.open_requests: SlotTable[InFlightRequest] = SlotTable()
-        self.call_ids = RecentCallIds(clock)
+        self.open_requests = OpenRequests(clock)
         self.transport: Transport | None = None
         self.decision_observer: DecisionObserver | None = None
-        self.action_observer: Callable[[int, list[Action]], None] | None = None
         self.trace_log: Callable[..., None] | None = None
         self.unanswered_count = 0
         self.stopping = False
@@ -125,9 +108,10 @@
             self.classes, settings.max_attempts, clock, self.accepts_new_requests, self.client_waits
         )
         self.invariants = InvariantChecker(settings, clock, counters, log)
-        self._events: list[Event] = []
-        self._accepted_count = 0
-        self._open_by_call_id: dict[bytes, InFlightRequest] = {}
+        self.decision_loop = DecisionLoop(
+            self.scheduler, self.open_requests, self._carry_out, clock, wheel, soon, counters, log
+        )
+        self._post = self.decision_loop.post
 
     # From the frontends
 
@@ -140,14 +124,11 @@
         """
         if incoming.class_name not in self.classes or incoming.plan not in self.plans:
             raise UnknownClassOrPlanError(f"unknown class or plan: {incoming.class_name}, {incoming.plan}")
-        if incoming.call_id:
-            self._take_call_id(incoming.call_id)
-        request = InFlightRequest(incoming, on_answer, accepted_us=self.clock())
-        if incoming.call_id:
-            self._open_by_call_id[incoming.call_id] = request
-        request.slot = self.open_requests.add(request)
-        self._accepted_count += 1
-        request.id = f"{request.slot}.{self._accepted_count}"
+        try:
+            request = self.open_requests.add(incoming, on_answer)
+        except DuplicateRequestError:
+            self.counters.add("requests_duplicate")
+            raise
         self.counters.add("requests_taken")
         self.unanswered_count += 1
         rejection = self._rejection_of(request)
@@ -158,16 +139,9 @@
             self._answer(request, answer)
             return request
         request.timer = self.wheel.call_at(incoming.deadline_us, self._on_deadline, request)
-        self._post(self._arrival_of(request))
+        self._post(incoming.to_event(request.id))
         return request
 
-    def _take_call_id(self, call_id: bytes) -> None:
-        try:
-            self.call_ids.take(call_id, call_id in self._open_by_call_id)
-        except DuplicateRequestError:
-            self.counters.add("requests_duplicate")
-            raise
-
     def _rejection_of(self, request: InFlightRequest) -> Rejection | None:
         """Return why a request is rejected as it comes; None where it is not."""
         reason = self.hooks.on_request(request) if self.hooks else None
@@ -177,22 +151,6 @@
             return None
         return reason if isinstance(reason, Rejection) else Rejection(reason or "no time left")
 
-    @staticmethod
-    def _arrival_of(request: InFlightRequest) -> Request:
-        incoming = request.request
-        return Request(
-            request.id,
-            incoming.key,
-            incoming.volume,
-            incoming.deadline_us,
-            incoming.shard,
-            incoming.units,
-            incoming.class_name,
-            incoming.plan,
-            incoming.volume_front_count,
-            incoming.is_client_retry,
-        )
-
     def client_left(self, request: InFlightRequest) -> None:
         """Take note that a request's client left: nothing is owed.
 
@@ -325,25 +283,16 @@
 
     def accepts_new_requests(self, endpoint: str) -> bool:
         """Tell whether the list as it stands, and operators, let anything new begin at an endpoint."""
-        directory = self.scheduler.directory
-        state = directory.endpoints.get(endpoint)
-        is_up = state is not None and state.endpoint.status is EndpointStatus.UP
-        return is_up and endpoint not in directory.manual_drains
+        return self.scheduler.directory.accepts_new_requests(endpoint)
 
     def endpoint_summary(self) -> tuple[int, int]:
         """Return how many endpoints are listed, and how many of them are drained by hand or ejected."""
         directory = self.scheduler.directory
-        now_us = self.scheduler.now_us
-        avoided_count = sum(
-            name in directory.manual_drains or state.ejected_until_us > now_us
-            for name, state in directory.endpoints.items()
-        )
-        return len(directory.endpoints), avoided_count
+        return len(directory.endpoints), directory.avoided_count(self.scheduler.now_us)
 
     def knows_endpoint(self, endpoint: str) -> bool:
         """Tell whether an endpoint is listed or drained by hand."""
-        directory = self.scheduler.directory
-        return endpoint in directory.endpoints or endpoint in directory.manual_drains
+        return self.scheduler.directory.knows(endpoint)
 
     # From the transport
 
@@ -369,59 +318,12 @@
             self._answer(request, Answer(AnswerKind.SERVED, reply, may_have_run=True))
         elif request.abandoned and not request.answered:
             self._answer_abandoned(request)
-        self._post(
-            Outcome(
-                request.id,
-                attempt.endpoint,
-                attempt.number,
-                result,
-                elapsed_us,
-                request.answered,
-                reply.load_report,
-                reply.used_rate_percent,
-                reply.units_elsewhere,
-                attempt.misdirected,
-            )
-        )
+        self._post(attempt.to_outcome(result, elapsed_us, reply))
         self._release(request)
 
-    # To and from the scheduler
+    # From the scheduler
 
-    def _post(self, event: Event) -> None:
-        """Events of one turn of the loop make one batch."""
-        if not self._events:
-            self.call_soon(self._decide)
-        self._events.append(event)
-
-    def _decide(self) -> None:
-        events = self._events
-        self._events = []
-        now_us = self.clock()
-        try:
-            actions = self.scheduler.handle(now_us, events)
-        except Exception:  # open requests are still answered: `_on_deadline` sees to it
-            self.counters.add("module_errors")
-            self.log("module_error", trace=traceback.format_exc())
-            return
-        if self.action_observer is not None:
-            self.action_observer(now_us, actions)
-        # All requests are found before any action is carried out: at one of them its client may turn out to
-        # have left, with other requests of its own, and each Send is owed an outcome.
-        for action, request in [(action, self._request_of(action)) for action in actions]:
-            if isinstance(action, SetTimer):
-                self.wheel.call_at(now_us + action.delay_us, self._post, TimerExpired(action.label))
-            elif isinstance(action, LogNote):
-                self.log("module_note", text=action.text)
-            elif isinstance(action, Send | Reject | Fail | Cancel) and request is not None:
-                self._carry_out(request, action)
-
-    def _request_of(self, action: Action) -> InFlightRequest | None:
-        if not isinstance(action, Send | Reject | Fail | Cancel):
-            return None
-        request = self.open_requests.get(int(action.request_id.partition(".")[0]))
-        return request if request is not None and request.id == action.request_id else None
-
-    def _carry_out(self, request: InFlightRequest, action: Send | Reject | Fail | Cancel) -> None:
+    def _carry_out(self, request: InFlightRequest, action: RequestAction) -> None:
         if isinstance(action, Send):
             self._send(request, action.endpoint)
         elif isinstance(action, Cancel):
@@ -517,12 +419,9 @@
         self.answer_counts[kind, class_name] += 1
 
     def _release(self, request: InFlightRequest) -> None:
-        if not request.answered or request.attempt is not None:
-            return
-        if self.open_requests.get(request.slot) is not request:
+        if not request.answered or request.attempt is not None or not self.open_requests.is_open(request):
             return
         if request.timer is not None:
             request.timer.cancel()
-        self._open_by_call_id.pop(request.request.call_id, None)
-        self.open_requests.free(request.slot)
+        self.open_requests.remove(request)
         self.invariants.forget_request(request)
--- /dev/null
+++ b/umberlead/requests/open_requests.py
@@ -0,0 +1,62 @@
+"""The open requests of a front: by slot, by the scheduler's id, and by their clients' call id."""
+
+from collections.abc import Callable, Iterator
+
+from umberlead.common.slot_table import SlotTable
+from umberlead.requests.call_ids import RecentCallIds
+from umberlead.requests.types import Answer, IncomingRequest, InFlightRequest
+
+
+class OpenRequests:
+    """Requests that are not answered or have an attempt in flight.
+
+    Attributes:
+        call_ids: the ids of requests that came lately.
+    """
+
+    def __init__(self, clock: Callable[[], int]) -> None:
+        """Begin without requests; `clock` tells microseconds."""
+        self.call_ids = RecentCallIds(clock)
+        self._clock = clock
+        self._slots: SlotTable[InFlightRequest] = SlotTable()
+        self._by_call_id: dict[bytes, InFlightRequest] = {}
+        self._added_count = 0
+
+    def add(self, incoming: IncomingRequest, on_answer: Callable[[Answer], None]) -> InFlightRequest:
+        """Open a request.
+
+        Raises:
+            DuplicateRequestError: its call id is another's.
+        """
+        call_id = incoming.call_id
+        if call_id:
+            self.call_ids.take(call_id, call_id in self._by_call_id)
+        request = InFlightRequest(incoming, on_answer, accepted_us=self._clock())
+        if call_id:
+            self._by_call_id[call_id] = request
+        request.slot = self._slots.add(request)
+        self._added_count += 1
+        request.id = f"{request.slot}.{self._added_count}"
+        return request
+
+    def find(self, request_id: str) -> InFlightRequest | None:
+        """Return the open request by an id; None where it is not open any longer."""
+        request = self._slots.get(int(request_id.partition(".")[0]))
+        return request if request is not None and request.id == request_id else None
+
+    def is_open(self, request: InFlightRequest) -> bool:
+        """Tell whether a request is open."""
+        return self._slots.get(request.slot) is request
+
+    def remove(self, request: InFlightRequest) -> None:
+        """Close a request."""
+        self._by_call_id.pop(request.request.call_id, None)
+        self._slots.free(request.slot)
+
+    def __len__(self) -> int:
+        """Return how many are open."""
+        return len(self._slots)
+
+    def __iter__(self) -> Iterator[InFlightRequest]:
+        """Iterate over those that are open now; closing one on the way is allowed."""
+        return iter(self._slots)
--- a/umberlead/requests/types.py
+++ b/umberlead/requests/types.py
@@ -1,7 +1,7 @@
-"""Requests, attempts and answers as the engine, the fronts and the carriers of attempts share them.
+"""Requests, attempts and answers, as frontends, the request lifecycle and the transport share them.
 
 Plain records and the protocols between them: nothing is decided here. All times are whole microseconds of the
-engine's clock.
+lifecycle's clock.
 """
 
 from collections.abc import Callable
@@ -10,30 +10,23 @@
 from typing import Any, Protocol
 
 from umberlead.common.timer_wheel import Timer
-from umberlead.scheduling.events import AttemptResult, EndpointList
+from umberlead.scheduling.events import AttemptResult, EndpointList, Outcome, Request
 
-RESULTS_WITHOUT_EFFECT = (
-    AttemptResult.REJECTED,
-    AttemptResult.CONNECT_FAILED,
-    AttemptResult.NOT_SENT,
-)  # outcomes that prove that nothing ran
-
-
-class DuplicateRequestError(ValueError):
-    """The name of a request that is open, or was a moment ago."""
+# Results that prove that an attempt never ran.
+RESULTS_WITHOUT_EFFECT = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 
 
 class AnswerKind(Enum):
     """What a final answer tells its client."""
 
     SERVED = "served"
-    REJECTED = "refused"  # trying again is harmless
+    REJECTED = "refused"  # a retry is harmless
     FAILED = "failed"
 
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A request as a front took it.
+    """A request as a frontend received it.
 
     Attributes:
         class_name: its class, by the name in the settings.
@@ -42,13 +35,13 @@
         key: the piece of data; None where it names none.
         shard: the shard that holds the data; -1 for a new object.
         units: its size.
-        give_up: when its client stops waiting.
-        payload: for the carrier alone.
-        writers: through how many fronts its volume works.
-        repeat: whether the client marked it as a further try.
-        name: the client's own name for it; one request at a time may bear it.
-        streams: whether the front can pass on a long answer as it comes.
-        left: looks whether its client has left; the front acts on it at once.
+        deadline_us: when its client gives up.
+        payload: for the transport alone.
+        volume_front_count: through how many fronts its volume works.
+        is_client_retry: whether its client marked it as a retry.
+        call_id: the client's own name for it; one request at a time may bear it.
+        accepts_stream: whether the frontend can forward a long answer as it comes.
+        client_has_left: looks whether its client has left; the frontend acts on it at once.
     """
 
     class_name: str
@@ -65,19 +58,35 @@
     accepts_stream: bool = False
     client_has_left: Callable[[], bool] | None = None
 
+    def to_event(self, request_id: str) -> Request:
+        """Return the scheduler's event for it."""
+        return Request(
+            request_id,
+            self.key,
+            self.volume,
+            self.deadline_us,
+            self.shard,
+            self.units,
+            self.class_name,
+            self.plan,
+            self.volume_front_count,
+            self.is_client_retry,
+        )
+
 
 @dataclass(slots=True)
 class Reply:
-    """What a carrier brought back for one attempt.
+    """What the transport brought back for one attempt.
 
     Attributes:
-        status: the carrier's own status of it.
+        status: the transport's own status of it.
         body: the body, or its first bytes.
-        load: the chunk server's load report.
-        used: 1 + percent of the plan's rate served for the volume in a past period; 0 where not told.
-        elsewhere: units served there for the volume through other fronts.
-        rest: the carrier's own, where more of the body comes; the front calls `Engine.relayed` at its end.
-        length: of the whole body, where that is known.
+        load_report: the endpoint's figures.
+        used_rate_percent: 1 + percent of the plan's rate served for the volume in an earlier period; 0:
+        unknown. units_elsewhere: units served there for the volume through other fronts.
+        stream: the transport's own, where more of the body comes; the frontend calls
+            `RequestLifecycle.stream_ended` at its end.
+        body_length: of the complete body in bytes, where that is known.
     """
 
     status: int = 0
@@ -95,10 +104,10 @@
 
     Attributes:
         kind: what it tells the client.
-        reply: of the chunk server that served it.
-        retry_after: when to come back, in microseconds; 0 gives no advice.
+        reply: of the endpoint that served it.
+        retry_after_us: when to come back; 0 gives no advice.
         may_have_run: whether the request may have taken effect.
-        reason: why it was refused, for the client and the log.
+        reason: why it was rejected, for the client and the log.
     """
 
     kind: AnswerKind
@@ -110,22 +119,22 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request in its slot, from `Engine.take` to its answer and the end of its last attempt.
+    """An open request, from its acceptance to its answer and the end of its last attempt.
 
     Attributes:
-        ask: the request as the front took it.
-        done: is called once, with the answer.
-        slot: its place among the engine's open requests.
-        id: its name between the engine and the module.
-        tries: attempts begun.
-        out: the attempt that is out.
+        request: as the frontend received it.
+        on_answer: is called once, with the answer.
+        slot: its place among the open requests.
+        id: its name between the lifecycle and the scheduler.
+        attempt_count: attempts begun.
+        attempt: the attempt in flight.
         may_have_run: whether an attempt may have run.
         last_result: how its latest attempt ended.
         answered: whether nothing is owed any longer.
-        notes: what plug-ins noted.
-        forsaken: its client left, and its front keeps account of what ran: no further attempt.
-        left_at: when its client was seen to have left; 0 while it waits.
-        taken: when it was taken.
+        annotations: what plug-ins noted.
+        abandoned: its client left, and its frontend keeps account of what ran: no further attempt.
+        client_left_us: when its client was seen to have left; 0 while it waits.
+        accepted_us: when it was accepted.
         timer: its deadline's.
     """
 
@@ -147,18 +156,18 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to a node.
+    """One attempt of a request at an endpoint.
 
     Attributes:
-        ticket: the request.
+        request: the request.
         number: from 0.
-        node: where it goes.
-        sent: when it was begun.
-        give_up: until when it may take.
-        once: in doubt whether it ran, it can't be sent again.
-        again: its connection broke before it was written, and another was tried.
-        astray: the node had no use for it, now or later.
-        carried: the carrier's own.
+        endpoint: where it is sent.
+        started_us: when it was begun.
+        deadline_us: until when it may take.
+        must_not_repeat: whether it can't be attempted again once it may have run.
+        reconnected: its connection broke before it was written, and another was tried.
+        misdirected: the endpoint had no use for it, now or later.
+        transport_state: the transport's own.
     """
 
     request: InFlightRequest
@@ -171,36 +180,56 @@
     misdirected: bool = False
     transport_state: Any = None
 
+    def to_outcome(self, result: AttemptResult, elapsed_us: int, reply: Reply) -> Outcome:
+        """Return the scheduler's event for its end."""
+        return Outcome(
+            self.request.id,
+            self.endpoint,
+            self.number,
+            result,
+            elapsed_us,
+            self.request.answered,
+            reply.load_report,
+            reply.used_rate_percent,
+            reply.units_elsewhere,
+            self.misdirected,
+        )
+
 
 class Transport(Protocol):
-    """Carries attempts to nodes."""
+    """Carries attempts to endpoints."""
 
     def start(self, attempt: Attempt) -> None:
-        """Send it; `Engine.ended` is owed once."""
+        """Send it; `RequestLifecycle.attempt_ended` is owed once."""
 
     def stop(self, attempt: Attempt, why: AttemptResult) -> None:
-        """Give it up; `Engine.ended` is owed all the same."""
+        """Give it up; `RequestLifecycle.attempt_ended` is owed all the same."""
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
         """Keep an attempt that nobody waits for from being sent.
 
-        Unless it is all on its way to the node it ends as `moot`, and that is True.
+        Unless all of it is on its way to the endpoint it ends as NOT_SENT, and that is True.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A refusal at once, with when to come back in microseconds."""
+    """A request is rejected as it comes.
+
+    Attributes:
+        reason: for the client and the log.
+        retry_after_us: when to come back; 0 gives no advice.
+    """
 
     reason: str
     retry_after_us: int = 0
 
 
 class RequestHooks(Protocol):
-    """Who sees requests, outcomes and answers."""
+    """Sees requests, outcomes and answers."""
 
     def on_request(self, ticket: InFlightRequest) -> "str | Rejection | None":
-        """Return a reason to refuse it, or None."""
+        """Return a reason to reject it, or None."""
 
     def on_outcome(self, ticket: InFlightRequest, node: str, result: AttemptResult, elapsed: int) -> None:
         """Take note of an attempt's end."""
@@ -210,10 +239,10 @@
 
 
 class DecisionObserver(Protocol):
-    """Who is told of more than hooks are, and may change what the module is told of the list."""
+    """Sees more than hooks do, and may change what the scheduler is told of the endpoint list."""
 
     def on_endpoint_list(self, news: EndpointList) -> EndpointList:
-        """Return what the module is told in place of `news`."""
+        """Return the list that the scheduler gets in its place."""
 
     def on_attempt(self, ticket: InFlightRequest, node: str) -> None:
         """Take note of an attempt that begins."""
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -86,7 +86,7 @@
         self._now: dict[str, EndpointSpec] = dict(listing.endpoints)
         self._lists = 0
         if explain:
-            self.engine.action_observer = self._observe
+            self.engine.decision_loop.action_observer = self._observe
         self._notes: dict[str, str] = {}
 
     def _alarm(self, delay: int, what: Callable[[], None]) -> Alarm:
@@ -189,7 +189,7 @@
         """What the module saw of the candidates as it sent or refused."""
         for act in acts:
             if isinstance(act, Send | Reject | Fail):
-                ticket = self.engine.open_requests.get(int(act.request_id.partition(".")[0]))
+                ticket = self.engine.open_requests.find(act.request_id)
                 if ticket is not None and isinstance(ticket.request.payload, Life):
                     self._notes[ticket.request.payload.id] = self._saw(
                         ticket.request.shard, ticket.request.units
--- a/umberlead/scheduling/controller.py
+++ b/umberlead/scheduling/controller.py
@@ -22,7 +22,9 @@
     def __init__(self, weights: list[float]) -> None:
         """Begin with the shares that the plans' weights give."""
         n = self.n = len(weights)
-        self.share = self.rest = self.w = [w / sum(weights) for w in weights]  # W has them on its diagonal
+        self.share = self.reference_shares = self.w = [
+            w / sum(weights) for w in weights
+        ]  # W has them on its diagonal
         self.y = [1.0] * n
         self.x = [minus + [0.0] * n for minus in la.diagonal(n, -1.0)]  # [B0 A1]
         self.info = la.diagonal(2 * n, INITIAL_INFORMATION)
@@ -52,7 +54,8 @@
         s = la.inverse(la.gram(b, self.w, CONTROL_COST**2))
         miss = [w * w * (TARGET_LATENCY_RATIO - seen) for w, seen in zip(self.w, la.times(a, y), strict=True)]
         pull = [
-            v + CONTROL_COST**2 * r for v, r in zip(la.times(la.transposed(b), miss), self.rest, strict=True)
+            v + CONTROL_COST**2 * r
+            for v, r in zip(la.times(la.transposed(b), miss), self.reference_shares, strict=True)
         ]
         free, sums = la.times(s, pull), [sum(row) for row in s]
         return [u - (sum(free) - 1) / sum(sums) * t for u, t in zip(free, sums, strict=True)]
--- a/umberlead/scheduling/endpoint_directory.py
+++ b/umberlead/scheduling/endpoint_directory.py
@@ -125,6 +125,23 @@
             self._add(replace(state.endpoint, started_us=now_us), now_us)
         return [state.endpoint.shard, ANY_SHARD]
 
+    def accepts_new_requests(self, name: str) -> bool:
+        """Tell whether the list as it stands, and operators, let anything new begin at an endpoint."""
+        state = self.endpoints.get(name)
+        is_up = state is not None and state.endpoint.status is EndpointStatus.UP
+        return is_up and name not in self.manual_drains
+
+    def knows(self, name: str) -> bool:
+        """Tell whether an endpoint is listed or drained by hand."""
+        return name in self.endpoints or name in self.manual_drains
+
+    def avoided_count(self, now_us: int) -> int:
+        """Return how many listed endpoints are drained by hand or ejected."""
+        return sum(
+            name in self.manual_drains or state.ejected_until_us > now_us
+            for name, state in self.endpoints.items()
+        )
+
     def record_demand(self, shard: int, units: float) -> None:
         """Note that `units` are asked of a shard."""
         if shard >= 0:
--- a/umberlead/scheduling/scheduler.py
+++ b/umberlead/scheduling/scheduler.py
@@ -42,16 +42,13 @@
 from umberlead.scheduling.ordered_requests import OrderedRequests
 from umberlead.scheduling.pending_request import PendingRequest
 from umberlead.scheduling.placements import Placements
+from umberlead.scheduling.priorities import Priorities
 from umberlead.scheduling.rate_limits import RateLimits
 from umberlead.scheduling.retries import RetryPolicy, is_harmless_to_repeat
 from umberlead.scheduling.settings import Repeatability, Settings, validate_settings
 
 CONTROL_INTERVAL_US = 500_000  # the paper's interval for its file server
 VOLUME_RETENTION_US = 10_000_000  # of a silent volume: longer than its entitlement takes to fill
-MIN_SIZE_RATIO = 0.5  # of a mean request's time, least that a smaller request is expected to take
-MAX_EXPECTED_LATENCY_RATIO = 0.9  # of the objective, so that on arrival every request has a chance
-RELAXED_LATENCY_RATIO = 0.5  # of the target latency, up to which an endpoint takes requests that can wait
-DEFERRABLE_LATENCIES_COUNT = 6  # target latencies before its objective, up to which a request can wait
 DEFERRAL_DIVISOR_COUNT = 4  # parts of the target latency after which a deferred request is tried again
 UNCERTAIN_RESULTS = (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
 
@@ -87,12 +84,12 @@
         self.placements = Placements()
         self.queues: dict[int, FairQueue] = {}
         self.rate_limits = RateLimits(settings, now_us)
+        self.priorities = Priorities(settings, self.controller, self.rate_limits)
         self.admission = AdmissionControl(settings)
         self.retries = RetryPolicy(settings)
         self.ordered = OrderedRequests()
         self.load_shedder = LoadShedder()
         self.open_request_count = 0
-        self._max_priority = self._highest_priority()
         self._timers: list[Timer] = []
         self._timer_due_us = 0  # of the timer that the caller was last asked for
         self._sequence_numbers = count()
@@ -101,10 +98,6 @@
         self._schedule(now_us + CONTROL_INTERVAL_US, self._run_control_interval)
         self._schedule(now_us + VOLUME_RETENTION_US, self._prune)
 
-    def _highest_priority(self) -> float:
-        highest_weight = max(cls.priority_weight for cls in self.settings.classes)
-        return highest_weight * max(plan.priority_factor for plan in self.settings.plans) or 1.0
-
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         """Take one batch of events, all at `now_us`; return the actions to carry out, in order."""
         self.now_us = now_us
@@ -203,7 +196,9 @@
             self._enqueue(pending)
 
     def _enqueue(self, pending: PendingRequest) -> None:
-        self.load_shedder.add(pending, self._priority(pending, self._is_entitled(pending)))
+        self.load_shedder.add(
+            pending, self.priorities.priority(pending, self.priorities.is_entitled(pending, self.now_us))
+        )
         shard = pending.shard
         volume = pending.request.volume
         queue = self.queues.get(shard)
@@ -222,24 +217,6 @@
             queue.tag_volume(volume)
             self._shards_to_dispatch[shard] = None
 
-    def _is_entitled(self, pending: PendingRequest) -> bool:
-        """Tell whether its volume is still owed the units of a request."""
-        entitlement = self.rate_limits[pending.request.volume].entitlement
-        units = min(pending.request.units, entitlement.capacity_units)
-        return not entitlement.wait_us(self.now_us, units)
-
-    def _priority(self, pending: PendingRequest, entitled: bool) -> float:
-        """Return what a unit of a request is worth, to 1; beyond its entitlement, by its plan's share."""
-        settings = self.settings
-        plan_share = self.controller.share[pending.plan_index] / self.controller.rest[pending.plan_index]
-        entitlement_factor = 1.0
-        if not entitled:
-            entitlement_factor = (
-                (settings.within_share_factor + settings.beyond_share_factor) / 2 * plan_share
-            )
-        plan_factor = settings.plans[pending.plan_index].priority_factor
-        return entitlement_factor * pending.request_class.priority_weight * plan_factor / self._max_priority
-
     # Sending
 
     def _request_dispatch(self, shards: Iterable[int]) -> None:
@@ -271,9 +248,9 @@
             self._schedule(selection.ready_at_us, self._request_dispatch, (shard,))
             return False
         limited_us = self.rate_limits.wait_us(pending, self.now_us)
-        entitled = self._is_entitled(pending)
-        priority = self._priority(pending, entitled)
-        if limited_us or self._yields(pending, state, priority):
+        entitled = self.priorities.is_entitled(pending, self.now_us)
+        priority = self.priorities.priority(pending, entitled)
+        if limited_us or self.priorities.yields(pending, state, priority, self.now_us):
             delay_us = limited_us or state.target_latency_us // DEFERRAL_DIVISOR_COUNT
             self._schedule(self.now_us + delay_us, self._tag_volume, shard, volume, queue.postpone())
             return True
@@ -288,24 +265,12 @@
 
     def _unservable(self, pending: PendingRequest, state: EndpointState | None) -> EndReason | None:
         """Return why a request ends now: a late answer would take the place of one in time."""
-        if state is not None:
-            size_ratio = max(pending.request.units / self.settings.mean_request_units, MIN_SIZE_RATIO)
-            expected_us = state.relative_latency.read(self.now_us) * state.target_latency_us * size_ratio
-            objective_us = pending.request_class.latency_objective_us
-            expected_us = min(expected_us, MAX_EXPECTED_LATENCY_RATIO * objective_us)
-            if self.now_us + expected_us > pending.objective_at_us:
-                return EndReason.OBJECTIVE_UNREACHABLE
+        if state is not None and self.priorities.is_late(pending, state, self.now_us):
+            return EndReason.OBJECTIVE_UNREACHABLE
         if not self.retries.may_attempt(pending, self.now_us):
             return EndReason.NO_ATTEMPT_LEFT
         return None
 
-    def _yields(self, pending: PendingRequest, state: EndpointState, priority: float) -> bool:
-        """Tell whether a request leaves a busy endpoint to others: it can wait, or is worth too little."""
-        pressure = state.relative_latency.read(self.now_us)
-        deferrable_us = DEFERRABLE_LATENCIES_COUNT * state.target_latency_us
-        can_wait = pressure > RELAXED_LATENCY_RATIO and self.now_us + deferrable_us < pending.objective_at_us
-        return can_wait or priority < pressure - 1
-
     def _send(self, pending: PendingRequest, state: EndpointState) -> None:
         units = pending.request.units
         self.rate_limits.charge(pending)
