--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -5,7 +5,7 @@
 
 from tests.helpers import READ, T0, ask, end, feed, head, up
 from umberlead.scheduling import matrices as linear
-from umberlead.scheduling.controller import CONTROL_COST, FORGETTING_FACTOR, TARGET_LATENCY_RATIO, Controller
+from umberlead.scheduling.controller import CONTROL_COST_WEIGHT, FORGETTING_FACTOR, TARGET_LATENCY_RATIO, Controller
 from umberlead.scheduling.fair_queue import FairQueue
 from umberlead.scheduling.pending_request import PendingRequest
 
@@ -22,7 +22,7 @@
     factor = 1 + (FORGETTING_FACTOR - 1) * (phi @ np.linalg.inv(p) @ phi) / (phi @ phi) ** 2
     c.learn(y)
     assert np.allclose(c.x, want_x)
-    assert np.allclose(c.info, np.linalg.inv(p) + factor * np.outer(phi, phi))
+    assert np.allclose(c.information, np.linalg.inv(p) + factor * np.outer(phi, phi))
 
 
 def test_small_matrices_agree_with_the_library() -> None:
@@ -50,7 +50,7 @@
 
     def cost(u: np.ndarray) -> float:
         miss = w @ (np.array(c.x) @ np.concatenate([u, y]) - TARGET_LATENCY_RATIO)
-        return float(miss @ miss + CONTROL_COST**2 * (u - c.reference_shares) @ (u - c.reference_shares))
+        return float(miss @ miss + CONTROL_COST_WEIGHT**2 * (u - c.reference_shares) @ (u - c.reference_shares))
 
     u = np.array(c.law(y))
     assert np.isclose(u.sum(), 1.0)
@@ -79,9 +79,9 @@
     for _ in range(3000):
         c.phi = phi
         c.learn([1.0, 1.0])
-    p = np.linalg.inv(c.info)
+    p = np.linalg.inv(c.information)
     assert np.isfinite(p).all() and np.linalg.eigvalsh(p).max() <= 100.0 + 1e-6
-    assert np.linalg.eigvalsh(c.info).min() > 0
+    assert np.linalg.eigvalsh(c.information).min() > 0
 
 
 def test_few_answers_leave_shares_and_a_quiet_plan_keeps_its_measure() -> None:
--- a/umberlead/scheduling/client_retries.py
+++ b/umberlead/scheduling/client_retries.py
@@ -1,59 +1,58 @@
-"""Whether clients that were refused come again, learnt where they do not mark their further tries.
+"""Whether clients that were rejected come back, learnt where they do not mark their retries.
 
-A request with little time left is either a client's further try, whose first one began long ago, or the first
-of an impatient client. Both look alike. Where those that were refused are seen not to come again, there are
-no further tries. Free of I/O; times are whole microseconds.
+A request with little time left is either a client's retry, whose first try began long ago, or the first try of
+an impatient client. Both look alike. Where rejected requests are seen not to come back, there are no retries.
+Times are whole microseconds.
 """
 
 from collections import OrderedDict
 
-RETRY_WINDOW_US = 1_500_000  # in which a client that was refused has come again, if it does
-MIN_OBSERVED_REJECTIONS = 8  # of which none came again, from which on nobody is thought to
-RARE_RETRY_RATIO = 0.1  # of refusals, below which further tries are rare
-OBSERVATION_DECAY_FACTOR = 0.98  # of what was learnt, with each further refusal
-MAX_TRACKED_REQUESTS = 2000  # that are waited for
+RETRY_WINDOW_US = 1_500_000  # in which a rejected request has come back, if it does
+MIN_OBSERVED_REJECTIONS = 8  # before anything is concluded
+RARE_RETRY_RATIO = 0.1  # of rejections, below which retries are rare
+OBSERVATION_DECAY_FACTOR = 0.98  # of earlier observations, with each further one
+MAX_TRACKED_REQUESTS = 2000
 
-RequestIdentity = tuple[
-    str, str | None, str
-]  # volume, key and class: what a further try has in common with its first
+RequestIdentity = tuple[str, str | None, str]  # volume, key and class: what a retry shares with its first try
 
 
 class ClientRetries:
-    """Waits for each refused request to come again, and counts."""
+    """Waits for each rejected request to come back, and counts."""
 
     def __init__(self) -> None:
-        """Begin with nothing learnt: clients are thought to come again."""
-        self._refused: OrderedDict[RequestIdentity, int] = OrderedDict()  # and when
-        self._came_again = self._stayed_away = 0.0
+        """Begin with nothing learnt: clients are thought to come back."""
+        self._rejected_us: OrderedDict[RequestIdentity, int] = OrderedDict()
+        self._came_back = 0.0
+        self._stayed_away = 0.0
 
-    def record_rejection(self, request: RequestIdentity, now_us: int) -> None:
-        """Note that the first try of a request was refused."""
+    def record_rejection(self, identity: RequestIdentity, now_us: int) -> None:
+        """Note that the first try of a request is rejected."""
         self._expire(now_us)
-        self._refused[request] = now_us
-        if len(self._refused) > MAX_TRACKED_REQUESTS:
-            self._refused.popitem(last=False)
+        self._rejected_us[identity] = now_us
+        if len(self._rejected_us) > MAX_TRACKED_REQUESTS:
+            self._rejected_us.popitem(last=False)
 
-    def record_arrival(self, request: RequestIdentity, now_us: int) -> bool:
-        """Note that a request came; return whether it is a further try of one that was refused."""
+    def record_arrival(self, identity: RequestIdentity, now_us: int) -> bool:
+        """Note that a request came; return whether it is the retry of one that was rejected."""
         self._expire(now_us)
-        again = self._refused.pop(request, None) is not None
-        if again:
+        is_retry = self._rejected_us.pop(identity, None) is not None
+        if is_retry:
             self._learn(1.0, 0.0)
-        return again
+        return is_retry
 
     def are_rare(self) -> bool:
-        """Tell whether clients that are refused are seen not to come again."""
-        seen = self._came_again + self._stayed_away
-        return seen >= MIN_OBSERVED_REJECTIONS and self._came_again < RARE_RETRY_RATIO * seen
+        """Tell whether rejected requests are seen not to come back."""
+        observed = self._came_back + self._stayed_away
+        return observed >= MIN_OBSERVED_REJECTIONS and self._came_back < RARE_RETRY_RATIO * observed
 
     def _expire(self, now_us: int) -> None:
-        while self._refused:
-            request, at_us = next(iter(self._refused.items()))
-            if at_us + RETRY_WINDOW_US > now_us:
+        while self._rejected_us:
+            identity, rejected_us = next(iter(self._rejected_us.items()))
+            if rejected_us + RETRY_WINDOW_US > now_us:
                 break
-            del self._refused[request]
+            del self._rejected_us[identity]
             self._learn(0.0, 1.0)
 
-    def _learn(self, came_again: float, stayed_away: float) -> None:
-        self._came_again = OBSERVATION_DECAY_FACTOR * self._came_again + came_again
+    def _learn(self, came_back: float, stayed_away: float) -> None:
+        self._came_back = OBSERVATION_DECAY_FACTOR * self._came_back + came_back
         self._stayed_away = OBSERVATION_DECAY_FACTOR * self._stayed_away + stayed_away
--- a/umberlead/scheduling/controller.py
+++ b/umberlead/scheduling/controller.py
@@ -1,74 +1,114 @@
 """The plans' shares: recursive least squares estimate what each share buys, law (14) sets them anew.
 
-After "An Adaptive Optimal Controller for Non-Intrusive Performance Differentiation in Computing Services";
-the numbers in brackets are its equations.
+After "An Adaptive Optimal Controller for Non-Intrusive Performance Differentiation in Computing Services"; the
+numbers in brackets are its equations. Its terms, for n plans: u, the shares (here `share`); y, each plan's mean
+latency over its objective; phi = [u, y], the regressor (2n); X = [B0 A1], the parameters (n by 2n); W, the plans'
+weights (a diagonal); Q, the cost of control.
 """
 
-from umberlead.scheduling import matrices as la
+from umberlead.scheduling import matrices
+from umberlead.scheduling.matrices import Matrix, Vector
 
-MIN_SAMPLES = (
-    5  # answers under which shares stay (Fig. 3 of the paper): the interval goes on until it has them
-)
-FORGETTING_FACTOR = 0.95  # forgetting factor: about twenty intervals of memory along an excited direction
-CONTROL_COST = 1.0  # diagonal of Q, in the unit of normalised plan weights
-TARGET_LATENCY_RATIO = 1.0  # wanted mean time over aim
-INITIAL_INFORMATION = 0.01  # diagonal of the initial P^-1: P(0) = 100 I
-MIN_SHARE = 0.02  # least share of a plan
+MIN_INTERVAL_REQUESTS = 5  # answers under which an interval goes on (Fig. 3 of the paper)
+FORGETTING_FACTOR = 0.95  # about twenty intervals of memory along an excited direction
+CONTROL_COST_WEIGHT = 1.0  # diagonal of Q, in the unit of normalised plan weights
+TARGET_LATENCY_RATIO = 1.0  # wanted y
+INITIAL_INFORMATION_WEIGHT = 0.01  # diagonal of the initial P^-1: P(0) = 100 I
+MIN_SHARE = 0.02  # of a plan
 
 
 class Controller:
-    """Owns the plan shares: recursive least squares (4) and law (14), order one."""
+    """Owns the plan shares: recursive least squares (4) and law (14), order one.
+
+    Attributes:
+        share: u, by plan; they add up to 1.
+        reference_shares: the shares that the plans' weights give.
+        w: the diagonal of W.
+        y: each plan's mean latency over its objective, in the latest interval.
+        x: X, n rows of 2n.
+        information: the inverse of the covariance P, 2n by 2n.
+        phi: the regressor of the next interval.
+    """
 
     def __init__(self, weights: list[float]) -> None:
         """Begin with the shares that the plans' weights give."""
-        n = self.n = len(weights)
-        self.share = self.reference_shares = self.w = [
-            w / sum(weights) for w in weights
-        ]  # W has them on its diagonal
-        self.y = [1.0] * n
-        self.x = [minus + [0.0] * n for minus in la.diagonal(n, -1.0)]  # [B0 A1]
-        self.info = la.diagonal(2 * n, INITIAL_INFORMATION)
+        self._plan_count = len(weights)
+        normalised_weights = [weight / sum(weights) for weight in weights]
+        self.w = normalised_weights
+        self.reference_shares = normalised_weights
+        self.share = normalised_weights
+        self.y = [1.0] * self._plan_count
+        self.x = [row + [0.0] * self._plan_count for row in matrices.diagonal(self._plan_count, -1.0)]
+        self.information = matrices.diagonal(2 * self._plan_count, INITIAL_INFORMATION_WEIGHT)
         self.phi = self.share + self.y
 
-    def learn(self, y: la.Vector) -> None:
-        """Learn from an interval's times over aims by (4), on the information matrix.
+    def learn(self, y: Vector) -> None:
+        """Learn from an interval's `y` by (4), on the information matrix.
 
         Forgetting acts along phi only and never takes information below nothing, so the covariance stays
         finite however little the input moves.
         """
-        phi, p_phi = self.phi, la.solve_one(self.info, self.phi)
-        scale = 1 / (FORGETTING_FACTOR + la.dot(phi, p_phi))
-        self.x = la.add_outer(
-            self.x, [a - b for a, b in zip(y, la.times(self.x, phi), strict=True)], p_phi, scale
-        )
-        kept = 1 + (FORGETTING_FACTOR - 1) * la.dot(phi, la.times(self.info, phi)) / la.dot(phi, phi) ** 2
-        self.info = la.add_outer(self.info, phi, phi, max(kept, 0.0))
+        phi = self.phi
+        gain = matrices.solve_one(self.information, phi)
+        scale = 1 / (FORGETTING_FACTOR + matrices.dot(phi, gain))
+        errors = [actual - predicted for actual, predicted in zip(y, matrices.times(self.x, phi), strict=True)]
+        self.x = matrices.add_outer(self.x, errors, gain, scale)
+        information_along_phi = matrices.dot(phi, matrices.times(self.information, phi))
+        retained = 1 + (FORGETTING_FACTOR - 1) * information_along_phi / matrices.dot(phi, phi) ** 2
+        self.information = matrices.add_outer(self.information, phi, phi, max(retained, 0.0))
 
-    def law(self, y: la.Vector) -> la.Vector:
+    def law(self, y: Vector) -> Vector:
         """Return the shares, summing to one, that bring the next y nearest the goal, by (14).
 
-        Effort is counted from the plan weights: from zero, the plan of most weight would start with the least
+        Effort is counted from the reference shares: from zero, the plan of most weight would start with the least
         share.
         """
-        b, a = [row[: self.n] for row in self.x], [row[self.n :] for row in self.x]
-        s = la.inverse(la.gram(b, self.w, CONTROL_COST**2))
-        miss = [w * w * (TARGET_LATENCY_RATIO - seen) for w, seen in zip(self.w, la.times(a, y), strict=True)]
-        pull = [
-            v + CONTROL_COST**2 * r
-            for v, r in zip(la.times(la.transposed(b), miss), self.reference_shares, strict=True)
+        b0 = [row[: self._plan_count] for row in self.x]
+        a1 = [row[self._plan_count :] for row in self.x]
+        inverse = matrices.inverse(matrices.gram(b0, self.w, CONTROL_COST_WEIGHT**2))
+        pull = self._pull(b0, matrices.times(a1, y))
+        unconstrained = matrices.times(inverse, pull)
+        row_sums = [sum(row) for row in inverse]
+        excess = (sum(unconstrained) - 1) / sum(row_sums)
+        return [share - excess * row_sum for share, row_sum in zip(unconstrained, row_sums, strict=True)]
+
+    def _pull(self, b0: Matrix, predicted: Vector) -> Vector:
+        """Return the right-hand side of (14): towards the goal by W, towards the reference by Q."""
+        misses = [
+            weight * weight * (TARGET_LATENCY_RATIO - ratio)
+            for weight, ratio in zip(self.w, predicted, strict=True)
+        ]
+        towards_goal = matrices.times(matrices.transposed(b0), misses)
+        return [
+            goal + CONTROL_COST_WEIGHT**2 * reference
+            for goal, reference in zip(towards_goal, self.reference_shares, strict=True)
         ]
-        free, sums = la.times(s, pull), [sum(row) for row in s]
-        return [u - (sum(free) - 1) / sum(sums) * t for u, t in zip(free, sums, strict=True)]
 
     def step(self, sums: list[float], counts: list[int]) -> None:
-        """One interval: sums and counts of time over aim, a plan each. With few answers it goes on."""
-        if sum(counts) >= MIN_SAMPLES:
-            y = [s / c if c else old for s, c, old in zip(sums, counts, self.y, strict=True)]
+        """End an interval, unless it has too few answers: then it goes on.
+
+        Args:
+            sums: of latency over objective, by plan; set to zero as the interval ends.
+            counts: of answers, by plan; likewise.
+        """
+        if sum(counts) >= MIN_INTERVAL_REQUESTS:
+            y = [
+                total / count if count else earlier
+                for total, count, earlier in zip(sums, counts, self.y, strict=True)
+            ]
             self.learn(y)
-            u = self.law(y)
-            lift = min(*u, 0.0)
-            u = [v - lift for v in u]
-            u = [max(v / sum(u), MIN_SHARE) for v in u]
-            self.share, self.y = [v / sum(u) for v in u], y
-            sums[:], counts[:] = [0.0] * self.n, [0] * self.n
+            self.share = self._bounded(self.law(y))
+            self.y = y
+            sums[:] = [0.0] * self._plan_count
+            counts[:] = [0] * self._plan_count
         self.phi = self.share + self.y
+
+    @staticmethod
+    def _bounded(shares: Vector) -> Vector:
+        """Return shares lifted above nothing, at least MIN_SHARE each, that add up to 1."""
+        lift = min(*shares, 0.0)
+        lifted = [share - lift for share in shares]
+        total = sum(lifted)
+        at_least_minimum = [max(share / total, MIN_SHARE) for share in lifted]
+        total = sum(at_least_minimum)
+        return [share / total for share in at_least_minimum]
