--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -19,13 +19,13 @@
 INPUT, WATCHED = "umberlead/net/connection_input.py", "umberlead/net/watch_stream.py"
 
 planted.TESTS = (
-    "tests/test_client_leaves.py",
-    "tests/test_crossings.py",
+    "tests/test_client_disconnects.py",
+    "tests/test_race_conditions.py",
     "tests/test_discovery.py",
-    "tests/test_long.py",
-    "tests/test_long_crossings.py",
+    "tests/test_streamed_responses.py",
+    "tests/test_streaming_race_conditions.py",
     "tests/test_standing.py",
-    "tests/test_standing_requests.py",
+    "tests/test_request_delivery.py",
     "tests/test_volumes.py",
 )
 planted.PLANTED = (  # type: ignore[assignment]
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_disconnects.py
@@ -51,7 +51,7 @@
         super().__init__(of)
         self.plain: dict[str, socket.socket] = {}
         self.half: list[socket.socket] = []  # open to the end
-        self.deaf = set[str]()  # chunk servers
+        self.deaf = set[str]()  # endpoints
 
     async def _step(self, words: list[str], lines: list[str]) -> None:
         match words:
@@ -228,7 +228,7 @@
         end = time.monotonic() + PATIENCE
         while not conn.pending_events() & DISCONNECT_POLL_EVENTS:
             assert time.monotonic() < end
-        assert not conn.client_disconnected  # the front was not told
+        assert not conn.client_disconnected  # the process was not notified
 
 
 def _small(fd: int, buffer: int, size: int = 8192) -> None:
@@ -258,7 +258,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_from_the_fair_queue(way: str) -> None:
-    """Two requests fill the node's bound and a third waits; a small one behind it goes as soon as the one
+    """Two requests fill the endpoint's bound and a third waits; a small one behind it goes as soon as the one
     that left is out of the way, and not only when an answer comes."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\n",
@@ -282,7 +282,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_while_its_connection_comes_up(way: str) -> None:
+def test_while_its_connection_is_established(way: str) -> None:
     play(
         "node n0 0\nclient a platform\nclient b platform\ndials hold\n",
         asks("a", 1),
@@ -296,8 +296,8 @@
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("again", ["own", "other's"])
-def test_between_tries_and_at_a_node_that_rests(way: str, again: str) -> None:
-    """A node that turned one away rests; the request waits for it, or another that comes meanwhile."""
+def test_between_attempts_and_at_a_paused_endpoint(way: str, again: str) -> None:
+    """An endpoint that turned one away rests; the request waits for it, or another that comes meanwhile."""
     play(
         "node n0 0\nn0 next full\nclient a platform\nclient b platform\nclient c platform\n",
         asks("a", 1),
@@ -311,7 +311,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_at_a_node_that_warms_up(way: str) -> None:
+def test_at_a_endpoint_in_slow_start(way: str) -> None:
     play(
         "set settings.extra.coldUnits 1\nset settings.guarantees.coldShare 0.2\n"
         "set settings.guarantees.fallMultiple 4\nset settings.guarantees.overloadFor 1000000\n"
@@ -407,7 +407,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_what_its_attempt_does_is_still_counted(way: str) -> None:
-    """Written before its client left, it is out until it ends: the bound holds, then its place is free."""
+    """Written before its client left, it is out until it ends: the bound holds, then its slot is free."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\nclient c platform\n",
         asks("a", 1, 6),
@@ -514,7 +514,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_nothing_begins_behind_an_answer_that_its_client_never_read(way: str) -> None:
+def test_nothing_begins_behind_a_response_that_its_client_never_read(way: str) -> None:
     """The answer can go on in the turn in which the client turns out to have left."""
     big = f"{{}} >\n| {{}} /{{}}?block={block(9)} HTTP/1.1\n| X-Call-Id: {{}}9\n| X-Plan: gold\n"
     big += "| X-IO: volume=b4,units=1,shard=0\n"
@@ -542,7 +542,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_a_request_that_is_partly_written_is_not_written_on(way: str) -> None:
-    """Its chunk server reads nothing for now: the rest must not follow."""
+    """Its endpoint reads nothing for now: the rest must not follow."""
     play(
         "node n0 0\nn0 deaf\nclient a platform\nclient b platform\n",
         LARGE.format("a", "a"),
@@ -555,7 +555,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS[:2])  # of a reset the front is told a turn later, all of it written
-def test_the_rest_of_a_request_does_not_follow_in_the_turn_that_gives_it_up(way: str) -> None:
+def test_the_rest_of_a_request_does_not_follow_in_the_turn_that_cancels_it(way: str) -> None:
     """It counts as never run; an upload's part would be sent again."""
     play(
         "node n0 0\nn0 deaf\nplain c platform\nclient b platform\n",
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -99,8 +99,8 @@
     return f"GET /{name} HTTP/1.1\r\n{more}\r\n".encode()
 
 
-def test_a_request_that_crosses_the_end_of_a_long_reply_is_served_though_the_front_drains() -> None:
-    """The reply had not said that its connection ends: the request was read, and dropped."""
+def test_a_request_that_crosses_the_end_of_a_streamed_response_is_served_though_the_process_drains() -> None:
+    """The response had not said that its connection ends: the request was read, and dropped."""
 
     async def steps(setting: Setting) -> None:
         setting.client.sendall(get("long"))
@@ -121,7 +121,7 @@
     play(steps)
 
 
-def test_a_long_reply_that_ends_as_the_front_drains_closes_its_idle_connection_unread() -> None:
+def test_a_streamed_response_that_ends_as_the_process_drains_closes_its_idle_connection_unread() -> None:
     async def steps(setting: Setting) -> None:
         setting.client.sendall(get("long"))
         conn = await setting.requested(1)
@@ -136,7 +136,7 @@
     play(steps)
 
 
-def test_a_reply_does_not_end_its_connection_while_a_request_on_it_is_unread() -> None:
+def test_a_response_does_not_end_its_connection_while_a_request_on_it_is_unread() -> None:
     async def steps(setting: Setting) -> None:
         setting.client.sendall(get("a"))
         conn = await setting.requested(1)
@@ -152,7 +152,7 @@
 
 
 def test_the_time_of_what_waited_while_nothing_was_read_runs_from_the_pause() -> None:
-    """It was given the time that it had waited once more, and its server was told of it."""
+    """It was given the time that it had waited once more, and its server was notified of it."""
 
     async def steps(setting: Setting) -> None:
         setting.clients.max_header_bytes = 500
@@ -193,7 +193,7 @@
 def test_a_broken_connection_is_no_end_whatever_the_system_calls_the_break(
     fault: OSError | None, broken: bool
 ) -> None:
-    """Only a reset was one: an answer of no told length that broke off otherwise counted as whole."""
+    """Only a reset was one: an answer without a length that broke off otherwise counted as complete."""
     sock = mock.Mock(recv=mock.Mock(side_effect=fault, return_value=b""))
 
     @contextmanager
--- a/tests/test_attempts.py
+++ b/tests/test_dialing.py
@@ -19,11 +19,11 @@
 from umberlead.net.endpoint_protocol import OutgoingRequest
 from umberlead.scheduling.events import AttemptResult
 
-LINK_TIMEOUT = 250_000
+CONNECT_TIMEOUT_US = 250_000
 
 
 class Ends:
-    """In the engine's place: the outcomes of attempts, as they come."""
+    """In place of the request lifecycle: the results of attempts, as they come."""
 
     def __init__(self) -> None:
         self.seen: list[tuple[int, AttemptResult]] = []
@@ -100,7 +100,7 @@
         lambda: dials.now,
         Counters(),
         10,
-        LINK_TIMEOUT,
+        CONNECT_TIMEOUT_US,
         4_000_000,
         "s",
         lambda *_, **__: None,
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("late", [True, False])
 @pytest.mark.parametrize("ended_by", ["link time-out", "engine"])
-def test_a_dial_given_up_as_its_connection_comes_up_has_one_outcome(late: bool, ended_by: str) -> None:
+def test_a_dial_cancelled_as_its_connection_is_established_has_one_outcome(late: bool, ended_by: str) -> None:
     """Seen as uploads answered 502 at the end of their time, after a front had stood still for a second."""
 
     async def test() -> None:
@@ -143,31 +143,31 @@
         if ended_by == "engine":
             pool.stop(attempt, AttemptResult.TIMEOUT)
         else:
-            dials.until(dials.now + 2 * LINK_TIMEOUT)
-            assert ends.seen == [(0, AttemptResult.CONNECT_FAILED)]  # at the time-out, while its dial goes on
-            dials.until(dials.now + CONNECT_TIMEOUT_MULTIPLIER * LINK_TIMEOUT)
+            dials.until(dials.now + 2 * CONNECT_TIMEOUT_US)
+            assert ends.seen == [(0, AttemptResult.CONNECT_FAILED)]  # at the timeout, while its dial goes on
+            dials.until(dials.now + CONNECT_TIMEOUT_MULTIPLIER * CONNECT_TIMEOUT_US)
         await _turns()
         assert ends.seen == [(0, AttemptResult.CONNECT_FAILED)]
         assert not dials.wire.sent and dials.wire.aborted == late
-        assert not len(pool.slots)  # and its place is free again
+        assert not len(pool.slots)  # and its slot is free again
         dials.conns[0].connection_lost(None)  # some loops call it all the same
         assert len(ends.seen) == 1
 
     asyncio.run(test())
 
 
-def test_a_connection_that_was_up_when_a_late_front_looks_is_used() -> None:
-    """The front stood still past the link time-out: its timer runs first, then the connection is seen."""
+def test_a_connection_that_was_established_when_a_late_process_looks_is_used() -> None:
+    """The process stood still past the connect timeout: its timer runs first, then the connection is seen."""
 
     async def test() -> None:
         dials = Dials(False)
         pool, ends, attempt = _pool(dials)
         pool.start(attempt)
         await asyncio.sleep(0)
-        dials.now += 4 * LINK_TIMEOUT
+        dials.now += 4 * CONNECT_TIMEOUT_US
         pool.wheel.fire_due()
         dials.conns[0].connection_made(dials.wire)
-        dials.until(dials.now + 2 * LINK_TIMEOUT)
+        dials.until(dials.now + 2 * CONNECT_TIMEOUT_US)
         await asyncio.sleep(0)
         assert dials.wire.sent and not dials.wire.aborted and not ends.seen
         pool.close()
@@ -180,7 +180,7 @@
     pool, ends, attempt = _pool(dials)
     pool.start(attempt)
     await _turns()
-    dials.until(dials.now + int(CONNECTION_ATTEMPT_DELAY_RATIO * LINK_TIMEOUT) + 4000)
+    dials.until(dials.now + int(CONNECTION_ATTEMPT_DELAY_RATIO * CONNECT_TIMEOUT_US) + 4000)
     await _turns()
     assert len(dials.conns) == 2 and not ends.seen
     return dials, pool, ends, attempt
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize("first", [0, 1])
-def test_a_slow_dial_is_raced_and_the_first_that_is_up_carries_the_attempt(first: int) -> None:
+def test_a_slow_dial_is_raced_and_the_first_that_is_established_carries_the_attempt(first: int) -> None:
     """Seen on days when a third of the connections come up late: each that took over the link time-out ended
     its attempt and rested a server that was well, whose requests nobody else can take."""
 
@@ -207,17 +207,17 @@
         again = _attempt(dials, 1)
         pool.start(again)
         assert spare.sent and again.transport_state is other and len(dials.conns) == 2
-        dials.until(dials.now + (CONNECT_TIMEOUT_MULTIPLIER + 1) * LINK_TIMEOUT)
-        assert not ends.seen  # no time-out of a dial is left behind
+        dials.until(dials.now + (CONNECT_TIMEOUT_MULTIPLIER + 1) * CONNECT_TIMEOUT_US)
+        assert not ends.seen  # no timeout of a dial is left behind
         pool.close()
 
     asyncio.run(test())
 
 
-def test_a_dial_that_comes_up_after_its_attempt_s_end_carries_the_next() -> None:
+def test_a_dial_that_is_established_after_its_attempt_s_end_carries_the_next() -> None:
     async def test() -> None:
         dials, pool, ends, _ = await _raced()
-        dials.until(dials.now + 2 * LINK_TIMEOUT)
+        dials.until(dials.now + 2 * CONNECT_TIMEOUT_US)
         await _turns()
         assert (
             ends.seen == [(0, AttemptResult.CONNECT_FAILED)]
@@ -240,13 +240,13 @@
         for number in range(40):
             pool.start(_attempt(dials, number))
             await _turns()
-            dials.until(dials.now + 2 * LINK_TIMEOUT)
+            dials.until(dials.now + 2 * CONNECT_TIMEOUT_US)
             await _turns()
         assert len(ends.seen) == 40 and pool.dialer.success_rate < MIN_SUCCESS_RATE
         before = len(dials.conns)
         pool.start(_attempt(dials, 40))
         await _turns()
-        dials.until(dials.now + (CONNECT_TIMEOUT_MULTIPLIER + 1) * LINK_TIMEOUT)
+        dials.until(dials.now + (CONNECT_TIMEOUT_MULTIPLIER + 1) * CONNECT_TIMEOUT_US)
         await _turns()
         assert len(dials.conns) == before + 1 and not len(pool.slots) and not pool.dialer.pending
         pool.close()
@@ -254,11 +254,11 @@
     asyncio.run(test())
 
 
-def test_dials_that_nobody_waits_for_make_room_at_the_cap() -> None:
+def test_dials_that_nobody_waits_for_free_slots_at_the_limit() -> None:
     async def test() -> None:
         dials, pool, ends, _ = await _raced()
         pool.max_connections = 2  # all taken: one by the attempt, one by its racer
-        dials.until(dials.now + int(CONNECTION_ATTEMPT_DELAY_RATIO * LINK_TIMEOUT) + 4000)
+        dials.until(dials.now + int(CONNECTION_ATTEMPT_DELAY_RATIO * CONNECT_TIMEOUT_US) + 4000)
         await _turns()
         assert len(dials.conns) == 2  # no race without room
         other = _attempt(dials, 0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -65,9 +65,9 @@
     return dialled, counters
 
 
-def test_a_refusal_from_discovery_does_not_set_the_back_off_back() -> None:
-    """Each 503 used to count as news, so the pause stayed at 0.1 s: 3,740 refused watches from the
-    28 restarted fronts in 12 s. Doubling from 0.1 s, 1.5 s hold 4 or 5 tries at most."""
+def test_a_rejection_from_discovery_does_not_set_the_backoff_back() -> None:
+    """Each 503 used to count as news, so the pause stayed at 0.1 s: 3,740 rejected watches from the
+    28 restarted processes in 12 s. Doubling from 0.1 s, 1.5 s hold 4 or 5 attempts at most."""
     dialled, counters = _watch(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", 1.5)
     assert 2 <= dialled <= 6 and counters["discovery_updates"] == 0
 
@@ -78,7 +78,7 @@
     assert dialled == 1
 
 
-def test_a_list_that_comes_sets_the_back_off_back() -> None:
+def test_a_list_that_comes_sets_the_backoff_back() -> None:
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(LIST), LIST)
     dialled, counters = _watch(answer, 1.0)
     assert counters["discovery_updates"] == dialled >= 8  # each ended stream is tried again in 0.1 s at most
@@ -207,8 +207,8 @@
 
 @pytest.mark.parametrize("failed", [1, 4])
 @pytest.mark.parametrize("way", WAYS)
-def test_whatever_call_failed_news_is_known_in_time(way: str, failed: int) -> None:
-    """One of 200 fronts: the service is back the moment after a call was made, whatever comes of that. The
+def test_whatever_call_failed_changes_are_known_in_time(way: str, failed: int) -> None:
+    """One of 200 processes: the service is back the moment after a call was made, whatever comes of that. The
     6 s less the 2 s that a call may wait its turn are left."""
 
     async def test(discovery: Discovery) -> None:
@@ -234,7 +234,7 @@
     _play(test)
 
 
-def test_a_connection_that_comes_up_late_is_taken() -> None:
+def test_a_connection_that_is_established_late_is_taken() -> None:
     async def test(discovery: Discovery) -> None:
         of = Setting(discovery, fleet_size=200)
         of.gate.clear()
@@ -250,7 +250,7 @@
 
 @pytest.mark.parametrize("agent", [None, True])
 def test_the_return_of_an_agent_is_seen_within_a_second(agent: bool | None) -> None:
-    """Of a few fronts from the first call on, of many once an earlier process met it."""
+    """Of a few processes from the first call on, of many once an earlier process met it."""
 
     async def test(discovery: Discovery) -> None:
         of = Setting(discovery, fleet_size=200 if agent else 5, expects_agent=True, is_agent=agent)
@@ -265,7 +265,7 @@
     _play(test)
 
 
-def test_a_call_that_was_given_up_is_listened_to_and_a_no_spares_the_service() -> None:
+def test_a_call_that_was_cancelled_is_listened_to_and_a_no_spares_the_service() -> None:
     """A service was taken for an agent, as it once answered quickly."""
 
     async def test(discovery: Discovery) -> None:
@@ -285,7 +285,7 @@
     _play(test)
 
 
-def test_a_list_that_comes_to_a_call_that_was_given_up_is_taken_and_the_others_left() -> None:
+def test_a_list_that_comes_to_a_call_that_was_cancelled_is_taken_and_the_others_left() -> None:
     async def test(discovery: Discovery) -> None:
         of = Setting(discovery, fleet_size=5, expects_agent=True)
         of.watch.open()
@@ -303,7 +303,7 @@
     _play(test)
 
 
-def test_what_was_learnt_of_who_answers_is_kept_for_the_next_process(tmp_path: Any) -> None:
+def test_who_answers_is_kept_for_the_next_process(tmp_path: Any) -> None:
     async def test(discovery: Discovery) -> None:
         shared = SharedState(tmp_path)
         assert shared.agent_seen_before() is None and SharedState(None).agent_seen_before() is None
--- a/tests/test_pipelined_deadlines.py
+++ b/tests/test_pipelined_deadlines.py
@@ -11,8 +11,8 @@
 """
 
 
-def test_those_behind_one_that_took_their_time_are_all_refused() -> None:
-    """One after the other, and in their order, though all are refused within the same turn of the loop."""
+def test_those_behind_one_that_took_their_time_are_all_rejected() -> None:
+    """One after the other, and in their order, though all are rejected within the same turn of the loop."""
     sent = "".join(
         ASK.format(n=n, budget=budget) for n, budget in enumerate(("0.400", "0.300", "0.200", "0.100"))
     )
--- a/tests/test_crossings.py
+++ b/tests/test_race_conditions.py
@@ -16,7 +16,7 @@
 
 from tests.exchange import Exchange
 from tests.helpers import T0
-from tests.test_client_leaves import DONE, asks, block, play
+from tests.test_client_disconnects import DONE, asks, block, play
 from umberlead.common.counters import Counters
 from umberlead.configuration import DiscoveryMessage
 from umberlead.net.client_connections import ClientGroup
@@ -53,7 +53,7 @@
 # Shutdown
 
 
-def test_a_request_half_read_is_served_where_its_end_comes() -> None:
+def test_a_request_partially_read_is_served_where_its_end_comes() -> None:
     play(
         "node n0 0\nclient a platform\nclient b platform\n",
         HALF,
@@ -66,7 +66,7 @@
     )
 
 
-def test_a_request_half_read_at_the_end_is_refused_and_its_end_not_waited_for() -> None:
+def test_a_request_partially_read_at_the_end_is_rejected_and_its_end_not_waited_for() -> None:
     play(
         "node n0 0\nclient a platform\nclient b platform\n",
         HALF,
@@ -79,7 +79,7 @@
     )
 
 
-def test_one_half_read_behind_another_is_refused_at_the_end_too() -> None:
+def test_one_partially_read_behind_another_is_rejected_at_the_end_too() -> None:
     half = f"a >\n| PUT /write?block={block(2)} HTTP/1.1\n" + HEAD.replace("a1", "a2") + "= ab\n"
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
@@ -95,8 +95,8 @@
     )
 
 
-def test_one_that_waits_is_answered_at_the_end_with_what_is_known_of_it() -> None:
-    """Out at a node, queued behind it, and behind it on its own connection: the first may have run."""
+def test_one_that_waits_is_responseed_at_the_end_with_what_is_known_of_it() -> None:
+    """Out at an endpoint, queued behind it, and behind it on its own connection: the first may have run."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\nclient c platform\n",
         asks("a", 1, 6),
@@ -115,7 +115,7 @@
     )
 
 
-def test_one_whose_connection_comes_up_too_late_was_not_sent_and_is_refused() -> None:
+def test_one_whose_connection_is_established_too_late_was_not_sent_and_is_rejected() -> None:
     play(
         "node n0 0\nclient a platform\ndials hold\n",
         asks("a", 1),
@@ -126,7 +126,7 @@
     )
 
 
-def test_one_between_tries_is_refused_at_the_end() -> None:
+def test_one_between_attempts_is_rejected_at_the_end() -> None:
     play(
         "node n0 0\nn0 next full\nclient a platform\n",
         asks("a", 1),
@@ -138,7 +138,7 @@
 
 
 def test_a_request_that_crosses_the_closing_of_its_idle_connection_is_served() -> None:
-    """It is here, and not read yet, as the front closes what is idle; closed on, it would be lost."""
+    """It is here, and not read yet, as the process closes what is idle; closed on, it would be lost."""
     play(
         "node n0 0\nclient a platform\nclient b platform\n",
         well("a"),
@@ -152,8 +152,8 @@
     )
 
 
-def test_requests_sent_ahead_are_all_answered_before_a_connection_ends() -> None:
-    """By a front that stops, and on one that ends for what came behind them."""
+def test_requests_pipelined_are_all_answered_before_a_connection_ends() -> None:
+    """By a front end that stops, and on one that ends for what came behind them."""
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
         asks("a", 1),
@@ -258,7 +258,7 @@
 # Hand-overs
 
 
-def test_connections_of_one_that_another_replaces_end_with_their_next_answer() -> None:
+def test_connections_of_one_that_another_reslots_end_with_their_next_response() -> None:
     """Its clients find the other process: nothing is kept for them up to SIGKILL."""
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
@@ -349,8 +349,8 @@
 @pytest.mark.parametrize(
     "broken", ['~ {"index":2,"snapshot":fal\n', '~ {"index":2,\n~ "snapshot":\n|\n', "~ [1]\n"]
 )
-def test_what_can_t_be_read_is_asked_for_again(broken: str) -> None:
-    """It may have told of a drain, and no later line tells that again."""
+def test_what_can_t_be_read_is_requested_again(broken: str) -> None:
+    """It may have announced a drain, which no later line repeats."""
     play(
         BEGIN,
         "discovery >\n",
@@ -365,7 +365,7 @@
     )
 
 
-def test_a_drain_told_while_a_connection_comes_up_keeps_the_request_from_it() -> None:
+def test_a_drain_notified_while_a_connection_is_established_keeps_the_request_from_it() -> None:
     play(
         BEGIN,
         "dials hold\n",
@@ -377,7 +377,7 @@
     )
 
 
-def test_a_server_that_goes_while_a_connection_comes_up_gets_nothing() -> None:
+def test_a_server_that_goes_while_a_connection_is_established_gets_nothing() -> None:
     play(
         BEGIN,
         "dials hold\n",
@@ -417,7 +417,7 @@
     )
 
 
-def test_an_agent_that_says_nothing_is_asked_anew_within_a_second() -> None:
+def test_an_agent_that_says_nothing_is_called_again_within_a_second() -> None:
     """While discovery is down it is silent; what it gets at the return counts at once."""
     play(
         "discovery\nnode n0 0\nclient a platform\n",
@@ -434,7 +434,7 @@
     )
 
 
-def _watch(ours: bool, fleet: int) -> tuple[DiscoveryWatch, list[int]]:
+def _watch(expects_agent: bool, fleet_size: int) -> tuple[DiscoveryWatch, list[int]]:
     """A watch, and the pauses that it asks for."""
     now, waits = [T0], list[int]()
     wheel: Any = mock.Mock(call_after=lambda delay, what, *words: waits.append(delay))
@@ -448,8 +448,8 @@
         Counters(),
         lambda *a, **k: None,
         lambda listing: None,
-        fleet,
-        ours,
+        fleet_size,
+        expects_agent,
     )
     return watch, waits
 
@@ -476,13 +476,13 @@
         assert 50_000 <= waits[-1] <= 101_000
         waits.clear()
         watch.open()
-        assert waits[-1] <= 800_000  # until a call that hangs is given up
+        assert waits[-1] <= 800_000  # until a call that hangs is cancelled
 
 
 def test_silence_without_a_word_is_an_agent_s_whose_discovery_is_down() -> None:
     watch, waits = _watch(True, 200)
     watch.start()
-    assert watch.stream is not None and waits[-1] <= 800_000  # it does not even come up
+    assert watch.stream is not None and waits[-1] <= 800_000  # it is not even established
     watch.stream.connection_made(mock.Mock())
     assert watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 2_500_000
     watch.stream.call.started_us -= 2_500_000
@@ -494,7 +494,7 @@
     watch.stream.connection_made(mock.Mock())
     assert (
         watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 800_000
-    )  # one that comes up is an agent's now
+    )  # one that is established is an agent's now
 
 
 def test_pushed_lists_behind_a_service_that_answers_in_turn_spare_it() -> None:
@@ -532,7 +532,7 @@
 
 
 def test_nothing_is_taken_before_the_agent_s_list_is_here() -> None:
-    """What it has counts as told from a process's first moment: `known` may be old."""
+    """What it has counts as notified from a process's first moment: `known` may be old."""
 
     async def test() -> None:
         exchange = Exchange("discovery\nnode n0 0\n")
@@ -566,7 +566,7 @@
 # Attempts
 
 
-def test_an_interim_answer_begins_nothing() -> None:
+def test_an_interim_response_begins_nothing() -> None:
     """An upload took longer than a dial behind it, and was answered as failed."""
     interim = "n0 >\n| HTTP/1.1 103 Early Hints\n| Link: </x>\n|\n"
     play(
@@ -582,7 +582,7 @@
     )
 
 
-def test_an_answer_that_breaks_off_behind_an_interim_one_is_an_error() -> None:
+def test_a_response_that_breaks_off_behind_an_interim_one_is_an_error() -> None:
     play(
         "node n0 0:script\nclient a platform\n",
         "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n",
@@ -592,8 +592,8 @@
     )
 
 
-def test_what_is_sent_ahead_is_held_within_the_memory_for_bodies() -> None:
-    """Beyond that it is dropped, and what was whole before it is answered."""
+def test_what_is_pipelined_is_held_within_the_memory_for_bodies() -> None:
+    """Beyond that it is dropped, and what was complete before it is answered."""
     ahead = f"a >\n| {'x' * 6_000}\n"
     play(
         "node n0 0\nn0 next hold\nclient a platform\n",
@@ -612,7 +612,7 @@
 # Idle connections
 
 
-def test_room_is_not_made_of_a_connection_whose_request_is_here() -> None:
+def test_no_slot_is_taken_from_a_connection_whose_request_is_here() -> None:
     """Its bytes came, and were not read yet: another goes, and where there is none, none does."""
 
     async def test() -> None:
--- a/tests/test_standing_requests.py
+++ b/tests/test_request_delivery.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests.test_client_leaves import DONE, asks, block
-from tests.test_crossings import well
+from tests.test_client_disconnects import DONE, asks, block
+from tests.test_race_conditions import well
 from tests.test_standing import Standing, play
 from umberlead.net.endpoint_connection import EndpointConnection
 
@@ -83,7 +83,7 @@
     )
 
 
-def test_a_further_attempt_tells_no_more_than_is_left() -> None:
+def test_a_further_attempt_has_the_remaining_budget() -> None:
     def asked(budget: str) -> str:
         return f"n0 <\n| GET {{target}} HTTP/1.1\n| Host: {{~}}\n& ask a1 / 0\n| X-Budget: {budget}{{~}}\n|\n"
 
@@ -135,7 +135,9 @@
 
 @pytest.mark.parametrize("call", ["GET /read", "PUT /write"])
 @pytest.mark.parametrize("how", [*ENDS, "refused", "not up"])
-def test_whatever_its_attempts_end_with_a_request_has_a_whole_answer_in_time(how: str, call: str) -> None:
+def test_whatever_its_attempts_end_with_a_request_has_a_complete_response_in_time(
+    how: str, call: str
+) -> None:
     """Half a second past its time at the latest; a reset is no end of an answer that tells no length."""
     node = "node n0 0:down\n" if how == "refused" else "node n0 0:script\n"
     if how in ENDS:
@@ -149,8 +151,8 @@
     )
 
 
-def test_a_reset_with_the_last_bytes_of_a_long_answer_is_no_end() -> None:
-    """libuv reports an end where both are there at once, and the answer passed for whole."""
+def test_a_reset_with_the_last_bytes_of_a_streamed_response_is_no_end() -> None:
+    """libuv reports an end where both are there at once, and the answer passed for complete."""
     play(
         "node n0 0:script\nclient a platform\na >\n& read a1 / 0\nn0 <\n& got a1 / 0\n",
         "n0 >\n| HTTP/1.1 200 OK\n|\n@ 0 70000\n",
@@ -161,7 +163,7 @@
 # Bytes in the moment of a close
 
 
-def test_half_a_line_on_a_kept_connection_keeps_the_next_request_from_it() -> None:
+def test_a_partial_line_on_a_pooled_connection_keeps_the_next_request_from_it() -> None:
     """It arrives in the very turn in which the connection is to be used again."""
 
     class Crossing(Standing):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -14,8 +14,8 @@
 import pytest
 
 from tests.exchange import Clock, Peer
-from tests.test_client_leaves import DONE, Leaving, asks
-from tests.test_crossings import ANSWER, BEGIN, NOTHING_GOES, OPEN, SERVED, STOPPED, told, well
+from tests.test_client_disconnects import DONE, Leaving, asks
+from tests.test_race_conditions import ANSWER, BEGIN, NOTHING_GOES, OPEN, SERVED, STOPPED, told, well
 from umberlead.front import FrontProcess
 from umberlead.net import server_connection, watch_stream
 
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -20,7 +20,7 @@
     run_on_uvloop,
 )
 from tests.helpers import T0, settings, up
-from tests.test_attempts import Dials, Wire
+from tests.test_dialing import Dials, Wire
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.net.endpoint_pool import EndpointPool
--- a/tests/test_long.py
+++ b/tests/test_streamed_responses.py
@@ -80,7 +80,7 @@
         )
 
     def test_one_that_comes_in_one_read_ends_with_it(self) -> None:
-        """Begun and whole in the same read, it stood open until it was cut off as silent."""
+        """Begun and complete in the same read, it stood open until it was cut off as silent."""
         self.node.data_received(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(BODY), BODY)
         )
@@ -99,7 +99,7 @@
         client.abort.assert_called_once()
         self.assertNotIn(b"0\r\n\r\n", self._out()[-5:])
 
-    def test_one_of_no_told_length_that_comes_slowly_does_not_wait_for_64_kib(self) -> None:
+    def test_one_without_a_length_that_comes_slowly_does_not_wait_for_64_kib(self) -> None:
         """Its first bytes are what is timed: waiting for so much took up to a second."""
         chunk = b"400\r\n" + b"x" * 1024 + b"\r\n"
         self.node.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
@@ -155,7 +155,7 @@
         self.wheel.fire_due()
         self.assertEqual(self.ended, [AttemptResult.OK, False])
 
-    def test_one_of_a_told_length_gives_its_place_up_last(self) -> None:
+    def test_one_with_a_length_gives_its_slot_up_last(self) -> None:
         self.node.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 140000\r\n\r\n" + BODY)
         self.now = T0 + 10**6 + SIZED_EVICTION_AGE_US - 1
         self.assertIsNone(self._rank())
@@ -164,8 +164,8 @@
         assert rank == (True, T0 + 10**6) and (False, self.now) < rank
 
 
-# Whole fronts on real sockets, with a clock moved on by hand. An answer that moves and has an end goes
-# through, however slow; one that never ends keeps the front neither from its limits nor from its stop.
+# Complete processes on real sockets, with a clock moved on by hand. An answer that moves and has an end goes
+# through, however slow; one that never ends keeps the process neither from its limits nor from its stop.
 
 TIME = 8_000_000  # us that clients give their requests
 WELL = "client {0} platform\n{0} >\n| GET /healthz HTTP/1.1\n|\n{0} <\n& well\n"
@@ -263,7 +263,7 @@
 
 @pytest.mark.parametrize("way", HEADS)
 def test_one_that_moves_goes_through_past_its_request_s_time(way: str) -> None:
-    """A long answer was cut off at the request's time while its server was still giving it."""
+    """A streamed response was cut off at the request's time while its server was still giving it."""
     play(
         servers(1),
         begun("a", 0, way),
@@ -314,7 +314,7 @@
 
 
 @pytest.mark.parametrize("way", HEADS)
-def test_one_that_goes_on_does_not_keep_the_front_from_its_stop(way: str) -> None:
+def test_one_that_goes_on_does_not_keep_the_process_from_its_stop(way: str) -> None:
     """All else is answered, the process ends before SIGKILL, and the client sees that it has not all."""
     play(
         servers(2),
@@ -328,8 +328,8 @@
     )
 
 
-def test_where_places_at_nodes_are_short_one_far_past_its_time_gives_way() -> None:
-    """Those of no told length first, the oldest before the others; one that has an end stays."""
+def test_where_slots_at_endpoints_are_short_one_far_past_its_time_is_evicted() -> None:
+    """Those without a length first, the oldest before the others; one that has an end stays."""
     ways = ["told", "chunked", "bare"]
     begin = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("abc", ways, strict=True))]
     play(
@@ -353,7 +353,7 @@
     )
 
 
-def test_a_cap_that_comes_down_ends_no_more_connections_than_it_must() -> None:
+def test_a_lowered_limit_ends_no_more_connections_than_it_must() -> None:
     play(
         servers(3),
         *(ASKS.format(a, n) + SERVED.format(a, n) for n, a in enumerate("abc")),
@@ -366,7 +366,7 @@
     )
 
 
-def test_where_clients_places_are_short_one_far_past_its_time_gives_way() -> None:
+def test_where_clients_slots_are_short_one_far_past_its_time_is_evicted() -> None:
     ways = ["told", "chunked"]
     begin = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("ab", ways, strict=True))]
     play(
@@ -384,7 +384,7 @@
     )
 
 
-def test_a_server_that_pauses_within_a_write_s_answer_is_heard_out() -> None:
+def test_a_server_that_pauses_within_a_write_s_response_is_waited_for() -> None:
     """It can't be tried again, so cutting it off wins nothing; one that stops for good is an error."""
     play(
         "set settings.bounds.dialTimeout 60000\nnode n0 0:script\nclient a platform\n",
--- a/tests/test_long_crossings.py
+++ b/tests/test_streaming_race_conditions.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.exchange import PATIENCE, Peer
-from tests.test_long import ASKS, HEADS, SERVED, TIME, WELL, Long, begun, ended, piece, servers
+from tests.test_streamed_responses import ASKS, HEADS, SERVED, TIME, WELL, Long, begun, ended, piece, servers
 from umberlead.net.client_connections import ACCEPT_GRACE_US
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.streaming import (
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("half", HALVES)
-def test_what_is_half_read_is_refused_as_its_place_goes(half: str) -> None:
+def test_what_is_partially_read_is_rejected_as_its_slot_goes(half: str) -> None:
     """It was closed on without a word, as an idle connection is: a request taken, and lost."""
     play(
         ALONE,
@@ -176,7 +176,7 @@
     )
 
 
-def test_a_cap_that_comes_down_refuses_what_is_half_read() -> None:
+def test_a_lowered_limit_rejects_what_is_partially_read() -> None:
     play(
         ALONE,
         "a >\n",
@@ -191,7 +191,7 @@
 
 
 def test_a_piece_that_is_here_keeps_its_connection() -> None:
-    """It was not read yet as a place is asked for, in that turn: nothing gives way, and it is served."""
+    """It was not read yet as a slot is asked for, in that turn: nothing gives way, and it is served."""
     play(
         ALONE,
         "a >\n",
@@ -205,8 +205,8 @@
     )
 
 
-def test_a_piece_that_comes_in_the_turn_of_the_eviction_is_refused_with_its_request() -> None:
-    """The refusal is out before the connection is closed, a turn later: the piece finds no open request."""
+def test_a_piece_that_comes_in_the_turn_of_the_eviction_is_rejected_with_its_request() -> None:
+    """The rejection is out before the connection is closed, a turn later: the piece finds no open request."""
     play(
         ALONE,
         "a >\n",
@@ -259,7 +259,7 @@
     play(upload(250_000, 8, 33_000), STORED, "writes n0 PUT 1\n")
 
 
-def test_an_upload_just_slower_gets_a_whole_answer_before_its_end() -> None:
+def test_an_upload_just_slower_gets_a_complete_response_before_its_end() -> None:
     """24,000 bytes behind each second: its 2.5 s are used up after 7 s."""
     play(
         upload(250_000, 6, 24_000),
@@ -297,7 +297,7 @@
     )
 
 
-def test_an_upload_larger_than_memory_allows_is_refused_with_its_head() -> None:
+def test_an_upload_larger_than_memory_allows_is_rejected_with_its_headers() -> None:
     play(
         ALONE,
         "client b platform\nmemory 100000\n",
@@ -312,7 +312,7 @@
     )
 
 
-def test_two_uploads_that_memory_does_not_hold_together_end_with_a_refusal_and_an_answer() -> None:
+def test_two_uploads_that_memory_does_not_hold_together_end_with_a_rejection_and_a_response() -> None:
     play(
         ALONE,
         "client b platform\nmemory 100000\n",
@@ -335,7 +335,7 @@
 
 
 @pytest.mark.parametrize("first", [THREE, CHUNK])
-def test_a_read_whose_server_pauses_is_tried_again_and_answered_once(first: str) -> None:
+def test_a_read_whose_server_pauses_is_retried_and_answered_once(first: str) -> None:
     play(
         ASKED.format("read", "got"),
         first,
@@ -350,8 +350,8 @@
 
 
 @pytest.mark.parametrize("pause", [400_000, 600_000])
-def test_the_last_try_of_a_read_is_heard_out(pause: int) -> None:
-    """Nothing can be tried in its place: it was answered as failed though its 200 was on the way."""
+def test_the_last_attempt_of_a_read_is_waited_for(pause: int) -> None:
+    """There can be no retry in its place: it was answered as failed though its 200 was on the way."""
     play(
         "set settings.bounds.maxAttempts 1\n",
         ASKED.format("read", "got"),
@@ -362,7 +362,7 @@
 
 
 @pytest.mark.parametrize("pause", [400_000, 600_000])
-def test_a_write_is_heard_out_and_never_sent_again(pause: int) -> None:
+def test_a_write_is_waited_for_and_never_sent_again(pause: int) -> None:
     play(
         ASKED.format("write", "sent"),
         THREE,
@@ -435,7 +435,7 @@
     )
 
 
-# A client that reads slowly behind a long answer
+# A client that reads slowly behind a streamed response
 
 
 def slowly(way: str, first: int = 70_000, version: str = "1.1") -> str:
@@ -444,8 +444,8 @@
 
 
 @pytest.mark.parametrize("way", HEADS)
-def test_a_reader_that_rests_past_its_request_s_time_gets_all(way: str) -> None:
-    """What it rests is not the server's: neither its silence nor its place are counted meanwhile."""
+def test_a_reader_that_pauses_past_its_request_s_time_gets_all(way: str) -> None:
+    """What it rests is not the server's: neither its silence nor its slot are counted meanwhile."""
     play(
         slowly(way),
         "holds 1\n",
@@ -476,7 +476,7 @@
     )
 
 
-def test_a_server_that_is_lost_while_its_reader_rests_is_seen_as_that_reads_on() -> None:
+def test_a_server_that_is_lost_while_its_reader_pauses_is_seen_as_that_reads_on() -> None:
     play(
         slowly("told"),
         "holds 1\nn0 reset\nclock 9000000\n",
@@ -508,8 +508,8 @@
 REFUSED = ASKS + "{0} <\n& refused\n"
 
 
-def test_one_that_is_late_by_less_than_the_give_way_age_keeps_its_place() -> None:
-    """The other's need is refused, at once; a little later it wins."""
+def test_one_that_is_late_by_less_than_the_eviction_age_keeps_its_slot() -> None:
+    """The other's need is rejected, at once; a little later it wins."""
     moves = "".join(
         "clock 5000000\n" + piece(0, "chunked", at, at + 10_000) + f"a has {at + 10_000}\n"
         for at in (70_000, 80_000, 90_000)
@@ -532,7 +532,7 @@
     )
 
 
-def test_one_that_its_reader_holds_keeps_its_place_for_that_time() -> None:
+def test_one_that_its_reader_holds_keeps_its_slot_for_that_time() -> None:
     """Its server is not late for that; once it is let go on its time runs on."""
     play(
         slowly("chunked"),
@@ -557,7 +557,9 @@
 
 @pytest.mark.parametrize("beside", ["", "beside\n"])
 @pytest.mark.parametrize("way", HEADS)
-def test_a_long_answer_goes_on_behind_the_drain_and_the_end_comes_with_it(beside: str, way: str) -> None:
+def test_a_streamed_response_goes_on_behind_the_drain_and_the_end_comes_with_it(
+    beside: str, way: str
+) -> None:
     """Nothing is cut before the process must end, and it doesn't wait until then."""
     play(
         servers(1),
@@ -617,11 +619,11 @@
         )
 
 
-# A connection that carried a long answer
+# A connection that carried a streamed response
 
 
 def test_a_connection_serves_a_short_request_by_that_one_s_time() -> None:
-    """Nothing of the long answer's time, nor of its reader's, is left on it."""
+    """Nothing of the streamed response's time, nor of its reader's, is left on it."""
     brief = begun("c", 0, "chunked", 1000).replace(str(TIME / 1e6), "0.5")
     play(
         slowly("told"),
@@ -643,7 +645,7 @@
     )
 
 
-def test_a_long_answer_is_not_cut_by_a_shorter_request_at_its_server() -> None:
+def test_a_streamed_response_is_not_cut_by_a_shorter_request_at_its_server() -> None:
     play(
         servers(1),
         begun("a", 0, "chunked", 1000),
