--- a/benchmarks/planted_routes.py
+++ b/benchmarks/planted_routes.py
@@ -20,7 +20,10 @@
     "deploy/watched/servers.d/room-a.list",
     "deploy/watched/servers.d/room-b.list",
 )
-MODULE, ENGINE = "umberlead/scheduling/scheduler.py", "umberlead/requests/lifecycle.py"
+SCHEDULER, LIFECYCLE = "umberlead/scheduling/scheduler.py", "umberlead/requests/lifecycle.py"
+DIRECTORY, ENDPOINT = "umberlead/scheduling/endpoint_directory.py", "umberlead/scheduling/endpoint_state.py"
+RETRIES, PRIORITIES = "umberlead/scheduling/retries.py", "umberlead/scheduling/priorities.py"
+GUARD = "umberlead/requests/send_guard.py"
 MACHINE, JOIN = "umberlead/membership/list_merge.py", "umberlead/membership/integration.py"
 NOT_LISTED = "error: no server is listed"  # something befalls it, and it is not there
 READ_ONLY = "read"  # the suite, the configuration or the list is refused before anything is played
@@ -57,33 +60,33 @@
     ("merging forgets who changed", MACHINE, "                changed.append(EndpointChange(before, after))", "                pass", {"never", "only"}),
     ("marks are forgotten as they are told", MACHINE, "                changes.append(ManualDrain(due_id, True, self.manual_drains[name]))", "                pass", {"never", "only"}),
     # engine
-    ("an upload that may have run is sent again", ENGINE, "or (ticket.may_have_run and self.classes[ticket.ask.class_name].effect is Effect.UNSAFE)", "", set()),
-    ("what may have run is not noted", ENGINE, "ticket.may_have_run |= result not in NEVER_RAN", "pass", set()),
-    ("an answer is given twice", ENGINE, "        ticket.done(answer)\n", "        ticket.done(answer)\n        ticket.done(answer)\n", {"answered-once"}),
-    ("a served answer is not passed on", ENGINE, "if result is Result.OK and not ticket.answered:", "if False:", {"served", "answered-once", "within"}),
-    ("requests are never answered at their time", ENGINE, "        if not ticket.answered:\n            self.wheel.after(LAST_WORD, self._last_word, ticket)", "", set()),
-    ("refusals are not answered", ENGINE, "            self._answer(ticket, Answer(kind, None, advice, ticket.may_have_run))", "            pass", {"refused", "prompt", "answered-once"}),
+    ("an upload that may have run is sent again", GUARD, "        if request.may_have_run and unsafe:\n            return Denial.MAY_HAVE_RUN\n", "", set()),
+    ("what may have run is not noted", LIFECYCLE, "request.may_have_run |= result not in RESULTS_WITHOUT_EFFECT", "pass", set()),
+    ("an answer is given twice", LIFECYCLE, "        request.on_answer(answer)\n", "        request.on_answer(answer)\n        request.on_answer(answer)\n", {"answered-once"}),
+    ("a served answer is not passed on", LIFECYCLE, "if result is AttemptResult.OK and not request.answered:", "if False:", {"served", "answered-once", "within"}),
+    ("requests are never answered at their time", LIFECYCLE, "        if not request.answered:\n            self.wheel.call_after(DECISION_GRACE_US, self._answer_undecided, request)", "", set()),
+    ("refusals are not answered", LIFECYCLE, "        self._answer(request, Answer(kind, None, retry_after_us, request.may_have_run))\n", "", {"refused", "prompt", "answered-once"}),
     # module
-    ("the node's state is not looked at", MODULE, "if self.info.state is not NodeState.UP or (", "if (", {"never", "only"}),
-    ("marks by hand are not looked at", MODULE, "views = [self.nodes[n] for n in names if n not in self.taken_out]", "views = [self.nodes[n] for n in names]", {"never", "only"}),
-    ("any node may take any shard", MODULE, "names = self.by_shard.get(shard, {}) if shard >= 0 else self.nodes", "names = self.nodes", {"only", "may-only"}),
-    ("weight 0 takes new objects", MODULE, "views = [v for v in views if shard >= 0 or v.info.weight != 0]", "", {"share", "never"}),
-    ("weights don't count", MODULE, "        if self.offered:\n            return", "        if False:\n            return", {"share"}),
-    ("one more attempt than is allowed", MODULE, "item.tries >= self.s.max_attempts", "item.tries > self.s.max_attempts", set()),
-    ("the module sends uploads again", MODULE, "Effect.UNSAFE: 0}", "Effect.UNSAFE: NEVER}", set()),
-    ("module and engine both send uploads again", (MODULE, ENGINE), ("Effect.UNSAFE: 0}", "or (ticket.may_have_run and self.classes[ticket.ask.class_name].effect is Effect.UNSAFE)"), ("Effect.UNSAFE: NEVER}", ""), {"may-once", "once"}),
-    ("module and engine both allow one more attempt", (MODULE, ENGINE), ("item.tries >= self.s.max_attempts", "or number >= self.settings.max_attempts"), ("item.tries > self.s.max_attempts", ""), {"may-attempts", "attempts"}),
-    ("after a failure nothing is tried again", MODULE, "        elif e.astray or self.now >= item.aim_at or not self.may_send(item):", "        elif True:", {"served", "may-attempts"}),
-    ("refusals come only at the deadline", MODULE, "        self.at(aim_at, self.give_up, item)", "        self.at(req.give_up, self.give_up, item)", {"prompt", "within"}),
-    ("who is refused is held for good", MODULE, "        self.at(aim_at, self.give_up, item)", "        pass", {"refused", "prompt", "answered-once"}),
-    ("a node that went is kept", MODULE, "                    self.by_shard[view.info.shard].pop(name)\n                    self.nodes.pop(name).info = node\n", "                    pass\n", {"never", "only"}),
-    ("the bound is one unit", MODULE, "BOUND = 8.0", "BOUND = 0.1", set()),
-    ("a warming node gets nothing", "umberlead/scheduling/slow_start.py", "    return units * s.cold_window / (", "    return 1e6 * units * s.cold_window / (", set()),
-    ("new objects go to the first node alone", MODULE, "            for k, v in enumerate(views)\n", "            for k, v in enumerate(views[:1])\n", {"share", "served"}),
-    ("all requests count as refused", MODULE, "hopeless = view and ", "hopeless = view or ", {"served"}),
-    ("volumes are held for ever", MODULE, "            if wait or early or value < press - 1:", "            if wait or early or value < press + 9:", {"served"}),
-    ("who can wait never goes", MODULE, "            early = press > CALM and ", "            early = press > -1 or ", {"served"}),
-    ("who is sick is offered alone", MODULE, "if not v.sick(now)]", "if v.sick(now)]", set()),
+    ("the node's state is not looked at", ENDPOINT, "if self.endpoint.status is not EndpointStatus.UP or self._is_full(units):", "if self._is_full(units):", {"never", "only"}),
+    ("marks by hand are not looked at", DIRECTORY, "[self.endpoints[name] for name in names if name not in self.manual_drains]", "[self.endpoints[name] for name in names]", {"never", "only"}),
+    ("any node may take any shard", DIRECTORY, "self.by_shard.get(shard, {}) if shard >= 0 else self.endpoints", "self.endpoints", {"only", "may-only"}),
+    ("weight 0 takes new objects", DIRECTORY, "        return [state for state in states if state.endpoint.weight != 0]", "        return states", {"share", "never"}),
+    ("weights don't count", DIRECTORY, "        if self._placement_weights:\n            return", "        if False:\n            return", {"share"}),
+    ("one more attempt than is allowed", RETRIES, "pending.attempt_count >= self._settings.max_attempts", "pending.attempt_count > self._settings.max_attempts", set()),
+    ("the module sends uploads again", RETRIES, "        return request_class.deduplication_window_us\n    return 0\n", "        return request_class.deduplication_window_us\n    return NEVER\n", set()),
+    ("module and engine both send uploads again", (RETRIES, GUARD), ("        return request_class.deduplication_window_us\n    return 0\n", "        if request.may_have_run and unsafe:\n            return Denial.MAY_HAVE_RUN\n"), ("        return request_class.deduplication_window_us\n    return NEVER\n", ""), {"may-once", "once"}),
+    ("module and engine both allow one more attempt", (RETRIES, GUARD), ("pending.attempt_count >= self._settings.max_attempts", "        if request.attempt_count >= self._max_attempts:\n            return Denial.ATTEMPTS_USED\n"), ("pending.attempt_count > self._settings.max_attempts", ""), {"may-attempts", "attempts"}),
+    ("after a failure nothing is tried again", SCHEDULER, "        elif outcome.misdirected or not self.retries.may_attempt(pending, self.now_us):", "        elif True:", {"served", "may-attempts"}),
+    ("refusals come only at the deadline", SCHEDULER, "self._schedule(pending.objective_at_us, self._end_unserved, pending)", "self._schedule(request.deadline_us, self._end_unserved, pending)", {"prompt", "within"}),
+    ("who is refused is held for good", SCHEDULER, "        self._schedule(pending.objective_at_us, self._end_unserved, pending)", "        pass", {"refused", "prompt", "answered-once"}),
+    ("a node that went is kept", DIRECTORY, "                self._remove(endpoint)\n", "                pass\n", {"never", "only"}),
+    ("the bound is one unit", ENDPOINT, "MAX_CONCURRENCY_REQUESTS = 8.0", "MAX_CONCURRENCY_REQUESTS = 0.1", set()),
+    ("a warming node gets nothing", "umberlead/scheduling/slow_start.py", "    return units * settings.cold_window_us / window_units", "    return 1e6 * units * settings.cold_window_us / window_units", set()),
+    ("new objects go to the first node alone", DIRECTORY, "            for index, state in enumerate(states)\n", "            for index, state in enumerate(states[:1])\n", {"share", "served"}),
+    ("all requests count as refused", SCHEDULER, "if state is not None and self.priorities.is_late(pending, state, self.now_us):", "if state is not None:", {"served"}),
+    ("volumes are held for ever", PRIORITIES, "return can_wait or priority < pressure - 1", "return can_wait or priority < pressure + 9", {"served"}),
+    ("who can wait never goes", PRIORITIES, "can_wait = pressure > RELAXED_LATENCY_RATIO and ", "can_wait = pressure > -1 or ", {"served"}),
+    ("who is sick is offered alone", DIRECTORY, "if not state.is_outlier(now_us)]", "if state.is_outlier(now_us)]", set()),
 )  # fmt: skip
 
 
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -63,7 +63,7 @@
     ("a set that moves is taken", FILES, 'file_set.problems.append(ListProblem("L407"', '[].append(ListProblem("L407"'),
     ("a snapshot's digest is not looked at", SNAPSHOT, "if hashlib.sha256(body).hexdigest() != digest:", "if False:"),
     ("a snapshot that can't be written takes the old one's place", SNAPSHOT, "        _write_synced(temporary, data)\n", "        temporary.write_bytes(data)\n        os.rename(temporary, path)\n        _write_synced(temporary, data)\n"),
-    ("weights count one more each time", "umberlead/scheduling/weighted_round_robin.py", "kept[name] -= sum(weights.values())", "kept[name] -= 1"),
+    ("weights count one more each time", "umberlead/scheduling/weighted_round_robin.py", "credit[selected] -= sum(weights.values())", "credit[selected] -= 1"),
 )  # fmt: skip
 
 
--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -7,7 +7,7 @@
 from tests import planted
 
 CLIENTS, SERVER = "umberlead/net/client_connections.py", "umberlead/net/server_connection.py"
-ENGINE, DECIDE = "umberlead/requests/lifecycle.py", "umberlead/scheduling/scheduler.py"
+LIFECYCLE, SCHEDULER = "umberlead/requests/lifecycle.py", "umberlead/scheduling/scheduler.py"
 NODE, PARSER = "umberlead/net/endpoint_connection.py", "umberlead/net/response_parser.py"
 STREAM, POOL = "umberlead/net/streaming.py", "umberlead/net/endpoint_pool.py"
 WATCH, FRONT = "umberlead/net/discovery.py", "umberlead/front.py"
@@ -31,7 +31,7 @@
 planted.PLANTED = (  # type: ignore[assignment]
     ("shutdown: what is half read at the end is left open", SERVER, "if partial and self.active_request is None and not self.ended:\n            self.reject(503", "if False:\n            self.reject(503"),
     ("shutdown: what waits behind an answer at the end is taken", CLIENTS, "        self.rejecting = self.close_after_response = True\n", "        self.close_after_response = True\n"),
-    ("shutdown: what was never sent counts as doubtful", ENGINE, "unsent = out is None or (self.carrier is not None and self.carrier.unwanted(out))", "unsent = out is None"),
+    ("shutdown: what was never sent counts as doubtful", LIFECYCLE, "        unsent = attempt is None or (self.transport is not None and self.transport.cancel_if_unsent(attempt))\n", "        unsent = attempt is None\n"),
     ("shutdown: a start that was told to stop listens", FRONT, "if self.told_to_stop:  # before anything was taken", "if False:"),
     ("shutdown: SIGTERM during a start ends it with a signal", START, "    signal.signal(signal.SIGTERM, lambda *_: os._exit(0))\n", ""),
     ("shutdown: SIGHUP during a start is lost", FRONT, "        if EARLY:", "        if False:"),
@@ -43,17 +43,17 @@
     ("bad clients: what came before the noise is dropped", INPUT, "self._rejection = RequestRejection(status, reason, rejected)", "self.ended = self.close_after_response = True"),
     ("client gone: unseen where reading is paused", CLIENTS, "if conn.is_reading_paused() and conn.pending_events() & DISCONNECT_POLL_EVENTS:", "if False:"),
     ("client gone: what waits behind is kept", SERVER, "        self._rejection = None\n        self._pending_input.discard_all()\n", "        self._rejection = None\n"),
-    ("client gone: a dial goes on", ENGINE, "                self.carrier.unwanted(ticket.out)\n            self._post(api.ClientGone", "                pass\n            self._post(api.ClientGone"),
+    ("client gone: a dial goes on", LIFECYCLE, "            self.transport.cancel_if_unsent(request.attempt)\n        self._post(ClientDisconnected", "            pass\n        self._post(ClientDisconnected"),
     ("client gone: a dial given up counts against the node", NODE, "                reason if self.written or reason is AttemptResult.NOT_SENT else AttemptResult.CONNECT_FAILED\n", "                reason if self.written else AttemptResult.CONNECT_FAILED\n"),
     ("client gone: blocks that were not begun are begun", BLOCKS, "        if request.client_has_left:\n", "        if False:\n"),
     ("client gone: a block that waits is sent", OBJECTS, "                self.lifecycle.abandon(in_flight)\n", "                pass\n"),
     ("client gone: not looked for as an attempt is decided", GUARD, "return None if self._client_waits(request) else Denial.CLIENT_LEFT", "return None"),
-    ("client gone: not looked for as its connection is up", GUARD, "        return self._denied_client(attempt.ticket)\n", "        return None\n"),
+    ("client gone: not looked for as its connection is up", GUARD, "        return self._denied_client(attempt.request)\n", "        return None\n"),
     ("client gone: the rest of a request follows in that turn", NODE, "if self.write_paused and not self.written and self.is_open():", "if False:"),
-    ("client gone: what was decided with it has no outcome", ENGINE, "for act, ticket in [(act, self._named(act)) for act in acts]:", "for act, ticket in ((act, self._named(act)) for act in acts):"),
-    ("client gone: what it stood before waits on", DECIDE, "                self.dirty[item.shard] = None  # what it stood before may go\n", ""),
-    ("client gone: a limit is charged for what was not sent", VOLUMES, "self[item.req.volume].limit.give(item.req.units)", "pass"),
-    ("hand-over of news: a draining server gets what was dialled", GUARD, "if not self._node_takes_new(attempt.node):", "if False:"),
+    ("client gone: what was decided with it has no outcome", "umberlead/requests/decision_loop.py", "for action, request in [(action, self._request_of(action)) for action in actions]:", "for action, request in ((action, self._request_of(action)) for action in actions):"),
+    ("client gone: what it stood before waits on", SCHEDULER, "            self._shards_to_dispatch[pending.shard] = None  # what waited behind it may be sent\n", ""),
+    ("client gone: a limit is charged for what was not sent", VOLUMES, "self[pending.request.volume].limit.give_back(pending.request.units)", "pass"),
+    ("hand-over of news: a draining server gets what was dialled", GUARD, "if not self._accepts_new_requests(attempt.endpoint):", "if False:"),
     ("watches: what a reload leaves is not read", WATCH, "            if stream is not None:\n                stream.read_unread_bytes()\n", "            if False:\n                stream.read_unread_bytes()\n"),
     ("watches: what came is not read before one is silent", WATCH, "            stream.read_unread_bytes()\n            if stream.ended or", "            if stream.ended or"),
     ("retries: a reset with the last bytes is an end", NODE, "if self.response.framed or self._socket_state().was_reset():", "if self.response.framed:"),
@@ -81,7 +81,7 @@
     ("long answers: none gives its client's place", CLIENTS, "        if not overdue:\n            return False\n", "        return False\n"),
     ("long answers: to a client of HTTP/1.0 one that broke off looks whole", SERVER, "if not (self.chunked or self.response_length or self.transport.is_closing()):", "if False:"),
     ("long answers: a write's is cut off where its server pauses", NODE, "wait_us = max(wait_us, SERVER_PAUSE_TIMEOUT_US)", "pass"),
-    ("long answers: a read's last try is cut off where its server pauses", ENGINE, "once = last or ", "once = "),
+    ("long answers: a read's last try is cut off where its server pauses", LIFECYCLE, "must_not_repeat = is_last or ", "must_not_repeat = "),
     ("long answers: a server may pause for half a second only", STREAM, "SERVER_PAUSE_TIMEOUT_US = 650_000", "SERVER_PAUSE_TIMEOUT_US = 500_000"),
     ("long answers: to a client of HTTP/1.0 one unread at the end looks whole", FRONT, "        for clients in self.groups:\n            clients.close()\n", ""),
     ("uploads: what is half read is closed on as its place goes", SERVER, "        if self._parser.partial_request is not None and not self.ended:\n            self.reject(503, \"too many connections\")\n", ""),
@@ -89,12 +89,12 @@
     ("uploads: one that trickles never ends", SERVER, "if self.has_unread_request() and not self._timeout_deferred:", "if self.has_unread_request():"),
     ("hand-over: the old process keeps connections for the new one's clients", FRONT, "clients.close_after_response = self.processes > 1", "clients.close_after_response = False"),
     ("limits: each process has its front's whole part", FRONT, "            self.engine.set_process_share(share)\n", "            pass\n"),
-    ("limits: a process that stands beside another begins full", VOLUMES, "self.since, self.credit = now + NOTICE, 0.0\n", "self.since = 0\n"),
-    ("limits: what is left above a smaller part is kept", "umberlead/scheduling/token_bucket.py", "most, min(self.have, most)", "most, self.have"),
-    ("limits: a front that joins a volume is not made room for", VOLUMES, "            if most < before:", "            if False:"),
-    ("limits: fewer fronts hold at once", VOLUMES, "            if now - self.fewer_since < hold:", "            if False:"),
-    ("limits: a further attempt is free whatever came of the first", VOLUMES, "        item.paid = None\n", "        pass\n"),
-    ("limits: a volume is forgotten before its store is full", VOLUMES, " and not v.limit.wait(now, v.limit.most)", ""),
+    ("limits: a process that stands beside another begins full", VOLUMES, "            self._first_change = ShareChange(now_us + PROCESS_NOTICE_US, share)\n            self._slack_ratio = 0.0\n", "            self._first_change = ShareChange(0, share)\n            self._slack_ratio = START_SLACK_RATIO\n"),
+    ("limits: what is left above a smaller part is kept", "umberlead/scheduling/token_bucket.py", "self.available_units = min(self.available_units, capacity_units)", "pass"),
+    ("limits: a front that joins a volume is not made room for", VOLUMES, "        if size.capacity_units < earlier_capacity_units:", "        if False:"),
+    ("limits: fewer fronts hold at once", VOLUMES, "            if now_us - self._lower_since_us < hold_us:", "            if False:"),
+    ("limits: a further attempt is free whatever came of the first", VOLUMES, "        pending.charged_attempt = None\n", "        pass\n"),
+    ("limits: a volume is forgotten before its store is full", VOLUMES, "            and not volume.limit.wait_us(now_us, volume.limit.capacity_units)\n", ""),
     ("limits: a process that can't be seen is gone", SHARED, "        with contextlib.suppress(OSError):\n            listed_ns", "        self.siblings, self._weights = [], []\n        with contextlib.suppress(OSError):\n            listed_ns"),
 )  # fmt: skip
 
