--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -38,6 +38,15 @@
             self.assertEqual(new.drain_overrides(), {})
             new.deregister()
 
+    def test_a_process_that_has_ended_leaves_no_entry_by_a_later_look_at_its_siblings(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            root = Path(folder) / "u"
+            ended = SharedState(root)
+            ended.deregister()
+            entries = sorted(path.name for path in (root / "fronts").iterdir())
+            ended.count_siblings()
+            self.assertEqual(sorted(path.name for path in (root / "fronts").iterdir()), entries)
+
     def test_manual_drains_hold_without_a_folder(self) -> None:
         for root in (None, Path("/dev/null/u")):
             alone = SharedState(root)
--- a/umberlead/handover/shared_state.py
+++ b/umberlead/handover/shared_state.py
@@ -44,6 +44,7 @@
         self.root = None if self.error else root
         self._published_text = ""
         self._has_published = False
+        self._has_ended = False
         root = self.root
         self._registry = None if root is None else ProcessRegistry(root / REGISTRY_FOLDER)
         self.clock_anchors = ClockAnchors(None if root is None else root / CLOCK_FILE)
@@ -63,8 +64,11 @@
         return ""
 
     def _register(self, registry: ProcessRegistry) -> None:
-        """Become visible to siblings, which then divide with this process; retried where that failed."""
-        if registry.name:
+        """Become visible to siblings, which then divide with this process; retried where that failed.
+
+        Not after `deregister`: a periodic look that comes later would leave an entry that nobody removes.
+        """
+        if registry.name or self._has_ended:
             return
         try:
             assert self.root is not None
@@ -197,7 +201,8 @@
                 (self.root / AGENT_FILE).unlink(missing_ok=True)
 
     def deregister(self) -> None:
-        """Give up the entry and the claim: the process ends."""
+        """Give up the entry and the claim for good: the process ends."""
+        self._has_ended = True
         registry = self._registry
         if registry is None or not registry.name:
             return
