--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,12 @@
 from tests.helpers import T0, ask, end, feed, head, sends, settings, up
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointStatus
 from umberlead.scheduling.settings import Settings
-from umberlead.scheduling.slow_start import MIN_WINDOW_REQUESTS, SendWindow, max_window_units
+from umberlead.scheduling.slow_start import (
+    MIN_WINDOW_REQUESTS,
+    SendWindow,
+    max_window_units,
+    pacing_delay_us,
+)
 
 WINDOW_US = 3_000_000
 WARM_UP_US = 16_000_000
@@ -97,3 +102,9 @@
     assert all(got <= bound for got, bound in windows), max(got / bound for got, bound in windows)
     if result is AttemptResult.OK:
         assert max(got / bound for got, bound in windows) > 0.6
+
+
+def test_an_allowance_of_next_to_nothing_is_paced_without_an_error() -> None:
+    """`extra.coldUnits` may be as small as a float can be; a share of it rounds to nothing."""
+    tiny = settings(cold_start_units=5e-324, **COLD)
+    assert pacing_delay_us(tiny, _node(), START, 1.0, 0.1) > 0
