--- a/tests/planted.py
+++ b/tests/planted.py
@@ -26,7 +26,7 @@
     ("who left discovery's whole list is not looked at", MACHINE, "dict.fromkeys(listed if complete else ())", "dict.fromkeys(())"),
     ("a held list is taken all the same", MACHINE, "        if problems:\n", "        if False:\n"),
     ("a list may withdraw any number", PENDING, "if delta.withdrawn_count > max(", "if delta.withdrawn_count > 9999 * max("),
-    ("a lost shard is no reason to hold a list", PENDING, "    if delta.lost_shards:", "    if False:"),
+    ("a lost shard is no reason to hold a list", PENDING, "    if delta.unserved_shards:", "    if False:"),
     ("a broken file leaves an older list to be confirmed", MACHINE, "        self.pending = None\n        self.rejection_problems = tuple(problems)", "        self.rejection_problems = tuple(problems)"),
     ("any short digest confirms", PENDING, "if len(digest) < MIN_DIGEST_PREFIX_SIZE or not", "if not"),
     ("a confirmation takes what is held, whatever it names", PENDING, "or not own_digest.startswith(digest)", "or False"),
--- a/umberlead/commands/lists.py
+++ b/umberlead/commands/lists.py
@@ -96,14 +96,14 @@
     for name, fields in changes.items():
         listed = ", ".join(f"{field} {old_value} -> {value}" for field, (old_value, value) in fields.items())
         lines.append(f"~ {name} {listed}")
-    if delta.lost_shards:
-        lines.append("! no ready server left for shard " + ", ".join(map(str, delta.lost_shards)))
+    if delta.unserved_shards:
+        lines.append("! no ready server left for shard " + ", ".join(map(str, delta.unserved_shards)))
     result = {
         "came": list(delta.added),
         "went": list(delta.removed),
         "withdrawn": delta.withdrawn_count,
         "changed": changes,
-        "lost_shards": list(delta.lost_shards),
+        "lost_shards": list(delta.unserved_shards),
     }
     _print_result(result, as_json, "\n".join(lines))
     sys.exit(PROBLEMS_STATUS if delta.affected_names else 0)
--- a/umberlead/commands/play.py
+++ b/umberlead/commands/play.py
@@ -66,9 +66,7 @@
         key = "membership" if conf.watched_lists is None else "objects"
         click.echo(f"{config}: {key}: the demo needs a watched list and an object front", err=True)
         sys.exit(2)
-    servers = list(
-        checked_list_or_exit(conf.watched_lists.manifest_path, resolve_names=True).endpoints.values()
-    )
+    servers = list(checked_list_or_exit(conf.watched_lists.main_path, resolve_names=True).endpoints.values())
     try:
         sound = showing.main(config, servers, sorted(conf.object_api.plan_by_bucket), seconds, rate, seed)
     except (OSError, showing.NoFront) as fault:
--- a/umberlead/configuration/keys.py
+++ b/umberlead/configuration/keys.py
@@ -95,11 +95,11 @@
         raise self.error(key, f"must be true or false, not {value!r}")
 
     def choice(self, key: str, choices: Mapping[str, Any], default: str) -> Any:
-        """Return what the word stands for in `choices`."""
-        word = self.text(key, default)
-        if word not in choices:
-            raise self.error(key, f"must be one of {', '.join(choices)}, not {word!r}")
-        return choices[word]
+        """Return what a text stands for in `choices`."""
+        text = self.text(key, default)
+        if text not in choices:
+            raise self.error(key, f"must be one of {', '.join(choices)}, not {text!r}")
+        return choices[text]
 
     def table(self, key: str) -> "Keys":
         """Return the keys of a table; none of them where it is missing."""
@@ -110,13 +110,13 @@
             raise self.error(key, "must be a table")
         return Keys(value, self.full_name(key))
 
-    def words(self, key: str) -> tuple[str, ...]:
-        """Return the words of a list, or, as on the wire, of a text with commas between them."""
+    def texts(self, key: str) -> tuple[str, ...]:
+        """Return the texts of a list, or, as on the wire, of one text with commas between them."""
         value = self.raw(key)
-        words = value.split(",") if isinstance(value, str) else [] if value is None else value
-        if not isinstance(words, list) or not all(isinstance(word, str) for word in words):
+        items = value.split(",") if isinstance(value, str) else [] if value is None else value
+        if not isinstance(items, list) or not all(isinstance(item, str) for item in items):
             raise self.error(key, f"must be a list of words, not {value!r}")
-        return tuple(word for word in words if word)
+        return tuple(item for item in items if item)
 
     def table_indexes(self, key: str) -> range:
         """Return the indexes of a flattened list of tables, which must hold at least one."""
--- a/umberlead/configuration/membership_table.py
+++ b/umberlead/configuration/membership_table.py
@@ -24,7 +24,7 @@
     """Watched endpoint lists.
 
     Attributes:
-        manifest_path: The main file of the list.
+        main_path: The main file of the list.
         snapshot_path: Where the last good list is saved; None where it isn't.
         settle_us: How long a burst of changes is waited for.
         poll_interval_us: The time between two comparisons of the files with what was read.
@@ -36,7 +36,7 @@
         gate_timeout_seconds: The time that this suite may take.
     """
 
-    manifest_path: Path
+    main_path: Path
     snapshot_path: Path | None
     settle_us: int
     poll_interval_us: int
@@ -57,7 +57,7 @@
     keys.reject_unknown(KNOWN_KEYS)
     snapshot = keys.text("snapshot", "")
     config = WatchedListConfig(
-        manifest_path=(folder / keys.text("list")).absolute(),
+        main_path=(folder / keys.text("list")).absolute(),
         snapshot_path=(folder / snapshot).absolute() if snapshot else None,
         settle_us=int(keys.number("settle_ms", 10, 0, 200) * 1000),
         poll_interval_us=int(keys.number("poll_ms", 250, 20, 400) * 1000),
--- a/umberlead/configuration/request_settings.py
+++ b/umberlead/configuration/request_settings.py
@@ -7,13 +7,13 @@
 from umberlead.configuration.keys import Keys
 from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings, validate_settings
 
-REPEATABILITY_BY_WORD = {
+REPEATABILITY_BY_EFFECT = {
     "idempotent": Repeatability.IDEMPOTENT,
     "deduplicated": Repeatability.IDEMPOTENT_BY_KEY,
     "at_most_once": Repeatability.AT_MOST_ONCE,
 }
-DEDUPLICATION_SCOPES = {word: word for word in ("all", "zone", "cell")}
-POLLS_ENDPOINT_LIST_BY_WORD = {"push": False, "ask": True}
+DEDUPLICATION_SCOPES = {name: name for name in ("all", "zone", "cell")}
+POLLS_ENDPOINT_LIST_BY_MODE = {"push": False, "ask": True}
 TABLES = ("bounds", "callers", "extra", "guarantees", "loadReport")
 # No response comes in less than this time, and shares of a shorter one round to nothing.
 MIN_SPAN_US = 1000
@@ -50,7 +50,7 @@
         name=keys.text(f"{path}.name"),
         latency_objective_us=keys.integer(f"{path}.aim", None, MIN_SPAN_US),
         timeout_us=keys.integer(f"{path}.hardLimit", None, MIN_SPAN_US),
-        repeatability=keys.choice(f"{path}.effect", REPEATABILITY_BY_WORD, "at_most_once"),
+        repeatability=keys.choice(f"{path}.effect", REPEATABILITY_BY_EFFECT, "at_most_once"),
         deduplication_scope=keys.choice(f"{path}.group", DEDUPLICATION_SCOPES, "cell"),
         deduplication_window_us=_deduplication_window_us(keys, path),
         ordered=keys.flag(f"{path}.sequential"),
@@ -67,7 +67,7 @@
     """
     window_us = keys.integer(f"{path}.memorySpan", 0)
     within_one_zone = keys.raw(f"{path}.group") == "zone"
-    return 0 if within_one_zone and len(keys.words("azs")) != 1 else window_us
+    return 0 if within_one_zone and len(keys.texts("azs")) != 1 else window_us
 
 
 def _plan(keys: Keys, index: int) -> Plan:
@@ -106,7 +106,7 @@
         connect_timeout_us=keys.integer("bounds.dialTimeout", 0),
         clients_mark_retries=keys.flag("callers.marksRetry"),
         max_retry_after_us=keys.integer("bounds.maxRetryAfter", 0) if keys.flag("bounds.retryAfter") else 0,
-        polls_endpoint_list=keys.choice("discovery", POLLS_ENDPOINT_LIST_BY_WORD, "push"),
+        polls_endpoint_list=keys.choice("discovery", POLLS_ENDPOINT_LIST_BY_MODE, "push"),
         answer_grace_us=keys.integer("guarantees.graceToAnswer", 0),
         shard_count=keys.integer("extra.nShards", 0, 0, MAX_SHARD_COUNT),
         # Without an end to warming up, no endpoint counts as cold.
--- a/umberlead/configuration/rooms_table.py
+++ b/umberlead/configuration/rooms_table.py
@@ -5,7 +5,7 @@
 
 from umberlead.configuration.keys import Address, Keys
 
-SPILLOVER_MODES = {word: word for word in ("learnt", "all", "never")}
+SPILLOVER_MODES = {name: name for name in ("learnt", "all", "never")}
 MICROSECONDS_PER_SECOND_FACTOR = 1_000_000
 MIN_TIME_SECONDS = 0.05
 MAX_TIME_SECONDS = 3600
--- a/umberlead/configuration/sources.py
+++ b/umberlead/configuration/sources.py
@@ -39,7 +39,7 @@
     "EDGE_DISCOVERY": "discovery",
     "EDGE_MANAGEMENT": "management",
 }
-LOG_LEVELS = {word: word for word in ("debug", "info", "warning", "error")}
+LOG_LEVELS = {name: name for name in ("debug", "info", "warning", "error")}
 COLLECTOR_SCHEMES = ("tcp://", "unix://")
 DEFAULT_MAX_RETRY_AFTER_US = 500_000
 DEFAULT_KEEPALIVE_US = 15_000_000
@@ -181,7 +181,7 @@
         name=DEFAULT_NAME,
         seed=_seed(keys),
         settings=parse_settings(setting_values),
-        load_fields=setting_keys.words("loadReport.fields"),
+        load_fields=setting_keys.texts("loadReport.fields"),
         known_endpoints=parse_discovery_message({} if known is None else known, "known"),
         max_descriptors=keys.table("limits").integer("sockets", 1024, 32, 1_000_000),
         cores=keys.table("limits").number("cores", 1.0, 0.01, 1024),
--- a/umberlead/membership/integration.py
+++ b/umberlead/membership/integration.py
@@ -155,7 +155,7 @@
     if list_config.gate_suite_path is not None:
         gate = ChangeGate(list_config.gate_suite_path, list_config.gate_timeout_seconds)
     return WatchedListSettings(
-        main_path=list_config.manifest_path,
+        main_path=list_config.main_path,
         snapshot_path=list_config.snapshot_path,
         settle_seconds=list_config.settle_us / MICROSECONDS_PER_SECOND_FACTOR,
         poll_interval_seconds=list_config.poll_interval_us / MICROSECONDS_PER_SECOND_FACTOR,
--- a/umberlead/membership/model.py
+++ b/umberlead/membership/model.py
@@ -169,7 +169,7 @@
         changed: Names whose entry differs.
         withdrawn_count: How many endpoints were ready and take no new requests in the next list.
         ready_count: How many endpoints were ready.
-        lost_shards: Shards that had a ready endpoint and have none in the next list.
+        unserved_shards: Shards that had a ready endpoint and have none in the next list.
     """
 
     added: tuple[str, ...] = ()
@@ -177,7 +177,7 @@
     changed: tuple[str, ...] = ()
     withdrawn_count: int = 0
     ready_count: int = 0
-    lost_shards: tuple[int, ...] = ()
+    unserved_shards: tuple[int, ...] = ()
 
     @property
     def affected_names(self) -> tuple[str, ...]:
@@ -202,15 +202,15 @@
     ready_count = sum(endpoint.status is up for endpoint in old.values())
     withdrawn_count = sum(old[name].status is up for name in removed)
     withdrawn_count += sum(old[name].status is up and new[name].status is not up for name in changed)
-    may_lose_shards = bool(withdrawn_count or changed)
-    lost_shards = sorted(_ready_shards(old) - _ready_shards(new)) if may_lose_shards else []
+    may_leave_unserved = bool(withdrawn_count or changed)
+    unserved_shards = sorted(_ready_shards(old) - _ready_shards(new)) if may_leave_unserved else []
     return ListDelta(
         added=tuple(added),
         removed=tuple(removed),
         changed=tuple(changed),
         withdrawn_count=withdrawn_count,
         ready_count=ready_count,
-        lost_shards=tuple(lost_shards),
+        unserved_shards=tuple(unserved_shards),
     )
 
 
--- a/umberlead/membership/pending_list.py
+++ b/umberlead/membership/pending_list.py
@@ -60,7 +60,7 @@
     if delta.withdrawn_count > max(int(delta.ready_count * max_withdrawn_ratio), 1):
         message = f"{delta.withdrawn_count} of {delta.ready_count} ready servers are withdrawn at once"
         problems.append(ListProblem("L301", position, message))
-    if delta.lost_shards:
-        message = f"no ready server is left for shard {format_shards(delta.lost_shards)}"
+    if delta.unserved_shards:
+        message = f"no ready server is left for shard {format_shards(delta.unserved_shards)}"
         problems.append(ListProblem("L302", position, message))
     return tuple(problems)
--- a/umberlead/membership/service.py
+++ b/umberlead/membership/service.py
@@ -76,6 +76,11 @@
     return f"{shown},+{hidden_count}" if hidden_count > 0 else shown
 
 
+def _new_loader(settings: WatchedListSettings, shard_count: int, lookup: Lookup) -> ListLoader:
+    gate = settings.gate.evaluate if settings.gate is not None else None
+    return ListLoader(settings.main_path, shard_count, NameResolver(lookup), gate=gate)
+
+
 class WatchedListService:
     """Watches one list for a front process.
 
@@ -122,8 +127,7 @@
         self.membership = Membership(settings.membership)
         self.load_count = 0
         self._apply_to_front = apply_to_front
-        gate = settings.gate.evaluate if settings.gate is not None else None
-        self._loader = ListLoader(settings.main_path, shard_count, NameResolver(lookup), gate=gate)
+        self._loader = _new_loader(settings, shard_count, lookup)
         self._watcher = FolderWatcher(self._on_files_changed, log.warning, new_observer)
         self._snapshot_store = self._new_snapshot_store()
         self._load_executor = ThreadPoolExecutor(1, "list")
--- a/umberlead/routing_tests/suites.py
+++ b/umberlead/routing_tests/suites.py
@@ -131,7 +131,7 @@
     where = (
         listed
         if listed is not None
-        else made.watched_lists.manifest_path
+        else made.watched_lists.main_path
         if made.watched_lists is not None
         else None
     )
