--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -258,7 +258,7 @@
 # Hand-overs
 
 
-def test_connections_of_one_that_another_reslots_end_with_their_next_response() -> None:
+def test_connections_of_one_that_another_replaces_end_with_their_next_response() -> None:
     """Its clients find the other process: nothing is kept for them up to SIGKILL."""
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
