--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -123,9 +123,11 @@
         sums.append(sums[-1] + work / mean)
 
     def window(at: int) -> tuple[float, tuple[float, float, float]]:
-        got = sums[bisect_right(times, at)] - sums[bisect_right(times, at - s.cold_window_us)]
-        grown = s.cold_capacity_ratio + (1 - s.cold_capacity_ratio) * min((at - of.at) / s.warm_up_us, 1.0)
-        return got, bounds(s.cold_start_units / s.mean_request_units * grown / s.cold_capacity_ratio)
+        got = sums[bisect_right(times, at)] - sums[bisect_right(times, at - s.slow_start_window_us)]
+        grown = s.initial_capacity_ratio + (1 - s.initial_capacity_ratio) * min(
+            (at - of.at) / s.warm_up_us, 1.0
+        )
+        return got, bounds(s.slow_start_units / s.mean_request_units * grown / s.initial_capacity_ratio)
 
     for at in range(of.at, of.at + s.warm_up_us, GRID):
         got, limits = window(at)
--- a/benchmarks/planted_routes.py
+++ b/benchmarks/planted_routes.py
@@ -81,7 +81,7 @@
     ("who is refused is held for good", SCHEDULER, "        self._schedule(pending.objective_at_us, self._end_unserved, pending)", "        pass", {"refused", "prompt", "answered-once"}),
     ("a node that went is kept", DIRECTORY, "                self._remove(endpoint)\n", "                pass\n", {"never", "only"}),
     ("the bound is one unit", ENDPOINT, "MAX_CONCURRENCY_REQUESTS = 8.0", "MAX_CONCURRENCY_REQUESTS = 0.1", set()),
-    ("a warming node gets nothing", "umberlead/scheduling/slow_start.py", "    return units * settings.cold_window_us / window_units", "    return 1e6 * units * settings.cold_window_us / window_units", set()),
+    ("a warming node gets nothing", "umberlead/scheduling/slow_start.py", "    return units * settings.slow_start_window_us / window_units", "    return 1e6 * units * settings.slow_start_window_us / window_units", set()),
     ("new objects go to the first node alone", DIRECTORY, "            for index, state in enumerate(states)\n", "            for index, state in enumerate(states[:1])\n", {"share", "served"}),
     ("all requests count as refused", SCHEDULER, "if state is not None and self.priorities.is_late(pending, state, self.now_us):", "if state is not None:", {"served"}),
     ("volumes are held for ever", PRIORITIES, "return can_wait or priority < pressure - 1", "return can_wait or priority < pressure + 9", {"served"}),
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -5,7 +5,12 @@
 
 from tests.helpers import READ, T0, ask, end, feed, head, up
 from umberlead.scheduling import matrices as linear
-from umberlead.scheduling.controller import CONTROL_COST_WEIGHT, FORGETTING_FACTOR, TARGET_LATENCY_RATIO, Controller
+from umberlead.scheduling.controller import (
+    CONTROL_COST_WEIGHT,
+    FORGETTING_FACTOR,
+    TARGET_LATENCY_RATIO,
+    Controller,
+)
 from umberlead.scheduling.fair_queue import FairQueue
 from umberlead.scheduling.pending_request import PendingRequest
 
@@ -50,7 +55,9 @@
 
     def cost(u: np.ndarray) -> float:
         miss = w @ (np.array(c.x) @ np.concatenate([u, y]) - TARGET_LATENCY_RATIO)
-        return float(miss @ miss + CONTROL_COST_WEIGHT**2 * (u - c.reference_shares) @ (u - c.reference_shares))
+        return float(
+            miss @ miss + CONTROL_COST_WEIGHT**2 * (u - c.reference_shares) @ (u - c.reference_shares)
+        )
 
     u = np.array(c.law(y))
     assert np.isclose(u.sum(), 1.0)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -289,9 +289,9 @@
         [0.0, 0.8, 1.2]
     )
     assert [c.latency_objective_us for c in got.classes] == [300_000, 600_000, 2_000_000]
-    assert got.front_count == 4 and got.shard_count == 10 and got.cold_overload_factor == 4.0
+    assert got.front_count == 4 and got.shard_count == 10 and got.slow_start_overload_factor == 4.0
     # What a cold node always bears is less than what pushes the slowest of them over.
-    assert got.cold_start_units * d.unit < 4 * 3 * SECOND * 2 * 0.85 * 0.17
+    assert got.slow_start_units * d.unit < 4 * 3 * SECOND * 2 * 0.85 * 0.17
 
 
 # Plans of scripts
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -138,7 +138,9 @@
 
     def test_an_endpoint_put_back_is_in_slow_start_until_the_list_reports_its_start(self) -> None:
         """It was restarted while it was drained, and the list reports that seconds late."""
-        h = head(T0, up("n0", 0), warm_up_us=10_000_000, cold_start_units=20.0, cold_window_us=3_000_000)
+        h = head(
+            T0, up("n0", 0), warm_up_us=10_000_000, slow_start_units=20.0, slow_start_window_us=3_000_000
+        )
         feed(h, T0, ManualDrain("n0", True, T0))
         back = T0 + 5_000_000
         feed(h, back, ManualDrain("n0", False, 0))
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -78,7 +78,10 @@
     def setup_method(self) -> None:
         self.clock, self.counters, self.lines = Clock(), Counters(), list[dict[str, Any]]()
         self.settings = settings(
-            cold_start_units=20.0, cold_capacity_ratio=0.2, cold_window_us=2 * SECOND, warm_up_us=10 * SECOND
+            slow_start_units=20.0,
+            initial_capacity_ratio=0.2,
+            slow_start_window_us=2 * SECOND,
+            warm_up_us=10 * SECOND,
         )
         self.checker = InvariantChecker(
             self.settings, self.clock, self.counters, lambda event, **details: self.lines.append(details)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -85,7 +85,7 @@
 def _fed(of: Records, part: float, told: bool = True) -> None:
     """A start, and within one window the given part of what the budget and chance leave, in small work."""
     s, day = checked(DAY), DAY.day
-    n, mean = s.cold_start_units / s.mean_request_units, sum(r.work for r in day.requests) / len(day.requests)
+    n, mean = s.slow_start_units / s.mean_request_units, sum(r.work for r in day.requests) / len(day.requests)
     of.lives.append(Life(2 * S, "n00", "cold", 0))
     of.told += [Told(2 * S, 0, "n00", "up")] if told else []
     for k in range(200):  # all at the start, when the least is allowed
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -88,10 +88,10 @@
 
 def cold(now: int, **more: Any) -> Scheduler:
     base = {
-        "cold_start_units": 16.0,
-        "cold_capacity_ratio": 0.2,
-        "cold_overload_factor": 2.0,
-        "cold_window_us": 1_500_000,
+        "slow_start_units": 16.0,
+        "initial_capacity_ratio": 0.2,
+        "slow_start_overload_factor": 2.0,
+        "slow_start_window_us": 1_500_000,
     }
     return head(T0, up("n0", started=now - 1), warm_up_us=15_000_000, front_count=2, **(base | more))
 
@@ -119,10 +119,10 @@
         Scheduler(
             settings(
                 front_count=75,
-                cold_start_units=14.0,
-                cold_capacity_ratio=0.2,
-                cold_overload_factor=3.0,
-                cold_window_us=window,
+                slow_start_units=14.0,
+                initial_capacity_ratio=0.2,
+                slow_start_overload_factor=3.0,
+                slow_start_window_us=window,
                 warm_up_us=18_000_000,
             ),
             k,
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -77,11 +77,11 @@
 COLD = {
     "front_count": 60,
     "shard_count": 60,
-    "cold_start_units": 8.0,
-    "cold_capacity_ratio": 0.17,
-    "cold_overload_factor": 4.0,
+    "slow_start_units": 8.0,
+    "initial_capacity_ratio": 0.17,
+    "slow_start_overload_factor": 4.0,
 }
-COLD |= {"cold_window_us": 3_000_000, "warm_up_us": 16_000_000, "mean_request_units": 2.0}
+COLD |= {"slow_start_window_us": 3_000_000, "warm_up_us": 16_000_000, "mean_request_units": 2.0}
 
 
 class TestWarmingNodes(unittest.TestCase):
@@ -120,7 +120,7 @@
             for shard in range(40)
         ]
         self.assertLess(abs(sum(whole) / 40 - 1), 0.35)
-        self.assertLess(max(whole), COLD["cold_overload_factor"])
+        self.assertLess(max(whole), COLD["slow_start_overload_factor"])
 
     def test_the_first_rest_at_a_warming_node_follows_what_was_learnt_since(self) -> None:
         """Worked out once as the list came, it stood for what a front knows at its start, which is nothing:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,9 +18,9 @@
 WARM_UP_US = 16_000_000
 START = 1_000_000_000
 COLD = {
-    "cold_capacity_ratio": 0.2,
-    "cold_overload_factor": 4.0,
-    "cold_window_us": WINDOW_US,
+    "initial_capacity_ratio": 0.2,
+    "slow_start_overload_factor": 4.0,
+    "slow_start_window_us": WINDOW_US,
     "warm_up_us": WARM_UP_US,
 }
 
@@ -31,9 +31,9 @@
 
 def _bound_units(s: Settings, age_us: int) -> float:
     n = (
-        s.cold_start_units
+        s.slow_start_units
         / s.mean_request_units
-        * (1 + (1 / s.cold_capacity_ratio - 1) * age_us / WARM_UP_US)
+        * (1 + (1 / s.initial_capacity_ratio - 1) * age_us / WARM_UP_US)
     )
     return s.mean_request_units * (n + 2 * math.sqrt(n) + 2)
 
@@ -55,27 +55,27 @@
 @pytest.mark.parametrize("age", [0, 4_000_000, 15_000_000])
 @pytest.mark.parametrize("heads", [1, 5, 10])
 def test_even_parts_of_few_heads_stay_below_the_bound(heads: int, age: int) -> None:
-    s = settings(cold_start_units=60.0, front_count=heads, **COLD)
+    s = settings(slow_start_units=60.0, front_count=heads, **COLD)
     whole = heads * max_window_units(s, _node(), START + age, 1 / heads)
     assert 0.8 * _bound_units(s, age) < whole < 0.9 * _bound_units(s, age)
 
 
 def test_a_busy_head_has_a_fifth_at_most_and_one_of_many_two_requests() -> None:
-    s = settings(cold_start_units=60.0, front_count=10, **COLD)
+    s = settings(slow_start_units=60.0, front_count=10, **COLD)
     even = max_window_units(s, _node(), START, 0.1)
     assert max_window_units(s, _node(), START, 0.15) == pytest.approx(1.5 * even)
     assert max_window_units(s, _node(), START, 0.33) == pytest.approx(2 * even)
-    many = settings(cold_start_units=40.0, front_count=200, **COLD)
+    many = settings(slow_start_units=40.0, front_count=200, **COLD)
     assert max_window_units(many, _node(), START, 0.33) == pytest.approx(0.85 * 0.2 * _bound_units(many, 0))
     assert max_window_units(many, _node(), START, 0.005) == MIN_WINDOW_REQUESTS * many.mean_request_units
 
 
 def _windows(heads: int, cold_units: float, result: AttemptResult) -> list[tuple[float, float]]:
     """What all heads, each asked without end, sent in the window that ends with an arrival, and the bound."""
-    s = settings(cold_start_units=cold_units, front_count=heads, **COLD)
+    s = settings(slow_start_units=cold_units, front_count=heads, **COLD)
     began = T0 + WINDOW_US
     made = [
-        head(T0, up("n0", started=began - 1), front_count=heads, cold_start_units=cold_units, **COLD)
+        head(T0, up("n0", started=began - 1), front_count=heads, slow_start_units=cold_units, **COLD)
         for _ in range(heads)
     ]
     sent = list[tuple[int, float]]()
@@ -106,5 +106,5 @@
 
 def test_an_allowance_of_next_to_nothing_is_paced_without_an_error() -> None:
     """`extra.coldUnits` may be as small as a float can be; a share of it rounds to nothing."""
-    tiny = settings(cold_start_units=5e-324, **COLD)
+    tiny = settings(slow_start_units=5e-324, **COLD)
     assert pacing_delay_us(tiny, _node(), START, 1.0, 0.1) > 0
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -102,9 +102,9 @@
     options = {
         "front_count": front_count,
         "shard_count": 4,
-        "cold_start_units": 200.0,
-        "cold_capacity_ratio": 0.2,
-        "cold_window_us": 2 * SECOND,
+        "slow_start_units": 200.0,
+        "initial_capacity_ratio": 0.2,
+        "slow_start_window_us": 2 * SECOND,
         "warm_up_us": 10 * SECOND,
     }
     alone, beside = (head(T0, up("n0", started=T0), **options) for _ in range(2))
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -8,10 +8,10 @@
 from umberlead.scheduling.slow_start import SERVED_IN_TIME_RATIO, available_capacity_ratio, pacing_delay_us
 
 S = settings(
-    cold_start_units=14.0,
-    cold_capacity_ratio=0.17,
-    cold_overload_factor=4.0,
-    cold_window_us=3_000_000,
+    slow_start_units=14.0,
+    initial_capacity_ratio=0.17,
+    slow_start_overload_factor=4.0,
+    slow_start_window_us=3_000_000,
     warm_up_us=16_000_000,
 )
 START = 1_000_000_000
--- a/umberlead/configuration/request_settings.py
+++ b/umberlead/configuration/request_settings.py
@@ -92,7 +92,7 @@
 
 def _settings(keys: Keys, classes: tuple[RequestClass, ...], plans: tuple[Plan, ...]) -> Settings:
     warm_up_us = keys.integer("guarantees.warmUp", 0)
-    cold_start_units = keys.number("extra.coldUnits", 0)
+    slow_start_units = keys.number("extra.coldUnits", 0)
     return Settings(
         classes=classes,
         plans=plans,
@@ -110,10 +110,10 @@
         answer_grace_us=keys.integer("guarantees.graceToAnswer", 0),
         shard_count=keys.integer("extra.nShards", 0, 0, MAX_SHARD_COUNT),
         # Without an end to warming up, no endpoint counts as cold.
-        cold_start_units=cold_start_units if warm_up_us else 0.0,
-        cold_capacity_ratio=keys.number("guarantees.coldShare", 1, 0, 1),
-        cold_overload_factor=keys.number("guarantees.fallMultiple", 1),
-        cold_window_us=keys.integer("guarantees.overloadFor", 0),
+        slow_start_units=slow_start_units if warm_up_us else 0.0,
+        initial_capacity_ratio=keys.number("guarantees.coldShare", 1, 0, 1),
+        slow_start_overload_factor=keys.number("guarantees.fallMultiple", 1),
+        slow_start_window_us=keys.integer("guarantees.overloadFor", 0),
         warm_up_us=warm_up_us,
         ordering_pause_us=keys.integer("guarantees.orderPause", 0),
         retry_budget_window_us=keys.integer("guarantees.resendSpan", 0),
--- a/umberlead/emulator/judge.py
+++ b/umberlead/emulator/judge.py
@@ -166,7 +166,7 @@
         2 root N + 2 are chance. What it turns away counts too. Over two thirds of the window must have come
         from fronts that had been told of it since its start."""
         s, asked = checked(self.plan), self.plan.day.requests
-        if s.cold_start_units <= 0 or not asked:
+        if s.slow_start_units <= 0 or not asked:
             return
         mean = sum(r.work for r in asked) / len(asked)
         told: dict[tuple[int, str], list[int]] = defaultdict(list)
@@ -183,10 +183,10 @@
             window: deque[Came] = deque()
             for row in (r for r in came[life.server] if life.at <= r.at < end):
                 window.append(row)
-                while window[0].at <= row.at - s.cold_window_us:
+                while window[0].at <= row.at - s.slow_start_window_us:
                     window.popleft()
-                grown = 1 + (1 / s.cold_capacity_ratio - 1) * (row.at - life.at) / s.warm_up_us
-                n, got = s.cold_start_units / s.mean_request_units * grown, sum(r.work for r in window) / mean
+                grown = 1 + (1 / s.initial_capacity_ratio - 1) * (row.at - life.at) / s.warm_up_us
+                n, got = s.slow_start_units / s.mean_request_units * grown, sum(r.work for r in window) / mean
                 if got > n + 2 * math.sqrt(n) + 2:
                     knew = [
                         r for r in window if any(life.at <= t <= r.at for t in told[r.front, life.server])
--- a/umberlead/requests/invariants.py
+++ b/umberlead/requests/invariants.py
@@ -20,11 +20,11 @@
 
 CLIENT_LEFT_GRACE_US = 100_000  # after a client left, in which an attempt may still begin
 ENDPOINT_CHANGE_GRACE_US = 1_000_000  # after a change of the list, in which an attempt may still begin
-TIME_BUDGET_SLACK_US = 150_000  # that the time told to a node may exceed what the client has left
+TIME_BUDGET_SLACK_US = 150_000  # that the time sent to an endpoint may exceed what the client has left
 SMALL_ALLOWANCE_REQUESTS = 30.0  # requests; below it chance weighs more, and the bound is wider
 SMALL_ALLOWANCE_DEVIATIONS_COUNT = 3.0  # of the allowance's root, and as many requests beside
 DEVIATIONS_COUNT = 2.0  # the same from SMALL_ALLOWANCE_REQUESTS on
-ENDPOINT_MEMORY_US = 60_000_000  # that a node which is gone is remembered
+ENDPOINT_MEMORY_US = 60_000_000  # that a removed endpoint is remembered
 MAX_LOGGED_COUNT = 100  # violations that are logged, line by line; all are counted
 
 
@@ -45,7 +45,7 @@
 
 
 def slow_start_bound(allowance: float) -> float:
-    """Return how many requests of mean work a cold node may get in a window in which it bears `allowance`."""
+    """Return how many mean requests a cold endpoint may get in a window in which it bears `allowance`."""
     is_small = allowance < SMALL_ALLOWANCE_REQUESTS
     deviations = SMALL_ALLOWANCE_DEVIATIONS_COUNT if is_small else DEVIATIONS_COUNT
     return allowance + deviations * math.sqrt(allowance) + deviations
@@ -115,7 +115,7 @@
             for name in self._endpoints.keys() - named:
                 record = self._endpoints[name]
                 record.out_since_us = self._since(record.out_since_us, True)
-        self._forget_gone()
+        self._forget_removed()
 
     def record_manual_drain(self, endpoint: str, drained: bool) -> None:
         """Take note that an operator took an endpoint out, or put it back."""
@@ -128,19 +128,19 @@
             return None
         return self._clock() if before_us is None else before_us
 
-    def _forget_gone(self) -> None:
+    def _forget_removed(self) -> None:
         """Forget endpoints long gone: where all are replaced again and again they add up."""
         now_us = self._clock()
         if now_us < self._forget_at_us:
             return
         self._forget_at_us = now_us + ENDPOINT_MEMORY_US
         oldest_us = now_us - ENDPOINT_MEMORY_US
-        gone = [
+        removed = [
             name
             for name, record in self._endpoints.items()
             if record.out_since_us is not None and record.out_since_us < oldest_us
         ]
-        for name in gone:
+        for name in removed:
             del self._endpoints[name]
 
     # Attempts
@@ -183,14 +183,14 @@
         record = self._endpoints[name]
         settings = self._settings
         is_warm = now_us >= record.started_us + settings.warm_up_us
-        if not record.started_us or settings.cold_start_units <= 0 or is_warm:
+        if not record.started_us or settings.slow_start_units <= 0 or is_warm:
             return
-        while record.sent and record.sent[0][0] <= now_us - settings.cold_window_us:
+        while record.sent and record.sent[0][0] <= now_us - settings.slow_start_window_us:
             record.sent_units -= record.sent.popleft()[1]
         record.sent.append((now_us, units))
         record.sent_units += units
         endpoint = Endpoint(name, EndpointStatus.UP, 0, record.started_us)
-        allowed_units = settings.cold_start_units * capacity_growth_factor(settings, endpoint, now_us)
+        allowed_units = settings.slow_start_units * capacity_growth_factor(settings, endpoint, now_us)
         allowance = allowed_units / settings.mean_request_units
         is_within = record.sent_units / settings.mean_request_units <= slow_start_bound(allowance)
         self.check(is_within, Invariant.SLOW_START, units=round(record.sent_units, 1), **about)
--- a/umberlead/scheduling/client_retries.py
+++ b/umberlead/scheduling/client_retries.py
@@ -1,8 +1,8 @@
 """Whether clients that were rejected come back, learnt where they do not mark their retries.
 
-A request with little time left is either a client's retry, whose first try began long ago, or the first try of
-an impatient client. Both look alike. Where rejected requests are seen not to come back, there are no retries.
-Times are whole microseconds.
+A request with little time left is either a client's retry, whose first try began long ago, or the first try
+of an impatient client. Both look alike. Where rejected requests are seen not to come back, there are no
+retries. Times are whole microseconds.
 """
 
 from collections import OrderedDict
@@ -22,8 +22,8 @@
     def __init__(self) -> None:
         """Begin with nothing learnt: clients are thought to come back."""
         self._rejected_us: OrderedDict[RequestIdentity, int] = OrderedDict()
-        self._came_back = 0.0
-        self._stayed_away = 0.0
+        self._returned_count = 0.0
+        self._absent_count = 0.0
 
     def record_rejection(self, identity: RequestIdentity, now_us: int) -> None:
         """Note that the first try of a request is rejected."""
@@ -42,8 +42,8 @@
 
     def are_rare(self) -> bool:
         """Tell whether rejected requests are seen not to come back."""
-        observed = self._came_back + self._stayed_away
-        return observed >= MIN_OBSERVED_REJECTIONS and self._came_back < RARE_RETRY_RATIO * observed
+        observed = self._returned_count + self._absent_count
+        return observed >= MIN_OBSERVED_REJECTIONS and self._returned_count < RARE_RETRY_RATIO * observed
 
     def _expire(self, now_us: int) -> None:
         while self._rejected_us:
@@ -53,6 +53,6 @@
             del self._rejected_us[identity]
             self._learn(0.0, 1.0)
 
-    def _learn(self, came_back: float, stayed_away: float) -> None:
-        self._came_back = OBSERVATION_DECAY_FACTOR * self._came_back + came_back
-        self._stayed_away = OBSERVATION_DECAY_FACTOR * self._stayed_away + stayed_away
+    def _learn(self, returned: float, absent: float) -> None:
+        self._returned_count = OBSERVATION_DECAY_FACTOR * self._returned_count + returned
+        self._absent_count = OBSERVATION_DECAY_FACTOR * self._absent_count + absent
--- a/umberlead/scheduling/controller.py
+++ b/umberlead/scheduling/controller.py
@@ -1,9 +1,9 @@
 """The plans' shares: recursive least squares estimate what each share buys, law (14) sets them anew.
 
-After "An Adaptive Optimal Controller for Non-Intrusive Performance Differentiation in Computing Services"; the
-numbers in brackets are its equations. Its terms, for n plans: u, the shares (here `share`); y, each plan's mean
-latency over its objective; phi = [u, y], the regressor (2n); X = [B0 A1], the parameters (n by 2n); W, the plans'
-weights (a diagonal); Q, the cost of control.
+After "An Adaptive Optimal Controller for Non-Intrusive Performance Differentiation in Computing Services";
+the numbers in brackets are its equations. Its terms, for n plans: u, the shares (here `share`); y, each
+plan's mean latency over its objective; phi = [u, y], the regressor (2n); X = [B0 A1], the parameters (n by
+2n); W, the plans' weights (a diagonal); Q, the cost of control.
 """
 
 from umberlead.scheduling import matrices
@@ -51,7 +51,9 @@
         phi = self.phi
         gain = matrices.solve_one(self.information, phi)
         scale = 1 / (FORGETTING_FACTOR + matrices.dot(phi, gain))
-        errors = [actual - predicted for actual, predicted in zip(y, matrices.times(self.x, phi), strict=True)]
+        errors = [
+            actual - predicted for actual, predicted in zip(y, matrices.times(self.x, phi), strict=True)
+        ]
         self.x = matrices.add_outer(self.x, errors, gain, scale)
         information_along_phi = matrices.dot(phi, matrices.times(self.information, phi))
         retained = 1 + (FORGETTING_FACTOR - 1) * information_along_phi / matrices.dot(phi, phi) ** 2
@@ -60,8 +62,8 @@
     def law(self, y: Vector) -> Vector:
         """Return the shares, summing to one, that bring the next y nearest the goal, by (14).
 
-        Effort is counted from the reference shares: from zero, the plan of most weight would start with the least
-        share.
+        Effort is counted from the reference shares: from zero, the plan of most weight would start with the
+        least share.
         """
         b0 = [row[: self._plan_count] for row in self.x]
         a1 = [row[self._plan_count :] for row in self.x]
@@ -109,6 +111,6 @@
         lift = min(*shares, 0.0)
         lifted = [share - lift for share in shares]
         total = sum(lifted)
-        at_least_minimum = [max(share / total, MIN_SHARE) for share in lifted]
-        total = sum(at_least_minimum)
-        return [share / total for share in at_least_minimum]
+        bounded = [max(share / total, MIN_SHARE) for share in lifted]
+        total = sum(bounded)
+        return [share / total for share in bounded]
--- a/umberlead/scheduling/endpoint_state.py
+++ b/umberlead/scheduling/endpoint_state.py
@@ -114,10 +114,10 @@
         self.units_in_flight = 0.0
         self.ejected_until_us = 0
         self.error_rate = MovingAverage(now_us, ERROR_SAMPLE_WEIGHT, ERROR_MEMORY_US, MAX_ERROR_SAMPLE_RATIO)
-        self.send_window = SendWindow(settings.cold_window_us)
+        self.send_window = SendWindow(settings.slow_start_window_us)
         self.latest_served_sent_us = 0
         # What this front's previous process sent is not known.
-        self.paced_until_us: float = max(now_us, context.started_us + settings.cold_window_us)
+        self.paced_until_us: float = max(now_us, context.started_us + settings.slow_start_window_us)
         smallest_objective_us = min(cls.latency_objective_us for cls in settings.classes)
         self.target_latency_us = int(TARGET_LATENCY_RATIO * smallest_objective_us)
 
@@ -138,7 +138,7 @@
         cost_us = self.slow_start_cost_us(now_us, units)
         if not cost_us:
             return max(self.ejected_until_us, now_us)
-        first_delay_us = self.first_send_jitter * max(cost_us - self.settings.cold_window_us, 0.0)
+        first_delay_us = self.first_send_jitter * max(cost_us - self.settings.slow_start_window_us, 0.0)
         share = self.traffic_share(self.endpoint.shard)
         max_units = max_window_units(self.settings, self.endpoint, now_us, share)
         window_free_us = self.send_window.free_at(now_us, units, max_units)
@@ -172,12 +172,12 @@
         self.units_in_flight += units
         self.first_send_jitter = 0.0
         cost_us = self.slow_start_cost_us(now_us, units)
-        served_ratio = 1 / max(self.settings.cold_overload_factor, MIN_OVERLOAD_FACTOR)
+        served_ratio = 1 / max(self.settings.slow_start_overload_factor, MIN_OVERLOAD_FACTOR)
         self.paced_until_us = max(self.paced_until_us, now_us) + int(cost_us / (1 - served_ratio))
         if cost_us:
             self.send_window.add(now_us, units)
-        kept_us = 0 if cost_us < self.settings.cold_window_us else served_ratio * cost_us
-        return AttemptInFlight(self, now_us, units, cost_us / (1 - served_ratio) - kept_us)
+        retained_us = 0 if cost_us < self.settings.slow_start_window_us else served_ratio * cost_us
+        return AttemptInFlight(self, now_us, units, cost_us / (1 - served_ratio) - retained_us)
 
     def record_outcome(
         self,
--- a/umberlead/scheduling/scheduler.py
+++ b/umberlead/scheduling/scheduler.py
@@ -109,7 +109,7 @@
         while self._shards_to_dispatch:
             self._dispatch(self._shards_to_dispatch.popitem()[0])
         self._shed_load()  # after what could be sent was sent
-        self._ask_for_timer()
+        self._request_timer()
         actions = self._actions
         self._actions = []
         return actions
@@ -140,7 +140,7 @@
         when = max(int(when_us), self.now_us + 1)
         heapq.heappush(self._timers, (when, next(self._sequence_numbers), callback, arguments))
 
-    def _ask_for_timer(self) -> None:
+    def _request_timer(self) -> None:
         if self._timers and (self._timer_due_us <= self.now_us or self._timers[0][0] < self._timer_due_us):
             self._timer_due_us = self._timers[0][0]
             self._actions.append(SetTimer(self._timer_due_us - self.now_us, "due"))
--- a/umberlead/scheduling/settings.py
+++ b/umberlead/scheduling/settings.py
@@ -96,10 +96,10 @@
         polls_endpoint_list: whether the endpoint list has to be asked for.
         answer_grace_us: by which an answer may be late.
         shard_count: shards, counted from 0; 0: not known.
-        cold_start_units: that a cold endpoint always bears in `cold_window_us`; 0: none is ever cold.
-        cold_capacity_ratio: capacity at a start, to 1.
-        cold_overload_factor: over its capacity, at which a cold endpoint fails.
-        cold_window_us: in which that is counted.
+        slow_start_units: that a cold endpoint always bears in `slow_start_window_us`; 0: none is ever cold.
+        initial_capacity_ratio: capacity at a start, to 1.
+        slow_start_overload_factor: over its capacity, at which a cold endpoint fails.
+        slow_start_window_us: in which that is counted.
         warm_up_us: from a start to full capacity.
         ordering_pause_us: of a key whose last request may still run.
         retry_budget_window_us: over which retries are counted; 0: no budget.
@@ -122,10 +122,10 @@
     polls_endpoint_list: bool = False
     answer_grace_us: int = 0
     shard_count: int = 0
-    cold_start_units: float = 0.0
-    cold_capacity_ratio: float = 1.0
-    cold_overload_factor: float = 1.0
-    cold_window_us: int = 0
+    slow_start_units: float = 0.0
+    initial_capacity_ratio: float = 1.0
+    slow_start_overload_factor: float = 1.0
+    slow_start_window_us: int = 0
     warm_up_us: int = 0
     ordering_pause_us: int = 0
     retry_budget_window_us: int = 0
--- a/umberlead/scheduling/slow_start.py
+++ b/umberlead/scheduling/slow_start.py
@@ -13,28 +13,28 @@
 from umberlead.scheduling.settings import Settings
 
 SERVED_IN_TIME_RATIO = 0.6  # of what a cold endpoint always bears, what it also serves in time
-MIN_COLD_CAPACITY_RATIO = 0.02  # stands in for a smaller one in the settings
+MIN_INITIAL_CAPACITY_RATIO = 0.02  # stands in for a smaller one in the settings
 EVEN_SHARES_RATIO = 0.85  # of the bound, that the fronts' even shares add up to: the rest is left to chance
 MAX_FRONT_SHARE = 0.2  # of the bound, for a front that asks more than others; or its even share
 MIN_WINDOW_REQUESTS = 2.0  # of mean work that any front may send; pacing spaces those of many fronts
 
 
-def _cold_capacity_ratio(settings: Settings) -> float:
-    return max(settings.cold_capacity_ratio, MIN_COLD_CAPACITY_RATIO)
+def _initial_capacity_ratio(settings: Settings) -> float:
+    return max(settings.initial_capacity_ratio, MIN_INITIAL_CAPACITY_RATIO)
 
 
 def available_capacity_ratio(settings: Settings, endpoint: Endpoint, now_us: int) -> float:
     """Return the part of its capacity, to 1, that an endpoint is sure to have now."""
     age_us = now_us - endpoint.started_us
-    if endpoint.started_us <= 0 or age_us >= settings.warm_up_us or settings.cold_start_units <= 0:
+    if endpoint.started_us <= 0 or age_us >= settings.warm_up_us or settings.slow_start_units <= 0:
         return 1.0
-    cold_ratio = _cold_capacity_ratio(settings)
-    return cold_ratio + (1 - cold_ratio) * max(age_us, 0) / settings.warm_up_us
+    initial_ratio = _initial_capacity_ratio(settings)
+    return initial_ratio + (1 - initial_ratio) * max(age_us, 0) / settings.warm_up_us
 
 
 def capacity_growth_factor(settings: Settings, endpoint: Endpoint, now_us: int) -> float:
     """Return the capacity that an endpoint is sure to have now over that of its start."""
-    return available_capacity_ratio(settings, endpoint, now_us) / _cold_capacity_ratio(settings)
+    return available_capacity_ratio(settings, endpoint, now_us) / _initial_capacity_ratio(settings)
 
 
 def pacing_delay_us(
@@ -48,13 +48,13 @@
     if available_capacity_ratio(settings, endpoint, now_us) == 1:
         return 0.0
     growth_factor = capacity_growth_factor(settings, endpoint, now_us)
-    window_units = SERVED_IN_TIME_RATIO * settings.cold_start_units * growth_factor * front_share
-    return units * settings.cold_window_us / window_units
+    window_units = SERVED_IN_TIME_RATIO * settings.slow_start_units * growth_factor * front_share
+    return units * settings.slow_start_window_us / window_units
 
 
 def max_window_units(settings: Settings, endpoint: Endpoint, now_us: int, front_share: float) -> float:
     """Return the units that a front with this share of a shard's traffic may send in a window."""
-    allowed_units = settings.cold_start_units * capacity_growth_factor(settings, endpoint, now_us)
+    allowed_units = settings.slow_start_units * capacity_growth_factor(settings, endpoint, now_us)
     allowed_requests = allowed_units / settings.mean_request_units
     bound_requests = allowed_requests + 2 * math.sqrt(allowed_requests) + 2
     own_share = min(front_share, max(MAX_FRONT_SHARE, 1 / settings.front_count))
