--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -18,11 +18,13 @@
 
 from umberlead.commands import command
 from umberlead.emulator import rehearsal, virtual
+from umberlead.emulator.discovery_agent import Agent
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.judge import NAMES, SLACK, Judge, by_name
 from umberlead.emulator.loop import START
+from umberlead.emulator.loopback import Blackhole, Lateness
 from umberlead.emulator.plan import plan
-from umberlead.emulator.sockets import Agent, Blackhole, Lateness, Sockets
+from umberlead.emulator.sockets import Sockets
 from umberlead.emulator.virtual import Front, Virtual
 from umberlead.load_generator.clients import Try
 from umberlead.requests.types import Answer, AnswerKind, Attempt, Reply
--- /dev/null
+++ b/umberlead/emulator/client_connections.py
@@ -0,0 +1,106 @@
+"""Clients' connections to fronts."""
+
+import asyncio
+from collections.abc import Callable
+from typing import TYPE_CHECKING, cast
+
+import httptools
+
+from umberlead.load_generator.clients import Try
+from umberlead.load_generator.day import SECOND
+
+if TYPE_CHECKING:
+    from umberlead.emulator.front_processes import FrontProcess
+    from umberlead.emulator.sockets import Sockets
+
+KINDS = {200: "served", 429: "refused", 503: "refused"}
+
+
+class ClientConnection(asyncio.Protocol):
+    """A client's connection to a front: one request at a time."""
+
+    def __init__(self, play: "Sockets", front: "FrontProcess") -> None:
+        """A connection to this front."""
+        self.play = play
+        self.front = front
+        self.transport: asyncio.Transport | None = None
+        self.of: Try | None = None
+        self.words: Callable[[], bytes] = bytes
+        self.reused = self.begun = False
+        self._fresh()
+
+    def _fresh(self) -> None:
+        self.parser = httptools.HttpResponseParser(self)
+        self.body = list[bytes]()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport."""
+        self.transport = cast(asyncio.Transport, transport)
+
+    def ask(self, of: Try, words: Callable[[], bytes], reused: bool) -> None:
+        """Sends a try; `words` makes its text at that moment."""
+        self.of = of
+        self.words = words
+        self.reused = reused
+        self.begun = False
+        assert self.transport is not None
+        self.transport.write(words())  # the time that is left counts from now
+
+    def data_received(self, data: bytes) -> None:
+        """Parses; an answer that is no HTTP is strange."""
+        self.begun = True
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError:
+            self.play.strange.append("an answer that is no HTTP")
+            self.abort()
+
+    def on_body(self, body: bytes) -> None:
+        """A part of the body."""
+        self.body.append(body)
+
+    def on_message_complete(self) -> None:
+        """The answer is whole."""
+        status = self.parser.get_status_code()
+        keep = self.parser.should_keep_alive()
+        body = b"".join(self.body)
+        of = self.of
+        self.of = None
+        self._fresh()
+        if keep:
+            self.front.idle.append(self)
+        elif self.transport is not None:
+            self.transport.close()
+        if of is not None:
+            kind = KINDS.get(status, "failed")
+            self.play.answered(of, kind, body.decode("latin-1") if kind == "served" else "")
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """What was asked is sent once more, or has no answer."""
+        if self in self.front.idle:
+            self.front.idle.remove(self)
+        of = self.of
+        self.of = None
+        if of is not None:
+            # The front's close crossed a request that it had not read: once more, on a new connection.
+            again = self.reused and not self.begun
+            self.play.once_more(of, self.words) if again else self.play.broke(of)
+
+    def abort(self) -> None:
+        """Breaks the connection."""
+        if self.transport is not None:
+            self.transport.abort()
+
+
+def request_text(of: Try, block: str, shard: int, now: int) -> bytes:
+    """The try's whole request with the time that is left to it at `now`."""
+    r = of.of
+    body = r.block.encode() if r.write else b""
+    left = max(of.until - now, 1000) / SECOND
+    head = (
+        f"{'PUT' if r.write else 'GET'} /{r.class_name}?block={block} HTTP/1.1\r\nHost: service\r\n"
+        f"X-Call-Id: {of.id}\r\nX-Plan: {r.plan}\r\nX-Budget: {left:.3f}\r\n"
+        f"X-IO: volume={r.volume},units={r.units},shard={shard},hosts={r.hosts}\r\n"
+        f"Content-Length: {len(body)}\r\n\r\n"
+    )
+    return head.encode() + body
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -1,400 +1,44 @@
-"""A rehearsal on real sockets: fronts as processes, emulated servers, discovery, log collector and clients in
-this one, all on loopback. Each front reaches every other party at addresses of its own."""
+"""A scenario on real sockets.
+
+Fronts are processes; emulated servers, discovery, log collector and clients are in this one, all on loopback.
+Each front reaches every other party at addresses of its own.
+"""
 
 import asyncio
-import json
 import os
 import re
-import socket
 import sys
 import tempfile
 import time
-import urllib.request
 from collections import Counter
 from collections.abc import Callable
-from contextlib import suppress
-from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any, cast
-
-import httptools
-import tomli_w
+from typing import Any
 
+from umberlead.emulator.client_connections import ClientConnection, request_text
+from umberlead.emulator.discovery_agent import AgentConnection
+from umberlead.emulator.front_processes import FrontProcess, configuration_text
 from umberlead.emulator.judge import SLACK
-from umberlead.emulator.node import FOREVER, Job, Node
-from umberlead.emulator.outcomes import AFTER, KEEPS, NEVER_RAN
+from umberlead.emulator.log_collector import CollectorConnection
+from umberlead.emulator.loopback import Blackhole, Lateness, bound_socket, port_of, put
+from umberlead.emulator.node import FOREVER, Node
 from umberlead.emulator.plan import AFTER as RUN_ON
-from umberlead.emulator.plan import BESIDE, Hand, Notice, Plan, Turn, rooms_told
+from umberlead.emulator.plan import Hand, Notice, Plan, Turn
 from umberlead.emulator.records import Records
+from umberlead.emulator.server_connections import ServerConnection
 from umberlead.emulator.world import Stage
 from umberlead.load_generator.clients import Try
 from umberlead.load_generator.day import SECOND
 
 START_UP = 30.0  # s in which every front must listen
-END = 15.0  # s for a front to end after SIGTERM
 BEAT = 2.0  # s between empty lines of a watch
-PULSE = 0.005  # s between looks at this process's own lateness; less than that counts as none
 STATUS = {"up": "ready", "draining": "draining", "gone": "gone"}
-KINDS = {200: "served", 429: "refused", 503: "refused"}
-WORDS = {
-    "full": b"503 Full",
-    "draining": b"503 Draining",
-    "astray": b"504 Astray",
-    "error": b"500 Error",
-}
 
 
 class NoStart(RuntimeError):
     """A front did not come up; the text has its last lines."""
 
 
-class Blackhole:
-    """An address at which connections never come up: a listener whose queue is full."""
-
-    def __init__(self, address: tuple[str, int]) -> None:
-        self.sockets = [_bound(address)]
-        self.sockets[0].listen(0)
-        for _ in range(4):
-            filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            filler.setblocking(False)
-            with suppress(BlockingIOError):
-                filler.connect(address)
-            self.sockets.append(filler)
-
-    def close(self) -> None:
-        for one in self.sockets:
-            one.close()
-
-
-def _bound(address: tuple[str, int]) -> socket.socket:
-    made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.bind(address)
-    return made
-
-
-class Lateness:
-    """How far this process is behind, as of the sockets that it reads from now. A loop that was held up runs
-    its timers first, then reads: what it finds may have lain there since it looked last."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop, self._turn, self._due = loop, 0.0, loop.time()
-        self._beat()
-
-    def _beat(self) -> None:
-        now = self.loop.time()
-        self._turn, self._due = now - self._due, now + PULSE
-        self.loop.call_at(self._due, self._beat)
-        self.loop.call_soon(self.loop.call_soon, self._read)
-
-    def _read(self) -> None:
-        self._turn = 0.0  # the turn's reading is over
-
-    def us(self) -> int:
-        late = max(self._turn, self.loop.time() - self._due)
-        return int(late * SECOND) if late > PULSE else 0
-
-
-class _Messages(asyncio.Protocol):
-    """Requests as they come whole; what both servers here are made of."""
-
-    transport: asyncio.Transport | None = None
-
-    def __init__(self) -> None:
-        self.fresh()
-
-    def fresh(self) -> None:
-        self.parser = httptools.HttpRequestParser(self)
-        self.target, self.headers, self.body = b"", dict[bytes, bytes](), list[bytes]()
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-
-    def data_received(self, data: bytes) -> None:
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError:
-            if self.transport is not None:
-                self.transport.abort()
-
-    def on_url(self, url: bytes) -> None:
-        self.target += url
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        self.headers[name.lower()] = value
-
-    def on_body(self, body: bytes) -> None:
-        self.body.append(body)
-
-    def send(self, data: bytes) -> None:
-        if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(data)
-
-    def abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
-
-
-class _AtNode(_Messages):
-    """A front's connection to an emulated server."""
-
-    def __init__(self, play: "Sockets", name: str, front: int) -> None:
-        super().__init__()
-        self.play, self.name, self.front = play, name, front
-        self.node: Node | None = None
-        self.job: Job | None = None
-        self.silent = False  # a cut, or a server that says nothing: never again
-        self.used = False
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        super().connection_made(transport)
-        node = self.play.stage.nodes.get(self.name)
-        if node is None or not node.connect():
-            return self.abort()
-        self.node = node
-        self.play.dials[self.play.now() // SECOND] += 1
-        self.play.links.setdefault(self.name, set()).add(self)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self.node is not None:
-            self.node.disconnect()
-            self.play.links[self.name].discard(self)
-        if self.job is not None and self.node is not None:
-            self.play.stage.left(self.play.now(), self.node, self.job.id)
-            self.job = None
-
-    def data_received(self, data: bytes) -> None:
-        if self.node is not None and self.play.cut(self.front, self.node):
-            self.silent = True
-        if not self.silent:
-            super().data_received(data)
-
-    def on_message_complete(self) -> None:
-        assert self.node is not None
-        target, headers, body = self.target.decode("latin-1"), self.headers, b"".join(self.body)
-        self.fresh()
-        way = self.play.plan.way(self.front, int(self.node.room))
-        wait = way if self.used else way + int(2 * way * self.node.of.rtts)
-        self.used = True
-        self.play.after(wait, lambda: self._arrived(target, headers, body))
-
-    def _arrived(self, target: str, headers: dict[bytes, bytes], body: bytes) -> None:
-        """It is at the server now, whoever still waits for it."""
-        node, play = self.node, self.play
-        assert node is not None
-        path, _, query = target.partition("?")
-        io = dict(p.partition("=")[::2] for p in headers.get(b"x-io", b"").decode("latin-1").split(","))
-        block, shard = query.removeprefix("block="), int(io.get("shard", "-1"))
-        id_ = headers.get(b"x-call-id", b"").decode("latin-1")
-        word, job = play.stage.came(
-            play.now(), node, self.front, id_, path.strip("/"), block, shard, body.decode("latin-1")
-        )
-        job.token = self
-        if word == "taken":
-            self.job = job
-            if self.transport is not None and self.transport.is_closing():
-                self.job = None
-                play.stage.left(play.now(), node, id_)
-            return play.arm(node)
-        if word == "fallen":
-            return play.fall(node)
-        if word not in WORDS:
-            return self.abort()
-        assert word in NEVER_RAN
-        play.after(self.way, lambda: self._reply(WORDS[word], b"", b"X-Rejected: 1\r\n"))
-
-    @property
-    def way(self) -> int:
-        assert self.node is not None
-        return self.play.plan.way(self.front, int(self.node.room))
-
-    def done(self, job: Job, body: str) -> None:
-        """Its answer sets out."""
-        if self.job is job:
-            wait = max(job.answer_at - self.play.now(), 0) + self.way
-            self.play.after(wait, lambda: self._answer(job, body.encode()))
-
-    def _answer(self, job: Job, body: bytes) -> None:
-        if self.job is not job or self.node is None:
-            return
-        if self.silent or AFTER[job.end] is None or self.play.cut(self.front, self.node):
-            self.silent = True
-            return
-        self.job = None
-        word = job.end
-        if word == "reset":
-            return self.abort()
-        if word == "spoilt":
-            self.send(b"HTTP/1.1 2OO Not quite\r\nContent-Length: x\r\n\r\n")
-        elif word == "half":
-            self.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (len(body) + 9) + body)
-        elif word == "error":
-            self._reply(WORDS["error"], b"failed\n", b"")
-        else:
-            self._reply(b"200 OK", body, self._figures(job))
-            if word == "surplus":
-                self.send(b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nsurplus")
-        if word not in KEEPS and self.transport is not None:
-            self.transport.close()
-
-    def _figures(self, job: Job) -> bytes:
-        play, node = self.play, self.node
-        assert node is not None
-        percent = play.stage.meter.percent(play.now(), job.volume)
-        made = b"X-Volume-Use: %d\r\n" % percent if percent >= 0 else b""
-        if elsewhere := node.elsewhere(job.volume, job.front, job.units):
-            made += b"X-Served-Elsewhere: %d\r\n" % elsewhere
-        return made
-
-    def _reply(self, status: bytes, body: bytes, more: bytes) -> None:
-        assert self.node is not None
-        load = ",".join(f"{k}={v}" for k, v in self.node.report(self.play.now()).items()).encode()
-        head = b"HTTP/1.1 %s\r\nContent-Length: %d\r\nX-Load-Report: %s\r\n" % (status, len(body), load)
-        self.send(head + more + b"\r\n" + body)
-
-
-class _AtDiscovery(_Messages):
-    """A front's connection to its agent: the list, or a watch of it."""
-
-    def __init__(self, agent: "Agent") -> None:
-        super().__init__()
-        self.agent = agent
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.agent.watchers.discard(self)
-
-    def on_message_complete(self) -> None:
-        target = self.target.decode("latin-1")
-        self.fresh()
-        if "watch=1" not in target:
-            body = self.agent.whole()
-            return self.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-        self.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.agent.watchers.add(self)
-        after = re.search(r"after=([0-9]{1,9})", target)
-        known = after is not None and int(after[1]) == self.agent.index
-        self.line(b"" if known else self.agent.whole())
-
-    def line(self, text: bytes) -> None:
-        self.send(b"%x\r\n%s\n\r\n" % (len(text) + 1, text))
-
-
-class Agent:
-    """Discovery as one front sees it: it answers at once with what it has been sent."""
-
-    def __init__(self) -> None:
-        self.index, self.entries = 1, dict[str, dict[str, Any]]()
-        self.watchers: set[_AtDiscovery] = set()
-
-    def message(self, entries: list[dict[str, Any]], whole: bool) -> bytes:
-        return json.dumps({"index": self.index, "snapshot": whole, "endpoints": entries}).encode()
-
-    def whole(self) -> bytes:
-        return self.message([e for e in self.entries.values() if e["status"] != "gone"], True)
-
-    def tell(self, entry: dict[str, Any]) -> None:
-        self.index += 1
-        self.entries[entry["name"]] = entry
-        text = self.message([entry], False)
-        for watcher in list(self.watchers):
-            watcher.line(text)
-
-    def beat(self) -> None:
-        for watcher in list(self.watchers):
-            watcher.line(b"")
-
-
-class _Collector(asyncio.Protocol):
-    """Takes fronts' log lines, or for a while does not."""
-
-    def __init__(self, play: "Sockets") -> None:
-        self.play, self.rest = play, b""
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.play.collectors.append(self)
-
-    def data_received(self, data: bytes) -> None:
-        self.rest += data  # each line behind its count of octets (RFC 6587)
-        while (count := re.match(rb"([0-9]{1,7}) ", self.rest)) is not None:
-            end = count.end() + int(count[1])
-            if len(self.rest) < end:
-                return
-            self.play.line(self.rest[count.end() : end].decode("utf-8", "replace"))
-            self.rest = self.rest[end:]
-
-
-class _Client(asyncio.Protocol):
-    """A client's connection to a front: one request at a time."""
-
-    def __init__(self, play: "Sockets", front: "FrontProcess") -> None:
-        self.play, self.front = play, front
-        self.transport: asyncio.Transport | None = None
-        self.of: Try | None = None
-        self.words: Callable[[], bytes] = bytes
-        self.reused = self.begun = False
-        self._fresh()
-
-    def _fresh(self) -> None:
-        self.parser = httptools.HttpResponseParser(self)
-        self.body = list[bytes]()
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-
-    def ask(self, of: Try, words: Callable[[], bytes], reused: bool) -> None:
-        self.of, self.words, self.reused, self.begun = of, words, reused, False
-        assert self.transport is not None
-        self.transport.write(words())  # the time that is left counts from now
-
-    def data_received(self, data: bytes) -> None:
-        self.begun = True
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError:
-            self.play.strange.append("an answer that is no HTTP")
-            self.abort()
-
-    def on_body(self, body: bytes) -> None:
-        self.body.append(body)
-
-    def on_message_complete(self) -> None:
-        status, keep = self.parser.get_status_code(), self.parser.should_keep_alive()
-        body, of, self.of = b"".join(self.body), self.of, None
-        self._fresh()
-        if keep:
-            self.front.idle.append(self)
-        elif self.transport is not None:
-            self.transport.close()
-        if of is not None:
-            kind = KINDS.get(status, "failed")
-            self.play.answered(of, kind, body.decode("latin-1") if kind == "served" else "")
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self in self.front.idle:
-            self.front.idle.remove(self)
-        of, self.of = self.of, None
-        if of is not None:
-            # The front's close crossed a request that it had not read: once more, on a new connection.
-            again = self.reused and not self.begun
-            self.play.once_more(of, self.words) if again else self.play.broke(of)
-
-    def abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
-
-
-@dataclass
-class FrontProcess:
-    number: int
-    process: asyncio.subprocess.Process | None = None
-    agent: Agent = field(default_factory=Agent)
-    address: tuple[str, int] = ("", 0)
-    door: int = 0
-    idle: list[_Client] = field(default_factory=list)
-    reader: asyncio.Task[None] | None = None
-
-
 class Sockets:
     """One rehearsal."""
 
@@ -403,12 +47,12 @@
         self.plan, self.stage = plan, Stage(plan)
         self.python, self.root = python, root or Path(__file__).parents[2]
         self.fronts = [FrontProcess(n) for n in range(plan.fleet.fronts)]
-        self.links: dict[str, set[_AtNode]] = {}
+        self.links: dict[str, set[ServerConnection]] = {}
         self.servers: dict[tuple[str, int], asyncio.Server] = {}
         self.ports: dict[tuple[str, int], int] = {}
         self.holes: dict[tuple[str, int], Blackhole] = {}
         self.stage_room = {b.name: b.room for b in plan.births}
-        self.collectors: list[_Collector] = []
+        self.collectors: list[CollectorConnection] = []
         self.strange: list[str] = []
         self.lines: list[str] = []
         self.dials: Counter[int] = Counter()  # connections to servers by second of the day
@@ -416,7 +60,7 @@
         self.late = 0.0  # s at most that this process was behind with its own timers
         self.begin = 0.0
         self._armed: dict[str, int] = {}
-        self._asking: dict[str, _Client] = {}
+        self._asking: dict[str, ClientConnection] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     # Time
@@ -457,9 +101,9 @@
                 await self._listen(birth.name, front.number, 0)
         collector = ""
         if self.plan.stops:
-            taker = await self.loop.create_server(lambda: _Collector(self), "127.0.0.1", 0)
+            taker = await self.loop.create_server(lambda: CollectorConnection(self), "127.0.0.1", 0)
             self.servers["collector", 0] = taker
-            collector = f"tcp://127.0.0.1:{_port(taker)}"
+            collector = f"tcp://127.0.0.1:{port_of(taker)}"
         for front in self.fronts:
             for birth in self.plan.births:
                 if not birth.at:
@@ -470,7 +114,7 @@
         end = time.monotonic() + START_UP
         while not all(front.address[1] and front.door and front.agent.watchers for front in self.fronts):
             for front in self.fronts:
-                if front.process is not None and front.process.returncode is not None:
+                if front.ended:
                     raise NoStart(f"front {front.number} ended at its start: {' | '.join(self.lines[-5:])}")
             if time.monotonic() > end:
                 raise NoStart(f"not all fronts listen after {START_UP:g} s: {' | '.join(self.lines[-5:])}")
@@ -479,9 +123,11 @@
             await asyncio.sleep(0.1)
 
     async def _listen(self, name: str, front: int, port: int) -> None:
-        sock = _bound(("127.0.0.1", port))
-        server = await self.loop.create_server(lambda: _AtNode(self, name, front), sock=sock, backlog=256)
-        self.servers[name, front], self.ports[name, front] = server, _port(server)
+        sock = bound_socket(("127.0.0.1", port))
+        server = await self.loop.create_server(
+            lambda: ServerConnection(self, name, front), sock=sock, backlog=256
+        )
+        self.servers[name, front], self.ports[name, front] = server, port_of(server)
 
     def _entry(self, front: int, name: str, shard: int, state: str, started: int) -> dict[str, Any]:
         since = int(self.unix * 1000 + started / 1000) if started else 0
@@ -499,31 +145,11 @@
     unix = 0.0  # of the day's start
 
     async def _spawn(self, front: FrontProcess, folder: Path, collector: str) -> None:
-        agent = await self.loop.create_server(lambda: _AtDiscovery(front.agent), "127.0.0.1", 0)
+        agent = await self.loop.create_server(lambda: AgentConnection(front.agent), "127.0.0.1", 0)
         self.servers["discovery", front.number] = agent
-        conf: dict[str, Any] = {
-            "name": f"f{front.number}",
-            "listen": "127.0.0.1:0",
-            "management": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{_port(agent)}",
-            "seed": f"{self.plan.seed * 1000 + front.number:x}",
-            "log": {"level": "info"} | ({"collector": collector} if collector else {}),
-            "settings": {k: v for k, v in self.plan.told.items() if k not in BESIDE},
-        }
-        if "rooms" in self.plan.told:
-            conf["rooms"] = rooms_told(self.plan, front.number)
         path = folder / f"front-{front.number}.toml"
-        path.write_text(tomli_w.dumps(conf))
-        front.process = await asyncio.create_subprocess_exec(
-            self.python,
-            "-B",
-            "-m",
-            "umberlead",
-            cwd=self.root,
-            stdout=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.PIPE,
-            env=os.environ | {"UMBERLEAD_CONFIG": str(path)},
-        )
+        path.write_text(configuration_text(self.plan, front.number, port_of(agent), collector))
+        await front.start(self.python, self.root, path)
         front.reader = self.loop.create_task(self._read(front))
 
     async def _read(self, front: FrontProcess) -> None:
@@ -595,18 +221,13 @@
             task.cancel()
         for client in list(self._asking.values()):
             client.of = None
-        running = [f for f in self.fronts if f.process is not None and f.process.returncode is None]
-        for front in running:
-            assert front.process is not None
-            front.process.terminate()
+        for front in self.fronts:
+            if front.runs:
+                front.terminate()
         for front in self.fronts:
             if front.process is None:
                 continue
-            try:
-                code = await asyncio.wait_for(front.process.wait(), END)
-            except TimeoutError:
-                front.process.kill()
-                code = await front.process.wait()
+            code = await front.end()
             if code != 0:
                 self.strange.append(f"front {front.number} ended with {code}")
             if front.reader is not None:
@@ -686,7 +307,7 @@
         for front in self.fronts:
             word = "offline" if hand.out else "online"
             url = f"http://127.0.0.1:{front.door}/control/chunk-servers/{hand.server}/{word}"
-            self._spawned(asyncio.to_thread(_put, url))
+            self._spawned(asyncio.to_thread(put, url))
 
     def arm(self, node: Node) -> None:
         due = node.due()
@@ -707,17 +328,7 @@
     def _ask(self, of: Try) -> None:
         block, shard = self.stage.ask(self.now(), of)
         r = of.of
-        body = r.block.encode() if r.write else b""
-
-        def words() -> bytes:
-            left = max(of.until - self.now(), 1000) / SECOND
-            head = (
-                f"{'PUT' if r.write else 'GET'} /{r.class_name}?block={block} HTTP/1.1\r\nHost: service\r\n"
-                f"X-Call-Id: {of.id}\r\nX-Plan: {r.plan}\r\nX-Budget: {left:.3f}\r\n"
-                f"X-IO: volume={r.volume},units={r.units},shard={shard},hosts={r.hosts}\r\n"
-                f"Content-Length: {len(body)}\r\n\r\n"
-            )
-            return head.encode() + body
+        words = lambda: request_text(of, block, shard, self.now())  # noqa: E731
 
         # Where this process was held up, an answer that came in time is here and not read yet: one turn of
         # the loop reads it.
@@ -733,7 +344,9 @@
     async def _connect(self, of: Try, words: Callable[[], bytes]) -> None:
         front = self.fronts[of.of.front]
         try:
-            _, client = await self.loop.create_connection(lambda: _Client(self, front), *front.address)
+            _, client = await self.loop.create_connection(
+                lambda: ClientConnection(self, front), *front.address
+            )
         except OSError:
             return self.broke(of)
         if of.id not in self.stage.open:
@@ -767,16 +380,6 @@
             self.at(of.at, lambda: self._ask(of))
 
 
-def _port(server: asyncio.Server) -> int:
-    return int(server.sockets[0].getsockname()[1])
-
-
-def _put(url: str) -> None:
-    request = urllib.request.Request(url, method="PUT")
-    with urllib.request.build_opener(urllib.request.ProxyHandler({})).open(request, timeout=5) as answer:
-        answer.read()
-
-
 def play(
     plan: Plan, progress: Callable[[float], None] | None = None, root: Path | None = None
 ) -> tuple[Records, list[str], float]:
