--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -49,7 +49,7 @@
 import uvloop
 
 from umberlead import configuration
-from umberlead.front import FrontProcess
+from umberlead.daemon.process import FrontProcess
 
 FOLDER = Path(__file__).parent / "exchanges"
 PATIENCE = 5.0  # s until a step that never comes fails
@@ -239,9 +239,11 @@
         if self.front is None:
             self.patches.enter_context(mock.patch.object(configuration, "load", self._load))
             self.patches.enter_context(
-                mock.patch("umberlead.front.descriptors_and_memory_in_use", lambda: (4, 0))
+                mock.patch("umberlead.daemon.assembly.descriptors_and_memory_in_use", lambda: (4, 0))
+            )
+            self.patches.enter_context(
+                mock.patch("umberlead.daemon.assembly.unix_anchored_clock", lambda: self.clock)
             )
-            self.patches.enter_context(mock.patch("umberlead.front.unix_anchored_clock", lambda: self.clock))
             self.front = FrontProcess(self._load(), asyncio.get_running_loop())
             self.gate = Gate(asyncio.get_running_loop())
             self.front.pool.loop = cast(asyncio.AbstractEventLoop, self.gate)
@@ -290,9 +292,9 @@
                 front = await self._start()
                 self.patches.enter_context(mock.patch.object(front.shared_state, "count_siblings", lambda: 1))
                 self.patches.enter_context(mock.patch.object(front.shared_state, "share", lambda: 0.5))
-                front.sync_shared_state()
+                front.state_sync.sync()
             case ["lastword"]:  # what is due at the process's end, with no time gone by
-                (await self._start()).answer_open_requests()
+                (await self._start()).shutdown.answer_open_requests()
             case ["clock", number]:
                 front = await self._start()
                 self.clock.added += int(number)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -17,7 +17,7 @@
 
 from tests.exchange import PATIENCE, Exchange, Peer
 from tests.helpers import T0, ask, end, feed, head, up
-from umberlead.front import FrontProcess
+from umberlead.daemon.process import FrontProcess
 from umberlead.net.endpoint_connection import EndpointConnection
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.socket_state import DISCONNECT_POLL_EVENTS
@@ -435,7 +435,7 @@
     + "until attempts_written 2\n"
 )
 FREE, FREED = "n0 release 1\n", "n0 release 1\n" + DONE.format("a") + DONE.format("b")
-UNSWEPT = "patch umberlead.front SWEEP_INTERVAL_US 600000000\n"
+UNSWEPT = "patch umberlead.daemon.process SWEEP_INTERVAL_US 600000000\n"
 TRIED = KEPT + "n0 next full\nplain c platform\n" + asks("c", 3) + "until attempts_full 1\n"
 RESTS = KEPT + "n0 next full\nclient a platform\nplain c platform\n" + asks("a", 1)
 RESTS += "until attempts_full 1\n" + asks("c", 3) + "until requests_taken 2\n"
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -17,11 +17,12 @@
     GossipKeys,
     GossipKeysError,
     GossipMessage,
+    MemberState,
     MemberUpdate,
     Observation,
     is_within_bounds,
 )
-from umberlead.gossip.swim import DEAD, SUSPECT, SUSPICION_TIMEOUT_US, Gossip
+from umberlead.gossip.swim import SUSPICION_TIMEOUT_US, Gossip
 from umberlead.zones.model import MICROSECONDS_PER_S, ZoneState
 
 KEY, OTHER = bytes(range(32)), bytes(range(1, 33))
@@ -121,7 +122,7 @@
         net.run(0.1)
         assert net.now - began < 40 * MICROSECONDS_PER_S
     net.run(SUSPICION_TIMEOUT_US / MICROSECONDS_PER_S + 5)
-    assert {m.peers["f4"].state for m in net.members.values() if "f4" in m.peers} == {DEAD}
+    assert {m.peers["f4"].state for m in net.members.values() if "f4" in m.peers} == {MemberState.DEAD}
     assert {who for who, whom in net.left if whom == "f4"} == {m.name for m in net.members.values()}
 
 
@@ -232,12 +233,12 @@
     net = Net(2)
     net.run(10)
     of, other = net.members["f0:1"], net.members["f1:1"]
-    of._apply_update(net.now, MemberUpdate("f1", "f1:1", other.incarnation, DEAD))
-    assert of.peers["f1"].state == DEAD
-    other._apply_update(net.now, MemberUpdate("f1", "f1:1", other.incarnation, DEAD))
+    of._apply_update(net.now, MemberUpdate("f1", "f1:1", other.incarnation, MemberState.DEAD))
+    assert of.peers["f1"].state == MemberState.DEAD
+    other._apply_update(net.now, MemberUpdate("f1", "f1:1", other.incarnation, MemberState.DEAD))
     assert other.incarnation == 1
-    of._apply_update(net.now, MemberUpdate("f1", "f1:1", 0, SUSPECT))
-    assert of.peers["f1"].state == DEAD  # no better word of the same life
+    of._apply_update(net.now, MemberUpdate("f1", "f1:1", 0, MemberState.SUSPECT))
+    assert of.peers["f1"].state == MemberState.DEAD  # no better word of the same life
     of._apply_update(net.now, MemberUpdate("f1", "f1:1", 1, 0))
     assert of.peers["f1"].state == 0
 
@@ -388,10 +389,10 @@
 
         for k, hand in enumerate(hands):
             of = configuration.GossipConfig(("127.0.0.1", 0), join, tmp_path / "keys", 20_000)
-            peers, task = await start_gossip(of, f"f{k}", k, hand.rooms, clock)
-            host, _, port = peers.gossip.address.rpartition(":")
+            gossip = await start_gossip(of, f"f{k}", k, hand.rooms.router.zone_health, clock)
+            host, _, port = gossip.address.rpartition(":")
             join = ((host, int(port)),)
-            made.append((peers, task))
+            made.append(gossip)
         hands[0].lose()
         end = loop.time() + 20
         told = hands[1].rooms.router.zone_health.zones["a"].peer_states
@@ -401,9 +402,7 @@
         assert (
             hands[1].rooms.router.zone_health.state("a") is ZoneState.HEALTHY
         )  # a word alone decides nothing
-        for peers, task in made:
-            task.cancel()
-            assert peers.transport is not None
-            peers.transport.close()
+        for gossip in made:
+            gossip.close()
 
     asyncio.run(test())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,8 @@
 
 from tests.helpers import T0, ask, end, feed, head, nodes, sends, up
 from umberlead.common.counters import Counters
-from umberlead.front import FrontProcess
+from umberlead.daemon.limits import LimitControl
+from umberlead.daemon.shared_state_sync import SharedStateSync
 from umberlead.handover.shared_state import SharedState
 from umberlead.net.client_connections import ClientGroup
 from umberlead.net.listener import Listener
@@ -59,11 +60,11 @@
         """Their memory and descriptors count together, and the older one must release some."""
         front = mock.Mock(
             process_count=1,
-            manual_drains={},
             client_groups=[],
             admin_listeners=[],
             handlers=[],
-            resources_in_use=(4, 0),
+            descriptors_in_use=4,
+            memory_in_use_bytes=0,
             watched_lists=None,
         )
         front.start_times.to_local_clock = lambda name, told, now: told
@@ -71,15 +72,16 @@
         front.config = mock.Mock(
             max_descriptors=400, memory_limit_bytes=80 << 20, keepalive_us=15_000_000, object_api=None
         )
-        front.apply_limits = lambda: FrontProcess.apply_limits(front)
-        FrontProcess.sync_shared_state(front)
+        control = LimitControl(front)
+        with mock.patch.object(control, "update_quota") as update_quota:
+            SharedStateSync(front, control).sync()
         limits = divide_resources(200, 40 << 20, 4, 0)
         pool = front.pool
         self.assertEqual(
             (pool.buffer_limit_bytes, pool.max_response_bytes),
             (limits.response_bytes, limits.max_response_bytes),
         )
-        front.update_quota.assert_called_once_with()
+        update_quota.assert_called_once_with()
         front.lifecycle.set_manual_drain.assert_called_once_with("s", True, 5)
 
 
--- a/tests/test_lists_front.py
+++ b/tests/test_lists_front.py
@@ -299,7 +299,7 @@
 def test_the_platforms_front_loads_none_of_the_lists_libraries() -> None:
     """Its start-up time and memory are priced: 32 MB are all that some fronts have."""
     names = ("lark", "netaddr", "watchdog", "msgspec", "click", "numpy", "umberlead.membership")
-    code = f"import sys, umberlead.front; print([m for m in {names} if m in sys.modules])"
+    code = f"import sys, umberlead.daemon.process; print([m for m in {names} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert done.stdout == "[]\n", done.stdout + done.stderr
 
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -7,6 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from umberlead.requests.types import IncomingRequest
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
 from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings
 from umberlead.zones.evidence import (
@@ -455,7 +456,7 @@
     news = made.apply_endpoint_list(0, EndpointList(True, nodes))
     assert news.complete
     for n in names:
-        made.record_outcome(0, "x", n, AttemptResult.OK, 1000, "read", False)
+        made.record_outcome(0, "x", n, AttemptResult.OK, 1000)
     return made
 
 
@@ -464,15 +465,13 @@
         if name[0] == room:
             for n in range(2):
                 of.record_attempt(now, f"{name}.{n}", name)
-                of.record_outcome(
-                    now, f"{name}.{n}", name, AttemptResult.CONNECT_FAILED, 250_000, "read", False
-                )
+                of.record_outcome(now, f"{name}.{n}", name, AttemptResult.CONNECT_FAILED, 250_000)
 
 
 def ask(
     of: ZoneRouter, now: int, cls: str = "read", shard: int = 0, name: str = "q"
 ) -> ZoneRejection | ZoneAdmission:
-    return of.admit(now, name, cls, "priority", "v", 1, shard, 2.0)
+    return of.admit(now, name, IncomingRequest(cls, "priority", "v", name, shard, 2.0, now, None))
 
 
 def test_tiers_follow_the_rooms_and_no_own_room_means_none() -> None:
@@ -545,7 +544,7 @@
     at = 20 * MICROSECONDS_PER_S
     while of.zone_health.state("a") is ZoneState.DOWN:
         for name in ("a0", "a1"):
-            of.record_outcome(at, f"t{at}", name, AttemptResult.OK, 1000, "read", False)
+            of.record_outcome(at, f"t{at}", name, AttemptResult.OK, 1000)
         at += 100_000
     news = of.changed_endpoints(at)
     assert news is not None
@@ -609,7 +608,7 @@
     of.record_attempt(1, "b")
     assert not of.detect_silence(600_000, 700_000)
     assert of.detect_silence(800_000, 700_000) and not of.detect_silence(900_000, 700_000)
-    assert of.observation(900_000, MICROSECONDS_PER_S, 700_000) == "down"
+    assert of.reachability(900_000, MICROSECONDS_PER_S, 700_000) == "down"
     of.record_outcome(950_000, "a", Contact.ANSWERED)
-    assert of.observation(960_000, MICROSECONDS_PER_S, 700_000) == "up"
+    assert of.reachability(960_000, MICROSECONDS_PER_S, 700_000) == "up"
     assert math.isfinite(log_odds_down(["up"] * 100, RULES))
--- a/tests/test_rooms_front.py
+++ b/tests/test_rooms_front.py
@@ -191,7 +191,7 @@
         for name in ("a00", "a01", "a10", "a11", "only"):
             for k in range(2):
                 self.rooms.router.record_outcome(
-                    self.loop.now, f"{name}{k}", name, AttemptResult.CONNECT_FAILED, 1, "read", False
+                    self.loop.now, f"{name}{k}", name, AttemptResult.CONNECT_FAILED, 1
                 )
         self.rooms.tick()
         self.run(0)
@@ -291,7 +291,7 @@
     import subprocess
     import sys
 
-    code = "import sys, umberlead.front, umberlead.frontends.admin_api as c; "
+    code = "import sys, umberlead.daemon.process, umberlead.frontends.admin_api as c; "
     code += "print([m for m in sys.modules if m.startswith(('umberlead.zones', 'umberlead.gossip'))])"
     got = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert got.stdout == "[]\n"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -24,8 +24,8 @@
 from umberlead import configuration
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
+from umberlead.daemon.process import FrontProcess
 from umberlead.emulator.loop import Alarm, Loop
-from umberlead.front import FrontProcess
 from umberlead.frontends.admin_api import format_counters
 from umberlead.frontends.platform import parse_request
 from umberlead.net.http_message import HttpRequest
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -16,7 +16,7 @@
 from tests.exchange import Clock, Peer
 from tests.test_client_disconnects import DONE, Leaving, asks
 from tests.test_race_conditions import ANSWER, BEGIN, NOTHING_GOES, OPEN, SERVED, STOPPED, told, well
-from umberlead.front import FrontProcess
+from umberlead.daemon.process import FrontProcess
 from umberlead.net import server_connection, watch_stream
 
 
@@ -156,7 +156,7 @@
                 while not listener.accepting_count:
                     listener._accept_batch()
                 for each in what:
-                    getattr(front, each)()
+                    getattr(front.shutdown, each)()
                 _, self.peers[name] = await asyncio.get_running_loop().create_connection(Peer, sock=made_)
             case [name, "resets"]:
                 peer = await self.nodes[name].peer()
@@ -309,7 +309,7 @@
     play(
         "node n0 0\nclient a platform\n",
         well("a"),
-        "c behind stop drain_connections\n",
+        "c behind start drain_connections\n",
         asks("c", 1).partition("\n")[2],
         SERVED.format("c"),
         "writes n0 PUT 1\n",
@@ -320,7 +320,7 @@
     play(
         "node n0 0\nclient a platform\n",
         well("a"),
-        "c behind stop drain_connections answer_open_requests\n",
+        "c behind start drain_connections answer_open_requests\n",
         asks("c", 1).partition("\n")[2],
         STOPPED.format("c"),
         "clock 110000\nends\nn0 ran PUT 0\n",
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,7 +18,7 @@
 
 from tests.exchange import PATIENCE
 from umberlead import configuration
-from umberlead.front import FrontProcess
+from umberlead.daemon.process import FrontProcess
 
 ROOT = Path(__file__).resolve().parent.parent
 # Modules of the deploy file's folders that the platform's front has no use for.
@@ -70,7 +70,7 @@
             process.kill()
             process.communicate()
     loaded = {line.split("|")[-1].strip() for line in lines if line.startswith("import time:")}
-    assert {"umberlead.front", "umberlead.frontends.platform", *LIBRARIES} <= loaded
+    assert {"umberlead.daemon.process", "umberlead.frontends.platform", *LIBRARIES} <= loaded
     assert "tomllib" not in loaded  # its configuration is JSON
     own = {name for name in loaded if name.startswith("umberlead.")}
     paths = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["node"]
@@ -107,8 +107,8 @@
     def __init__(self, env: dict[str, str]) -> None:
         self.now = 1_000_000_000
         with (
-            mock.patch("umberlead.front.unix_anchored_clock", lambda: lambda: self.now),
-            mock.patch("umberlead.front.descriptors_and_memory_in_use", lambda: (4, 0)),
+            mock.patch("umberlead.daemon.assembly.unix_anchored_clock", lambda: lambda: self.now),
+            mock.patch("umberlead.daemon.assembly.descriptors_and_memory_in_use", lambda: (4, 0)),
         ):
             self.front = FrontProcess(configuration.load(env), asyncio.get_running_loop())
         self.task = asyncio.create_task(self.front.run())
--- /dev/null
+++ b/umberlead/daemon/assembly.py
@@ -0,0 +1,155 @@
+"""The components of a process, put together from its configuration; none of them has started yet."""
+
+import asyncio
+import time
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from umberlead import configuration
+from umberlead.common.counters import Counters
+from umberlead.common.timer_wheel import TimerWheel
+from umberlead.handover.shared_state import SharedState
+from umberlead.net.client_connections import ClientGroup
+from umberlead.net.discovery import DiscoveryWatch
+from umberlead.net.endpoint_pool import EndpointPool
+from umberlead.net.listener import Listener
+from umberlead.net.server_connection import RequestHandler
+from umberlead.plugins import PluginHooks
+from umberlead.recovery.start_times import STEP_US, StartTimes
+from umberlead.requests.lifecycle import RequestLifecycle
+from umberlead.resource_limits import ReservedDescriptor, descriptors_and_memory_in_use, descriptors_to_come
+from umberlead.telemetry import SyslogWriter, make_logger
+
+if TYPE_CHECKING:  # loaded only by fronts whose configuration has them
+    from umberlead.gossip.udp_transport import GossipService
+    from umberlead.membership.service import WatchedListService
+    from umberlead.zones.integration import ZoneIntegration
+
+DEFAULT_CONNECT_TIMEOUT_US = 250_000
+ENDPOINT_HOST = "service.internal"  # the Host header of requests to endpoints
+
+
+def unix_anchored_clock() -> Callable[[], int]:
+    """Return a clock of whole microseconds that only moves forward.
+
+    It is anchored once to Unix time, so that the times of discovery compare with it.
+    """
+    anchor_ns = time.time_ns() - time.monotonic_ns()
+    return lambda: (time.monotonic_ns() + anchor_ns) // 1000
+
+
+class ProcessComponents:
+    """The components of one process that its tasks share.
+
+    Attributes:
+        config: The configuration in force; a reload replaces it.
+        descriptors_in_use: Descriptors that are no connections, those to come included.
+        memory_in_use_bytes: The memory that the process took before its first connection.
+        trace: Logs single decisions, None unless the log's level is debug.
+        zones: The zones of endpoints, None where the configuration has none.
+        listeners: The listeners of clients, in the order of `client_groups` once all listen.
+        client_groups: The clients of each frontend.
+        handlers: The frontends.
+        admin_listeners: The listeners of the admin API with their clients; open to the end.
+        process_count: The processes of this front, this one included.
+        discovery_watch: The connection to discovery, None where the configuration has none.
+        watched_lists: The service of watched endpoint lists, None where the configuration has none.
+        gossip: The gossip with other fronts, None where the configuration has none.
+        done: Set when the process is to end.
+    """
+
+    def __init__(self, conf: configuration.Config, loop: asyncio.AbstractEventLoop) -> None:
+        """Assemble the components.
+
+        Raises:
+            ConfigError: A plugin can't be used.
+        """
+        self.config = conf
+        self.loop = loop
+        self.reserved_descriptor = ReservedDescriptor()
+        descriptors, self.memory_in_use_bytes = descriptors_and_memory_in_use()
+        self.descriptors_in_use = descriptors + descriptors_to_come(conf)
+        self.counters = Counters()
+        self.syslog = SyslogWriter(conf.log_collector, self.counters)
+        self.log = make_logger(conf.name, lambda: self.config.log_level, self.syslog)
+        self.trace = self.log.debug if conf.log_level == "debug" else None
+        self.clock = unix_anchored_clock()
+        self.wheel = TimerWheel(self.clock, self._call_later, conf.tick_us)
+        self.lifecycle = self._new_lifecycle()
+        self.pool = self._new_pool()
+        self.zones = self._new_zones()
+        self.listeners: list[Listener] = []
+        self.client_groups: list[ClientGroup] = []
+        self.handlers: list[RequestHandler] = []
+        self.admin_listeners: list[tuple[Listener, ClientGroup]] = []
+        self.shared_state = SharedState(conf.state_folder)
+        self.process_count = 1
+        self.start_times = self._new_start_times()
+        if self.shared_state.error:
+            self.log.warning("nothing_shared", why=self.shared_state.error)
+        self.discovery_watch: DiscoveryWatch | None = None
+        self.watched_lists: WatchedListService | None = None
+        self.gossip: GossipService | None = None
+        self.done = asyncio.Event()
+
+    def _call_later(self, delay_us: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
+        return self.loop.call_later(delay_us / 1e6, callback)
+
+    def _new_lifecycle(self) -> RequestLifecycle:
+        conf = self.config
+        settings = conf.settings
+        if conf.zones is not None:
+            from umberlead.zones.integration import with_retry_budget
+
+            settings = with_retry_budget(settings, conf.zones.retry_budget_ratio)
+        hooks = PluginHooks(
+            conf.plugin_paths, conf.plugin_timeout_us, self.counters, self.log.warning, self.trace
+        )
+        lifecycle = RequestLifecycle(
+            settings,
+            conf.seed,
+            self.clock,
+            self.wheel,
+            self.loop.call_soon,
+            self.counters,
+            self.log.error,
+            hooks if hooks.plugins or self.trace else None,
+        )
+        lifecycle.trace_log = self.trace
+        return lifecycle
+
+    def _new_pool(self) -> EndpointPool:
+        conf = self.config
+        pool = EndpointPool(
+            self.lifecycle,
+            self.loop,
+            self.wheel,
+            self.clock,
+            self.counters,
+            0,
+            conf.settings.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US,
+            conf.keepalive_us,
+            ENDPOINT_HOST,
+            self.log.info,
+        )
+        self.lifecycle.transport = pool
+        pool.write_denial = self.lifecycle.guard.may_write
+        pool.on_write = self.lifecycle.invariants.written
+        return pool
+
+    def _new_zones(self) -> "ZoneIntegration | None":
+        conf = self.config
+        if conf.zones is None:
+            return None
+        from umberlead.zones.integration import integrate_zones
+
+        return integrate_zones(conf.zones, self.lifecycle, conf.seed, self.clock, self.log.warning)
+
+    def _new_start_times(self) -> StartTimes:
+        """Return the endpoints' start times, by the clock anchors of this front's processes so far."""
+        anchor_us = self.clock() - time.monotonic_ns() // 1000
+        clock_anchors = self.shared_state.clock_anchors
+        anchors_us = clock_anchors.read()
+        if all(abs(other_us - anchor_us) >= STEP_US for other_us in anchors_us):
+            clock_anchors.add(anchor_us)
+        return StartTimes([other_us - anchor_us for other_us in anchors_us])
--- /dev/null
+++ b/umberlead/daemon/reporting.py
@@ -0,0 +1,57 @@
+"""What a process writes to its log about itself."""
+
+import os
+import time
+from typing import Any
+
+from umberlead.daemon.assembly import ProcessComponents
+from umberlead.daemon.start_stages import StartStages
+from umberlead.resource_limits import granted_descriptors
+
+REPORT_INTERVAL_US = 10_000_000  # between two lines with the counters
+
+
+class Reporting:
+    """Logs the counters, the limits, the start and errors that nothing handles."""
+
+    def __init__(self, components: ProcessComponents) -> None:
+        """Begin without any report."""
+        self._components = components
+
+    def log_counters(self) -> None:
+        """Log all counters (SIGUSR1)."""
+        components = self._components
+        components.log.info(
+            "counters", open=len(components.lifecycle.open_requests), **components.counters.report()
+        )
+
+    def log_counters_periodically(self) -> None:
+        """Log all counters, and do so again each `REPORT_INTERVAL_US`."""
+        self.log_counters()
+        self._components.wheel.call_after(REPORT_INTERVAL_US, self.log_counters_periodically)
+
+    def log_limits(self) -> None:
+        """Log what the process may use, and how that is divided."""
+        components = self._components
+        components.log.info(
+            "limits",
+            cores=components.config.cores,
+            memory_mb=components.config.memory_limit_bytes >> 20,
+            descriptors=granted_descriptors(components.config.max_descriptors),
+            nodes=components.pool.max_connections,
+            clients=sum(clients.max_connections for clients in components.client_groups),
+        )
+
+    def log_start(self, stages: StartStages) -> None:
+        """Log the end of the start, with the CPU time that it took and the duration of its stages in us."""
+        self._components.log.info("started", cpu=time.process_time_ns() // 1000, **stages.durations_us())
+
+    def log_unexpected_error(self, context: dict[str, Any]) -> None:
+        """Log an exception that reached the event loop, as its exception handler."""
+        self._components.counters.add("unexpected_errors")
+        self._components.log.error(
+            "unexpected_error",
+            what=str(context.get("message")),
+            why=repr(context.get("exception")),
+            pid=os.getpid(),
+        )
--- /dev/null
+++ b/umberlead/daemon/shared_state_sync.py
@@ -0,0 +1,62 @@
+"""What a front's processes share: their number, what each may send, and operators' drains of endpoints."""
+
+from umberlead.daemon.assembly import ProcessComponents
+from umberlead.daemon.limits import LimitControl
+
+
+class SharedStateSync:
+    """Applies what sibling processes, and calls at the admin API, have changed.
+
+    Attributes:
+        process_share: The part of a volume's limits that this process may use; 0 before the first sync.
+        manual_drains: The endpoints that operators have drained, and when (Unix time in us).
+    """
+
+    def __init__(self, components: ProcessComponents, limits: LimitControl) -> None:
+        """Begin without any siblings or drains."""
+        self._components = components
+        self._limits = limits
+        self.process_share = 0.0
+        self.manual_drains: dict[str, int] = {}
+
+    def sync(self) -> None:
+        """Read the shared state and apply what has changed."""
+        components = self._components
+        shared_state = components.shared_state
+        process_count = 1 + shared_state.count_siblings()
+        manual_drains = shared_state.drain_overrides()
+        if process_count != components.process_count:
+            components.log.info("processes", now=process_count, before=components.process_count)
+            components.process_count = process_count
+            self._limits.apply()
+        process_share = shared_state.share()
+        if process_share != self.process_share:
+            self.process_share = process_share
+            components.lifecycle.set_process_share(process_share)
+        self._apply_manual_drains(manual_drains)
+
+    def _apply_manual_drains(self, manual_drains: dict[str, int]) -> None:
+        components = self._components
+        drained = [name for name in manual_drains if name not in self.manual_drains]
+        undrained = [name for name in self.manual_drains if name not in manual_drains]
+        for name in drained + undrained:
+            is_drained = name in manual_drains
+            components.log.warning("by_hand", node=name, state="offline" if is_drained else "online")
+            drained_us = components.start_times.to_local_clock(
+                f"out {name}", manual_drains.get(name, 0), components.clock()
+            )
+            if components.watched_lists is None:
+                components.lifecycle.set_manual_drain(name, is_drained, drained_us)
+            else:
+                components.watched_lists.set_manual_drain(name, is_drained, drained_us)
+        self.manual_drains = manual_drains
+
+    def set_manual_drain(self, endpoint: str, is_drained: bool) -> None:
+        """Drain an endpoint for an operator, or end that; it is in force and stored once this returns.
+
+        Raises:
+            OSError: It can't be stored.
+        """
+        with self._components.reserved_descriptor.lent():
+            self._components.shared_state.set_drain_override(endpoint, is_drained)
+            self.sync()
--- /dev/null
+++ b/umberlead/daemon/shutdown.py
@@ -0,0 +1,88 @@
+"""A process's graceful shutdown: all requests that were accepted are answered before it is killed."""
+
+from umberlead.daemon.assembly import ProcessComponents
+from umberlead.daemon.shared_state_sync import SharedStateSync
+
+ACCEPT_AFTER_SIGTERM_US = 550_000  # in which new connections are still accepted
+# SIGKILL follows SIGTERM by the longest timeout of a class, counted as 3 s at most, plus 0.7 s.
+MAX_KILL_DELAY_US = 3_000_000
+KILL_DELAY_MARGIN_US = 700_000
+# How long before that connections are drained, and open requests are answered.
+DRAIN_BEFORE_KILL_US = 400_000
+FINISH_BEFORE_KILL_US = 200_000
+LAST_WRITES_US = 100_000  # for clients that never read, or never leave
+
+
+class GracefulShutdown:
+    """The way from SIGTERM to the end.
+
+    Attributes:
+        stop_requested: Whether SIGTERM was received.
+        is_draining: Whether connections are closed as soon as they are idle.
+    """
+
+    def __init__(self, components: ProcessComponents, state_sync: SharedStateSync) -> None:
+        """Begin with a process that is to go on."""
+        self._components = components
+        self._state_sync = state_sync
+        self.stop_requested = False
+        self.is_draining = False
+
+    def start(self) -> None:
+        """Begin the shutdown (SIGTERM).
+
+        Clients are accepted for a moment longer, connections are served for as long as there is time to
+        answer them, and all requests that were accepted are answered.
+        """
+        if self.stop_requested:
+            return
+        components = self._components
+        self.stop_requested = True
+        components.log.info("stopping", open=len(components.lifecycle.open_requests))
+        components.shared_state.announce_leaving()
+        if components.listeners:  # its share of the volumes' limits is smaller from here on
+            self._state_sync.sync()
+        for listener in components.listeners:
+            listener.disable_deferred_accept()
+        for clients in components.client_groups:
+            # A client whose connection is closed here comes back to the other process.
+            clients.close_after_response = components.process_count > 1
+            clients.stopping = True
+        max_timeout_us = max(request_class.timeout_us for request_class in components.config.settings.classes)
+        kill_delay_us = min(max_timeout_us, MAX_KILL_DELAY_US) + KILL_DELAY_MARGIN_US
+        drain_delay_us = max(kill_delay_us - DRAIN_BEFORE_KILL_US, ACCEPT_AFTER_SIGTERM_US)
+        components.wheel.call_after(ACCEPT_AFTER_SIGTERM_US, self.stop_accepting)
+        components.wheel.call_after(drain_delay_us, self.drain_connections)
+        components.wheel.call_after(kill_delay_us - FINISH_BEFORE_KILL_US, self.answer_open_requests)
+
+    def stop_accepting(self) -> None:
+        """Close the listeners of clients."""
+        for listener in self._components.listeners:
+            if listener.is_open:
+                self._components.counters.add("listeners_closed")
+                listener.close()
+
+    def drain_connections(self) -> None:
+        """Close idle connections, and others after their answers."""
+        self.stop_accepting()
+        self.is_draining = True
+        for clients in self._components.client_groups:
+            clients.drain()
+
+    def answer_open_requests(self) -> None:
+        """Answer all requests that are still open: their clients would wait in vain."""
+        for clients in self._components.client_groups:
+            clients.reject_new_requests()
+        self._components.lifecycle.finish()
+        self._components.wheel.call_after(LAST_WRITES_US, self._components.done.set)
+
+    def end_if_idle(self) -> None:
+        """End the process once it accepts no clients any more and has neither clients nor open requests."""
+        components = self._components
+        is_accepting = any(listener.is_open or listener.accepting_count for listener in components.listeners)
+        if is_accepting and not self.is_draining:
+            return
+        if not len(components.lifecycle.open_requests) and not any(
+            len(clients.slots) for clients in components.client_groups
+        ):
+            components.done.set()
--- a/umberlead/gossip/__init__.py
+++ b/umberlead/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip between fronts about zones, after SWIM: messages, membership, and the UDP transport."""
+"""Gossip between fronts in the manner of SWIM: who is alive, and what each front observes of zones."""
--- a/umberlead/gossip/messages.py
+++ b/umberlead/gossip/messages.py
@@ -1,50 +1,105 @@
-"""Datagrams between fronts: MessagePack under a keyed digest. Whatever comes, `opened` gives a message or
-None.
+"""Datagrams between fronts: MessagePack under a keyed digest.
 
-A datagram is one byte of format, four of the key's name, sixteen of HMAC-SHA256 over the rest, and the body.
-Keys are lines of hex in a file; the first signs, all are taken: a new one is added below everywhere, then
-moved to the top everywhere, then the old one is removed."""
+A datagram is one byte of the format's version, four of the key's name, sixteen of HMAC-SHA256 over all but
+itself, and the body. Keys are lines of hex in a file; the first signs, all are accepted: a new key is
+appended on all fronts, then moved to the top on all of them, then the old one is removed.
+"""
 
 import hashlib
 import hmac
+from enum import IntEnum
 from pathlib import Path
 
 import msgspec
 
-FORMAT_VERSION = 1
-HEADER_BYTES, DIGEST_BYTES = 5, 16
-MAX_DATAGRAM_BYTES = 1200  # octets of a datagram: below any usual path's limit
-MAX_NAME_BYTES, MAX_ROWS_COUNT = 64, 64
+from umberlead.common.errors import UmberleadError
 
+FORMAT_VERSION = 1  # a datagram's first byte
+HEADER_BYTES = 5
+KEY_NAME_BYTES = 4
+DIGEST_BYTES = 16
+MIN_KEY_BYTES = 16
+MAX_DATAGRAM_BYTES = 1200  # below the limit of any usual path
+MAX_NAME_BYTES = 64
+MAX_ROWS_COUNT = 64
+INCARNATION_LIMIT = 1 << 62
+ZONE_STATE_COUNT = 4
 
-class GossipKeysError(ValueError):
-    """The text names file and line."""
+
+class MemberState(IntEnum):
+    """A member's state, as its number in datagrams; of one incarnation the higher one counts."""
+
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+
+
+class MessageKind(IntEnum):
+    """A datagram's kind, as its number there."""
+
+    PING = 0
+    ACK = 1
+    PING_REQ = 2  # a request to ping another member
+
+
+class GossipKeysError(UmberleadError, ValueError):
+    """The file with the keys can't be used; the text names the file and the line."""
+
+
+class DatagramTooLongError(UmberleadError, ValueError):
+    """A message does not fit into a datagram."""
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=False):
-    """What one front says of another, or of itself."""
+    """What a front says of another, or of itself.
+
+    Attributes:
+        name: The member's name.
+        address: Its `host:port`.
+        incarnation: Its incarnation, which it raises to refute that it is suspected or dead.
+        state: The number of a `MemberState`.
+    """
 
     name: str
     address: str
-    incarnation: int  # a member raises it to deny that it is gone
-    state: int  # 0 alive, 1 suspect, 2 dead
+    incarnation: int
+    state: int
 
 
 class Observation(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=False):
-    """What the sender itself holds of a room."""
+    """What the sender itself knows of a zone.
+
+    Attributes:
+        zone: The zone's name.
+        state: 0 healthy, 1 degraded, 2 down, 3 recovering.
+    """
 
     zone: str
-    state: int  # 0 well, 1 grey, 2 lost, 3 return
+    state: int
 
 
 class GossipMessage(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=False):
-    kind: int  # 0 ping, 1 answer, 2 ask another to ping
+    """The body of a datagram.
+
+    Attributes:
+        kind: The number of a `MessageKind`.
+        name: The sender's name.
+        address: The sender's `host:port`.
+        session: A random number of the sender's process.
+        sequence: The datagram's number in that session.
+        nonce: A random number of a ping, which its ack repeats.
+        target: The member to ping, of a request to ping.
+        updates: What the sender says of members.
+        observations: What the sender says of zones.
+    """
+
+    kind: int
     name: str
     address: str
-    session: int  # drawn at the sender's start
-    sequence: int  # of this datagram in its session
-    nonce: int  # a ping's own; its answer gives it back
-    target: str = ""  # of a request to ping
+    session: int
+    sequence: int
+    nonce: int
+    target: str = ""
     updates: list[MemberUpdate] = []
     observations: list[Observation] = []
 
@@ -53,42 +108,61 @@
 _decoder: msgspec.msgpack.Decoder[GossipMessage] = msgspec.msgpack.Decoder(GossipMessage)
 
 
+def _key_name(key: bytes) -> bytes:
+    """Return the start of a key's digest: fronts need not number their keys alike."""
+    return hashlib.sha256(key).digest()[:KEY_NAME_BYTES]
+
+
+def _parse_key(text: str, place: str) -> bytes:
+    try:
+        key = bytes.fromhex(text)
+    except ValueError:
+        raise GossipKeysError(f"{place}: is no hex") from None
+    if len(key) < MIN_KEY_BYTES:
+        raise GossipKeysError(f"{place}: a key has 16 octets at least, this one {len(key)}")
+    return key
+
+
 class GossipKeys:
-    """A key's name is the start of its digest: two fronts need not number them alike."""
+    """The keys of one front: the first signs, all are accepted."""
 
     def __init__(self, keys: list[bytes]) -> None:
+        """Take the keys in their order.
+
+        Raises:
+            GossipKeysError: There is no key.
+        """
         if not keys:
             raise GossipKeysError("there is no key")
-        self.keys = {hashlib.sha256(key).digest()[:4]: key for key in keys}
-        self.first = hashlib.sha256(keys[0]).digest()[:4]
+        self.keys = {_key_name(key): key for key in keys}
+        self.first = _key_name(keys[0])
 
     @classmethod
     def read(cls, path: Path) -> "GossipKeys":
-        keys = []
+        """Read a file of keys, one a line in hex; `#` begins a comment.
+
+        Raises:
+            GossipKeysError: The file can't be read, has a line that is no key, or has none.
+        """
         try:
             lines = path.read_text().splitlines()
         except (OSError, UnicodeDecodeError) as error:
             raise GossipKeysError(f"{path}: {error}") from None
-        for number, line in enumerate(lines, 1):
-            text = line.split("#")[0].strip()
-            if not text:
-                continue
-            try:
-                key = bytes.fromhex(text)
-            except ValueError:
-                raise GossipKeysError(f"{path}:{number}: is no hex") from None
-            if len(key) < 16:
-                raise GossipKeysError(f"{path}:{number}: a key has 16 octets at least, this one {len(key)}")
-            keys.append(key)
+        texts = [line.split("#")[0].strip() for line in lines]
+        keys = [_parse_key(text, f"{path}:{number}") for number, text in enumerate(texts, 1) if text]
         if not keys:
             raise GossipKeysError(f"{path}: there is no key")
         return cls(keys)
 
     def seal(self, message: GossipMessage) -> bytes:
-        """ValueError where it is too long."""
+        """Return a message as a signed datagram.
+
+        Raises:
+            DatagramTooLongError: The datagram would be longer than `MAX_DATAGRAM_BYTES`.
+        """
         body = _encoder.encode(message)
         if HEADER_BYTES + DIGEST_BYTES + len(body) > MAX_DATAGRAM_BYTES:
-            raise ValueError("a datagram of more than 1200 octets")
+            raise DatagramTooLongError("a datagram of more than 1200 octets")
         header = bytes((FORMAT_VERSION,)) + self.first
         return header + self._digest(self.keys[self.first], header + body) + body
 
@@ -97,17 +171,15 @@
         return hmac.new(key, data, hashlib.sha256).digest()[:DIGEST_BYTES]
 
     def open(self, data: bytes) -> GossipMessage | None:
-        if not HEADER_BYTES + DIGEST_BYTES < len(data) <= MAX_DATAGRAM_BYTES or data[0] != FORMAT_VERSION:
-            return None
-        key = self.keys.get(bytes(data[1:HEADER_BYTES]))
-        if key is None:
+        """Return the message of a datagram, None where it is not valid or not signed with one of the keys."""
+        body_start = HEADER_BYTES + DIGEST_BYTES
+        if not body_start < len(data) <= MAX_DATAGRAM_BYTES or data[0] != FORMAT_VERSION:
             return None
-        header, digest, body = (
-            data[:HEADER_BYTES],
-            data[HEADER_BYTES : HEADER_BYTES + DIGEST_BYTES],
-            data[HEADER_BYTES + DIGEST_BYTES :],
-        )
-        if not hmac.compare_digest(self._digest(key, header + body), digest):
+        header = data[:HEADER_BYTES]
+        digest = data[HEADER_BYTES:body_start]
+        body = data[body_start:]
+        key = self.keys.get(bytes(header[1:]))
+        if key is None or not hmac.compare_digest(self._digest(key, header + body), digest):
             return None
         try:
             message = _decoder.decode(body)
@@ -117,24 +189,23 @@
 
 
 def is_within_bounds(message: GossipMessage) -> bool:
-    """Bounds that the types don't hold."""
-    names = [
-        message.name,
-        message.address,
-        message.target,
-        *(observation.zone for observation in message.observations),
-    ]
-    names += [item.name for item in message.updates] + [item.address for item in message.updates]
+    """Return whether a message keeps the bounds that its types don't hold."""
+    names = [message.name, message.address, message.target]
+    names += [observation.zone for observation in message.observations]
+    names += [update.name for update in message.updates]
+    names += [update.address for update in message.updates]
     return (
-        message.kind in (0, 1, 2)
+        0 <= message.kind < len(MessageKind)
         and bool(message.name)
-        and all(len(item) <= MAX_NAME_BYTES for item in names)
+        and all(len(name) <= MAX_NAME_BYTES for name in names)
         and len(message.updates) <= MAX_ROWS_COUNT
         and len(message.observations) <= MAX_ROWS_COUNT
-        and all(
-            item.state in (0, 1, 2) and item.name and 0 <= item.incarnation < 1 << 62
-            for item in message.updates
-        )
-        and all(observation.state in (0, 1, 2, 3) for observation in message.observations)
+        and all(_is_update_within_bounds(update) for update in message.updates)
+        and all(0 <= observation.state < ZONE_STATE_COUNT for observation in message.observations)
         and min(message.session, message.sequence, message.nonce) >= 0
     )
+
+
+def _is_update_within_bounds(update: MemberUpdate) -> bool:
+    has_valid_state = 0 <= update.state < len(MemberState) and bool(update.name)
+    return has_valid_state and 0 <= update.incarnation < INCARNATION_LIMIT
--- a/umberlead/start.py
+++ b/umberlead/start.py
@@ -23,17 +23,17 @@
     early_reload_signals: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_reload_signals.append(number))
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
-    from umberlead import configuration, front
-    from umberlead.front import serve
+    from umberlead import configuration
+    from umberlead.daemon.process import serve
+    from umberlead.daemon.start_stages import StartStages
 
-    front.EARLY_RELOAD_SIGNALS = early_reload_signals
-    front.START_STAGES_US["began"] = started_us
-    front.record_stage("imports")
+    stages = StartStages(started_us)
+    stages.record("imports")
 
     try:
         conf = configuration.load()
-        front.record_stage("configuration")
-        serve(conf)
+        stages.record("configuration")
+        serve(conf, stages, early_reload_signals)
     except configuration.ConfigError as error:
         print(f"umberlead: {error}", file=sys.stderr)
         return 2
--- a/umberlead/zones/evidence.py
+++ b/umberlead/zones/evidence.py
@@ -1,178 +1,244 @@
-"""What a front's own attempts tell of the servers of a room. Passive: nothing is sent to learn it.
+"""What a front's own attempts say about the endpoints of a zone. Passive: no health checks are sent for it.
 
-A server is down in this front's eyes after breaks, or silence with work out, that no answer has followed. A
-room's odds of being lost multiply its servers' ratios, each bounded by how often a server is down by itself:
-one broken link, or one dead server, never makes a room."""
+An endpoint is down in this front's eyes after broken attempts, or after silence with attempts in flight, that
+no answer has followed. The odds of a zone being down multiply the likelihood ratios of its endpoints, each
+bounded by how often an endpoint is down on its own: one broken connection, or one dead endpoint, never marks
+a zone as down. Times are in us.
+"""
 
 import math
 from collections import deque
+from collections.abc import Sequence
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from umberlead.zones.model import Contact, ZoneSettings
+from umberlead.zones.model import Contact, Reachability, ZoneSettings
 
-SILENT_LIKELIHOOD_RATIO = (
-    15.0  # a server that leaves one request without a word: its room is lost, against a pause
-)
-MAX_UNANSWERED_COUNT = 16  # given-up sendings that are remembered
-BREAKS_TO_DOWN_COUNT = 2  # in a row, with no answer in between, that make a server down
-BAD, GOOD = 1, 0
+# The likelihood of one request left unanswered where the zone is down, against that of a mere pause.
+SILENT_LIKELIHOOD_RATIO = 15.0
+MAX_UNANSWERED_COUNT = 16  # cancelled attempts that are remembered for each endpoint
+BREAKS_TO_DOWN_COUNT = 2  # broken attempts in a row that mark an endpoint as down
+SLICES_PER_WINDOW_COUNT = 8
+# Failures and attempts that are added to those of other zones: 1 in 20 fails where there is nothing to
+# compare with.
+ASSUMED_FAILURE_COUNT = 1
+ASSUMED_ATTEMPT_COUNT = 20
+
+
+class AttemptTotals(NamedTuple):
+    """Sums over attempts."""
+
+    attempts: float
+    failures: float
+    answers: float
+    latency_sum_us: float
+
+
+@dataclass(slots=True)
+class StatisticsSlice:
+    """The attempts of one slice of a window."""
+
+    start_us: int
+    attempts: int = 0
+    failures: int = 0
+    answers: int = 0
+    latency_sum_us: float = 0.0
+
+
+@dataclass(slots=True)
+class SlidingStatistics:
+    """Attempts, failures and latencies over a sliding window, in slices: no attempt is stored on its own.
+
+    Attributes:
+        window_us: The length of the window.
+        slices: The slices that are not empty, the oldest first.
+    """
+
+    window_us: int
+    slices: deque[StatisticsSlice] = field(default_factory=deque)
+
+    def add(self, now_us: int, broke: bool, latency_us: float = 0.0) -> None:
+        """Count an attempt that ended now; its latency matters only where it did not break."""
+        slice_us = max(self.window_us // SLICES_PER_WINDOW_COUNT, 1)
+        start_us = now_us - now_us % slice_us
+        if not self.slices or self.slices[-1].start_us != start_us:
+            self.slices.append(StatisticsSlice(start_us))
+        current = self.slices[-1]
+        current.attempts += 1
+        if broke:
+            current.failures += 1
+        else:
+            current.answers += 1
+            current.latency_sum_us += latency_us
+
+    def sums(self, now_us: int) -> AttemptTotals:
+        """Return the sums over the window that ends now."""
+        while self.slices and self.slices[0].start_us < now_us - self.window_us:
+            self.slices.popleft()
+        return AttemptTotals(
+            sum(item.attempts for item in self.slices),
+            sum(item.failures for item in self.slices),
+            sum(item.answers for item in self.slices),
+            sum(item.latency_sum_us for item in self.slices),
+        )
 
 
 @dataclass(slots=True)
 class ContactRecord:
-    """What is known of one server."""
-
-    answered_us: int = -1  # when it answered last
-    broke_us: int = -1  # when an attempt there broke last
-    breaks: int = 0  # since it answered
-    in_flight: dict[str, int] = field(default_factory=dict)  # attempts under way, and when they were sent
-    unanswered_us: list[int] = field(
-        default_factory=list
-    )  # when those were sent that were given up before any word came
+    """What is known of one endpoint from the attempts that were sent to it.
+
+    Attributes:
+        answered_us: When it answered last, -1 if never.
+        broke_us: When an attempt broke, or the endpoint was found silent, last; -1 if never.
+        breaks: Broken attempts since it answered.
+        in_flight: When each attempt in flight was sent, by its request's id.
+        unanswered_us: When those attempts were sent that were cancelled before any answer.
+        silent: Whether it has been found silent, and has not answered since.
+        statistics: Its attempts over the evidence window.
+    """
+
+    answered_us: int = -1
+    broke_us: int = -1
+    breaks: int = 0
+    in_flight: dict[str, int] = field(default_factory=dict)
+    unanswered_us: list[int] = field(default_factory=list)
     silent: bool = False
-    statistics: "SlidingStatistics" = field(default_factory=lambda: SlidingStatistics(0))
+    statistics: SlidingStatistics = field(default_factory=lambda: SlidingStatistics(0))
 
     def record_attempt(self, now_us: int, request: str) -> None:
+        """Note an attempt that is sent now."""
         self.in_flight[request] = now_us
 
     def record_outcome(self, now_us: int, request: str, contact: Contact) -> None:
+        """Note the end of an attempt."""
         started_us = self.in_flight.pop(request, None)
         if contact is Contact.ANSWERED:
-            self.answered_us, self.breaks, self.silent = now_us, 0, False
+            self.answered_us = now_us
+            self.breaks = 0
+            self.silent = False
             self.unanswered_us.clear()
-        elif (
-            contact is Contact.INCONCLUSIVE
-            and started_us is not None
-            and started_us > self.answered_us
-            and len(self.unanswered_us) < MAX_UNANSWERED_COUNT
-        ):
-            self.unanswered_us.append(
-                started_us
-            )  # withdrawn by this front itself: the silence before that still tells
         elif contact is Contact.BROKEN:
-            self.broke_us, self.breaks = now_us, self.breaks + 1
+            self.broke_us = now_us
+            self.breaks += 1
+        elif started_us is not None and started_us > self.answered_us:
+            # Cancelled by this front itself: the silence before that still counts.
+            if len(self.unanswered_us) < MAX_UNANSWERED_COUNT:
+                self.unanswered_us.append(started_us)
 
     def detect_silence(self, now_us: int, silence_timeout_us: int) -> bool:
-        """Whether it has just fallen silent: work is out, and for long no word came of any of it."""
+        """Return whether it has just been found silent: of attempts in flight none was answered for long."""
         silent_since_us = now_us - silence_timeout_us
-        if (
-            self.silent
-            or len(self.in_flight) + len(self.unanswered_us) < BREAKS_TO_DOWN_COUNT
-            or self.answered_us >= silent_since_us
-        ):
+        if self.silent or self.answered_us >= silent_since_us:
+            return False
+        if len(self.in_flight) + len(self.unanswered_us) < BREAKS_TO_DOWN_COUNT:
             return False
-        # One that is never answered is that request's own misfortune; two, and nothing else came in between.
+        # One request without an answer may be a fault of that request; two, with nothing received since, are
+        # not.
         unanswered_count = sum(
             self.answered_us < started_us < silent_since_us
             for started_us in (*self.in_flight.values(), *self.unanswered_us)
         )
         self.silent = unanswered_count >= BREAKS_TO_DOWN_COUNT
         if self.silent:
-            self.broke_us, self.breaks = now_us, self.breaks + 1
+            self.broke_us = now_us
+            self.breaks += 1
         return self.silent
 
-    def observation(self, now_us: int, window_us: int, silence_timeout_us: int) -> str:
-        """What is known of it lately: down, mute (a request is out for long, and no word came since), up, or
-        nothing."""
+    def reachability(self, now_us: int, window_us: int, silence_timeout_us: int) -> Reachability:
+        """Return what the attempts within the window say about the endpoint."""
         if self.breaks >= BREAKS_TO_DOWN_COUNT or self.silent:
-            return "down" if now_us - self.broke_us <= window_us else ""
-        if any(
-            max(self.answered_us, now_us - window_us) < started_us < now_us - silence_timeout_us
-            for started_us in self.in_flight.values()
-        ):
-            return "mute"
-        return "up" if self.answered_us >= 0 and now_us - self.answered_us <= window_us else ""
-
-
-@dataclass(slots=True)
-class SlidingStatistics:
-    """Attempts and breaks, and how long answers took, over a window; in eight slices, so that nothing is
-    kept of each attempt."""
-
-    window_us: int
-    slices: deque[list[float]] = field(default_factory=deque)  # begin, attempts, breaks, answers, their time
-
-    def add(self, now_us: int, broke: bool, latency_us: float = 0.0) -> None:
-        slice_us = max(self.window_us // 8, 1)
-        slice_start_us = now_us - now_us % slice_us
-        if not self.slices or self.slices[-1][0] != slice_start_us:
-            self.slices.append([slice_start_us, 0, 0, 0, 0.0])
-        current = self.slices[-1]
-        current[1] += 1
-        current[2] += broke
-        if not broke:
-            current[3] += 1
-            current[4] += latency_us
-
-    def sums(self, now_us: int) -> tuple[float, float, float, float]:
-        """Attempts, breaks, answers and the time of these."""
-        while self.slices and self.slices[0][0] < now_us - self.window_us:
-            self.slices.popleft()
-        totals = [sum(item[column] for item in self.slices) for column in range(1, 5)]
-        return totals[0], totals[1], totals[2], totals[3]
-
-
-def log_odds_down(observations: list[str], settings: ZoneSettings) -> float:
-    """That a room is lost, from its servers' words: the prior, and a bounded ratio a server."""
-    odds, down_probability = (
-        math.log(settings.prior_probability / (1 - settings.prior_probability)),
-        settings.endpoint_down_probability,
-    )
-    for observation in observations:
-        if observation == "down":
-            odds += math.log((1 - down_probability) / down_probability)
-        elif observation == "mute":
-            odds += math.log(SILENT_LIKELIHOOD_RATIO)
-        elif observation == "up":
-            odds += math.log(down_probability / (1 - down_probability))
-    return odds
-
-
-def is_zone_down(observations: list[str], settings: ZoneSettings) -> bool:
-    """A room of few servers can't reach the odds: there all must be down, and two at least."""
-    conclusive = [observation for observation in observations if observation]
-    if log_odds_down(observations, settings) >= math.log(settings.down_odds_threshold):
+            return Reachability.DOWN if now_us - self.broke_us <= window_us else Reachability.UNKNOWN
+        since_us = max(self.answered_us, now_us - window_us)
+        until_us = now_us - silence_timeout_us
+        if any(since_us < started_us < until_us for started_us in self.in_flight.values()):
+            return Reachability.SILENT
+        if self.answered_us >= 0 and now_us - self.answered_us <= window_us:
+            return Reachability.UP
+        return Reachability.UNKNOWN
+
+
+def log_odds_down(reachabilities: Sequence[str], settings: ZoneSettings) -> float:
+    """Return the log odds of a zone being down: the prior, and one bounded likelihood ratio an endpoint."""
+    down_probability = settings.endpoint_down_probability
+    log_odds = math.log(settings.prior_probability / (1 - settings.prior_probability))
+    for reachability in reachabilities:
+        if reachability == Reachability.DOWN:
+            log_odds += math.log((1 - down_probability) / down_probability)
+        elif reachability == Reachability.SILENT:
+            log_odds += math.log(SILENT_LIKELIHOOD_RATIO)
+        elif reachability == Reachability.UP:
+            log_odds += math.log(down_probability / (1 - down_probability))
+    return log_odds
+
+
+def is_zone_down(reachabilities: Sequence[str], settings: ZoneSettings) -> bool:
+    """Return whether the odds of a zone being down have reached the threshold.
+
+    A zone of few endpoints can't reach it: there all of them must be down, and at least two.
+    """
+    threshold = math.log(settings.down_odds_threshold)
+    if log_odds_down(reachabilities, settings) >= threshold:
         return True
-    max_log_odds = log_odds_down(["down"] * len(observations), settings)
+    all_down = [Reachability.DOWN] * len(reachabilities)
     return (
-        max_log_odds < math.log(settings.down_odds_threshold)
-        and len(observations) >= 2
-        and conclusive == ["down"] * len(observations)
+        log_odds_down(all_down, settings) < threshold
+        and len(reachabilities) >= 2
+        and list(reachabilities) == all_down
     )
 
 
-def sum_statistics(statistics: list[SlidingStatistics], now_us: int) -> tuple[float, float, float, float]:
-    rows = [row.sums(now_us) for row in statistics]
-    return (
-        sum(row[0] for row in rows),
-        sum(row[1] for row in rows),
-        sum(row[2] for row in rows),
-        sum(row[3] for row in rows),
+def sum_statistics(statistics: Sequence[SlidingStatistics], now_us: int) -> AttemptTotals:
+    """Return the sums over several endpoints."""
+    totals = [item.sums(now_us) for item in statistics]
+    return AttemptTotals(
+        sum(total.attempts for total in totals),
+        sum(total.failures for total in totals),
+        sum(total.answers for total in totals),
+        sum(total.latency_sum_us for total in totals),
     )
 
 
-def without_worst_quarter(statistics: list[SlidingStatistics], now_us: int) -> list[SlidingStatistics]:
-    """Without the worst quarter of its servers, rounded up: what one or two do is their own."""
-    from_best = sorted(statistics, key=lambda r: (r.sums(now_us)[1], r.sums(now_us)[3]))
+def without_worst_quarter(statistics: Sequence[SlidingStatistics], now_us: int) -> list[SlidingStatistics]:
+    """Return all but the worst quarter of endpoints, rounded up: one or two outliers don't make a zone."""
+    totals = {id(item): item.sums(now_us) for item in statistics}
+    from_best = sorted(
+        statistics, key=lambda item: (totals[id(item)].failures, totals[id(item)].latency_sum_us)
+    )
     return from_best[: len(from_best) - math.ceil(len(from_best) / 4)]
 
 
 def why_degraded(
-    own: list[SlidingStatistics], other_zones: list[SlidingStatistics], now_us: int, settings: ZoneSettings
-) -> str:
-    """Why a room, a ratio a server, is grey against the others; empty where it is not: more breaks than
-    chance explains (three sigma), or answers that take far longer."""
-    attempts, failures, answers, latency_sum_us = sum_statistics(without_worst_quarter(own, now_us), now_us)
-    if attempts < settings.degraded_min_attempts:
-        return ""
-    other_attempts, other_failures, other_answers, other_latency_sum_us = sum_statistics(other_zones, now_us)
-    usual = (other_failures + 1) / (other_attempts + 20)  # with nobody to compare, 1 in 20 is usual
-    sigma = math.sqrt(max(usual * (1 - usual), 1e-9) / attempts)
-    failure_ratio = failures / attempts
-    if failure_ratio >= usual + settings.degraded_failure_ratio and failure_ratio > usual + 3 * sigma:
-        return f"{failures:.0f} of {attempts:.0f} attempts broke, elsewhere {usual:.1%}"
-    if answers >= settings.degraded_min_attempts and other_answers >= settings.degraded_min_attempts:
-        mean, usual = latency_sum_us / answers, other_latency_sum_us / other_answers
-        if mean > settings.degraded_latency_factor * usual:
-            return f"answers take {mean / 1000:.0f} ms, elsewhere {usual / 1000:.0f} ms"
-    return ""
+    own: Sequence[SlidingStatistics],
+    others: Sequence[SlidingStatistics],
+    now_us: int,
+    settings: ZoneSettings,
+) -> str | None:
+    """Return why a zone is degraded when compared with others, None where it is not.
+
+    It is where more attempts fail than chance explains (three sigma), or where answers take far longer.
+
+    Args:
+        own: The statistics of the zone's endpoints.
+        others: Those of the endpoints of the other zones.
+        now_us: The time.
+        settings: The thresholds.
+    """
+    zone = sum_statistics(without_worst_quarter(own, now_us), now_us)
+    if zone.attempts < settings.degraded_min_attempts:
+        return None
+    other = sum_statistics(others, now_us)
+    usual_ratio = (other.failures + ASSUMED_FAILURE_COUNT) / (other.attempts + ASSUMED_ATTEMPT_COUNT)
+    sigma = math.sqrt(max(usual_ratio * (1 - usual_ratio), 1e-9) / zone.attempts)
+    failure_ratio = zone.failures / zone.attempts
+    if (
+        failure_ratio >= usual_ratio + settings.degraded_failure_ratio
+        and failure_ratio > usual_ratio + 3 * sigma
+    ):
+        return f"{zone.failures:.0f} of {zone.attempts:.0f} attempts broke, elsewhere {usual_ratio:.1%}"
+    if min(zone.answers, other.answers) < settings.degraded_min_attempts:
+        return None
+    mean_us = zone.latency_sum_us / zone.answers
+    usual_us = other.latency_sum_us / other.answers
+    if mean_us > settings.degraded_latency_factor * usual_us:
+        return f"answers take {mean_us / 1000:.0f} ms, elsewhere {usual_us / 1000:.0f} ms"
+    return None
--- a/umberlead/zones/integration.py
+++ b/umberlead/zones/integration.py
@@ -1,8 +1,11 @@
-"""A director beside an engine: hooks on the requests' way, a watcher of list and sendings, and what an
-operator sees. No I/O; the clock and a tick every 100 ms are the owner's."""
+"""A zone router beside a request lifecycle: its hooks, its decision observer, and the status for operators.
+
+No I/O; the clock, and a tick every `TICK_US`, are the owner's.
+"""
 
 import random
 from collections.abc import Callable
+from dataclasses import replace
 from typing import Any
 
 from umberlead import configuration
@@ -10,19 +13,20 @@
 from umberlead.requests.types import Answer, AnswerKind, Attempt, InFlightRequest, Rejection, RequestHooks
 from umberlead.scheduling.events import AttemptResult, EndpointList
 from umberlead.scheduling.settings import Settings
-from umberlead.zones.model import ZoneSettings, ZoneState, ZoneTransition
+from umberlead.zones.model import Reachability, ZoneMember, ZoneSettings, ZoneState, ZoneTransition
 from umberlead.zones.router import ZoneRejection, ZoneRouter
+from umberlead.zones.zone_health import EVACUATE, ZoneRecord
 
-TICK_US = 100_000  # us
+TICK_US = 100_000
+RETRY_BUDGET_WINDOW_US = 10_000_000
+MIN_RETRIES_COUNT = 10  # in that window, whatever the retry budget's ratio
 
 
 def zone_settings(zone_config: configuration.ZoneConfig) -> ZoneSettings:
-    tier_by_zone = {name: index + 1 for index, name in enumerate(zone_config.nearby_zones)}
+    """Return the settings of zones that an operator's file describes."""
     return ZoneSettings(
-        tier_by_zone=tier_by_zone,
-        spillover_mode=zone_config.spillover_mode,
-        spillover_rate_factor=zone_config.spillover_rate_factor,
         own_zone=zone_config.own_zone,
+        tier_by_zone={name: tier for tier, name in enumerate(zone_config.nearby_zones, 1)},
         silence_timeout_us=zone_config.silence_timeout_us,
         evidence_window_us=zone_config.evidence_window_us,
         min_down_us=zone_config.min_down_us,
@@ -30,27 +34,38 @@
         trial_interval_us=zone_config.trial_interval_us,
         recovery_us=zone_config.recovery_us,
         distance_factor=zone_config.distance_factor,
+        spillover_mode=zone_config.spillover_mode,
+        spillover_rate_factor=zone_config.spillover_rate_factor,
         retry_after_us=zone_config.retry_after_us,
     )
 
 
 def with_retry_budget(settings: Settings, retry_budget_ratio: float) -> Settings:
-    """Settings with a bound on attempts beyond the first, over all rooms together, where they have none: a
-    lost room's requests must not come down twice on what is left."""
-    from dataclasses import replace
+    """Return settings with a retry budget over all zones together, unless they have one.
 
+    Without it the requests of a zone that is down load what is left of the others twice.
+    """
     if not retry_budget_ratio or settings.retry_budget_window_us:
         return settings
     return replace(
         settings,
-        retry_budget_window_us=10_000_000,
+        retry_budget_window_us=RETRY_BUDGET_WINDOW_US,
         retry_budget_ratio=retry_budget_ratio,
-        retry_budget_min_retries=10,
+        retry_budget_min_retries=MIN_RETRIES_COUNT,
     )
 
 
+def _ignore_transition(transition: ZoneTransition) -> None:
+    """Drop a transition while no callback is set."""
+
+
 class ZoneIntegration:
-    """The engine's hooks and watcher; `inner` are hooks that stood there before, and go first."""
+    """The hooks and the decision observer of a request lifecycle.
+
+    Attributes:
+        router: The zones and what they decide.
+        on_transition: Called with each change of a zone's state.
+    """
 
     def __init__(
         self,
@@ -61,62 +76,69 @@
         inner_hooks: RequestHooks | None,
         log: Callable[..., Any],
     ) -> None:
-        self.lifecycle, self.clock, self.inner_hooks, self.log = lifecycle, clock, inner_hooks, log
+        """Take the place of the lifecycle's hooks and observer.
+
+        Args:
+            settings: The settings of zones.
+            lifecycle: The requests to decide on.
+            seed: The seed of the process's random numbers.
+            clock: Returns the time.
+            inner_hooks: Hooks that were set before, which are called first.
+            log: Called with an event's name, and its fields as keywords.
+        """
+        self.lifecycle = lifecycle
+        self.clock = clock
+        self.inner_hooks = inner_hooks
+        self.log = log
         self.router = ZoneRouter(settings, lifecycle.settings, seed, clock())
         self.router.on_transition = self._on_transition
         self.rng = random.Random(f"{seed}/joined")
-        self._zones_just_down: set[str] = set()  # rooms just lost, whose attempts are still out
-        self.on_transition: Callable[[ZoneTransition], None] = lambda verdict: None
-        lifecycle.hooks, lifecycle.decision_observer = self, self
+        self._zones_just_down: set[str] = set()  # those whose attempts are still in flight
+        self.on_transition: Callable[[ZoneTransition], None] = _ignore_transition
+        lifecycle.hooks = self
+        lifecycle.decision_observer = self
 
-    # The watcher
+    # The decision observer
 
     def on_endpoint_list(self, endpoint_list: EndpointList) -> EndpointList:
+        """Return what the scheduler is told in place of a list."""
         return self.router.apply_endpoint_list(self.clock(), endpoint_list)
 
     def on_attempt(self, request: InFlightRequest, endpoint: str) -> None:
+        """Note an attempt that is sent, and close its endpoint again if it is a trial."""
         if self.router.record_attempt(self.clock(), request.id, endpoint):
-            self.lifecycle.call_soon(
-                self._notify_scheduler
-            )  # not now: the attempt is not with its carrier yet
+            # Not within this call: the transport does not have the attempt yet.
+            self.lifecycle.call_soon(self._notify_scheduler)
 
     # The hooks
 
     def on_request(self, in_flight: InFlightRequest) -> str | Rejection | None:
+        """Decide on a new request; return why it is rejected, if it is."""
         reason = self.inner_hooks.on_request(in_flight) if self.inner_hooks else None
         if reason is not None:
             return reason
-        request, now_us = in_flight.request, self.clock()
-        decision = self.router.admit(
-            now_us,
-            in_flight.id,
-            request.class_name,
-            request.plan,
-            request.volume,
-            request.volume_front_count,
-            request.shard,
-            request.units,
-        )
+        counters = self.lifecycle.counters
+        decision = self.router.admit(self.clock(), in_flight.id, in_flight.request)
         if isinstance(decision, ZoneRejection):
-            self.lifecycle.counters.add("rooms_refused")
+            counters.add("rooms_refused")
             return Rejection(decision.reason, decision.retry_after_us)
-        if decision.trial_endpoint:
-            self.lifecycle.counters.add("rooms_trials")
-            self._notify_scheduler()  # before the request comes to the module: it finds its server open
-        self.lifecycle.counters.add("rooms_spilled", int(decision.is_spillover))
+        if decision.trial_endpoint is not None:
+            counters.add("rooms_trials")
+            self._notify_scheduler()  # the scheduler must have the endpoint as open before it has the request
+        counters.add("rooms_spilled", int(decision.is_spillover))
         return None
 
     def on_outcome(
         self, request: InFlightRequest, endpoint: str, result: AttemptResult, elapsed_us: int
     ) -> None:
+        """Note the end of an attempt."""
         if self.inner_hooks:
             self.inner_hooks.on_outcome(request, endpoint, result, elapsed_us)
-        self.router.record_outcome(
-            self.clock(), request.id, endpoint, result, elapsed_us, request.request.class_name, False
-        )
+        self.router.record_outcome(self.clock(), request.id, endpoint, result, elapsed_us)
         self._notify_scheduler()
 
     def on_answer(self, request: InFlightRequest, answer: Answer) -> None:
+        """Note a request's final answer."""
         if self.inner_hooks:
             self.inner_hooks.on_answer(request, answer)
         self.router.record_answer(
@@ -127,8 +149,10 @@
             request.request.class_name,
         )
 
+    # Time and transitions
+
     def tick(self) -> None:
-        """At least every 100 ms."""
+        """Let time pass; to be called at least every `TICK_US`."""
         self.router.tick(self.clock())
         self._notify_scheduler()
 
@@ -137,101 +161,67 @@
         if endpoint_list is None:
             return
         self.lifecycle.notify_scheduler(endpoint_list)
-        zones, self._zones_just_down = self._zones_just_down, set()
+        zones = self._zones_just_down
+        self._zones_just_down = set()
         if zones:
-            self._leave_endpoints(
-                {name for name, endpoint in self.router.listed_endpoints.items() if endpoint.zone in zones}
-            )
+            listed = self.router.listed_endpoints
+            self._leave_endpoints({name for name, endpoint in listed.items() if endpoint.zone in zones})
 
-    def _leave_endpoints(self, lost_endpoints: set[str]) -> None:
-        """Reads that are out there may try their other servers; what waits for nothing else is refused
-        now."""
-        unreachable_shards: set[int] = {self.router.listed_endpoints[name].shard for name in lost_endpoints}
-        unreachable_shards = {shard for shard in unreachable_shards if self.router.is_shard_down(shard)}
+    def _leave_endpoints(self, left_endpoints: set[str]) -> None:
+        """Let idempotent requests that are in flight there retry elsewhere, and reject those that can't.
 
-        def is_unreachable(ticket: InFlightRequest) -> bool:
-            return ticket.request.shard in unreachable_shards
+        Requests that wait for a shard without any endpoint left are rejected now.
+        """
+        router = self.router
+        shards = {router.listed_endpoints[name].shard for name in left_endpoints}
+        unreachable_shards = {shard for shard in shards if router.is_shard_down(shard)}
 
-        retry_after_us = self.router.zone_settings.retry_after_us + self.router.zone_settings.min_down_us
-        rejected_count = self.lifecycle.reject_waiting(
-            is_unreachable, "its room is lost", int(retry_after_us * self.rng.uniform(1.0, 2.0))
-        )
-        self.lifecycle.counters.add("rooms_refused", rejected_count)
+        def is_unreachable(request: InFlightRequest) -> bool:
+            return request.request.shard in unreachable_shards
 
-        def can_be_served_elsewhere(out: Attempt) -> bool:
-            return out.endpoint in lost_endpoints and out.request.request.shard not in unreachable_shards
+        def can_be_served_elsewhere(attempt: Attempt) -> bool:
+            return (
+                attempt.endpoint in left_endpoints and attempt.request.request.shard not in unreachable_shards
+            )
 
-        self.lifecycle.counters.add(
-            "rooms_withdrawn", self.lifecycle.cancel_attempts(can_be_served_elsewhere)
+        settings = router.zone_settings
+        retry_after_us = (settings.retry_after_us + settings.min_down_us) * self.rng.uniform(1.0, 2.0)
+        counters = self.lifecycle.counters
+        rejected_count = self.lifecycle.reject_waiting(
+            is_unreachable, "its room is lost", int(retry_after_us)
         )
+        counters.add("rooms_refused", rejected_count)
+        counters.add("rooms_withdrawn", self.lifecycle.cancel_attempts(can_be_served_elsewhere))
 
     def _on_transition(self, transition: ZoneTransition) -> None:
-        self.lifecycle.counters.add(f"rooms_{transition.state.value}")
-        if transition.state is ZoneState.DOWN:
+        state = transition.state
+        self.lifecycle.counters.add(f"rooms_{state.value}")
+        if state is ZoneState.DOWN:
             self._zones_just_down.add(transition.zone)
-        self.log(
-            "room_verdict", room=transition.zone, state=transition.state.value, evidence=transition.evidence
-        )
+        self.log("room_verdict", room=transition.zone, state=state.value, evidence=transition.evidence)
         self.on_transition(transition)
 
     # Operators
 
     def set_override(self, zone: str, override: str) -> bool:
-        """False where there is no such room or word."""
+        """Set an operator's override of a zone; return False where there is no such zone or override."""
         changed = self.router.zone_health.set_override(self.clock(), zone, override)
         if changed:
-            self._zones_just_down |= {zone} if override == "evacuate" else set()
+            if override == EVACUATE:
+                self._zones_just_down.add(zone)
             self.log("room_by_hand", room=zone, word=override or "clear")
             self._notify_scheduler()
         return changed
 
     def status(self) -> dict[str, Any]:
-        """All that is held of rooms, as the door tells it; times in s."""
-        now_us, router = self.clock(), self.router
-        zones = {}
-        for name, zone in sorted(router.zone_health.zones.items()):
-            members = [member for member in router.zone_health.members.values() if member.zone == name]
-            zones[name or "-"] = {
-                "state": router.zone_health.state(name).value,
-                "since_s": round((now_us - zone.since_us) / 1e6, 1),
-                "by_hand": zone.override,
-                "losses": zone.failures,
-                "servers": len(members),
-                "servers_down": [
-                    member.name
-                    for member in members
-                    if router.zone_health.contact_records[member.name].observation(
-                        now_us,
-                        router.zone_settings.evidence_window_us,
-                        router.zone_settings.silence_timeout_us,
-                    )
-                    == "down"
-                ],
-                "coming_back": {
-                    member.name: round(
-                        min(
-                            (now_us - router.zone_health.recovered_at_us[member.name])
-                            / router.zone_settings.recovery_us,
-                            1.0,
-                        ),
-                        2,
-                    )
-                    for member in members
-                    if member.name in router.zone_health.recovered_at_us
-                    and now_us - router.zone_health.recovered_at_us[member.name]
-                    < router.zone_settings.recovery_us
-                },
-                "peers": {
-                    peer: state.value
-                    for peer, (state, received_us) in sorted(zone.peer_states.items())
-                    if now_us - received_us <= router.zone_settings.evidence_window_us
-                },
-            }
+        """Return all that is known of zones as the admin API's JSON; times in seconds."""
+        router = self.router
         budget = router.spillover_budget
+        zones = sorted(router.zone_health.zones.items())
         return {
             "own": router.zone_settings.own_zone,
             "isolated": router.zone_health.isolated,
-            "rooms": zones,
+            "rooms": {name or "-": self._zone_status(zone) for name, zone in zones},
             "spill": {
                 "mode": router.zone_settings.spillover_mode,
                 "units_a_second": round(budget.units_per_second, 1),
@@ -240,6 +230,43 @@
             },
         }
 
+    def _zone_status(self, zone: ZoneRecord) -> dict[str, Any]:
+        now_us = self.clock()
+        health = self.router.zone_health
+        window_us = self.router.zone_settings.evidence_window_us
+        members = [member for member in health.members.values() if member.zone == zone.name]
+        progress = {member.name: self._recovery_progress(now_us, member) for member in members}
+        return {
+            "state": health.state(zone.name).value,
+            "since_s": round((now_us - zone.since_us) / 1e6, 1),
+            "by_hand": zone.override,
+            "losses": zone.failures,
+            "servers": len(members),
+            "servers_down": [member.name for member in members if self._is_down(now_us, member)],
+            "coming_back": {name: done for name, done in progress.items() if done is not None},
+            "peers": {
+                peer: state.value
+                for peer, (state, received_us) in sorted(zone.peer_states.items())
+                if now_us - received_us <= window_us
+            },
+        }
+
+    def _is_down(self, now_us: int, member: ZoneMember) -> bool:
+        settings = self.router.zone_settings
+        contact_record = self.router.zone_health.contact_records[member.name]
+        reachability = contact_record.reachability(
+            now_us, settings.evidence_window_us, settings.silence_timeout_us
+        )
+        return reachability is Reachability.DOWN
+
+    def _recovery_progress(self, now_us: int, member: ZoneMember) -> float | None:
+        """Return how far an endpoint's recovery is, from 0 to 1; None where none is going on."""
+        recovered_at_us = self.router.zone_health.recovered_at_us.get(member.name)
+        recovery_us = self.router.zone_settings.recovery_us
+        if recovered_at_us is None or now_us - recovered_at_us >= recovery_us:
+            return None
+        return round(min((now_us - recovered_at_us) / recovery_us, 1.0), 2)
+
 
 def integrate_zones(
     zone_config: configuration.ZoneConfig,
@@ -248,4 +275,5 @@
     clock: Callable[[], int],
     log: Callable[..., Any],
 ) -> ZoneIntegration:
+    """Set up zones for a lifecycle by an operator's configuration; its hooks so far are called first."""
     return ZoneIntegration(zone_settings(zone_config), lifecycle, seed, clock, lifecycle.hooks, log)
--- a/umberlead/zones/model.py
+++ b/umberlead/zones/model.py
@@ -1,7 +1,7 @@
-"""Rooms and what is said of them: plain records."""
+"""Zones and what is known of them: plain records without behaviour."""
 
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 
 from umberlead.scheduling.events import EndpointStatus
 
@@ -9,25 +9,47 @@
 
 
 class ZoneState(Enum):
-    """What a front holds of a room."""
+    """The health of a zone as one front sees it.
+
+    The values are exported by the admin API and the counters.
+    """
 
     HEALTHY = "well"
-    DEGRADED = "grey"  # answers come, but too few or too late: leave it what can go nowhere else
-    DOWN = "lost"  # nothing goes there but a trial now and then
-    RECOVERING = "return"  # it answers again, and is fed little by little
+    DEGRADED = (
+        "grey"  # too many attempts fail or answers take too long: used only where there is no other zone
+    )
+    DOWN = "lost"  # nothing is sent there but a trial request now and then
+    RECOVERING = "return"  # it answers trials again; its endpoints pass through slow start
 
 
 class Contact(Enum):
-    """What an attempt's end says of the way to its server, not of the request."""
+    """What the end of an attempt says about the path to its endpoint, whatever the request's outcome."""
 
     ANSWERED = "answered"
     BROKEN = "broken"
     INCONCLUSIVE = "nothing"
 
 
+class Reachability(StrEnum):
+    """What recent attempts say about one endpoint."""
+
+    UP = "up"
+    DOWN = "down"
+    SILENT = "mute"  # a request is unanswered for long, and nothing was received since
+    UNKNOWN = ""
+
+
 @dataclass(frozen=True, slots=True)
 class ZoneMember:
-    """A server as the list in force has it."""
+    """An endpoint as the endpoint list in force has it.
+
+    Attributes:
+        name: The endpoint's name.
+        zone: The name of its zone; empty where the list gives none.
+        shard: The shard it stores.
+        status: Its status in the list.
+        started_us: When it started, 0 if that is long ago.
+    """
 
     name: str
     zone: str
@@ -38,44 +60,59 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneSettings:
-    """Times in us. `docs/rooms.md` tells what each is for."""
-
-    own_zone: str = ""  # this front's room; empty: none is nearer than another
-    tier_by_zone: dict[str, int] = field(
-        default_factory=dict
-    )  # tier by room; unnamed rooms stand in the last one
-    silence_timeout_us: int = (
-        700_000  # no word from a server with work out: longer than a pause and a full room
-    )
-    evidence_window_us: int = 5 * MICROSECONDS_PER_S  # evidence older than that tells nothing
-    endpoint_down_probability: float = 0.02  # how often a server is down by itself
-    prior_probability: float = 1e-3  # that a room is lost, before any evidence
-    down_odds_threshold: float = 20.0  # odds at which it counts as lost
-    min_down_us: int = (
-        2 * MICROSECONDS_PER_S
-    )  # a room is lost at least so long; doubled by each loss soon after a return
+    """Settings of zone health, trials and spillover; `docs/rooms.md` explains each for operators.
+
+    Attributes:
+        own_zone: This front's zone; empty: no zone is nearer than another.
+        tier_by_zone: The distance tier of each named zone; other zones stand in the last tier.
+        silence_timeout_us: How long an endpoint with attempts in flight may be silent. It is longer than a
+            pause of a process and a full queue take.
+        evidence_window_us: The age beyond which evidence is ignored.
+        endpoint_down_probability: How often an endpoint is down on its own.
+        prior_probability: The probability of a zone being down before any evidence.
+        down_odds_threshold: The odds from which a zone is taken for down.
+        min_down_us: The first time span without trials; each failure soon after a recovery doubles it.
+        max_down_us: The longest such span.
+        trial_interval_us: The mean time between two trials of a zone while none is answered.
+        trials_to_recover: Answered trials in a row after which an endpoint has recovered.
+        recovery_us: How long a recovered endpoint counts as just started.
+        failure_memory_us: A zone that is healthy for so long has its earlier failures forgotten.
+        degraded_failure_ratio: The ratio of failed attempts, above that of other zones, of a degraded zone.
+        degraded_latency_factor: The mean latency, as a multiple of that of other zones, of a degraded zone.
+        degraded_min_attempts: Attempts within the window below which no zone is taken for degraded.
+        distance_factor: The cost of an answer from one tier further away, as a multiple.
+        spillover_mode: What may spill over: `learnt` (a learnt budget), `all` or `never`.
+        spillover_rate_factor: The first spillover budget, as a multiple of the plans' usual rates.
+        in_time_objective_ratio: The part of the latency objective in which a spilled-over request is in time.
+        retry_after_us: The least Retry-After where no endpoint of a shard can be reached.
+    """
+
+    own_zone: str = ""
+    tier_by_zone: dict[str, int] = field(default_factory=dict)
+    silence_timeout_us: int = 700_000
+    evidence_window_us: int = 5 * MICROSECONDS_PER_S
+    endpoint_down_probability: float = 0.02
+    prior_probability: float = 1e-3
+    down_odds_threshold: float = 20.0
+    min_down_us: int = 2 * MICROSECONDS_PER_S
     max_down_us: int = 60 * MICROSECONDS_PER_S
-    trial_interval_us: int = (
-        MICROSECONDS_PER_S  # between two trials of a room, in the mean, while none is answered
-    )
-    trials_to_recover: int = 2  # answered ones, in a row, that bring a server back
-    recovery_us: int = (
-        4 * MICROSECONDS_PER_S
-    )  # in which a returning server counts as just started: the list tells late of those that were
-    failure_memory_us: int = 120 * MICROSECONDS_PER_S  # well for so long, earlier losses are forgotten
-    degraded_failure_ratio: float = 0.2  # of attempts that break, against the other rooms'
-    degraded_latency_factor: float = 4.0  # times the other rooms' answers take
-    degraded_min_attempts: int = 30  # attempts in the window below which nothing is grey
-    distance_factor: float = 1.25  # how much dearer an answer counts a tier further away
-    spillover_mode: str = "learnt"  # what may spill: by a learnt budget, "all", or "never"
-    spillover_rate_factor: float = 8.0  # times the plans' usual rate, what may spill a second at first
-    in_time_objective_ratio: float = 0.8  # of the aim: answers beyond it shrink the spill
-    retry_after_us: int = MICROSECONDS_PER_S  # what a client is told at least where its only server is dark
+    trial_interval_us: int = MICROSECONDS_PER_S
+    trials_to_recover: int = 2
+    recovery_us: int = 4 * MICROSECONDS_PER_S
+    failure_memory_us: int = 120 * MICROSECONDS_PER_S
+    degraded_failure_ratio: float = 0.2
+    degraded_latency_factor: float = 4.0
+    degraded_min_attempts: int = 30
+    distance_factor: float = 1.25
+    spillover_mode: str = "learnt"
+    spillover_rate_factor: float = 8.0
+    in_time_objective_ratio: float = 0.8
+    retry_after_us: int = MICROSECONDS_PER_S
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneTransition:
-    """A change of what is held of a room, and what it rests on."""
+    """A change of a zone's state, and the evidence for it as a text for logs."""
 
     at_us: int
     zone: str
@@ -84,7 +121,7 @@
 
 
 def tier_of_zone(settings: ZoneSettings, zone: str) -> int:
-    """0: the front's own, or no matter."""
+    """Return the distance tier of a zone: 0 for the front's own zone, and for all where it has none."""
     if not settings.own_zone or zone == settings.own_zone:
         return 0
     return settings.tier_by_zone.get(zone, 1 + max(settings.tier_by_zone.values(), default=0))
--- a/umberlead/zones/router.py
+++ b/umberlead/zones/router.py
@@ -1,14 +1,15 @@
-"""From what is held of rooms to what the decision module is told of each server, and to what a request gets
-before it reaches the module. Pure, times in us.
+"""Which endpoints the scheduler may use by the states of their zones, and which requests zones admit.
 
-The module knows nothing of rooms: a lost room's servers stand there as draining, a grey one's and a further
-one's as dearer in each choice, a returning one's as just started, so that it is fed as any cold server
-is."""
+Pure; times are in us. The scheduler knows nothing of zones: endpoints of a zone that is down stand there as
+draining, those of a degraded zone and of further tiers as costlier in each choice, and recovered ones as just
+started, so that slow start applies.
+"""
 
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
+from umberlead.requests.types import IncomingRequest
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
 from umberlead.scheduling.settings import Repeatability, Settings
 from umberlead.zones.model import (
@@ -21,11 +22,14 @@
     tier_of_zone,
 )
 from umberlead.zones.spillover import SpilloverBudget
-from umberlead.zones.zone_health import ZoneHealth
+from umberlead.zones.zone_health import EVACUATE, FORBID_SPILLOVER, ZoneHealth
 
-PATIENT_CONNECT_TIMEOUTS_COUNT = 3  # times the link time-out that an aim must leave
-TRIAL_DISTANCE_FACTOR = 1e-6  # how dear an answer of one counts that is tried
-DEGRADED_DISTANCE_FACTOR = 4.0  # how much dearer an answer of a grey room counts
+# How often the connect timeout must fit into the latency objective of a request that is a trial at once.
+TRIAL_CONNECT_TIMEOUTS_COUNT = 3
+DEFAULT_CONNECT_TIMEOUT_US = 250_000
+DEFAULT_USUAL_UNITS_PER_SECOND_RATE = 20.0  # of all plans together, where none has one
+TRIAL_DISTANCE_FACTOR = 1e-6  # the cost of an endpoint that is open for a trial: any choice falls on it
+DEGRADED_DISTANCE_FACTOR = 4.0  # the cost of an answer from a degraded zone
 CONTACT_BY_RESULT = {
     AttemptResult.OK: Contact.ANSWERED,
     AttemptResult.ERROR: Contact.ANSWERED,
@@ -40,7 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneRejection:
-    """At once, and when to come back (us)."""
+    """A request is to be rejected at once.
+
+    Attributes:
+        reason: The text that its client and the log get.
+        retry_after_us: When the client should retry.
+    """
 
     reason: str
     retry_after_us: int
@@ -48,56 +57,76 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneAdmission:
-    """A request that goes on; `spill` where it counts against the budget, `trial` the lost server it
-    tries."""
+    """A request goes on to the scheduler.
+
+    Attributes:
+        is_spillover: Whether it counts against the spillover budget.
+        trial_endpoint: The endpoint of a zone that is down which it tries, if it does.
+    """
 
     is_spillover: bool = False
-    trial_endpoint: str = ""
+    trial_endpoint: str | None = None
+
+
+def _ignore_transition(transition: ZoneTransition) -> None:
+    """Drop a transition while no callback is set."""
 
 
 class ZoneRouter:
-    """One front's rooms, its spill and its trials."""
+    """One front's zones, its spillover and its trials.
+
+    Attributes:
+        zone_health: The states of the zones.
+        spillover_budget: What may go to further zones.
+        listed_endpoints: The endpoints as the endpoint list has them.
+        scheduler_endpoints: The endpoints as the scheduler has them.
+        by_shard: The names of the endpoints of each shard.
+        open_for_trial: Endpoints of zones that are down which are open for one trial.
+        spillover_requests: The ids of requests that count against the spillover budget.
+        orphaned_shards: Shards whose last endpoint left the list while its zone was down, and that zone.
+        on_transition: Called with each change of a zone's state.
+    """
 
     def __init__(self, zone_settings: ZoneSettings, settings: Settings, seed: int, now_us: int) -> None:
-        self.zone_settings, self.settings = zone_settings, settings
+        """Begin without any endpoint; `seed` is that of the process's random numbers."""
+        self.zone_settings = zone_settings
+        self.settings = settings
         self.rng = random.Random(f"{seed}/director")
         self.zone_health = ZoneHealth(zone_settings, seed, now_us)
         self.classes = {request_class.name: request_class for request_class in settings.classes}
-        planned_units_per_second = sum(plan.usual_units_per_second for plan in settings.plans) or 20.0
+        usual_units_per_second = sum(plan.usual_units_per_second for plan in settings.plans)
         self.spillover_budget = SpilloverBudget(
-            settings, planned_units_per_second * zone_settings.spillover_rate_factor, now_us
+            settings,
+            (usual_units_per_second or DEFAULT_USUAL_UNITS_PER_SECOND_RATE)
+            * zone_settings.spillover_rate_factor,
+            now_us,
         )
-        self.listed_endpoints: dict[str, Endpoint] = {}  # as the list has them
-        self.scheduler_endpoints: dict[str, Endpoint] = {}  # as the module has them
+        self.listed_endpoints: dict[str, Endpoint] = {}
+        self.scheduler_endpoints: dict[str, Endpoint] = {}
         self.by_shard: dict[int, set[str]] = {}
-        self.open_for_trial: set[str] = set()  # lost servers that stand open for one trial
-        self.spillover_requests: set[str] = set()  # requests that count against the budget
-        self.orphaned_shards: dict[
-            int, str
-        ] = {}  # shards whose last server left the list out of a lost room, and that room
-        self.on_transition: Callable[[ZoneTransition], None] = lambda verdict: None
+        self.open_for_trial: set[str] = set()
+        self.spillover_requests: set[str] = set()
+        self.orphaned_shards: dict[int, str] = {}
+        self.on_transition: Callable[[ZoneTransition], None] = _ignore_transition
 
-    # The list
+    # The endpoint list
 
     def apply_endpoint_list(self, now_us: int, endpoint_list: EndpointList) -> EndpointList:
-        """What the module is told in place of `news`. The whole of what changes with it comes along: rooms
-        may stand otherwise with other servers in them."""
+        """Take over a list or a change of it; return what the scheduler is told in its place.
+
+        All that changes with it comes along: a zone's state may be another one with other endpoints in it.
+        """
         if endpoint_list.complete:
-            removed_names = set(self.listed_endpoints) - {
-                endpoint.name for endpoint in endpoint_list.endpoints
-            }
-            for name in removed_names:
+            names = {endpoint.name for endpoint in endpoint_list.endpoints}
+            for name in set(self.listed_endpoints) - names:
                 self._forget(name)
+        removed: list[Endpoint] = []
         for endpoint in endpoint_list.endpoints:
             if endpoint.status is EndpointStatus.GONE:
                 self._forget(endpoint.name)
-                continue
-            self.orphaned_shards.pop(endpoint.shard, None)
-            previous = self.listed_endpoints.get(endpoint.name)
-            if previous is not None and previous.shard != endpoint.shard:
-                self._forget(endpoint.name)
-            self.listed_endpoints[endpoint.name] = endpoint
-            self.by_shard.setdefault(endpoint.shard, set()).add(endpoint.name)
+                removed.append(endpoint)
+            else:
+                self._add(endpoint)
         self.zone_health.apply_endpoint_list(
             now_us,
             [
@@ -105,23 +134,18 @@
                 for endpoint in self.listed_endpoints.values()
             ],
         )
-        removed_endpoints = tuple(
-            endpoint for endpoint in endpoint_list.endpoints if endpoint.status is EndpointStatus.GONE
-        )
-        scheduler_endpoints = {
-            endpoint.name: self._endpoint_for_scheduler(now_us, endpoint)
-            for endpoint in self.listed_endpoints.values()
-        }
-        changed = tuple(
-            endpoint
-            for name, endpoint in scheduler_endpoints.items()
-            if self.scheduler_endpoints.get(name) != endpoint
-        )
-        self.scheduler_endpoints = scheduler_endpoints
-        return EndpointList(
-            endpoint_list.complete,
-            tuple(scheduler_endpoints.values()) if endpoint_list.complete else (*removed_endpoints, *changed),
-        )
+        changed = self._update_scheduler_endpoints(now_us)
+        if endpoint_list.complete:
+            return EndpointList(True, tuple(self.scheduler_endpoints.values()))
+        return EndpointList(False, (*removed, *changed))
+
+    def _add(self, endpoint: Endpoint) -> None:
+        self.orphaned_shards.pop(endpoint.shard, None)
+        previous = self.listed_endpoints.get(endpoint.name)
+        if previous is not None and previous.shard != endpoint.shard:
+            self._forget(endpoint.name)
+        self.listed_endpoints[endpoint.name] = endpoint
+        self.by_shard.setdefault(endpoint.shard, set()).add(endpoint.name)
 
     def _forget(self, name: str) -> None:
         endpoint = self.listed_endpoints.pop(name, None)
@@ -132,144 +156,142 @@
                 self.orphaned_shards[endpoint.shard] = endpoint.zone
         self.open_for_trial.discard(name)
 
+    def _update_scheduler_endpoints(self, now_us: int) -> tuple[Endpoint, ...]:
+        """Bring `scheduler_endpoints` up to date; return those that have changed."""
+        previous = self.scheduler_endpoints
+        self.scheduler_endpoints = {
+            name: self._endpoint_for_scheduler(now_us, endpoint)
+            for name, endpoint in self.listed_endpoints.items()
+        }
+        return tuple(
+            endpoint for name, endpoint in self.scheduler_endpoints.items() if previous.get(name) != endpoint
+        )
+
     def _endpoint_for_scheduler(self, now_us: int, endpoint: Endpoint) -> Endpoint:
-        """One server as the module is to see it."""
+        """Return an endpoint as the scheduler is to see it."""
+        settings = self.zone_settings
         member = self.zone_health.members.get(endpoint.name)
         if member is None:
             return endpoint
         zone = self.zone_health.zones[member.zone]
         state = self.zone_health.state(member.zone)
-        distance_factor = self.zone_settings.distance_factor ** tier_of_zone(self.zone_settings, member.zone)
+        tier = tier_of_zone(settings, member.zone)
+        distance_factor = settings.distance_factor**tier
         if state is ZoneState.DEGRADED:
             distance_factor *= DEGRADED_DISTANCE_FACTOR
-        if zone.override == "forbid" and tier_of_zone(self.zone_settings, member.zone):
+        if zone.override == FORBID_SPILLOVER and tier:
             return replace(endpoint, distance_factor=distance_factor, weight=0.0)
         recovered_at_us = self.zone_health.recovered_at_us.get(endpoint.name, 0)
-        if state is ZoneState.DOWN and not (recovered_at_us and zone.override != "evacuate"):
-            status = EndpointStatus.UP if endpoint.name in self.open_for_trial else EndpointStatus.DRAINING
-            if endpoint.status is EndpointStatus.UP:
-                if (
-                    status is EndpointStatus.UP
-                ):  # the next request takes it, whoever else is free, and no further one
-                    return replace(
-                        endpoint,
-                        weight=0.0,
-                        distance_factor=TRIAL_DISTANCE_FACTOR,
-                        max_in_flight_units=self.settings.max_request_units,
-                    )
-                return replace(endpoint, status=status, weight=0.0, distance_factor=distance_factor)
+        has_recovered = bool(recovered_at_us) and zone.override != EVACUATE
+        if state is ZoneState.DOWN and not has_recovered:
+            return self._endpoint_of_down_zone(endpoint, distance_factor)
+        started_us = endpoint.started_us
+        if recovered_at_us and now_us - recovered_at_us < settings.recovery_us:
+            started_us = max(started_us, recovered_at_us)
+        return replace(endpoint, distance_factor=distance_factor, started_us=started_us)
+
+    def _endpoint_of_down_zone(self, endpoint: Endpoint, distance_factor: float) -> Endpoint:
+        if endpoint.status is not EndpointStatus.UP:
             return endpoint
-        if recovered_at_us and now_us - recovered_at_us < self.zone_settings.recovery_us:
+        if endpoint.name not in self.open_for_trial:
             return replace(
-                endpoint,
-                distance_factor=distance_factor,
-                started_us=max(endpoint.started_us, recovered_at_us),
+                endpoint, status=EndpointStatus.DRAINING, weight=0.0, distance_factor=distance_factor
             )
-        return replace(endpoint, distance_factor=distance_factor)
+        # The next request goes to it, whoever else has capacity, and no further one does.
+        return replace(
+            endpoint,
+            weight=0.0,
+            distance_factor=TRIAL_DISTANCE_FACTOR,
+            max_in_flight_units=self.settings.max_request_units,
+        )
 
     def changed_endpoints(self, now_us: int) -> EndpointList | None:
-        """What the module must be told anew since the last call, and the verdicts to the log."""
+        """Report the transitions since the last call; return what the scheduler must be told, if anything."""
         for transition in self.zone_health.take_transitions():
             self.on_transition(transition)
-        scheduler_endpoints = {
-            name: self._endpoint_for_scheduler(now_us, endpoint)
-            for name, endpoint in self.listed_endpoints.items()
-        }
-        changed = tuple(
-            endpoint
-            for name, endpoint in scheduler_endpoints.items()
-            if self.scheduler_endpoints.get(name) != endpoint
-        )
-        self.scheduler_endpoints = scheduler_endpoints
+        changed = self._update_scheduler_endpoints(now_us)
         return EndpointList(False, changed) if changed else None
 
     # Requests
 
-    def admit(
-        self,
-        now_us: int,
-        request: str,
-        class_name: str,
-        plan: str,
-        volume: str,
-        volume_front_count: int,
-        shard: int,
-        units: float,
-    ) -> ZoneRejection | ZoneAdmission:
-        """What a request gets before the module sees it."""
+    def admit(self, now_us: int, request_id: str, request: IncomingRequest) -> ZoneRejection | ZoneAdmission:
+        """Decide on a request before the scheduler has it."""
+        shard = request.shard
         names = self.by_shard.get(shard, set()) if shard >= 0 else set(self.listed_endpoints)
-        up_names = [name for name in sorted(names) if self.listed_endpoints[name].status is EndpointStatus.UP]
-        if not up_names and shard in self.orphaned_shards:  # it comes back with its room
+        up_names = self._up_names(sorted(names))
+        if not up_names and shard in self.orphaned_shards:  # the shard is back once its zone is
             return self._reject(self.orphaned_shards[shard], self.zone_settings.retry_after_us)
         if not up_names:
-            return ZoneAdmission()  # the list's own doing: the module has its own way with that
-        available_names = [
-            name
-            for name in up_names
-            if self.scheduler_endpoints[name].status is EndpointStatus.UP and name not in self.open_for_trial
-        ]
+            return ZoneAdmission()  # that is the list's doing, not a zone's
+        available_names = [name for name in up_names if self._is_available(name)]
         if not available_names:
-            return self._admit_to_down_zone(now_us, up_names, class_name)
-        if (
-            shard >= 0
-            and len(available_names) < len(up_names)
-            and (trial_endpoint := self._start_trial(now_us, up_names, class_name))
-        ):
-            return ZoneAdmission(trial_endpoint=trial_endpoint)
+            return self._admit_to_down_zone(now_us, up_names, request.class_name)
+        if shard >= 0 and len(available_names) < len(up_names):
+            trial_endpoint = self._start_trial(now_us, up_names, request.class_name)
+            if trial_endpoint is not None:
+                return ZoneAdmission(trial_endpoint=trial_endpoint)
         if not self._is_spillover(up_names, available_names):
             return ZoneAdmission()
-        mode = self.zone_settings.spillover_mode
-        if mode == "all" or (
-            mode == "learnt"
-            and self.spillover_budget.try_admit(now_us, volume, plan, volume_front_count, units)
-        ):
-            self.spillover_requests.add(request)
+        if self._admits_spillover(now_us, request):
+            self.spillover_requests.add(request_id)
             return ZoneAdmission(is_spillover=True)
         retry_after_us = self.zone_settings.retry_after_us * self.rng.uniform(0.5, 1.5)
         return ZoneRejection("the rooms that are left have no more room for it", int(retry_after_us))
 
+    def _admits_spillover(self, now_us: int, request: IncomingRequest) -> bool:
+        mode = self.zone_settings.spillover_mode
+        if mode != "learnt":
+            return mode == "all"
+        return self.spillover_budget.try_admit(
+            now_us, request.volume, request.plan, request.volume_front_count, request.units
+        )
+
+    def _up_names(self, names: Iterable[str]) -> list[str]:
+        return [name for name in names if self.listed_endpoints[name].status is EndpointStatus.UP]
+
+    def _is_available(self, name: str) -> bool:
+        is_up = self.scheduler_endpoints[name].status is EndpointStatus.UP
+        return is_up and name not in self.open_for_trial
+
     def _admit_to_down_zone(
         self, now_us: int, names: list[str], class_name: str
     ) -> ZoneRejection | ZoneAdmission:
-        """Every server that has it is in a lost room. Such a request may be the trial that finds it back, if
-        it may be repeated; else it is refused at once."""
-        if trial_endpoint := self._start_trial(now_us, names, class_name):
+        """Decide on a request whose endpoints are all in zones that are down.
+
+        It may be the trial that finds one of them back, if it is idempotent; else it is rejected at once.
+        """
+        trial_endpoint = self._start_trial(now_us, names, class_name)
+        if trial_endpoint is not None:
             return ZoneAdmission(trial_endpoint=trial_endpoint)
         next_trial_us = min(self.zone_health.next_trial_delay_us(now_us, name) for name in names)
         return self._reject(self.zone_health.members[names[0]].zone, next_trial_us)
 
     def _reject(self, zone: str, retry_after_us: int) -> ZoneRejection:
         jitter_factor = self.rng.uniform(1.0, 2.0)
-        return ZoneRejection(
-            f"room {zone or '-'} is lost",
-            int(max(retry_after_us, self.zone_settings.retry_after_us) * jitter_factor),
-        )
+        min_retry_after_us = max(retry_after_us, self.zone_settings.retry_after_us)
+        return ZoneRejection(f"room {zone or '-'} is lost", int(min_retry_after_us * jitter_factor))
 
-    def _start_trial(self, now_us: int, names: list[str], class_name: str) -> str:
-        """A lost server that this request may find back, if it may be repeated; it stands open for it
-        alone."""
+    def _start_trial(self, now_us: int, names: list[str], class_name: str) -> str | None:
+        """Open an endpoint of a zone that is down for a request, if it is idempotent and a trial is due."""
         request_class = self.classes[class_name]
         if request_class.repeatability is not Repeatability.IDEMPOTENT:
-            return ""
-        # A trial that finds nobody costs a dial's time: requests that bear it go first, others after two
-        # turns more.
-        has_time_for_failed_connect = request_class.latency_objective_us >= PATIENT_CONNECT_TIMEOUTS_COUNT * (
-            self.settings.connect_timeout_us or 250_000
-        )
-        min_overdue_us = 0 if has_time_for_failed_connect else 2 * self.zone_settings.trial_interval_us
+            return None
+        # A failed trial costs the time of a connect: requests that have it go first, others two intervals
+        # later.
+        connect_timeout_us = self.settings.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US
+        has_time = request_class.latency_objective_us >= TRIAL_CONNECT_TIMEOUTS_COUNT * connect_timeout_us
+        min_overdue_us = 0 if has_time else 2 * self.zone_settings.trial_interval_us
         for name in names:
             is_down = self.zone_health.state(self.zone_health.members[name].zone) is ZoneState.DOWN
-            if (
-                is_down
-                and name not in self.zone_health.recovered_at_us
-                and self.zone_health.try_start_trial(now_us, name, min_overdue_us)
-            ):
+            if not is_down or name in self.zone_health.recovered_at_us:
+                continue
+            if self.zone_health.try_start_trial(now_us, name, min_overdue_us):
                 self.open_for_trial.add(name)
                 return name
-        return ""
+        return None
 
     def _is_spillover(self, up_names: list[str], available_names: list[str]) -> bool:
-        """Whether a nearer tier, well, would have taken it."""
+        """Return whether a nearer tier would have taken the request if it were up."""
         tier_by_name = {
             name: tier_of_zone(self.zone_settings, self.zone_health.members[name].zone) for name in up_names
         }
@@ -280,53 +302,39 @@
         return nearest_is_down and all(tier_by_name[name] > nearest_tier for name in available_names)
 
     def record_attempt(self, now_us: int, request: str, endpoint: str) -> bool:
-        """An attempt has gone out; True where it was a trial, whose server is to be shut again."""
+        """Note an attempt that is sent; return whether it is a trial, which closes the endpoint again."""
         self.zone_health.record_attempt(now_us, endpoint, request)
         is_trial = endpoint in self.open_for_trial
         self.open_for_trial.discard(endpoint)
         return is_trial
 
     def record_outcome(
-        self,
-        now_us: int,
-        request: str,
-        endpoint: str,
-        result: AttemptResult,
-        elapsed_us: int,
-        class_name: str,
-        misdirected: bool,
+        self, now_us: int, request: str, endpoint: str, result: AttemptResult, elapsed_us: int
     ) -> None:
-        """An attempt's outcome."""
-        contact = Contact.ANSWERED if misdirected else CONTACT_BY_RESULT[result]
-        self.zone_health.record_outcome(now_us, endpoint, request, contact, elapsed_us)
+        """Note the end of an attempt."""
+        self.zone_health.record_outcome(now_us, endpoint, request, CONTACT_BY_RESULT[result], elapsed_us)
 
     def record_answer(
         self, now_us: int, request: str, accepted_us: int, was_served: bool, class_name: str
     ) -> None:
-        """A request's final answer; `began` is when it was taken."""
-        if request in self.spillover_requests:
-            self.spillover_requests.discard(request)
-            self.spillover_budget.record_answer(
-                now_us,
-                was_served
-                and now_us - accepted_us
-                <= self.zone_settings.in_time_objective_ratio * self.classes[class_name].latency_objective_us,
-            )
+        """Note the final answer of a request that was accepted at `accepted_us`."""
+        if request not in self.spillover_requests:
+            return
+        self.spillover_requests.discard(request)
+        objective_us = self.classes[class_name].latency_objective_us
+        in_time_us = self.zone_settings.in_time_objective_ratio * objective_us
+        self.spillover_budget.record_answer(now_us, was_served and now_us - accepted_us <= in_time_us)
 
     def tick(self, now_us: int) -> None:
-        """At least every 100 ms."""
+        """Let time pass; to be called at least every 100 ms."""
         self.zone_health.tick(now_us)
         self.spillover_budget.adjust(now_us)
-        if now_us % MICROSECONDS_PER_S < 100_000:  # a trial that found no taker leaves its server shut
+        if now_us % MICROSECONDS_PER_S < 100_000:  # an endpoint whose trial no request took is closed again
             self.open_for_trial.clear()
 
     def is_shard_down(self, shard: int) -> bool:
-        """Whether all that hold a shard are in lost rooms: what waits for them is better told so now."""
-        up_names = [
-            name
-            for name in self.by_shard.get(shard, ())
-            if self.listed_endpoints[name].status is EndpointStatus.UP
-        ]
-        return bool(up_names) and all(
-            self.scheduler_endpoints[name].status is not EndpointStatus.UP for name in up_names
+        """Return whether all endpoints of a shard are in zones that are down: waiting is of no use."""
+        up_names = self._up_names(self.by_shard.get(shard, ()))
+        return bool(up_names) and not any(
+            self.scheduler_endpoints[name].status is EndpointStatus.UP for name in up_names
         )
--- a/umberlead/zones/spillover.py
+++ b/umberlead/zones/spillover.py
@@ -1,10 +1,12 @@
-"""How much of the work that could stay nearer goes to further rooms, and whose goes first. Pure, times in us.
+"""How much of the work that could stay nearer goes to further zones, and whose goes first.
 
-Work that may move (new objects, reads of data that several servers hold) and whose nearer rooms are lost is
-spill. A budget of units a second, learnt from how much of the spill is answered in time, bounds it: reserves
-take what they are due, shares only while a third of the budget is there, spare only while two thirds are.
-What is not let through is refused at once. Each front learns its own budget: together they find what the
-remaining rooms bear without a word to each other, as senders on a shared line do."""
+Pure; times are in us. Work that may go elsewhere (new objects, reads of data that several endpoints hold) and
+whose nearer zones are down is spillover. A budget of units a second bounds it, learnt from how much of the
+spillover is answered in time: reserves take what they are due, shares only while a third of the budget is
+available, and the rest only while two thirds are. What is not admitted is rejected at once. Each front learns
+its own budget: together they find what the remaining zones can take without exchanging a message, as senders
+on a shared link do.
+"""
 
 from dataclasses import dataclass, field
 
@@ -12,21 +14,31 @@
 from umberlead.zones.model import MICROSECONDS_PER_S
 
 ADJUSTMENT_INTERVAL_US = MICROSECONDS_PER_S // 2
-GROW_IN_TIME_RATIO, SHRINK_IN_TIME_RATIO = (
-    0.8,
-    0.5,
-)  # of the spill answered in time: above the one it grows, below the other it shrinks
-GROWTH_FACTOR, SHRINK_FACTOR = 1.1, 0.75
-MIN_UNITS_PER_SECOND_RATE = (
-    1.0  # units a second below which no budget falls: nothing would be learnt any more
-)
-BURST_SECONDS = 1.0  # s of its rate that a budget saves up
-IDLE_TIMEOUT_US = 60 * MICROSECONDS_PER_S  # after which a volume's store is forgotten
+MIN_ANSWERS_TO_ADJUST_COUNT = 4
+GROW_IN_TIME_RATIO = 0.8  # of the spillover answered in time, from which the budget grows
+SHRINK_IN_TIME_RATIO = 0.5  # below which it shrinks
+GROWTH_FACTOR = 1.1
+SHRINK_FACTOR = 0.75
+MIN_DEMAND_RATIO = 0.7  # of the budget that must have been requested for it to grow
+MIN_UNITS_PER_SECOND_RATE = 1.0  # with less, nothing would be learnt any more
+BURST_SECONDS = 1.0  # of its rate that a budget saves up
+IDLE_TIMEOUT_US = 60 * MICROSECONDS_PER_S  # after which a volume's bucket may be dropped
+MAX_VOLUME_BUCKETS_COUNT = 1000  # beyond which idle ones are dropped
+# The ratio of the budget that must remain once a request of each tier is admitted. A reserve may overdraw by
+# a second of the rate instead: what it is due is worth three times the next.
+REMAINING_RATIO_BY_TIER = {"reserve": -1.0, "share": 1 / 3, "spare": 2 / 3}
 
 
 @dataclass(slots=True)
 class SpilloverBucket:
-    """Units that fill at a rate up to a most."""
+    """A token bucket of units.
+
+    Attributes:
+        units_per_second: The rate at which it fills.
+        capacity_units: Where that ends.
+        available_units: What it had at `updated_us`; below 0 where it is overdrawn.
+        updated_us: When that was computed.
+    """
 
     units_per_second: float
     capacity_units: float
@@ -34,82 +46,89 @@
     updated_us: int
 
     def refill(self, now_us: int) -> float:
-        self.available_units = min(
-            self.available_units + self.units_per_second * (now_us - self.updated_us) / MICROSECONDS_PER_S,
-            self.capacity_units,
-        )
+        """Return the units that are available now."""
+        refilled_units = self.units_per_second * (now_us - self.updated_us) / MICROSECONDS_PER_S
+        self.available_units = min(self.available_units + refilled_units, self.capacity_units)
         self.updated_us = now_us
         return self.available_units
 
 
 @dataclass(slots=True)
 class SpilloverBudget:
-    """What one front may spill."""
+    """What one front may send to further zones.
+
+    Attributes:
+        settings: The settings with the plans.
+        initial_units_per_second: The budget to begin with.
+        created_us: The time of its creation.
+        units_per_second: The budget now.
+        bucket: The budget's units.
+        admitted_count: Requests that were admitted.
+        rejected_count: Requests that were rejected.
+    """
 
     settings: Settings
-    initial_units_per_second: float  # units a second
+    initial_units_per_second: float
     created_us: int
     units_per_second: float = 0.0
     bucket: SpilloverBucket = field(init=False)
-    admitted_count: int = 0  # requests let through
+    admitted_count: int = 0
     rejected_count: int = 0
+    # Since the last adjustment:
     _in_time_count: int = 0
     _answered_count: int = 0
-    _requested_units: float = 0.0  # units, since the last step
+    _requested_units: float = 0.0
     _adjusted_us: int = 0
     _volume_buckets: dict[str, SpilloverBucket] = field(default_factory=dict)
-    _plans: dict[str, tuple[float, float]] = field(default_factory=dict)
+    _plans: dict[str, tuple[float, float]] = field(default_factory=dict)  # reserved and usual units a second
 
     def __post_init__(self) -> None:
+        """Fill the bucket."""
         self.units_per_second = max(
             self.units_per_second or self.initial_units_per_second, MIN_UNITS_PER_SECOND_RATE
         )
-        self.bucket = SpilloverBucket(
-            self.units_per_second,
-            self.units_per_second * BURST_SECONDS,
-            self.units_per_second * BURST_SECONDS,
-            self.created_us,
-        )
+        capacity_units = self.units_per_second * BURST_SECONDS
+        self.bucket = SpilloverBucket(self.units_per_second, capacity_units, capacity_units, self.created_us)
         self._plans = {
-            p.name: (p.reserved_units_per_second, p.usual_units_per_second) for p in self.settings.plans
+            plan.name: (plan.reserved_units_per_second, plan.usual_units_per_second)
+            for plan in self.settings.plans
         }
         self._adjusted_us = self.created_us
 
     def tier_of(self, now_us: int, volume: str, plan: str, volume_front_count: int, units: float) -> str:
-        """Which tier `units` of a volume fall in now: reserve, share or spare. This front's part of the
-        plan's figures is an even one of the volume's fronts."""
-        reserve, rate = self._plans.get(plan, (0.0, 0.0))
-        volume_front_count = max(volume_front_count, 1)
-        for tier, units_per_second in (
-            ("reserve", reserve / volume_front_count),
-            ("share", 2 * rate / volume_front_count),
-        ):
-            if units_per_second <= 0:
-                continue
-            key = f"{tier} {volume}"
-            capacity_units = units_per_second + self.settings.max_request_units
-            bucket = self._volume_buckets.get(key) or self._volume_buckets.setdefault(
-                key, SpilloverBucket(units_per_second, capacity_units, capacity_units, now_us)
-            )
-            if bucket.refill(now_us) >= units:
-                bucket.available_units -= units
-                return tier
+        """Take units of a volume from the first tier that has them: `reserve`, `share` or `spare`.
+
+        A front's part of the plan's figures is an even one among the fronts of the volume.
+        """
+        reserved_units_per_second, usual_units_per_second = self._plans.get(plan, (0.0, 0.0))
+        front_count = max(volume_front_count, 1)
+        if self._take(now_us, f"reserve {volume}", reserved_units_per_second / front_count, units):
+            return "reserve"
+        if self._take(now_us, f"share {volume}", 2 * usual_units_per_second / front_count, units):
+            return "share"
         return "spare"
 
+    def _take(self, now_us: int, key: str, units_per_second: float, units: float) -> bool:
+        """Take units from a bucket of one volume; return whether it had them."""
+        if units_per_second <= 0:
+            return False
+        bucket = self._volume_buckets.get(key)
+        if bucket is None:
+            capacity_units = units_per_second + self.settings.max_request_units
+            bucket = SpilloverBucket(units_per_second, capacity_units, capacity_units, now_us)
+            self._volume_buckets[key] = bucket
+        if bucket.refill(now_us) < units:
+            return False
+        bucket.available_units -= units
+        return True
+
     def try_admit(self, now_us: int, volume: str, plan: str, volume_front_count: int, units: float) -> bool:
-        """Whether a request may spill."""
+        """Take a request's units from the budget; return whether it may go to a further zone."""
         self.adjust(now_us)
-        available_units, tier = (
-            self.bucket.refill(now_us),
-            self.tier_of(now_us, volume, plan, volume_front_count, units),
-        )
+        available_units = self.bucket.refill(now_us)
+        tier = self.tier_of(now_us, volume, plan, volume_front_count, units)
         self._requested_units += units
-        reserved_ratio = {"reserve": 0.0, "share": 1 / 3, "spare": 2 / 3}[tier]
-        # A reserve may overdraw by a second: what it is due is worth three times the next.
-        min_remaining_units = (
-            -self.bucket.capacity_units if tier == "reserve" else reserved_ratio * self.bucket.capacity_units
-        )
-        if available_units - units < min_remaining_units:
+        if available_units - units < REMAINING_RATIO_BY_TIER[tier] * self.bucket.capacity_units:
             self.rejected_count += 1
             return False
         self.bucket.available_units -= units
@@ -117,30 +136,32 @@
         return True
 
     def record_answer(self, now_us: int, in_time: bool) -> None:
-        """How a request that was spilled went."""
+        """Note the final answer of a request that was admitted."""
         self._answered_count += 1
         self._in_time_count += in_time
         self.adjust(now_us)
 
     def adjust(self, now_us: int) -> None:
-        """Learn, twice a second: grow only where it was asked for, shrink on the first poor half second."""
-        if now_us - self._adjusted_us < ADJUSTMENT_INTERVAL_US:
+        """Learn from the last interval, if that is over.
+
+        The budget grows only where it was requested, and shrinks after the first interval that was too slow.
+        """
+        interval_us = now_us - self._adjusted_us
+        if interval_us < ADJUSTMENT_INTERVAL_US:
             return
-        if self._answered_count >= 4:
+        if self._answered_count >= MIN_ANSWERS_TO_ADJUST_COUNT:
             in_time_ratio = self._in_time_count / self._answered_count
-            requested_units_per_second = (
-                self._requested_units * MICROSECONDS_PER_S / max(now_us - self._adjusted_us, 1)
-            )
-            if (
-                in_time_ratio >= GROW_IN_TIME_RATIO
-                and requested_units_per_second > 0.7 * self.units_per_second
-            ):
+            requested_per_second = self._requested_units * MICROSECONDS_PER_S / max(interval_us, 1)
+            was_requested = requested_per_second > MIN_DEMAND_RATIO * self.units_per_second
+            if in_time_ratio >= GROW_IN_TIME_RATIO and was_requested:
                 self._set_rate(now_us, self.units_per_second * GROWTH_FACTOR)
             elif in_time_ratio < SHRINK_IN_TIME_RATIO:
                 self._set_rate(now_us, self.units_per_second * SHRINK_FACTOR)
-            self._in_time_count = self._answered_count = 0
-        self._requested_units, self._adjusted_us = 0.0, now_us
-        if len(self._volume_buckets) > 1000:
+            self._in_time_count = 0
+            self._answered_count = 0
+        self._requested_units = 0.0
+        self._adjusted_us = now_us
+        if len(self._volume_buckets) > MAX_VOLUME_BUCKETS_COUNT:
             self._volume_buckets = {
                 key: bucket
                 for key, bucket in self._volume_buckets.items()
@@ -148,10 +169,9 @@
             }
 
     def _set_rate(self, now_us: int, units_per_second: float) -> None:
-        self.bucket.refill(now_us)
+        bucket = self.bucket
+        bucket.refill(now_us)
         self.units_per_second = max(units_per_second, MIN_UNITS_PER_SECOND_RATE)
-        self.bucket.units_per_second, self.bucket.capacity_units = (
-            self.units_per_second,
-            self.units_per_second * BURST_SECONDS,
-        )
-        self.bucket.available_units = min(self.bucket.available_units, self.bucket.capacity_units)
+        bucket.units_per_second = self.units_per_second
+        bucket.capacity_units = self.units_per_second * BURST_SECONDS
+        bucket.available_units = min(bucket.available_units, bucket.capacity_units)
--- a/umberlead/zones/zone_health.py
+++ b/umberlead/zones/zone_health.py
@@ -1,9 +1,10 @@
-"""What a front holds of each room, from evidence, time, operators and peers; pure, times in us.
+"""The state of each zone, from evidence, time, operators and gossip. Pure; times are in us.
 
-Losses are told by `evidence`. A lost room gets a trial now and then: a request that may be repeated, at a
-time of each front's own. Servers that answer trials come back one by one, counted as started when they did,
-so that the decision module feeds them as it feeds what is cold. Each loss soon after a return doubles the
-time that the room is left alone."""
+Failures are detected by `evidence`. A zone that is down gets a trial now and then: an idempotent request, at
+a random time of each front's own. Endpoints that answer trials recover one by one, counted as started when
+they did, so that the scheduler's slow start applies. Each failure soon after a recovery doubles the time
+without trials.
+"""
 
 import math
 import random
@@ -18,88 +19,123 @@
     log_odds_down,
     why_degraded,
 )
-from umberlead.zones.model import Contact, ZoneMember, ZoneSettings, ZoneState, ZoneTransition
+from umberlead.zones.model import (
+    Contact,
+    Reachability,
+    ZoneMember,
+    ZoneSettings,
+    ZoneState,
+    ZoneTransition,
+)
 
-NO_OVERRIDE = ""  # by hand: as the evidence has it
-OVERRIDES = ("evacuate", "forbid", NO_OVERRIDE)
+# An operator's overrides, by their names in the admin API.
+NO_OVERRIDE = ""  # the state follows from the evidence
+EVACUATE = "evacuate"  # nothing is sent there
+FORBID_SPILLOVER = "forbid"  # nothing spills over to it from other zones
+OVERRIDES = (EVACUATE, FORBID_SPILLOVER, NO_OVERRIDE)
+MAX_FAILURES_COUNT = 16  # that are remembered
+MAX_PEER_VOTES_COUNT = 2  # endpoints down that agreeing peers may stand for
+MAX_LOG_ODDS_LIMIT = 50.0  # of the odds in a log line
 
 
 @dataclass(slots=True)
 class ZoneRecord:
-    """One room's state."""
+    """One zone.
+
+    Attributes:
+        name: Its name, as the endpoint list has it.
+        state: Its state by evidence.
+        since_us: When that began.
+        failures: How often it went down, as far as that is not forgotten.
+        down_until_us: When trials may begin.
+        next_trial_us: When the next trial is due.
+        override: The operator's override.
+        peer_states: What each peer said of it, and when.
+    """
 
     name: str
     state: ZoneState = ZoneState.HEALTHY
-    since_us: int = 0  # of the state
-    failures: int = 0  # that are not forgotten
-    down_until_us: int = 0  # a lost room is left alone up to then
-    next_trial_us: int = 0  # when one of its servers may be tried next
+    since_us: int = 0
+    failures: int = 0
+    down_until_us: int = 0
+    next_trial_us: int = 0
     override: str = NO_OVERRIDE
-    peer_states: dict[str, tuple[ZoneState, int]] = field(
-        default_factory=dict
-    )  # what others hold, and when they said so
+    peer_states: dict[str, tuple[ZoneState, int]] = field(default_factory=dict)
 
 
 class ZoneHealth:
+    """The states of all zones of the endpoint list in force.
+
+    Attributes:
+        members: The endpoints of the list, by name.
+        contact_records: What is known of each endpoint.
+        zones: The zones, by name.
+        recovered_at_us: When each endpoint that answered its trials recovered.
+        answered_trials: Trials that each endpoint answered in a row.
+        isolated: Whether no endpoint of any zone answers: the fault is this front's own.
+    """
+
     def __init__(self, settings: ZoneSettings, seed: int, now_us: int) -> None:
-        self.settings, self.rng, self.now_us = settings, random.Random(f"{seed}/rooms"), now_us
+        """Begin without any zone; `seed` is that of the process's random numbers."""
+        self.settings = settings
+        self.rng = random.Random(f"{seed}/rooms")
+        self.now_us = now_us
         self.members: dict[str, ZoneMember] = {}
         self.contact_records: dict[str, ContactRecord] = {}
         self.zones: dict[str, ZoneRecord] = {}
-        self.recovered_at_us: dict[
-            str, int
-        ] = {}  # servers that answered their trials, and when they came back
-        self.answered_trials: dict[str, int] = {}  # trials answered in a row
-        self.isolated = False  # nothing at all is reached: that is this front's own doing
+        self.recovered_at_us: dict[str, int] = {}
+        self.answered_trials: dict[str, int] = {}
+        self.isolated = False
         self.transitions: list[ZoneTransition] = []
 
-    # What comes in
+    # Events
 
     def apply_endpoint_list(self, now_us: int, members: Iterable[ZoneMember]) -> None:
-        """The whole list in force."""
+        """Take over the complete endpoint list in force."""
         self.now_us = now_us
         self.members = {member.name: member for member in members}
         for member in self.members.values():
-            self.contact_records.setdefault(
-                member.name, ContactRecord(statistics=SlidingStatistics(self.settings.evidence_window_us))
-            )
+            if member.name not in self.contact_records:
+                statistics = SlidingStatistics(self.settings.evidence_window_us)
+                self.contact_records[member.name] = ContactRecord(statistics=statistics)
             if member.zone not in self.zones:
                 self.zones[member.zone] = ZoneRecord(member.zone, since_us=now_us)
         for state_by_member in (self.contact_records, self.recovered_at_us, self.answered_trials):
             for name in [name for name in state_by_member if name not in self.members]:
                 del state_by_member[name]
         listed_zones = {member.zone for member in self.members.values()}
-        # A room whose servers the list has dropped meanwhile is still the one that was lost.
-        for name in [
-            name for name, zone in self.zones.items() if name not in listed_zones and not zone.failures
-        ]:
-            del self.zones[name]
+        # A zone whose endpoints left the list in the meantime keeps its failures for when they are back.
+        for name, zone in list(self.zones.items()):
+            if name not in listed_zones and not zone.failures:
+                del self.zones[name]
 
     def record_attempt(self, now_us: int, endpoint: str, request: str) -> None:
+        """Note an attempt that is sent now."""
         if endpoint in self.contact_records:
             self.contact_records[endpoint].record_attempt(now_us, request)
 
     def record_outcome(
         self, now_us: int, endpoint: str, request: str, contact: Contact, latency_us: int = 0
     ) -> None:
-        """An attempt's outcome; `took` (us) of one that was answered."""
-        contact_record, member = self.contact_records.get(endpoint), self.members.get(endpoint)
+        """Note the end of an attempt, and the latency of one that was answered."""
+        contact_record = self.contact_records.get(endpoint)
+        member = self.members.get(endpoint)
         if contact_record is None or member is None:
             return
+        broke = contact is Contact.BROKEN
         was_silent = contact_record.silent
         contact_record.record_outcome(now_us, request, contact)
         zone = self.zones[member.zone]
-        if contact is not Contact.INCONCLUSIVE and not (
-            was_silent and contact is Contact.BROKEN
-        ):  # its silence was counted already
-            contact_record.statistics.add(now_us, contact is Contact.BROKEN, float(latency_us))
+        # A broken attempt at a silent endpoint was counted when the silence was detected.
+        if contact is not Contact.INCONCLUSIVE and not (was_silent and broke):
+            contact_record.statistics.add(now_us, broke, float(latency_us))
         if zone.state is ZoneState.DOWN:
             self._record_trial(now_us, zone, member, contact)
-        if contact is Contact.BROKEN:
+        if broke:
             self.evaluate(now_us, zone)
 
     def tick(self, now_us: int) -> None:
-        """At least every 100 ms: silence makes no event."""
+        """Detect silence, which makes no event, and evaluate all zones; call it at least every 100 ms."""
         self.now_us = now_us
         for contact_record in self.contact_records.values():
             if contact_record.detect_silence(now_us, self.settings.silence_timeout_us):
@@ -109,8 +145,7 @@
         self._update_isolation(now_us)
 
     def set_override(self, now_us: int, zone: str, override: str) -> bool:
-        """`evacuate`: nothing goes there. `forbid`: nothing spills there from elsewhere. Empty: neither.
-        False where there is no such room or word."""
+        """Set an operator's override; return False where there is no such zone or override."""
         if zone not in self.zones or override not in OVERRIDES:
             return False
         self.zones[zone].override = override
@@ -118,93 +153,94 @@
         return True
 
     def record_peer_state(self, now_us: int, name: str, zone: str, state: ZoneState) -> None:
-        """What another front holds. It lowers what is needed to hold the same, and never decides alone."""
+        """Note what a peer says of a zone.
+
+        That lowers the evidence that is needed here to take a zone for down, and never decides alone.
+        """
         if zone in self.zones:
             self.zones[zone].peer_states[name] = (state, now_us)
 
-    # What follows
+    # Evaluation
 
-    def observations(self, now_us: int, zone: str) -> list[str]:
-        """Its servers' words. What drains or has only just started says nothing of the room."""
+    def reachabilities(self, now_us: int, zone: str) -> list[Reachability]:
+        """Return the reachability of a zone's endpoints, without those that the list has as not up."""
+        settings = self.settings
         return [
-            self.contact_records[member.name].observation(
-                now_us, self.settings.evidence_window_us, self.settings.silence_timeout_us
+            self.contact_records[member.name].reachability(
+                now_us, settings.evidence_window_us, settings.silence_timeout_us
             )
             for member in self.members.values()
             if member.zone == zone and member.status is EndpointStatus.UP
         ]
 
     def evaluate(self, now_us: int, zone: ZoneRecord, is_tick: bool = False) -> None:
-        """One step of a room's state. Greyness is told on ticks alone: it passes over all servers."""
-        self.now_us, settings = now_us, self.settings
-        if zone.state in (ZoneState.HEALTHY, ZoneState.DEGRADED, ZoneState.RECOVERING):
-            observations = self.observations(now_us, zone.name)
-            if not self.isolated and self._is_down(now_us, zone, observations):
-                down_count, up_count = observations.count("down"), observations.count("up")
-                odds = math.exp(min(log_odds_down(observations, settings), 50.0))
-                mute_count = observations.count("mute")
-                evidence = f"{down_count} of {len(observations)} servers down, {mute_count} mute, {up_count} up, odds {odds:.3g}"
-                if agreeing_peers := self._agreeing_peers(now_us, zone):
-                    evidence += f", {agreeing_peers} peers say so"
-                return self._mark_down(now_us, zone, evidence)
-        if zone.state in (ZoneState.HEALTHY, ZoneState.DEGRADED) and is_tick:
-            healthy_zones = [
-                other
-                for other in self.zones.values()
-                if other is not zone and other.state is ZoneState.HEALTHY
-            ]
-            other_statistics = [
-                statistics for other in healthy_zones for statistics in self._statistics_of(other)
-            ]
-            evidence = (
-                why_degraded(self._statistics_of(zone), other_statistics, now_us, settings)
-                if other_statistics
-                else ""
-            )
-            if evidence and zone.state is ZoneState.HEALTHY:
-                self._transition(now_us, zone, ZoneState.DEGRADED, evidence)
-            elif (
-                not evidence
-                and zone.state is ZoneState.DEGRADED
-                and now_us - zone.since_us >= settings.evidence_window_us
-            ):
-                self._transition(now_us, zone, ZoneState.HEALTHY, "like the others again")
-        if zone.state is ZoneState.RECOVERING and now_us - zone.since_us >= settings.recovery_us:
+        """Make the transitions of one zone that are due; degradation is looked at on ticks only."""
+        self.now_us = now_us
+        settings = self.settings
+        if zone.state is not ZoneState.DOWN:
+            reachabilities = self.reachabilities(now_us, zone.name)
+            if not self.isolated and self._is_down(now_us, zone, reachabilities):
+                self._mark_down(now_us, zone, self._down_evidence(now_us, zone, reachabilities))
+                return
+        if is_tick:
+            self._evaluate_degradation(now_us, zone)
+        state_us = now_us - zone.since_us
+        if zone.state is ZoneState.RECOVERING and state_us >= settings.recovery_us:
             self._transition(now_us, zone, ZoneState.HEALTHY, f"back for {settings.recovery_us / 1e6:g} s")
-        if (
-            zone.state is ZoneState.HEALTHY
-            and zone.failures
-            and now_us - zone.since_us >= settings.failure_memory_us
-        ):
+            state_us = 0
+        if zone.state is ZoneState.HEALTHY and zone.failures and state_us >= settings.failure_memory_us:
             zone.failures = 0
 
-    def _is_down(self, now_us: int, zone: ZoneRecord, observations: list[str]) -> bool:
-        if is_zone_down(observations, self.settings):
+    def _evaluate_degradation(self, now_us: int, zone: ZoneRecord) -> None:
+        if zone.state not in (ZoneState.HEALTHY, ZoneState.DEGRADED):
+            return
+        others = [
+            statistics
+            for other in self.zones.values()
+            if other is not zone and other.state is ZoneState.HEALTHY
+            for statistics in self._statistics_of(other)
+        ]
+        evidence = why_degraded(self._statistics_of(zone), others, now_us, self.settings) if others else None
+        if zone.state is ZoneState.HEALTHY:
+            if evidence:
+                self._transition(now_us, zone, ZoneState.DEGRADED, evidence)
+        elif not evidence and now_us - zone.since_us >= self.settings.evidence_window_us:
+            self._transition(now_us, zone, ZoneState.HEALTHY, "like the others again")
+
+    def _is_down(self, now_us: int, zone: ZoneRecord, reachabilities: list[Reachability]) -> bool:
+        if is_zone_down(reachabilities, self.settings):
             return True
-        # Peers that agree count as one more server down each, two at most, beside own evidence of some kind.
-        peer_votes = min(self._agreeing_peers(now_us, zone), 2)
-        return (
-            bool(peer_votes)
-            and observations.count("down") >= 1
-            and is_zone_down(observations + ["down"] * peer_votes, self.settings)
+        # Agreeing peers count as one more endpoint down each, beside evidence of this front's own.
+        peer_votes = min(self._agreeing_peers(now_us, zone), MAX_PEER_VOTES_COUNT)
+        if not peer_votes or Reachability.DOWN not in reachabilities:
+            return False
+        return is_zone_down(reachabilities + [Reachability.DOWN] * peer_votes, self.settings)
+
+    def _down_evidence(self, now_us: int, zone: ZoneRecord, reachabilities: list[Reachability]) -> str:
+        odds = math.exp(min(log_odds_down(reachabilities, self.settings), MAX_LOG_ODDS_LIMIT))
+        evidence = (
+            f"{reachabilities.count(Reachability.DOWN)} of {len(reachabilities)} servers down, "
+            f"{reachabilities.count(Reachability.SILENT)} mute, "
+            f"{reachabilities.count(Reachability.UP)} up, odds {odds:.3g}"
         )
+        if agreeing_peers := self._agreeing_peers(now_us, zone):
+            evidence += f", {agreeing_peers} peers say so"
+        return evidence
 
     def _agreeing_peers(self, now_us: int, zone: ZoneRecord) -> int:
+        """Return how many peers have the zone as down, 0 unless they are most of those heard of lately."""
         recent_states = [
             state
             for state, received_us in zone.peer_states.values()
             if now_us - received_us <= self.settings.evidence_window_us
         ]
-        return (
-            recent_states.count(ZoneState.DOWN)
-            if 2 * recent_states.count(ZoneState.DOWN) > len(recent_states)
-            else 0
-        )
+        down_count = recent_states.count(ZoneState.DOWN)
+        return down_count if 2 * down_count > len(recent_states) else 0
 
     def _mark_down(self, now_us: int, zone: ZoneRecord, evidence: str) -> None:
         settings = self.settings
         down_us = min(settings.min_down_us * 2**zone.failures, settings.max_down_us)
-        zone.failures = min(zone.failures + 1, 16)
+        zone.failures = min(zone.failures + 1, MAX_FAILURES_COUNT)
         zone.down_until_us = now_us + int(down_us * self.rng.uniform(0.75, 1.25))
         zone.next_trial_us = zone.down_until_us + int(self.rng.uniform(0, settings.trial_interval_us))
         for member in self._members_of(zone):
@@ -223,88 +259,88 @@
         ]
 
     def _transition(self, now_us: int, zone: ZoneRecord, state: ZoneState, evidence: str) -> None:
-        zone.state, zone.since_us = state, now_us
+        zone.state = state
+        zone.since_us = now_us
         self.transitions.append(ZoneTransition(now_us, zone.name, state, evidence))
 
     def _record_trial(self, now_us: int, zone: ZoneRecord, member: ZoneMember, contact: Contact) -> None:
-        """The outcome of a trial, or of what was out when the room was lost."""
+        """Note the outcome of a trial, or of an attempt that was in flight when the zone went down."""
         if contact is Contact.BROKEN:
             self.answered_trials.pop(member.name, None)
         if contact is not Contact.ANSWERED or now_us < zone.down_until_us:
             return
         self.answered_trials[member.name] = self.answered_trials.get(member.name, 0) + 1
-        zone.next_trial_us = now_us  # something lives there: the next may follow at once
+        zone.next_trial_us = now_us  # an endpoint answers: the next trial may follow at once
         if self.answered_trials[member.name] < self.settings.trials_to_recover:
             return
         self.recovered_at_us.setdefault(member.name, now_us)
-        up_members = [
-            up_member for up_member in self._members_of(zone) if up_member.status is EndpointStatus.UP
-        ]
-        if 2 * sum(up_member.name in self.recovered_at_us for up_member in up_members) >= len(up_members):
-            # The rest come back with them: what is still down shows as such, server by server.
-            for up_member in up_members:
-                self.recovered_at_us.setdefault(up_member.name, now_us)
-            self._transition(
-                now_us,
-                zone,
-                ZoneState.RECOVERING,
-                f"{len(up_members)} servers, after trials that were answered",
-            )
+        up_names = [other.name for other in self._members_of(zone) if other.status is EndpointStatus.UP]
+        if 2 * sum(name in self.recovered_at_us for name in up_names) < len(up_names):
+            return
+        # The others recover with them: an endpoint that is still down shows as an outlier of its own.
+        for name in up_names:
+            self.recovered_at_us.setdefault(name, now_us)
+        evidence = f"{len(up_names)} servers, after trials that were answered"
+        self._transition(now_us, zone, ZoneState.RECOVERING, evidence)
 
     def _update_isolation(self, now_us: int) -> None:
-        """Where no server of any room answers, nothing is known of rooms: the fault is nearer. Rooms that
-        were held lost in that time are held well again."""
-        observations_by_zone = [
-            observations for name in self.zones if (observations := self.observations(now_us, name))
-        ]
-        silent_zones = [
-            observations
-            for observations in observations_by_zone
-            if "up" not in observations and ("down" in observations or "mute" in observations)
-        ]
-        is_isolated = len(observations_by_zone) > 1 and len(silent_zones) == len(observations_by_zone)
+        """Find out whether no endpoint of any zone answers.
+
+        Then nothing is known of zones, as the fault is nearer, and zones that were marked as down in that
+        time are healthy again.
+        """
+        by_zone = [found for name in self.zones if (found := self.reachabilities(now_us, name))]
+        unreachable_count = sum(
+            Reachability.UP not in found and (Reachability.DOWN in found or Reachability.SILENT in found)
+            for found in by_zone
+        )
+        is_isolated = len(by_zone) > 1 and unreachable_count == len(by_zone)
         if is_isolated and not self.isolated:
             for zone in self.zones.values():
                 if zone.state is ZoneState.DOWN:
                     zone.failures = max(zone.failures - 1, 0)
-                    self._transition(
-                        now_us,
-                        zone,
-                        ZoneState.HEALTHY,
-                        "no room answers at all: this front is cut off itself",
-                    )
+                    evidence = "no room answers at all: this front is cut off itself"
+                    self._transition(now_us, zone, ZoneState.HEALTHY, evidence)
         self.isolated = is_isolated
 
-    # What is asked of it
+    # Queries
 
     def state(self, zone: str) -> ZoneState:
-        """As it acts: an evacuated room is a lost one whatever the evidence."""
+        """Return the state that routing goes by: an evacuated zone is down whatever the evidence."""
         record = self.zones.get(zone)
         if record is None:
             return ZoneState.HEALTHY
-        return ZoneState.DOWN if record.override == "evacuate" else record.state
+        return ZoneState.DOWN if record.override == EVACUATE else record.state
 
     def try_start_trial(self, now_us: int, endpoint: str, min_overdue_us: int = 0) -> bool:
-        """Whether a request that may be repeated may go to a server of a lost room, as a trial. True once:
-        the next is due a while later, at a time of this front's own. `wait` (us) is what it is to be overdue
-        by."""
-        member = self.members.get(endpoint)
-        zone = self.zones.get(member.zone) if member is not None else None
-        if (
-            zone is None
-            or zone.override == "evacuate"
-            or now_us < max(zone.down_until_us, zone.next_trial_us) + min_overdue_us
-        ):
+        """Return whether an idempotent request may go to an endpoint of a zone that is down, as a trial.
+
+        After a True the next trial is due a while later, at a random time of this front's own.
+
+        Args:
+            now_us: The time.
+            endpoint: The endpoint's name.
+            min_overdue_us: How long the trial must have been due.
+        """
+        zone = self._zone_of(endpoint)
+        if zone is None or zone.override == EVACUATE:
+            return False
+        if now_us < max(zone.down_until_us, zone.next_trial_us) + min_overdue_us:
             return False
         zone.next_trial_us = now_us + int(self.settings.trial_interval_us * self.rng.uniform(0.5, 1.5))
         return True
 
     def next_trial_delay_us(self, now_us: int, endpoint: str) -> int:
-        """us until that may be so."""
+        """Return how long it is until the next trial of an endpoint's zone is due."""
+        zone = self._zone_of(endpoint)
+        return max(zone.down_until_us - now_us, zone.next_trial_us - now_us, 0) if zone is not None else 0
+
+    def _zone_of(self, endpoint: str) -> ZoneRecord | None:
         member = self.members.get(endpoint)
-        zone = self.zones.get(member.zone) if member is not None else None
-        return max(max(zone.down_until_us, zone.next_trial_us) - now_us, 0) if zone is not None else 0
+        return self.zones.get(member.zone) if member is not None else None
 
     def take_transitions(self) -> list[ZoneTransition]:
-        transitions, self.transitions = self.transitions, []
+        """Return the transitions since the last call."""
+        transitions = self.transitions
+        self.transitions = []
         return transitions
