--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -10,7 +10,8 @@
 LIFECYCLE, SCHEDULER = "umberlead/requests/lifecycle.py", "umberlead/scheduling/scheduler.py"
 NODE, PARSER = "umberlead/net/endpoint_connection.py", "umberlead/net/response_parser.py"
 STREAM, POOL = "umberlead/net/streaming.py", "umberlead/net/endpoint_pool.py"
-WATCH, FRONT = "umberlead/net/discovery.py", "umberlead/front.py"
+WATCH, PROCESS = "umberlead/net/discovery.py", "umberlead/daemon/process.py"
+SHUTDOWN, SHARED_STATE = "umberlead/daemon/shutdown.py", "umberlead/daemon/shared_state_sync.py"
 BLOCKS = "umberlead/frontends/object_api/blocks.py"
 OBJECTS, START = "umberlead/frontends/object_api/handler.py", "umberlead/start.py"
 VOLUMES, SHARED = "umberlead/scheduling/rate_limits.py", "umberlead/handover/process_registry.py"
@@ -32,9 +33,9 @@
     ("shutdown: what is half read at the end is left open", SERVER, "if partial and self.active_request is None and not self.ended:\n            self.reject(503", "if False:\n            self.reject(503"),
     ("shutdown: what waits behind an answer at the end is taken", CLIENTS, "        self.rejecting = self.close_after_response = True\n", "        self.close_after_response = True\n"),
     ("shutdown: what was never sent counts as doubtful", LIFECYCLE, "        unsent = attempt is None or (self.transport is not None and self.transport.cancel_if_unsent(attempt))\n", "        unsent = attempt is None\n"),
-    ("shutdown: a start that was told to stop listens", FRONT, "if self.told_to_stop:  # before anything was taken", "if False:"),
+    ("shutdown: a start that was told to stop listens", PROCESS, "if self.shutdown.stop_requested:  # before any client was accepted", "if False:"),
     ("shutdown: SIGTERM during a start ends it with a signal", START, "    signal.signal(signal.SIGTERM, lambda *_: os._exit(0))\n", ""),
-    ("shutdown: SIGHUP during a start is lost", FRONT, "        if EARLY:", "        if False:"),
+    ("shutdown: SIGHUP during a start is lost", PROCESS, "        if self._early_reload_signals:", "        if False:"),
     ("shutdown: requests sent ahead are dropped", SERVER, "if self._closes_with_this_response() and not (self.has_more_input() or self.has_unread_request()):", "if self._closes_with_this_response():"),
     ("shutdown: what is half read behind another is left open", SERVER, "        if self.clients.rejecting:\n            self.begin_shutdown()\n", "        if False:\n            self.begin_shutdown()\n"),
     ("bad clients: what is sent ahead has no bound", INPUT, "        if self.clients.buffered_bytes > self.clients.buffer_limit_bytes:\n            self.clients.counters.add(\"bodies_over_memory\")\n            self._pending_input.discard_unparsed()", "        if False:\n            self._pending_input.discard_unparsed()"),
@@ -71,7 +72,7 @@
     ("watches: what a call has hung is no part of the bound", WATCHING, "remaining_us = since_us + MAX_CALL_GAP_US - now", "remaining_us = MAX_CALL_GAP_US"),
     ("watches: a Retry-After is kept past the bound", "umberlead/recovery/backoff.py", "max(delay_us, min(retry_after_us, remaining_us))", "max(delay_us, retry_after_us)"),
     ("watches: a call given up is not listened to", WATCH, "elif self.late_stream is None and self.pacing.keeps_listening(stream.call, now_us):", "elif False:"),
-    ("watches: requests are taken before the list is here", FRONT, "if self.watch is not None and self.watch.ours:", "if False:"),
+    ("watches: requests are taken before the list is here", PROCESS, "if self.discovery_watch is None or not self.discovery_watch.expects_agent:", "if True:"),
     ("retries: an interim answer begins the stall", PARSER, "self.started = False  # the final response", "pass  # the final response"),
     ("long answers: one that moves is cut off at its request's time", STREAM, "        if due_us <= now_us:\n            self.abort()", "        if min(due_us, due_us if self.paused else self.deadline_us) <= now_us:\n            self.abort()"),
     ("long answers: a small one that stopped is waited for", STREAM, "due_us = min(due_us, max(response.last_received_us + SERVER_PAUSE_TIMEOUT_US, self.deadline_us))", "pass"),
@@ -83,12 +84,12 @@
     ("long answers: a write's is cut off where its server pauses", NODE, "wait_us = max(wait_us, SERVER_PAUSE_TIMEOUT_US)", "pass"),
     ("long answers: a read's last try is cut off where its server pauses", LIFECYCLE, "must_not_repeat = is_last or ", "must_not_repeat = "),
     ("long answers: a server may pause for half a second only", STREAM, "SERVER_PAUSE_TIMEOUT_US = 650_000", "SERVER_PAUSE_TIMEOUT_US = 500_000"),
-    ("long answers: to a client of HTTP/1.0 one unread at the end looks whole", FRONT, "        for clients in self.groups:\n            clients.close()\n", ""),
+    ("long answers: to a client of HTTP/1.0 one unread at the end looks whole", PROCESS, "        for clients in self.client_groups:\n            clients.close()\n", ""),
     ("uploads: what is half read is closed on as its place goes", SERVER, "        if self._parser.partial_request is not None and not self.ended:\n            self.reject(503, \"too many connections\")\n", ""),
     ("uploads: the end that is here as its time is over is not read", SERVER, "if self.has_unread_request() and not self._timeout_deferred:", "if False:"),
     ("uploads: one that trickles never ends", SERVER, "if self.has_unread_request() and not self._timeout_deferred:", "if self.has_unread_request():"),
-    ("hand-over: the old process keeps connections for the new one's clients", FRONT, "clients.close_after_response = self.processes > 1", "clients.close_after_response = False"),
-    ("limits: each process has its front's whole part", FRONT, "            self.engine.set_process_share(share)\n", "            pass\n"),
+    ("hand-over: the old process keeps connections for the new one's clients", SHUTDOWN, "clients.close_after_response = components.process_count > 1", "clients.close_after_response = False"),
+    ("limits: each process has its front's whole part", SHARED_STATE, "            components.lifecycle.set_process_share(process_share)\n", "            pass\n"),
     ("limits: a process that stands beside another begins full", VOLUMES, "            self._first_change = ShareChange(now_us + PROCESS_NOTICE_US, share)\n            self._slack_ratio = 0.0\n", "            self._first_change = ShareChange(0, share)\n            self._slack_ratio = START_SLACK_RATIO\n"),
     ("limits: what is left above a smaller part is kept", "umberlead/scheduling/token_bucket.py", "self.available_units = min(self.available_units, capacity_units)", "pass"),
     ("limits: a front that joins a volume is not made room for", VOLUMES, "        if size.capacity_units < earlier_capacity_units:", "        if False:"),
