--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -463,6 +463,22 @@
     stream.data_received(b"HTTP/1.1 " + status + b"\r\nContent-Length: 9\r\n\r\n")
 
 
+def test_an_empty_line_within_an_object_ends_the_stream_at_once() -> None:
+    """The remainder of that object will not arrive, and waiting for silence would delay what it announced."""
+    watch, waits = _watch(True, 1)
+    watch.start()
+    stream = watch.stream
+    assert stream is not None
+    stream.connection_made(mock.Mock())
+    stream.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    stream.data_received(b'c\r\n{"index":2,\n\r\n')
+    assert not stream.ended
+    waits.clear()
+    stream.data_received(b"1\r\n\n\r\n")
+    assert stream.ended and watch.stream is None
+    assert len(waits) == 1 and waits[0] <= 101_000  # the next call
+
+
 def test_in_a_large_fleet_an_agent_of_one_s_own_is_not_spared() -> None:
     """What it has counts as told whether a watch is open or not, and a send may follow for a second. It is
     known by its quick answer."""
