--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -11,7 +11,8 @@
 from umberlead.commands import command
 from umberlead.membership.model import CheckedList, EndpointSpec
 from umberlead.routing_tests import reach, running, suites
-from umberlead.routing_tests.language import parse, spread
+from umberlead.routing_tests.grammar import expand_foreach
+from umberlead.routing_tests.language import parse
 from umberlead.routing_tests.model import Expectation, Life, Outcome, Selector, Step
 from umberlead.routing_tests.proportion import Judged, judge, needed
 from umberlead.routing_tests.verdict import contradictions, judged, may_have_run, sent_again
@@ -91,10 +92,10 @@
 
 
 def test_foreach_is_written_out_and_bounded() -> None:
-    lines = list(spread("foreach a in x 1..2 : foreach b in 3 4 : {a}{b}"))
+    lines = list(expand_foreach("foreach a in x 1..2 : foreach b in 3 4 : {a}{b}"))
     assert lines == ["x3", "x4", "13", "14", "23", "24"]
     with pytest.raises(ValueError, match="deep"):
-        list(spread("foreach a in 1 : " * 4 + "x"))
+        list(expand_foreach("foreach a in 1 : " * 4 + "x"))
     many = "foreach a in 0..999 : foreach b in 0..99 : expect served"
     _, problems = parse(f"format 1\nscenario s\n{many}\nend 3\n", "f")
     assert ["more than 20000 statements" in p.message for p in problems] == [True]
--- a/umberlead/commands/rehearse.py
+++ b/umberlead/commands/rehearse.py
@@ -6,9 +6,15 @@
 
 import click
 
+from umberlead.common.errors import UmberleadError
+
 FILE = click.Path(dir_okay=False, exists=True, path_type=Path)
 
 
+class MissingGroupError(UmberleadError, ValueError):
+    """An option needs packages of a group that isn't installed."""
+
+
 def told(result: Any) -> str:
     """A result as a person reads it."""
     rows = result.rows
@@ -85,7 +91,7 @@
                 try:
                     from umberlead.experiments.dataset import keeper
                 except ModuleNotFoundError as fault:
-                    raise ValueError(f"--records needs the group experiments ({fault.name})") from None
+                    raise MissingGroupError(f"--records needs the group experiments ({fault.name})") from None
                 keep = keeper(records / of.name)
             with Bar(of.name) as bar:
                 made.append(
--- a/umberlead/load_generator/day.py
+++ b/umberlead/load_generator/day.py
@@ -11,6 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from umberlead.common.errors import UmberleadError
 from umberlead.emulator.figures import Figures
 
 SECOND = 1_000_000
@@ -18,6 +19,10 @@
 FRESH_MOST = 400
 
 
+class InvalidDayError(UmberleadError, ValueError):
+    """A day's length, load or size is out of range."""
+
+
 @dataclass(slots=True)
 class Request:
     """A first try, as it was drawn."""
@@ -144,9 +149,13 @@
     copies: int = 1,
 ) -> Day:
     """`load` is the usual traffic against nine tenths of what `shards` nodes of mean `speed` can do; `excess`
-    scales the surges on top; each shard has `copies` nodes. ValueError where it can't be drawn."""
+    scales the surges on top; each shard has `copies` nodes.
+
+    Raises:
+        InvalidDayError: The day can't be drawn.
+    """
     if not (seconds > 0 and 0 < load <= 10 and shards > 0 and fronts > 0):
-        raise ValueError("a day needs seconds, a load up to 10, and at least one shard and one front")
+        raise InvalidDayError("a day needs seconds, a load up to 10, and at least one shard and one front")
     chance, length = random.Random(f"{seed}/day"), int(seconds * SECOND)
     kinds, cores = _kinds(of, chance), of.node.one("cores")
     shares = sum(k.share for k in kinds)
--- a/umberlead/routing_tests/__init__.py
+++ b/umberlead/routing_tests/__init__.py
@@ -2,4 +2,5 @@
 
 `language`, `model`, `verdict`, `proportion` and `reach` are free of I/O, as is `world`, which drives the
 serving engine; `suites` reads files, `running` plays suites over processes, `report` words what came of
-it."""
+it.
+"""
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -213,9 +213,8 @@
             if view.units_in_flight and view.units_in_flight + units > min(
                 view.concurrency_limit_units, view.max_concurrency_units()
             ):
-                why.append(
-                    f"{view.units_in_flight:g} units out, bound {min(view.concurrency_limit_units, view.max_concurrency_units()):.1f}"
-                )
+                bound_units = min(view.concurrency_limit_units, view.max_concurrency_units())
+                why.append(f"{view.units_in_flight:g} units out, bound {bound_units:.1f}")
             if view.slow_start_cost_us(now, units) and view.ready_at_us(now, units) > now:
                 why.append("warming up")
             made.append(f"{node}: {', '.join(why) or 'free'}")
