--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -104,7 +104,7 @@
     assert net.whole()
 
 
-def test_words_on_rooms_reach_the_others() -> None:
+def test_observations_of_zones_reach_the_others() -> None:
     net = Net(6)
     net.run(15)
     net.members["f3:1"].observations["room-b"] = ZoneState.DOWN
@@ -229,7 +229,7 @@
             assert len(data) <= MAX_DATAGRAM_BYTES
 
 
-def test_news_of_a_higher_life_hold_and_a_member_denies_its_death() -> None:
+def test_updates_of_a_higher_incarnation_win_and_a_member_refutes_its_death() -> None:
     net = Net(2)
     net.run(10)
     of, other = net.members["f0:1"], net.members["f1:1"]
@@ -373,14 +373,14 @@
 
 
 def test_two_fronts_talk_over_real_datagrams(tmp_path: Path) -> None:
-    from tests.test_rooms_front import Hand
+    from tests.test_zones_front import ZoneHarness
     from umberlead import configuration
     from umberlead.gossip.udp_transport import start_gossip
 
     (tmp_path / "keys").write_text(f"{KEY.hex()}  # the first\n")
 
     async def test() -> None:
-        hands, made, join = [Hand(), Hand()], [], tuple[Any, ...]()
+        hands, made, join = [ZoneHarness(), ZoneHarness()], [], tuple[Any, ...]()
         loop = asyncio.get_running_loop()
         begin = hands[0].loop.now
 
--- a/tests/test_rooms.py
+++ b/tests/test_zones.py
@@ -75,7 +75,7 @@
         attempts(of, now, room, Contact.ANSWERED)
 
 
-def test_a_room_whose_servers_all_break_is_lost_and_its_evidence_is_told() -> None:
+def test_a_zone_whose_endpoints_all_break_is_down_and_its_evidence_is_reported() -> None:
     of = machine()
     settle(of, 0)
     attempts(of, MICROSECONDS_PER_S, "b", Contact.BROKEN, 2)
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("down", [1, 2])
-def test_one_or_two_dead_servers_make_no_lost_room(down: int) -> None:
+def test_one_or_two_dead_endpoints_mark_no_zone_down(down: int) -> None:
     of = machine()
     settle(of, 0)
     for k in range(4, 4 + down):
@@ -98,7 +98,7 @@
     )  # half of it is no longer its servers' own
 
 
-def test_one_broken_link_in_each_of_all_servers_is_no_loss() -> None:
+def test_one_broken_connection_to_each_endpoint_marks_no_zone_down() -> None:
     of = machine()
     attempts(of, 0, "b", Contact.BROKEN, 1)
     assert of.state("b") is ZoneState.HEALTHY
@@ -122,7 +122,7 @@
     )
 
 
-def test_an_answer_takes_a_servers_fault_away() -> None:
+def test_an_answer_clears_an_endpoints_failures() -> None:
     of = machine()
     settle(of, 0)
     attempts(of, MICROSECONDS_PER_S, "b", Contact.BROKEN, 1)
@@ -131,7 +131,7 @@
     assert of.state("b") is ZoneState.HEALTHY
 
 
-def test_what_drains_tells_nothing_of_its_room() -> None:
+def test_draining_endpoints_are_no_evidence_of_their_zone() -> None:
     of = machine()
     settle(of, 0)
     of.apply_endpoint_list(
@@ -145,7 +145,7 @@
     assert of.state("b") is ZoneState.HEALTHY
 
 
-def test_a_small_room_needs_all_of_its_servers_and_two_at_least() -> None:
+def test_a_small_zone_needs_all_of_its_endpoints_and_two_at_least() -> None:
     assert is_zone_down(["down", "down"], RULES)
     assert not is_zone_down(["down", "up"], RULES)
     assert not is_zone_down(["down"], RULES)
@@ -157,7 +157,7 @@
 
 
 @given(st.lists(st.sampled_from(["down", "mute", "up", ""]), min_size=1, max_size=12), st.data())
-def test_more_servers_down_never_make_a_loss_less_likely(words: list[str], data: st.DataObject) -> None:
+def test_more_endpoints_down_never_make_down_less_likely(words: list[str], data: st.DataObject) -> None:
     k = data.draw(st.integers(0, len(words) - 1))
     worse = words[:k] + ["down"] + words[k + 1 :]
     assert log_odds_down(worse, RULES) >= log_odds_down(words, RULES)
@@ -165,7 +165,7 @@
         assert is_zone_down(worse, RULES)
 
 
-def test_where_nothing_answers_at_all_the_front_is_cut_off_itself() -> None:
+def test_a_front_that_no_endpoint_answers_is_isolated() -> None:
     of = machine()
     settle(of, 0)
     for room in "abc":
@@ -179,7 +179,7 @@
     assert not of.isolated
 
 
-def test_half_broken_links_make_a_room_grey_and_no_lost_one() -> None:
+def test_half_broken_links_degrade_a_zone_and_do_not_mark_it_down() -> None:
     of, chance = machine(), random.Random(3)
     for n in range(400):
         at = n * 10_000
@@ -201,7 +201,7 @@
     assert of.state("b") is ZoneState.HEALTHY
 
 
-def test_answers_far_slower_than_elsewhere_make_a_room_grey() -> None:
+def test_answers_far_slower_than_elsewhere_degrade_a_zone() -> None:
     of = machine()
     for n in range(40):
         for m in of.members.values():
@@ -213,7 +213,7 @@
     assert "answers take 200 ms, elsewhere 30 ms" in of.take_transitions()[0].evidence
 
 
-def test_nothing_is_grey_by_few_attempts_or_small_differences() -> None:
+def test_nothing_is_degraded_by_few_attempts_or_small_differences() -> None:
     ratio, other = SlidingStatistics(RULES.evidence_window_us), SlidingStatistics(RULES.evidence_window_us)
     for n in range(29):
         ratio.add(n, True)
@@ -226,7 +226,7 @@
     assert not why_degraded([even, even], [other], 100, RULES)
 
 
-def test_a_ratio_forgets_what_is_older_than_its_window() -> None:
+def test_statistics_forget_what_is_older_than_its_window() -> None:
     of = SlidingStatistics(1000)
     of.add(0, True)
     of.add(900, False, 5.0)
@@ -237,7 +237,7 @@
 
 @settings(max_examples=40)
 @given(st.integers(0, 1 << 30))
-def test_a_well_fleet_with_dead_servers_and_errors_is_never_held_lost(seed: int) -> None:
+def test_a_healthy_fleet_with_dead_endpoints_and_errors_is_never_down(seed: int) -> None:
     """A tenth of the servers dead, one attempt in fifty breaks: 20 s of 100 attempts a second."""
     chance, of = random.Random(seed), machine("aaaaabbbbbccccc")
     dead = {m for m in of.members if chance.random() < 0.07}
@@ -272,7 +272,7 @@
     return count
 
 
-def test_a_lost_room_is_tried_little_and_comes_back_after_answers() -> None:
+def test_a_down_zone_gets_few_trials_and_recovers_after_answers() -> None:
     of = machine()
     lose(of, 10 * MICROSECONDS_PER_S)
     early = sum(tried(of, 10 * MICROSECONDS_PER_S + k * 50_000, Contact.BROKEN) for k in range(20))
@@ -291,7 +291,7 @@
     assert of.state("b") is ZoneState.HEALTHY
 
 
-def test_one_answered_trial_in_between_brings_nothing_back() -> None:
+def test_one_answered_trial_in_between_recovers_nothing() -> None:
     of = machine()
     lose(of, 10 * MICROSECONDS_PER_S)
     for k in range(200):
@@ -302,7 +302,7 @@
     assert of.state("b") is ZoneState.DOWN
 
 
-def test_each_loss_soon_after_a_return_is_held_longer() -> None:
+def test_each_failure_soon_after_a_recovery_lasts_longer() -> None:
     of, held = machine(), []
     at = 10 * MICROSECONDS_PER_S
     for _ in range(4):
@@ -317,7 +317,7 @@
     assert held[-1] <= 1.25 * RULES.max_down_us
 
 
-def test_a_room_that_is_lost_again_on_its_way_back_is_lost() -> None:
+def test_a_zone_that_fails_while_recovering_is_down() -> None:
     of = machine()
     lose(of, 10 * MICROSECONDS_PER_S)
     at = of.zones["b"].down_until_us
@@ -328,7 +328,7 @@
     assert of.state("b") is ZoneState.DOWN and not of.recovered_at_us
 
 
-def test_fronts_try_a_lost_room_at_times_of_their_own() -> None:
+def test_fronts_start_trials_of_a_down_zone_at_different_times() -> None:
     times = set()
     for seed in range(50):
         of = ZoneHealth(RULES, seed, 0)
@@ -344,7 +344,7 @@
 # By hand, and peers
 
 
-def test_an_evacuated_room_gets_nothing_whatever_the_evidence() -> None:
+def test_an_evacuated_zone_gets_nothing_whatever_the_evidence() -> None:
     of = machine()
     settle(of, 0)
     assert (
@@ -357,7 +357,7 @@
     assert of.state("b") is ZoneState.HEALTHY
 
 
-def test_peers_never_decide_alone_and_lies_of_a_few_tell_nothing() -> None:
+def test_peers_never_decide_alone_and_false_states_of_a_few_change_nothing() -> None:
     of = machine()
     settle(of, 0)
     for k in range(9):
@@ -474,7 +474,7 @@
     return of.admit(now, name, IncomingRequest(cls, "priority", "v", name, shard, 2.0, now, None))
 
 
-def test_tiers_follow_the_rooms_and_no_own_room_means_none() -> None:
+def test_tiers_follow_the_zones_and_no_own_zone_means_none() -> None:
     assert [tier_of_zone(RULES, r) for r in ("a", "b", "c", "else")] == [0, 1, 2, 3]
     assert {tier_of_zone(ZoneSettings(), r) for r in "abc"} == {0}
     of = director()
@@ -488,7 +488,7 @@
     }
 
 
-def test_a_lost_rooms_servers_are_shut_and_its_work_spills() -> None:
+def test_endpoints_of_a_down_zone_are_draining_and_its_work_spills_over() -> None:
     of = director()
     assert ask(of, 0) == ZoneAdmission()
     broken(of, MICROSECONDS_PER_S, "a")
@@ -503,7 +503,7 @@
     assert ask(of, MICROSECONDS_PER_S + 2) == ZoneAdmission(is_spillover=True)  # two tiers away
 
 
-def test_what_only_a_lost_room_has_is_refused_at_once_with_when_to_come_back() -> None:
+def test_a_shard_of_a_down_zone_alone_is_rejected_at_once_with_retry_after() -> None:
     of = director("aabc", 2)  # shards 0 and 1 in a; b0 and c1 beside: make shard 1 c's and a's
     of.apply_endpoint_list(0, EndpointList(False, (Endpoint("c1", EndpointStatus.GONE, 1),)))
     broken(of, MICROSECONDS_PER_S, "a")
@@ -518,7 +518,7 @@
     assert of.is_shard_down(1) and not of.is_shard_down(0)
 
 
-def test_a_trial_opens_one_server_for_one_request_that_may_be_repeated() -> None:
+def test_a_trial_opens_one_endpoint_for_one_idempotent_request() -> None:
     of = director("aab")
     broken(of, MICROSECONDS_PER_S, "a")
     of.apply_endpoint_list(MICROSECONDS_PER_S, EndpointList(False, (Endpoint("b0", EndpointStatus.GONE, 0),)))
@@ -537,7 +537,7 @@
     ]
 
 
-def test_a_returning_server_counts_as_just_started() -> None:
+def test_a_recovering_endpoint_counts_as_just_started() -> None:
     of = director()
     broken(of, MICROSECONDS_PER_S, "a")
     of.changed_endpoints(MICROSECONDS_PER_S)
@@ -555,7 +555,7 @@
     assert later is not None and all(n.started_us == 0 for n in later.endpoints)
 
 
-def test_a_spill_without_budget_is_refused_and_its_ends_are_learnt() -> None:
+def test_spillover_without_budget_is_rejected_and_learns_from_outcomes() -> None:
     of = director(rules=ZoneSettings(own_zone="a", tier_by_zone={"b": 1}, spillover_rate_factor=0.8))
     broken(of, MICROSECONDS_PER_S, "a")
     of.changed_endpoints(MICROSECONDS_PER_S)
@@ -571,7 +571,7 @@
     assert of.spillover_budget.units_per_second < before
 
 
-def test_forbidden_rooms_get_no_new_objects_and_evacuated_ones_nothing() -> None:
+def test_forbidden_zones_get_no_new_objects_and_evacuated_ones_nothing() -> None:
     of = director()
     of.zone_health.set_override(1, "b", "forbid")
     of.zone_health.set_override(1, "c", "evacuate")
@@ -585,7 +585,7 @@
     }
 
 
-def test_the_list_goes_before_rooms() -> None:
+def test_the_endpoint_list_goes_before_zones() -> None:
     """Gone and draining servers stay so; one that the list starts anew counts by the later of both times."""
     of = director()
     news = of.apply_endpoint_list(1, EndpointList(False, (Endpoint("a0", EndpointStatus.GONE, 0),)))
@@ -601,7 +601,7 @@
     assert [n.started_us for n in news.endpoints if n.name == "b0"] == [5 * MICROSECONDS_PER_S]
 
 
-def test_a_track_counts_silence_once() -> None:
+def test_a_contact_record_counts_silence_once() -> None:
     of = ContactRecord()
     of.record_attempt(0, "a")
     assert not of.detect_silence(800_000, 700_000)  # one that is never answered is that request's own
--- a/tests/test_rooms_front.py
+++ b/tests/test_zones_front.py
@@ -49,7 +49,7 @@
     ]
 
 
-def test_a_dark_room_is_lost_and_comes_back_at_every_front() -> None:
+def test_an_unreachable_zone_is_down_and_recovers_at_every_front() -> None:
     world = played("at 6s dark room 1 for 6s")
     for made in states(world):
         assert made["rooms_lost"] >= 1 and made["rooms_return"] >= 1 and made["rooms_trials"] >= 4
@@ -58,7 +58,7 @@
     assert not lived
 
 
-def test_what_only_the_dark_room_has_is_refused_at_once() -> None:
+def test_a_shard_of_the_down_zone_alone_is_rejected_at_once() -> None:
     world = played("at 6s dark room 1 for 8s", copies=1)
     of, dark = world.stage.records, {b.shard for b in world.plan.births if b.room == 1}
     asked = {
@@ -73,7 +73,7 @@
     assert sum(came.values()) <= 4 * 4 * 2 * len(world.fronts)  # trials alone
 
 
-def test_attempts_stay_bounded_while_a_room_is_lost() -> None:
+def test_attempts_stay_bounded_while_a_zone_is_down() -> None:
     """With two copies each read has a second try: no more than the part that retries may add."""
     world = played("at 6s dark room 1 for 8s", "at 16s cut room 2 for 4s")
     for front in world.fronts:
@@ -81,17 +81,17 @@
         assert counts["attempts_sent"] <= counts["requests_taken"] * 1.1 + 10 * 24
 
 
-def test_calm_days_lose_no_room() -> None:
+def test_calm_days_mark_no_zone_down() -> None:
     world = played("at 6s deploy 80% batch 15% drain 3s over 12s", "at 5s slow 5 n03 for 10s")
     assert all(not made["rooms_lost"] for made in states(world))
 
 
-def test_a_room_that_flaps_is_left_alone_for_longer() -> None:
+def test_a_zone_that_flaps_is_down_for_longer() -> None:
     world = played("at 2s dark room 1 for 4s", "at 12s dark room 1 for 5s")
     assert max(f.rooms.router.zone_health.zones["1"].failures for f in world.fronts) >= 2
 
 
-def test_never_spilling_refuses_what_would_have_to_move() -> None:
+def test_spillover_mode_never_rejects_what_would_have_to_move() -> None:
     line = "at 6s dark room 1 for 8s"
     never, all_ = played(line, rooms={"spill": "never"}), played(line, rooms={"spill": "all"})
     own = [f.number for f in never.fronts if never.plan.rooms[f.number] == 1]
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("gossip", ["liars", "mute"])
-def test_peers_that_lie_or_say_nothing_lose_no_room_by_themselves(gossip: str) -> None:
+def test_peers_that_lie_or_say_nothing_mark_no_zone_down_by_themselves(gossip: str) -> None:
     world = played("at 5s slow 5 n03 for 10s", gossip=gossip)
     assert world.talk is not None and any(m.alive_members() for m in world.talk.members)
     assert all(not made["rooms_lost"] for made in states(world))
@@ -128,7 +128,7 @@
 )
 
 
-class Hand:
+class ZoneHarness:
     """An engine with rooms, whose attempts are ended by the test."""
 
     def __init__(self) -> None:
@@ -197,8 +197,8 @@
         self.run(0)
 
 
-def test_a_verdict_is_logged_with_its_evidence_and_counted() -> None:
-    of = Hand()
+def test_a_transition_is_logged_with_its_evidence_and_counted() -> None:
+    of = ZoneHarness()
     of.lose()
     (event, pairs) = of.lines[0]
     assert (
@@ -209,8 +209,8 @@
     assert of.engine.counters["rooms_lost"] == 1
 
 
-def test_reads_that_are_out_in_a_lost_room_go_to_their_other_servers() -> None:
-    of = Hand()
+def test_reads_in_flight_in_a_down_zone_are_retried_elsewhere() -> None:
+    of = ZoneHarness()
     of.ask("r")
     of.ask("u", "upload")
     assert {a.endpoint[0] for a in of.out} == {"a"}
@@ -219,8 +219,8 @@
     assert [(a.request.request.key, a.endpoint[0]) for a in of.out] == [("u", "a"), ("r", "b")]
 
 
-def test_what_waits_for_a_lost_room_alone_is_refused_when_the_room_is() -> None:
-    of = Hand()
+def test_requests_waiting_for_a_down_zone_alone_are_rejected() -> None:
+    of = ZoneHarness()
     for k in range(200):
         of.ask(f"q{k}", shard=2)
     waiting = [name for name in (f"q{k}" for k in range(200)) if name not in of.answers]
@@ -236,8 +236,8 @@
     assert of.answers["later"].reason == "room a is lost"
 
 
-def test_an_evacuated_room_is_left_at_once_and_taken_again_when_cleared() -> None:
-    of = Hand()
+def test_an_evacuated_zone_is_left_at_once_and_used_again_when_cleared() -> None:
+    of = ZoneHarness()
     assert of.rooms.set_override("a", "evacuate") and not of.rooms.set_override("x", "evacuate")
     of.run(0)
     of.ask("r")
@@ -249,8 +249,8 @@
     assert of.out[-1].endpoint[0] == "a"
 
 
-def test_the_door_shows_states_evidence_and_spill() -> None:
-    of = Hand()
+def test_the_admin_api_shows_states_evidence_and_spillover() -> None:
+    of = ZoneHarness()
     of.lose()
     shown = of.rooms.status()
     assert shown["own"] == "a" and shown["rooms"]["a"]["state"] == "lost"
@@ -287,7 +287,7 @@
     assert with_retry_budget(own, 0.1) is own
 
 
-def test_a_front_without_rooms_loads_none_of_it() -> None:
+def test_a_front_without_zones_loads_none_of_it() -> None:
     import subprocess
     import sys
 
@@ -297,7 +297,7 @@
     assert got.stdout == "[]\n"
 
 
-def test_the_doors_calls_reach_rooms(tmp_path: Path) -> None:
+def test_admin_api_calls_reach_zones(tmp_path: Path) -> None:
     """Over a whole front: the state, an evacuation, and what is no room."""
     import asyncio
 
