--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -62,7 +62,9 @@
 def test_no_imports_go_in_a_circle() -> None:
     graph = needs(ROOT, "umberlead")
     assert len(graph) > 80 and sum(map(len, graph.values())) > 250  # it read them
-    assert "umberlead.membership.integration" in graph["umberlead.daemon.endpoint_list_sync"]  # within a function
+    assert (
+        "umberlead.membership.integration" in graph["umberlead.daemon.endpoint_list_sync"]
+    )  # within a function
     assert "umberlead.net.endpoint_pool" in graph["umberlead.membership.integration"]  # for types alone
     assert circles(graph) == []
 
--- a/tests/test_lists_files.py
+++ b/tests/test_lists_files.py
@@ -82,7 +82,7 @@
     assert str(problem).startswith(f"f:3:{column}: L101: ")
 
 
-def test_all_errors_of_a_file_are_told() -> None:
+def test_all_errors_of_a_file_are_reported() -> None:
     problems = parse_file(whole("serve a", ONE, "server b"), "f").problems
     assert [p.position.line for p in problems] == [3, 5]
 
@@ -102,7 +102,7 @@
 
 @settings(deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(SERVERS, st.none() | COMMENTS) | COMMENTS | st.just(""), max_size=12))
-def test_laying_out_keeps_the_meaning_and_comments_and_ends(
+def test_formatting_keeps_the_meaning_and_comments_and_is_idempotent(
     rows: list[tuple[EndpointSpec, str | None] | str],
 ) -> None:
     lines, count = ["format 1"], 1
@@ -125,7 +125,7 @@
         assert comment.strip("# ").strip() in after
 
 
-def test_no_part_of_a_file_passes_for_the_whole(tmp_path: Path) -> None:
+def test_no_part_of_a_file_passes_for_all_of_it(tmp_path: Path) -> None:
     """Cut at every byte: half written, it is never taken and never more than a complaint."""
     rows = [f"server n{k} address 127.0.0.1:{8000 + k} shard {k}  # room {k}" for k in range(12)]
     content = whole(*rows).encode()
@@ -139,7 +139,7 @@
     assert loader.load(None).check_result.checked_list is not None
 
 
-def test_noise_is_a_complaint_and_never_a_crash(tmp_path: Path) -> None:
+def test_random_text_is_a_problem_and_never_a_crash(tmp_path: Path) -> None:
     chance = random.Random(3)
     content = whole(ONE, "network 127.0.0.0/8", "host a.example.org", "include x.list").encode()
     for _ in range(300):
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize("code", CASES)
-def test_each_check_finds_its_fault_and_no_other_list_does(code: str, tmp_path: Path) -> None:
+def test_each_check_finds_its_problem_and_no_other_list_does(code: str, tmp_path: Path) -> None:
     main, others = CASES[code]
     before = CheckedList(4, "f" * 64, {})
     shards = 2 if code == "L206" else 0
@@ -222,7 +222,7 @@
     resolver.close()
 
 
-def test_a_set_of_several_files_is_whole_by_its_manifest(tmp_path: Path) -> None:
+def test_a_set_of_several_files_is_complete_by_its_manifest(tmp_path: Path) -> None:
     (tmp_path / "d").mkdir()
     (tmp_path / "d" / "a.list").write_text(text(ONE))
     (tmp_path / "d" / ".hidden.list").write_text("no list")
@@ -248,7 +248,7 @@
     assert codes(load(tmp_path, main=whole(ONE, "include d/*.list"))) == ["L404"]
 
 
-def test_what_is_no_file_or_no_text_is_told_and_not_waited_for(tmp_path: Path) -> None:
+def test_what_is_no_file_or_no_text_is_reported_and_not_waited_for(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "main.list")
     assert codes(load(tmp_path)) == ["L401"]
     (tmp_path / "main.list").unlink()
@@ -258,7 +258,9 @@
     assert codes(got)[0] == "L401" and got.check_result.problems[0].position.line == 2
 
 
-def test_too_much_is_refused_before_it_is_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_too_large_a_set_is_rejected_before_it_is_read(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(files, "MAX_SET_BYTES", 100)
     assert "L402" in codes(load(tmp_path, main=whole(ONE + "  # " + "x" * 100)))
     monkeypatch.setattr(files, "MAX_SET_BYTES", 1 << 20)
@@ -295,7 +297,7 @@
     assert new is not None and all(old.endpoints[n] is s for n, s in new.endpoints.items())
 
 
-def test_a_snapshot_comes_back_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_a_snapshot_is_read_complete_or_not_at_all(tmp_path: Path) -> None:
     server = EndpointSpec("n", ("::1", 80), 3, EndpointStatus.DRAINING, "room-a", 0.5, 4.0)
     made = CheckedList(7, "ab" * 32, {"n": server}, ("main.list",))
     data = snapshot.encode_snapshot(made, 123)
@@ -328,7 +330,7 @@
     raise OSError(28, "No space left on device")
 
 
-def test_checks_alone_take_what_loading_found_sound() -> None:
+def test_checks_alone_accept_what_loading_accepted() -> None:
     """The check of a version against the list in force, at its edges."""
     sheet = parse_file(whole(ONE, version=4), "f")
     for before, want in (
--- a/tests/test_lists_front.py
+++ b/tests/test_lists_front.py
@@ -150,7 +150,7 @@
         await asyncio.sleep(0.002)
 
 
-def test_what_is_out_at_a_server_that_leaves_ends_there_and_its_connection_after(tmp_path: Path) -> None:
+def test_requests_in_flight_at_a_removed_endpoint_end_there_and_its_connection_after(tmp_path: Path) -> None:
     """An upload that the server works on: taken away under it, it is answered by it, and sent once."""
 
     async def test() -> None:
@@ -174,7 +174,7 @@
     play(test)
 
 
-def test_idle_connections_to_a_server_that_leaves_are_closed_and_waiting_work_goes_elsewhere(
+def test_idle_connections_to_a_removed_endpoint_are_closed_and_queued_requests_go_elsewhere(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -193,7 +193,9 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGSTOP])
-def test_signals_that_cross_a_swap_cost_no_request_its_answer(tmp_path: Path, number: signal.Signals) -> None:
+def test_signals_during_a_list_change_cost_no_request_its_response(
+    tmp_path: Path, number: signal.Signals
+) -> None:
     """A swap right before and after the signal; stopped for a second, the front finds the newest list."""
 
     async def test() -> None:
@@ -235,7 +237,7 @@
     play(test)
 
 
-def test_a_hand_over_between_two_processes_that_crosses_swaps_loses_nothing(tmp_path: Path) -> None:
+def test_a_handover_between_two_processes_during_list_changes_loses_nothing(tmp_path: Path) -> None:
     """A new process stands beside the old one while lists are swapped under both; the old one is told to go
     in between. Each request has its answer, no upload runs twice, and who left the list gets nothing from
     either process later than a second after."""
@@ -283,7 +285,7 @@
     play(test)
 
 
-def test_without_a_sound_list_the_start_fails_and_names_the_place(tmp_path: Path) -> None:
+def test_without_a_valid_list_the_start_fails_and_names_the_position(tmp_path: Path) -> None:
     (tmp_path / "main.list").write_text("format 1\nversion 1\nserver a address 127.0.0.1:1 shrad 0\nend 3\n")
     text = 'name = "f"\nlisten = "127.0.0.1:0"\n[membership]\nlist = "main.list"\n'
     (tmp_path / "front.toml").write_text(text + SETTINGS)
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -97,7 +97,7 @@
 )
 
 
-def test_a_list_is_held_until_just_that_one_is_confirmed() -> None:
+def test_a_list_is_pending_until_just_that_one_is_confirmed() -> None:
     m = Membership(MembershipSettings())
     m.apply_files(1, listing("11111111", A, B, C))
     small = listing("22222222", A)
@@ -114,7 +114,7 @@
     assert {x.id for x in m.confirm(6, small.digest[:8]).removed} == {"b", "c"}
 
 
-def test_a_name_with_a_new_address_is_another_server_also_after_it_left() -> None:
+def test_a_name_with_a_new_address_is_another_endpoint_also_after_its_removal() -> None:
     m = Membership(MembershipSettings(1.0, 60 * SECOND))
     m.apply_files(1, listing("11111111", A, B))
     first = m.active_endpoints["a"].id
@@ -125,7 +125,7 @@
     assert first == "a" and len(ids) == 3 and [x.id for x in back.removed] == [moved.id]
 
 
-def test_a_delta_against_another_list_is_not_believed() -> None:
+def test_a_delta_against_another_list_is_not_used() -> None:
     """While a list was loaded, a confirmation put another one in force."""
     m = Membership(MembershipSettings(1.0))
     m.apply_files(1, listing("11111111", A, B))
@@ -134,7 +134,7 @@
     assert [x.id for x in change.removed] == ["b"]
 
 
-def test_damping_holds_a_flapping_server_and_lets_it_in_again() -> None:
+def test_damping_suppresses_a_flapping_endpoint_and_releases_it() -> None:
     rules = FlapDampingSettings()
     flaps, now = FlapDamper(rules), 0
     held = [flaps.record_return("a", now := now + SECOND) for _ in range(4)]
@@ -150,8 +150,8 @@
     )  # what has faded is forgotten
 
 
-def test_who_is_held_depends_on_who_else_there_is() -> None:
-    """Held for flapping, a server is let in as soon as nobody else would take its shard's work."""
+def test_suppression_depends_on_the_other_endpoints_of_the_shard() -> None:
+    """A suppressed endpoint is released as soon as no other endpoint would take its shard's requests."""
     m = Membership(
         MembershipSettings(1.0, 60 * SECOND, FlapDampingSettings(30 * SECOND, 1500.0, 1000.0, 4000.0))
     )
@@ -168,7 +168,7 @@
     assert [x.suppressed for _, x in m.apply_discovery(now, False, [B]).changed] == [True]
 
 
-def test_names_that_left_are_forgotten() -> None:
+def test_removed_names_are_forgotten() -> None:
     """Of ever new servers the tables would grow for ever, ready or draining as they left."""
     m, now = Membership(MembershipSettings()), 0
     for k in range(50):
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize("rules", [(0, 3, 1, 8), (1, 1, 1, 8), (1, 3, 0, 8), (1, 9, 1, 8)])
-def test_damping_that_makes_no_sense_is_refused(rules: tuple[int, float, float, float]) -> None:
+def test_invalid_damping_settings_are_rejected(rules: tuple[int, float, float, float]) -> None:
     with pytest.raises(ValueError):
         FlapDampingSettings(*rules)
 
@@ -205,7 +205,7 @@
     return Endpoint(name, EndpointStatus.UP, shard, 0, weight, units)
 
 
-def test_weights_part_new_objects_and_leave_reads_alone() -> None:
+def test_weights_divide_new_objects_and_leave_reads_alone() -> None:
     h = head(T0, _weighted("n0", 0, 3.0), _weighted("n1", 1, 1.0), _weighted("n2", 2, 0.0))
     sent = []
     for k in range(40):
@@ -225,7 +225,7 @@
     assert sorted(a.endpoint for a in acts if isinstance(a, Send)) == ["n0", "n1", "n1", "n1"]
 
 
-def test_a_servers_own_limit_lowers_its_bound_at_once() -> None:
+def test_an_endpoints_listed_limit_lowers_its_concurrency_limit_at_once() -> None:
     h = head(T0, _weighted("n0", 0, None))
     assert len(sends(feed(h, T0, *[ask(f"a{k}") for k in range(3)]))) == 3
     feed(h, T0 + 1, nodes(_weighted("n0", 0, None, units=4.0), whole=False))
--- a/tests/test_lists_watch.py
+++ b/tests/test_lists_watch.py
@@ -157,7 +157,7 @@
     play(test)
 
 
-def test_two_contents_with_one_signature_are_told_apart(tmp_path: Path) -> None:
+def test_two_contents_with_one_signature_are_distinguished(tmp_path: Path) -> None:
     """Same size, inode and time: a young file is read again although nothing shows that it changed."""
 
     async def test() -> None:
@@ -174,7 +174,7 @@
     play(test)
 
 
-def test_a_broken_file_leaves_the_list_and_is_told_once(tmp_path: Path) -> None:
+def test_a_broken_file_leaves_the_list_in_force_and_is_logged_once(tmp_path: Path) -> None:
     async def test() -> None:
         bench = Bench(tmp_path)
         bench.main.write_text(sheet(1, "a"))
@@ -199,7 +199,7 @@
     play(test)
 
 
-def test_hundreds_of_swaps_never_show_a_list_that_was_not_whole(tmp_path: Path) -> None:
+def test_hundreds_of_changes_never_show_an_incomplete_list(tmp_path: Path) -> None:
     """Each sound list has one even or one odd server and its version; a third of the files is broken."""
 
     async def test() -> None:
@@ -229,7 +229,7 @@
     play(test)
 
 
-def test_a_front_starts_from_the_last_good_list_and_says_so(tmp_path: Path) -> None:
+def test_a_front_starts_from_the_last_good_list_and_logs_it(tmp_path: Path) -> None:
     async def test() -> None:
         first = Bench(tmp_path)
         first.main.write_text(sheet(3, "a", "b"))
@@ -274,7 +274,7 @@
     play(test)
 
 
-def test_a_full_disk_is_told_and_the_old_snapshot_stays(
+def test_a_full_disk_is_logged_and_the_old_snapshot_stays(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -324,7 +324,7 @@
     play(test)
 
 
-def test_a_list_that_is_held_waits_for_the_operator(tmp_path: Path) -> None:
+def test_a_pending_list_waits_for_the_operator(tmp_path: Path) -> None:
     async def test() -> None:
         bench = Bench(tmp_path)
         bench.main.write_text(sheet(1, *"abcdef"))
@@ -343,7 +343,7 @@
     play(test)
 
 
-def test_twenty_thousand_servers_do_not_hold_the_loop(tmp_path: Path) -> None:
+def test_twenty_thousand_endpoints_do_not_block_the_event_loop(tmp_path: Path) -> None:
     """The loop's longest stop while a list of that length is loaded anew; the bound is generous here, since
     other processes share this machine: `make bench-lists` measures it alone."""
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -552,7 +552,9 @@
 
     async def test() -> None:
         exchange = Exchange("discovery\nnode n0 0\n")
-        exchange.patches.enter_context(mock.patch("umberlead.daemon.process.FIRST_LIST_TIMEOUT_US", 60_000_000))
+        exchange.patches.enter_context(
+            mock.patch("umberlead.daemon.process.FIRST_LIST_TIMEOUT_US", 60_000_000)
+        )
         try:
             for words, lines in exchange.steps:
                 await exchange._step(words, lines)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -410,7 +410,7 @@
     return ends and all(seen[effect, 1] > 200 and seen[effect, 2] > 50 for effect in Repeatability)
 
 
-def test_whatever_a_customer_may_be_told_is_taken_and_served_under() -> None:
+def test_any_valid_configuration_is_accepted_and_served() -> None:
     """Drawn in rounds of fixed seeds until all ends are covered: what one round covers varies with the
     constants that hypothesis finds in the loaded modules."""
     seen: Counts[Any] = Counts()
@@ -552,7 +552,7 @@
 }
 
 
-def test_what_is_wrong_is_named_and_a_reload_of_it_changes_nothing(tmp_path: Path) -> None:
+def test_an_invalid_key_is_named_and_its_reload_changes_nothing(tmp_path: Path) -> None:
     path, loop, count, missed = tmp_path / "c.json", asyncio.new_event_loop(), 0, []
     with mock.patch.dict(os.environ, {"EDGE_CONFIG": str(path)}, clear=True):
         path.write_text(json.dumps(whole()))
@@ -608,7 +608,7 @@
     assert memories == [0, 0, 5_000_000]
 
 
-def test_a_server_that_starts_in_a_moment_is_no_fault_where_no_warm_up_is_told() -> None:
+def test_an_endpoint_that_starts_in_the_future_is_no_error_without_warm_up() -> None:
     """Clocks differ: its start may lie ahead. It was divided by the time of the warm-up."""
     conf = whole()
     conf["settings"]["guarantees"]["warmUp"] = 0
