--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -272,7 +272,7 @@
     async with servers.listen() as (node, discovery):
         with running_process(folder, configured, sockets, node, discovery) as front:
             limits_logged = await front.until("limits")
-            clients, door = front.address("listening"), front.address("door")
+            clients, door = front.address("listening"), front.address("admin_api_listening")
             # All connections to endpoints but one are in use, as far as clients have connections for that.
             number = min(int(limits_logged["nodes"]), int(limits_logged["clients"])) - 1
             calls = [asyncio.create_task(call(clients, *read_request(f"hold{n}"))) for n in range(number)]
@@ -331,7 +331,7 @@
         async with servers.listen() as (node, _):
             with running_process(tmp_path / "a", 64, 64, node) as front:
                 await front.until("limits")
-                clients, door = front.address("listening"), front.address("door")
+                clients, door = front.address("listening"), front.address("admin_api_listening")
                 idle = [_asks(clients, CLIENT_BYTES["kept"]) for _ in range(5)]
                 await front.count("clients_accepted", 5)
                 await call_served(door, "PUT /control/chunk-servers/n0/offline")
@@ -351,8 +351,8 @@
                 ]  # each has what another let go
                 await front.count("clients_accepted", got["clients_accepted"] + 4)
                 await front.reload()
-                marks = [(row["node"], row["state"]) for row in front.logged("by_hand")]
-                assert marks == [("n0", "offline"), ("n1", "offline")] and not front.logged("reload_refused")
+                marks = [(row["node"], row["state"]) for row in front.logged("endpoint_drain_changed")]
+                assert marks == [("n0", "offline"), ("n1", "offline")] and not front.logged("reload_rejected")
                 for sock in idle:
                     sock.close()
 
--- a/tests/test_zones_front.py
+++ b/tests/test_zones_front.py
@@ -314,7 +314,7 @@
             )
             w.reader = asyncio.create_task(w._read(w.process.stderr))
             count = len(w.lines)
-            line = await w.said("door", count)
+            line = await w.said("admin_api_listening", count)
             port = line.split('address="127.0.0.1:')[1].split('"')[0]
 
             def call(method: str, path: str) -> tuple[int, str]:
--- a/umberlead/daemon/assembly.py
+++ b/umberlead/daemon/assembly.py
@@ -86,7 +86,7 @@
         self.process_count = 1
         self.start_times = self._new_start_times()
         if self.shared_state.error:
-            self.log.warning("nothing_shared", why=self.shared_state.error)
+            self.log.warning("state_folder_unusable", why=self.shared_state.error)
         self.discovery_watch: DiscoveryWatch | None = None
         self.watched_lists: WatchedListService | None = None
         self.gossip: GossipService | None = None
--- a/umberlead/daemon/frontends.py
+++ b/umberlead/daemon/frontends.py
@@ -120,4 +120,4 @@
         clients = self._new_unlimited_group()
         listener = Listener(admin_api, clients, address, components.loop)
         components.admin_listeners.append((listener, clients))
-        components.log.info("door", address=":".join(map(str, listener.address)))
+        components.log.info("admin_api_listening", address=":".join(map(str, listener.address)))
--- a/umberlead/daemon/process.py
+++ b/umberlead/daemon/process.py
@@ -156,7 +156,7 @@
             )
         except GossipKeysError as error:
             raise configuration.ConfigError("rooms.peers.keys", str(error)) from None
-        self.log.info("peers", address=self.gossip.address)
+        self.log.info("gossip_started", address=self.gossip.address)
 
     async def _wait_for_first_list(self) -> None:
         """Wait for the list of a discovery agent: what that knows applies from a process's first moment."""
@@ -202,7 +202,7 @@
                 new_config = configuration.load()
         except configuration.ConfigError as error:
             self.counters.add("reloads_refused")
-            self.log.error("reload_refused", key=error.key, why=str(error))
+            self.log.error("reload_rejected", key=error.key, why=str(error))
             return
         applied, at_next_start = configuration.changed_fields(self.config, new_config)
         self.config = replace(self.config, **{name: getattr(new_config, name) for name in applied})
--- a/umberlead/daemon/shared_state_sync.py
+++ b/umberlead/daemon/shared_state_sync.py
@@ -41,7 +41,9 @@
         undrained = [name for name in self.manual_drains if name not in manual_drains]
         for name in drained + undrained:
             is_drained = name in manual_drains
-            components.log.warning("by_hand", node=name, state="offline" if is_drained else "online")
+            components.log.warning(
+                "endpoint_drain_changed", node=name, state="offline" if is_drained else "online"
+            )
             drained_us = components.start_times.to_local_clock(
                 f"out {name}", manual_drains.get(name, 0), components.clock()
             )
--- a/umberlead/zones/integration.py
+++ b/umberlead/zones/integration.py
@@ -209,7 +209,7 @@
         if changed:
             if override == EVACUATE:
                 self._zones_just_down.add(zone)
-            self.log("room_by_hand", room=zone, word=override or "clear")
+            self.log("zone_override_set", room=zone, word=override or "clear")
             self._notify_scheduler()
         return changed
 
