--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -193,7 +193,8 @@
         while len(found) < 2:
             line = (await asyncio.wait_for(self.process.stderr.readline(), 20)).decode()
             assert line, "the front did not start"
-            for word, port in re.findall(r' (listening|admin_api_listening) .*address="127.0.0.1:(\d+)"', line):
+            pattern = r' (listening|admin_api_listening) .*address="127.0.0.1:(\d+)"'
+            for word, port in re.findall(pattern, line):
                 found[word] = int(port)
         self.port, self.door = found["listening"], found["admin_api_listening"]
         self.drain = asyncio.create_task(self.process.stderr.read())
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -161,7 +161,7 @@
         """A front's log line: where it listens, and what it did not expect."""
         self.lines.append(text.strip())
         del self.lines[:-200]
-        found = re.search(r" (listening|door) .*address=\"127.0.0.1:(\d+)\"", text)
+        found = re.search(r" (listening|admin_api_listening) .*address=\"127.0.0.1:(\d+)\"", text)
         name = re.search(r'front="f([0-9]+)"', text)
         if found is not None and name is not None:
             front = self.fronts[int(name[1])]
