--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -143,7 +143,7 @@
         self.asked: list[list[str]] = []
 
     def start(self, attempt: Attempt) -> None:
-        out: OutgoingRequest = attempt.request.request.payload
+        out: OutgoingRequest = attempt.request.incoming.payload
         block = out.target.partition(b"block=")[2]
         body = bytes(out.body)
         told = body.decode() if body.startswith(b"{") else hashlib.sha256(body).hexdigest()
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -207,7 +207,10 @@
                 if isinstance(act, Send):
                     ticket = front.lifecycle.open_requests.find(act.request_id)
                     assert ticket is not None
-                    seen += ticket.request.call_id[:1] in (b"", name.encode())  # an object's blocks have none
+                    seen += ticket.incoming.call_id[:1] in (
+                        b"",
+                        name.encode(),
+                    )  # an object's blocks have none
                     if seen == number and name in self.plain:
                         self._leave(name, way)
             return acts
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -120,7 +120,7 @@
         started_us=dials.now,
         deadline_us=9_000_000,
         transport_state=None,
-        request=SimpleNamespace(request=ask, answered=False),
+        request=SimpleNamespace(incoming=ask, answered=False),
     )
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -134,7 +134,7 @@
             transport.is_closing.return_value = False
             conn = EndpointConnection(pool, ("h", 1))
             conn.attempt = mock.Mock(deadline_us=0, started_us=0)
-            conn.attempt.request.request.payload = OutgoingRequest(b"PUT", b"/x", [], b"body")
+            conn.attempt.request.incoming.payload = OutgoingRequest(b"PUT", b"/x", [], b"body")
             transport.writelines.side_effect = lambda _, c=conn, s=steps: s and c.pause_writing()
             conn.connection_made(transport)
             if "resume" in steps:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -89,7 +89,7 @@
         self.checker.record_endpoint_list(EndpointList(True, (up("n0"), up("n1"))))
 
     def written(self, of: InFlightRequest, node: str = "n0", budget: int = SECOND) -> Attempt:
-        attempt = Attempt(of, of.attempt_count, node, self.clock.now, of.request.deadline_us)
+        attempt = Attempt(of, of.attempt_count, node, self.clock.now, of.incoming.deadline_us)
         self.checker.written(attempt, budget)
         return attempt
 
@@ -158,7 +158,7 @@
         self.written(request(), budget=0)
         assert self.broken() == set()
         late = request(id="0.2")
-        late.request.deadline_us = T0 + 9 * SECOND
+        late.incoming.deadline_us = T0 + 9 * SECOND
         self.clock.now = T0 + 1_000_001
         for node in ("n0", "n1"):
             self.checker.record_outcome(self.written(late, node), AttemptResult.REJECTED)
--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -127,14 +127,14 @@
 
 
 def _renamed(front: Rogue, attempt: Attempt) -> None:
-    of, block = attempt.request.request.payload
-    attempt.request.request.payload = (virtual.Try(of.of, 99, of.at, of.until), block)
+    of, block = attempt.request.incoming.payload
+    attempt.request.incoming.payload = (virtual.Try(of.of, 99, of.at, of.until), block)
     Front.start(front, attempt)
 
 
 def _other_block(front: Rogue, attempt: Attempt) -> None:
-    of, _ = attempt.request.request.payload
-    attempt.request.request.payload = (of, "0" * 16)
+    of, _ = attempt.request.incoming.payload
+    attempt.request.incoming.payload = (of, "0" * 16)
     Front.start(front, attempt)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -261,11 +261,14 @@
 
     def start(self, attempt: Attempt) -> None:
         ticket, now, s = attempt.request, self.loop.now, self.s
-        cls, node = self.engine.classes[ticket.request.class_name], self.nodes[attempt.endpoint]
-        tries = self.tries[ticket.request.call_id]
-        assert not ticket.answered and now < ticket.request.deadline_us, "after its answer or its time"
+        cls, node = self.engine.classes[ticket.incoming.class_name], self.nodes[attempt.endpoint]
+        tries = self.tries[ticket.incoming.call_id]
+        assert not ticket.answered and now < ticket.incoming.deadline_us, "after its answer or its time"
         assert len(tries) < s.max_attempts and all(end for *_, end in tries), "too many, or two at once"
-        assert node.status is EndpointStatus.UP and ticket.request.shard in (-1, node.shard), "no node for it"
+        assert node.status is EndpointStatus.UP and ticket.incoming.shard in (
+            -1,
+            node.shard,
+        ), "no node for it"
         ran = [(at, n) for at, n, end in tries if end[0] not in RESULTS_WITHOUT_EFFECT]
         if ran:
             at, first = ran[0]
@@ -285,14 +288,14 @@
             assert (
                 not s.retry_budget_window_us or sum(at > since for at in self.resent) <= most
             ), "over the budget"
-        elif (plan := next(p for p in s.plans if p.name == ticket.request.plan)).limit_units_per_second:
-            have, at = self.spent.get(ticket.request.volume, (plan.limit_burst_units, self.start_at))
+        elif (plan := next(p for p in s.plans if p.name == ticket.incoming.plan)).limit_units_per_second:
+            have, at = self.spent.get(ticket.incoming.volume, (plan.limit_burst_units, self.start_at))
             have = (
                 min(have + plan.limit_units_per_second * (now - at) / SECOND, plan.limit_burst_units)
-                - ticket.request.units
+                - ticket.incoming.units
             )
             assert have >= -plan.limit_slack_units - 1e-6, "over the limit"
-            self.spent[ticket.request.volume] = have, now
+            self.spent[ticket.incoming.volume] = have, now
         row: tuple[int, Endpoint, list[AttemptResult]] = (now, node, [])
         tries.append(row)
         attempt.transport_state = (now + self.chance.choice((0, 0, 5000, 300_000)), row)
@@ -304,7 +307,7 @@
     def _end(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.request.attempt is attempt:
             attempt.transport_state[1][2].append(result)
-            ask = attempt.request.request
+            ask = attempt.request.incoming
             if (
                 result is AttemptResult.NOT_SENT and not attempt.number and ask.volume in self.spent
             ):  # it never came there
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -53,7 +53,7 @@
         self.node = EndpointConnection(pool, ("127.0.0.1", 1))
         self.node.transport, self.node.written = self._transport(), True
         ask = mock.Mock(accepts_stream=True, payload=OutgoingRequest(b"GET", b"/a", []))
-        self.node.attempt = Attempt(mock.Mock(request=ask, answered=False), 0, "n0", T0, T0 + 10**6)
+        self.node.attempt = Attempt(mock.Mock(incoming=ask, answered=False), 0, "n0", T0, T0 + 10**6)
 
     def _transport(self) -> Any:
         made = mock.Mock()
--- a/tests/test_zones_front.py
+++ b/tests/test_zones_front.py
@@ -215,8 +215,8 @@
     of.ask("u", "upload")
     assert {a.endpoint[0] for a in of.out} == {"a"}
     of.lose()
-    assert [a.request.request.key for a in of.stopped] == ["r"]  # an upload may have run: it stays
-    assert [(a.request.request.key, a.endpoint[0]) for a in of.out] == [("u", "a"), ("r", "b")]
+    assert [a.request.incoming.key for a in of.stopped] == ["r"]  # an upload may have run: it stays
+    assert [(a.request.incoming.key, a.endpoint[0]) for a in of.out] == [("u", "a"), ("r", "b")]
 
 
 def test_requests_waiting_for_a_down_zone_alone_are_rejected() -> None:
@@ -224,7 +224,7 @@
     for k in range(200):
         of.ask(f"q{k}", shard=2)
     waiting = [name for name in (f"q{k}" for k in range(200)) if name not in of.answers]
-    sent = {a.request.request.key for a in of.out}
+    sent = {a.request.incoming.key for a in of.out}
     assert len(sent) < len(waiting)
     of.lose()
     refused = {n for n in waiting if n in of.answers}
--- a/umberlead/emulator/virtual.py
+++ b/umberlead/emulator/virtual.py
@@ -164,7 +164,7 @@
         if out.written:
             out.left = True  # the server sees the end behind the request, which may still be under way
             if out.arrived:
-                self.world.stage.left(self.world.now, out.node, attempt.request.request.payload[0].id)
+                self.world.stage.left(self.world.now, out.node, attempt.request.incoming.payload[0].id)
         result = why if out.written or why is AttemptResult.NOT_SENT else AttemptResult.CONNECT_FAILED
         self.world.loop.soon(lambda: self.engine.attempt_ended(attempt, result))
 
@@ -348,7 +348,7 @@
 
     def arrived(self, front: Front, out: _Out, way: int) -> None:
         """A request's last byte is at the server, whoever still waits for it."""
-        ask = out.attempt.request.request
+        ask = out.attempt.request.incoming
         of, block = ask.payload
         node = out.node
         word, job = self.stage.came(
--- a/umberlead/net/endpoint_connection.py
+++ b/umberlead/net/endpoint_connection.py
@@ -124,7 +124,7 @@
         transport = self.transport
         assert attempt is not None and transport is not None
         self.has_carried_attempt = True
-        request: OutgoingRequest = attempt.request.request.payload
+        request: OutgoingRequest = attempt.request.incoming.payload
         self.written = False
         budget_us = attempt.deadline_us - self.pool.clock()
         self.pool.on_write(attempt, budget_us)
@@ -224,8 +224,8 @@
             response.last_received_us - response.first_received_us,
         ):
             request = self.attempt.request
-            served = response.status in request.request.payload.served_statuses
-            if request.request.accepts_stream and served and not request.answered:
+            served = response.status in request.incoming.payload.served_statuses
+            if request.incoming.accepts_stream and served and not request.answered:
                 return self._start_stream()
         over_memory = self.pool.buffered_bytes > self.pool.buffer_limit_bytes
         if response.body_bytes > self.pool.max_response_bytes or over_memory:
@@ -297,7 +297,7 @@
         reply = self._decode_response()
         assert attempt is not None
         result = result_of_response(
-            attempt.request.request.payload, self.response.status, self.response.headers
+            attempt.request.incoming.payload, self.response.status, self.response.headers
         )
         if result is AttemptResult.NOT_SENT:
             attempt.misdirected = True
--- a/umberlead/plugins.py
+++ b/umberlead/plugins.py
@@ -145,7 +145,7 @@
             }
             self._run_hook(plugin, ANSWER_HOOK, self._describe_request(request), answer_fields)
         if self.trace_log is not None:
-            incoming = request.request
+            incoming = request.incoming
             self.trace_log(
                 "request_answered",
                 request_id=request.id,
@@ -190,7 +190,7 @@
     @staticmethod
     def _describe_request(request: InFlightRequest) -> dict[str, Any]:
         """Return a request as scripts see it."""
-        incoming = request.request
+        incoming = request.incoming
         return {
             "id": request.id,
             "class": incoming.class_name,
--- a/umberlead/requests/invariants.py
+++ b/umberlead/requests/invariants.py
@@ -155,12 +155,12 @@
         left_for_us = now_us - request.client_left_us if request.client_left_us else 0
         is_in_grace = left_for_us <= CLIENT_LEFT_GRACE_US
         self.check(is_in_grace, Invariant.CLIENT_WAITS, late_us=left_for_us, **about)
-        self.check(now_us < request.request.deadline_us, Invariant.IN_TIME, **about)
-        over_us = budget_us - max(request.request.deadline_us - now_us, 0)
+        self.check(now_us < request.incoming.deadline_us, Invariant.IN_TIME, **about)
+        over_us = budget_us - max(request.incoming.deadline_us - now_us, 0)
         self.check(over_us <= TIME_BUDGET_SLACK_US, Invariant.TIME_BUDGET_SENT, over_us=over_us, **about)
         record.in_flight = attempt
         self._check_in_service(attempt.endpoint, now_us, about)
-        self._check_slow_start(attempt.endpoint, request.request.units, now_us, about)
+        self._check_slow_start(attempt.endpoint, request.incoming.units, now_us, about)
 
     def _check_repetition(self, attempt: Attempt, record: _RequestRecord, about: dict[str, str]) -> None:
         is_redialled = record.in_flight is attempt  # its connection broke before all of it was written
@@ -168,7 +168,7 @@
         record.written_count += not is_redialled
         is_bounded = record.written_count <= self._settings.max_attempts
         self.check(is_bounded, Invariant.ATTEMPTS_BOUNDED, **about)
-        repeatability = self._repeatability[attempt.request.request.class_name]
+        repeatability = self._repeatability[attempt.request.incoming.class_name]
         is_repeated = record.may_have_run and repeatability is Repeatability.AT_MOST_ONCE
         self.check(not is_repeated, Invariant.NEVER_TWICE, **about)
 
@@ -229,4 +229,4 @@
 
 def _names_of(request: InFlightRequest) -> dict[str, str]:
     """Return what a log line names a request by: its id here, and its client's own."""
-    return {"request": request.id, "call": request.request.call_id.decode("latin-1")}
+    return {"request": request.id, "call": request.incoming.call_id.decode("latin-1")}
--- a/umberlead/requests/lifecycle.py
+++ b/umberlead/requests/lifecycle.py
@@ -147,7 +147,7 @@
         reason = self.hooks.on_request(request) if self.hooks else None
         if self.stopping:
             reason = "the front stops"
-        if reason is None and request.request.deadline_us > self.clock():
+        if reason is None and request.incoming.deadline_us > self.clock():
             return None
         return reason if isinstance(reason, Rejection) else Rejection(reason or "no time left")
 
@@ -176,7 +176,7 @@
         """
         if request.answered or request.abandoned:
             return False
-        client_has_left = request.request.client_has_left
+        client_has_left = request.incoming.client_has_left
         if client_has_left is None or not client_has_left():
             return True
         if not request.abandoned:  # by its frontend, in that look
@@ -278,7 +278,7 @@
         return cancelled_count
 
     def _is_idempotent(self, request: InFlightRequest) -> bool:
-        repeatability = self.classes[request.request.class_name].repeatability
+        repeatability = self.classes[request.incoming.class_name].repeatability
         return repeatability is Repeatability.IDEMPOTENT
 
     def accepts_new_requests(self, endpoint: str) -> bool:
@@ -358,7 +358,7 @@
             return
         is_last = request.attempt_count >= self.settings.max_attempts
         must_not_repeat = is_last or not self._is_idempotent(request)
-        attempt = Attempt(request, number, endpoint, now_us, request.request.deadline_us, must_not_repeat)
+        attempt = Attempt(request, number, endpoint, now_us, request.incoming.deadline_us, must_not_repeat)
         request.attempt = attempt
         self.counters.add("attempts_sent")
         if number and request.last_result is not None:
@@ -373,7 +373,7 @@
     @staticmethod
     def _log_fields(request: InFlightRequest) -> dict[str, str]:
         """Return what a log line names a request by: its id here, and its client's own."""
-        return {"request": request.id, "call": request.request.call_id.decode("latin-1")}
+        return {"request": request.id, "call": request.incoming.call_id.decode("latin-1")}
 
     # Ends
 
@@ -407,7 +407,7 @@
         self.invariants.record_answer(request)
         request.answered = True
         if answer.reply is None or answer.reply.stream is None:
-            self._count(answer.kind, request.request.class_name)
+            self._count(answer.kind, request.incoming.class_name)
         self.counters.add(f"requests_{answer.kind.value}")
         if self.hooks:
             self.hooks.on_answer(request, answer)
--- a/umberlead/requests/open_requests.py
+++ b/umberlead/requests/open_requests.py
@@ -50,7 +50,7 @@
 
     def remove(self, request: InFlightRequest) -> None:
         """Close a request."""
-        self._by_call_id.pop(request.request.call_id, None)
+        self._by_call_id.pop(request.incoming.call_id, None)
         self._slots.free(request.slot)
 
     def __len__(self) -> int:
--- a/umberlead/requests/send_guard.py
+++ b/umberlead/requests/send_guard.py
@@ -55,12 +55,12 @@
         """Tell whether running it again does no harm: nothing ran, or its class is safe to repeat."""
         return (
             not request.may_have_run
-            or self._classes[request.request.class_name].repeatability is Repeatability.IDEMPOTENT
+            or self._classes[request.incoming.class_name].repeatability is Repeatability.IDEMPOTENT
         )
 
     def may_begin(self, request: InFlightRequest) -> Denial | None:
         """Return why the next attempt of `request` may not begin now; None lets it."""
-        unsafe = self._classes[request.request.class_name].repeatability is Repeatability.AT_MOST_ONCE
+        unsafe = self._classes[request.incoming.class_name].repeatability is Repeatability.AT_MOST_ONCE
         if request.attempt is not None:
             return Denial.IN_FLIGHT
         if request.attempt_count >= self._max_attempts:
@@ -80,6 +80,6 @@
             return Denial.ANSWERED
         if request.abandoned:
             return Denial.CLIENT_LEFT
-        if self._clock() >= request.request.deadline_us:
+        if self._clock() >= request.incoming.deadline_us:
             return Denial.OUT_OF_TIME
         return None if self._client_waits(request) else Denial.CLIENT_LEFT
--- a/umberlead/requests/types.py
+++ b/umberlead/requests/types.py
@@ -138,7 +138,7 @@
         timer: its deadline's.
     """
 
-    request: IncomingRequest
+    incoming: IncomingRequest
     on_answer: Callable[[Answer], None]
     slot: int = -1
     id: str = ""
@@ -228,21 +228,23 @@
 class RequestHooks(Protocol):
     """Sees requests, outcomes and answers."""
 
-    def on_request(self, ticket: InFlightRequest) -> "str | Rejection | None":
+    def on_request(self, request: InFlightRequest) -> "str | Rejection | None":
         """Return a reason to reject it, or None."""
 
-    def on_outcome(self, ticket: InFlightRequest, node: str, result: AttemptResult, elapsed: int) -> None:
+    def on_outcome(
+        self, request: InFlightRequest, endpoint: str, result: AttemptResult, elapsed_us: int
+    ) -> None:
         """Take note of an attempt's end."""
 
-    def on_answer(self, ticket: InFlightRequest, answer: Answer) -> None:
+    def on_answer(self, request: InFlightRequest, answer: Answer) -> None:
         """Take note of the final answer."""
 
 
 class DecisionObserver(Protocol):
     """Sees more than hooks do, and may change what the scheduler is told of the endpoint list."""
 
-    def on_endpoint_list(self, news: EndpointList) -> EndpointList:
+    def on_endpoint_list(self, endpoint_list: EndpointList) -> EndpointList:
         """Return the list that the scheduler gets in its place."""
 
-    def on_attempt(self, ticket: InFlightRequest, node: str) -> None:
+    def on_attempt(self, request: InFlightRequest, endpoint: str) -> None:
         """Take note of an attempt that begins."""
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -190,9 +190,9 @@
         for act in acts:
             if isinstance(act, Send | Reject | Fail):
                 ticket = self.engine.open_requests.find(act.request_id)
-                if ticket is not None and isinstance(ticket.request.payload, Life):
-                    self._notes[ticket.request.payload.id] = self._saw(
-                        ticket.request.shard, ticket.request.units
+                if ticket is not None and isinstance(ticket.incoming.payload, Life):
+                    self._notes[ticket.incoming.payload.id] = self._saw(
+                        ticket.incoming.shard, ticket.incoming.units
                     )
 
     def _saw(self, shard: int, units: float) -> str:
@@ -223,7 +223,7 @@
     # The carrier
 
     def start(self, attempt: Attempt) -> None:
-        life: Life = attempt.request.request.payload
+        life: Life = attempt.request.incoming.payload
         name = self.names.get(attempt.endpoint, attempt.endpoint)
         note = self._notes.get(life.id, "")
         life.steps.append(Step(self.loop.now - START, "sent", name, str(attempt.number), note))
@@ -236,7 +236,7 @@
         if end is AttemptResult.TIMEOUT:
             return None  # silence: the engine stops it
         job = lambda: self.loop.at(  # noqa: E731
-            self.loop.now + int(UNIT * model.slow * attempt.request.request.units) + WIRE,
+            self.loop.now + int(UNIT * model.slow * attempt.request.incoming.units) + WIRE,
             lambda: self._worked(attempt, model, end),
         )
         if model.busy < CORES:
@@ -265,7 +265,7 @@
 
     def _end(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.request.attempt is attempt:
-            life: Life = attempt.request.request.payload
+            life: Life = attempt.request.incoming.payload
             name = self.names.get(attempt.endpoint, attempt.endpoint)
             word = "astray" if attempt.misdirected else result.value
             life.steps.append(Step(self.loop.now - START, "ended", name, word))
