--- a/umberlead/zones/integration.py
+++ b/umberlead/zones/integration.py
@@ -118,7 +118,7 @@
         if reason is not None:
             return reason
         counters = self.lifecycle.counters
-        decision = self.router.admit(self.clock(), in_flight.id, in_flight.request)
+        decision = self.router.admit(self.clock(), in_flight.id, in_flight.incoming)
         if isinstance(decision, ZoneRejection):
             counters.add("rooms_refused")
             return Rejection(decision.reason, decision.retry_after_us)
@@ -146,7 +146,7 @@
             request.id,
             request.accepted_us,
             answer.kind is AnswerKind.SERVED,
-            request.request.class_name,
+            request.incoming.class_name,
         )
 
     # Time and transitions
@@ -177,11 +177,12 @@
         unreachable_shards = {shard for shard in shards if router.is_shard_down(shard)}
 
         def is_unreachable(request: InFlightRequest) -> bool:
-            return request.request.shard in unreachable_shards
+            return request.incoming.shard in unreachable_shards
 
         def can_be_served_elsewhere(attempt: Attempt) -> bool:
             return (
-                attempt.endpoint in left_endpoints and attempt.request.request.shard not in unreachable_shards
+                attempt.endpoint in left_endpoints
+                and attempt.request.incoming.shard not in unreachable_shards
             )
 
         settings = router.zone_settings
