--- a/umberlead/requests/lifecycle.py
+++ b/umberlead/requests/lifecycle.py
@@ -241,43 +241,13 @@
         """Let so many requests be open; beyond that the lowest priority is rejected. 0: any number."""
         self._post(OpenRequestLimit(max_requests))
 
-    def reject_waiting(
-        self, condition: Callable[[InFlightRequest], bool], reason: str, retry_after_us: int
-    ) -> int:
-        """Reject what waits with no attempt in flight and may be repeated, now instead of at its objective.
-
-        Returns:
-            How many requests met the `condition` and were rejected.
-        """
-        rejected_count = 0
-        for request in list(self.open_requests):
-            if request.answered or request.attempt is not None or not self.guard.may_repeat(request):
-                continue
-            if not condition(request):
-                continue
-            rejected_count += 1
-            answer = Answer(AnswerKind.REJECTED, None, retry_after_us, request.may_have_run, reason)
-            self._answer(request, answer)
-            self._post(ClientDisconnected(request.id))
-        return rejected_count
-
-    def cancel_attempts(self, condition: Callable[[Attempt], bool]) -> int:
-        """Cancel attempts of idempotent requests: the scheduler may try elsewhere.
+    def reject(self, request: InFlightRequest, reason: str, retry_after_us: int) -> None:
+        """Reject an open request without an attempt in flight, now instead of at its objective."""
+        self._answer(request, Answer(AnswerKind.REJECTED, None, retry_after_us, request.may_have_run, reason))
+        self._post(ClientDisconnected(request.id))
 
-        Returns:
-            How many attempts met the `condition` and were cancelled.
-        """
-        cancelled_count = 0
-        for request in list(self.open_requests):
-            attempt = request.attempt
-            if attempt is None or attempt.transport_state is None or self.transport is None:
-                continue
-            if self._is_idempotent(request) and condition(attempt):
-                cancelled_count += 1
-                self.transport.stop(attempt, AttemptResult.CANCELLED)
-        return cancelled_count
-
-    def _is_idempotent(self, request: InFlightRequest) -> bool:
+    def is_idempotent(self, request: InFlightRequest) -> bool:
+        """Tell whether a request's class may be repeated whatever ran."""
         repeatability = self.classes[request.incoming.class_name].repeatability
         return repeatability is Repeatability.IDEMPOTENT
 
@@ -357,7 +327,7 @@
             self._post(Outcome(request.id, endpoint, number, AttemptResult.NOT_SENT, 0, request.answered))
             return
         is_last = request.attempt_count >= self.settings.max_attempts
-        must_not_repeat = is_last or not self._is_idempotent(request)
+        must_not_repeat = is_last or not self.is_idempotent(request)
         attempt = Attempt(request, number, endpoint, now_us, request.incoming.deadline_us, must_not_repeat)
         request.attempt = attempt
         self.counters.add("attempts_sent")
--- a/umberlead/zones/integration.py
+++ b/umberlead/zones/integration.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from umberlead import configuration
+from umberlead.requests.bulk import cancel_attempts, reject_waiting
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, AnswerKind, Attempt, InFlightRequest, Rejection, RequestHooks
 from umberlead.scheduling.events import AttemptResult, EndpointList
@@ -188,11 +189,11 @@
         settings = router.zone_settings
         retry_after_us = (settings.retry_after_us + settings.min_down_us) * self.rng.uniform(1.0, 2.0)
         counters = self.lifecycle.counters
-        rejected_count = self.lifecycle.reject_waiting(
-            is_unreachable, "its room is lost", int(retry_after_us)
+        rejected_count = reject_waiting(
+            self.lifecycle, is_unreachable, "its room is lost", int(retry_after_us)
         )
         counters.add("rooms_refused", rejected_count)
-        counters.add("rooms_withdrawn", self.lifecycle.cancel_attempts(can_be_served_elsewhere))
+        counters.add("rooms_withdrawn", cancel_attempts(self.lifecycle, can_be_served_elsewhere))
 
     def _on_transition(self, transition: ZoneTransition) -> None:
         state = transition.state
