--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -23,7 +23,7 @@
 from umberlead.membership.loading import ListLoader
 from umberlead.membership.name_resolution import NameResolver
 from umberlead.routing_tests.model import Collection, Happening, Load
-from umberlead.routing_tests.world import START, Modelled, World
+from umberlead.routing_tests.world import START, ServerModel, World
 from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
 ROOT = Path(__file__).parent.parent
@@ -139,7 +139,7 @@
     world = World(configuration.load_operator_file(str(folder / "front.toml")).settings, listing, script.seed)
     world._first = dict(listing.endpoints)
     for name in NAMES:
-        world.models[name] = Modelled(PACES[name[0]] / 0.020)
+        world.models[name] = ServerModel(PACES[name[0]] / 0.020)
     made = []
     for k, (cls, shard) in enumerate(script.requests):
         world.loop.run(START + int(times[k][0] * 1e6))
@@ -155,7 +155,8 @@
         made.append(world.take(Collection("c", "basic", (shard,)), "0a", load, shard, k, f"{k:016x}"))
     world.loop.run(world.loop.now + 5_000_000)
     return [
-        (tuple(s.server for s in of.sent()), of.answers()[0].word if of.answers() else "none") for of in made
+        (tuple(s.server for s in of.attempts()), of.answers()[0].result if of.answers() else "none")
+        for of in made
     ]
 
 
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -282,12 +282,12 @@
             return
         _, node, since = of.out.pop(request)
         r, came, _ = of.open[request]
-        final = result is AttemptResult.OK or self.now >= came + self.kinds[r.class_name].deadline
+        final = result is AttemptResult.OK or self.now >= came + self.kinds[r.class_name].timeout_us
         start = self.starts.get(r.shard)
         if (
             start is not None
             and result is AttemptResult.OK
-            and self.now - r.at <= self.kinds[r.class_name].aim
+            and self.now - r.at <= self.kinds[r.class_name].latency_objective_us
         ):
             start.in_time += r.work * (start.at <= self.now < start.at + self.settings.warm_up_us)
         if final:
@@ -300,7 +300,7 @@
         of.out.pop(request, None)
         kind = self.kinds[r.class_name]
         again = number == 0 and self.day.retries and (harmless or not r.write)
-        if again and self.now < r.at + kind.deadline:
+        if again and self.now < r.at + kind.timeout_us:
             self.at(self.now + self.day.retry_wait, self.ask, r, 1)
 
     def gone(self, of: Process, request: str) -> None:
@@ -313,7 +313,7 @@
     def ask(self, r: Request, number: int = 0) -> None:
         of, kind = self.fronts[r.front], self.kinds[r.class_name]
         shard = -1 if r.write else r.shard
-        name, until = f"q{next(self.number)}", r.at + kind.deadline
+        name, until = f"q{next(self.number)}", r.at + kind.timeout_us
         if until <= self.now:
             return
         if number == 0 and (start := self.starts.get(shard)) and self.now >= start.at:
--- a/benchmarks/room_loss.py
+++ b/benchmarks/room_loss.py
@@ -90,7 +90,7 @@
     served = {first[a.id]: a.at for a in of.answered if a.kind == "served" and a.id in first}
     tiers = Pricing(made).tiers()
     due = kept = 0.0
-    aims = {k.name: k.aim for k in made.day.kinds}
+    aims = {k.name: k.latency_objective_us for k in made.day.kinds}
     by: dict[tuple[str, int], list[Any]] = {}
     for r in made.day.requests:
         by.setdefault((r.volume, r.at // MICROSECONDS_PER_S), []).append(r)
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -13,8 +13,8 @@
 from umberlead.routing_tests import reach, running, suites
 from umberlead.routing_tests.grammar import expand_foreach
 from umberlead.routing_tests.language import parse
-from umberlead.routing_tests.model import Expectation, Life, Outcome, Selector, Step
-from umberlead.routing_tests.proportion import Judged, judge, needed
+from umberlead.routing_tests.model import Expectation, Outcome, RequestTrace, Selector, TraceStep
+from umberlead.routing_tests.proportion import Judged, judge, required_sample_count
 from umberlead.routing_tests.verdict import contradictions, judged, may_have_run, sent_again
 from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings
 
@@ -34,29 +34,38 @@
 )
 
 
-def steps(text: str) -> list[Step]:
+def steps(text: str) -> list[TraceStep]:
     """`a` sends to a, `+` and a word end the attempt, `=` and a word answer; a step each ms."""
-    made, last = [Step(0, "taken")], ""
+    made, last = [TraceStep(0, "taken")], ""
     for at, word in enumerate(text.split(), 1):
         kind = {"+": "ended", "=": "answered"}.get(word[0], "sent")
         last = word if kind == "sent" else last
         made.append(
-            Step(at * 1000, kind, last if kind != "answered" else "", word.lstrip("+=") * (kind != "sent"))
+            TraceStep(
+                at * 1000, kind, last if kind != "answered" else "", word.lstrip("+=") * (kind != "sent")
+            )
         )
     return made
 
 
-def life(text: str, cls: str = "read", **more: Any) -> Life:
-    base: dict[str, Any] = {"plan": "p", "collection": "c", "shard": 0, "units": 1.0, "new": False, "at": 0}
-    return Life(id="r", class_name=cls, steps=steps(text), **(base | more))
+def life(text: str, cls: str = "read", **more: Any) -> RequestTrace:
+    base: dict[str, Any] = {
+        "plan": "p",
+        "collection": "c",
+        "shard": 0,
+        "units": 1.0,
+        "new": False,
+        "arrived_us": 0,
+    }
+    return RequestTrace(id="r", class_name=cls, steps=steps(text), **(base | more))
 
 
 def test_the_example_suite_holds() -> None:
     """Over 300 expectations on the configuration that `make run` starts."""
     _, played = running.run(SUITE, None, None, workers=4)
     verdicts = [v for of in played for v in of.verdicts]
-    assert [v for v in verdicts if v.outcome is not Outcome.HELD] == []
-    assert len(verdicts) >= 300 and all(v.requests for v in verdicts)
+    assert [v for v in verdicts if v.outcome is not Outcome.PASSED] == []
+    assert len(verdicts) >= 300 and all(v.request_count for v in verdicts)
 
 
 @pytest.mark.parametrize(
@@ -126,7 +135,7 @@
 RULES: list[tuple[Expectation, str, str]] = [
     (Expectation("only", Selector(), ("a",)), "a +ok =served", "b +ok =served"),
     (Expectation("never", Selector(), ("b",)), "a +ok =served", "a +full b +ok =served"),
-    (Expectation("never", Selector(), ("b",), after=3000), "b +ok =served", "a +full b +ok =served"),
+    (Expectation("never", Selector(), ("b",), after_us=3000), "b +ok =served", "a +full b +ok =served"),
     (Expectation("attempts", Selector(), limit=1), "a +ok =served", "a +full a +ok =served"),
     (Expectation("once", Selector(class_name="once")), "a +full b +ok =served", "a +reset b +ok =served"),
     (Expectation("within", Selector(), limit=3000), "a +ok =served", "a +full b +ok =served"),
@@ -140,10 +149,10 @@
 
 @pytest.mark.parametrize(("of", "good", "bad"), RULES)
 def test_each_rule_holds_and_fails(of: Expectation, good: str, bad: str) -> None:
-    cls = of.of.class_name or "read"
-    assert judged(of, [life(good, cls)], SETTINGS, "s").outcome is Outcome.HELD
+    cls = of.selector.class_name or "read"
+    assert judged(of, [life(good, cls)], SETTINGS, "s").outcome is Outcome.PASSED
     wrong = judged(of, [life(good, cls), life(bad, cls)], SETTINGS, "s")
-    assert wrong.outcome is Outcome.FAILED and wrong.witness is not None and wrong.why
+    assert wrong.outcome is Outcome.FAILED and wrong.witness is not None and wrong.reason
     other = Expectation(of.rule, Selector(plan="q"), of.servers, of.limit)
     assert judged(other, [life(good, cls)], SETTINGS, "s").outcome is Outcome.ERROR  # nothing fits
 
@@ -151,16 +160,16 @@
 def test_a_sample_that_cant_tell_is_an_error_and_no_pass() -> None:
     assert judge(500, 1000, 0.5, 0.05).judged is Judged.INSIDE
     assert judge(600, 1000, 0.5, 0.05).judged is Judged.OUTSIDE
-    assert judge(5, 10, 0.5, 0.05).judged is Judged.UNTOLD
-    assert judge(0, 0, 0.5, 0.05).judged is Judged.UNTOLD
-    n = needed(0.5, 0.05)
+    assert judge(5, 10, 0.5, 0.05).judged is Judged.UNDECIDED
+    assert judge(0, 0, 0.5, 0.05).judged is Judged.UNDECIDED
+    n = required_sample_count(0.5, 0.05)
     assert judge(round(n / 2), n, 0.5, 0.05).judged is Judged.INSIDE
-    assert judge(round(n / 4), n // 2, 0.5, 0.05).judged is Judged.UNTOLD
+    assert judge(round(n / 4), n // 2, 0.5, 0.05).judged is Judged.UNDECIDED
     of = Expectation("share", Selector(), ("a",), 0.5, 0.05)
     lives = [life("a +ok =served"), life("b +ok =served")] * 5
     got = judged(of, lives, SETTINGS, "s")
-    assert got.outcome is Outcome.ERROR and f"about {n} requests" in got.why
-    assert judged(of, lives * 200, SETTINGS, "s").outcome is Outcome.HELD
+    assert got.outcome is Outcome.ERROR and f"about {n} requests" in got.reason
+    assert judged(of, lives * 200, SETTINGS, "s").outcome is Outcome.PASSED
     one_sided = judged(of, [life("a +ok =served")] * 500, SETTINGS, "s")
     assert one_sided.outcome is Outcome.FAILED and one_sided.witness is not None
 
@@ -169,7 +178,7 @@
     lives = [life("a +ok =served", collection="c")] * 500 + [life("b +ok =served", collection="d")] * 500
     whole = Expectation("share", Selector(), ("a",), 0.5, 0.05)
     each = [Expectation("share", Selector(collection=c), ("a",), 0.5, 0.05) for c in "cd"]
-    assert judged(whole, lives, SETTINGS, "s").outcome is Outcome.HELD
+    assert judged(whole, lives, SETTINGS, "s").outcome is Outcome.PASSED
     assert [judged(of, lives, SETTINGS, "s").outcome for of in each] == [Outcome.FAILED] * 2
 
 
@@ -190,29 +199,29 @@
 def test_reach_walks_every_sequence_and_finds_the_shortest_that_breaks() -> None:
     """A read may be sent three times whatever became of the others; an upload never after it may have run."""
     reads = list(reach.walk(reach.Shape("read", "p", 0), SETTINGS, LISTING))
-    ends = {tuple(s.word for s in of.steps if s.kind == "ended") for of in reads}
-    assert max(map(len, ends)) == 3 and {s.server for of in reads for s in of.sent()} == {"a", "c"}
+    ends = {tuple(s.result for s in of.steps if s.kind == "ended") for of in reads}
+    assert max(map(len, ends)) == 3 and {s.server for of in reads for s in of.attempts()} == {"a", "c"}
     again = ("error", "reset")  # after a refused link or a full queue a server rests past the aim
     pairs = {e[:2] for e in ends if len(e) == 3}
     assert pairs >= set(itertools.product(again, again))
     assert ("full", "full") not in pairs  # both servers rest: a third try would come too late
     writes = list(reach.walk(reach.Shape("once", "p", 0), SETTINGS, LISTING))
-    seconds = {of.steps[2].word for of in writes if len(of.sent()) > 1}
+    seconds = {of.steps[2].result for of in writes if len(of.attempts()) > 1}
     assert seconds <= {"full", "no_link", "astray"} and {"full", "no_link"} <= seconds
     of = Expectation("may-attempts", Selector(class_name="read", shard=0), limit=2)
     got = reach.proved(of, SETTINGS, LISTING, {}, "s", {})
-    assert got.outcome is Outcome.FAILED and "it can be sent 3 times" in got.why
-    assert got.witness is not None and len(got.witness.sent()) == 3
+    assert got.outcome is Outcome.FAILED and "it can be sent 3 times" in got.reason
+    assert got.witness is not None and len(got.witness.attempts()) == 3
     only = Expectation("may-only", Selector(shard=1), ("b", "d"))
-    assert reach.proved(only, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.HELD
+    assert reach.proved(only, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.PASSED
     none = Expectation("may-once", Selector(class_name="nobody"))
     assert reach.proved(none, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.ERROR
 
 
 def test_a_walk_without_end_is_cut_off_and_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reach, "BRANCHES_MOST", 20)
+    monkeypatch.setattr(reach, "MAX_BRANCH_COUNT", 20)
     got = reach.proved(Expectation("may-once", Selector()), SETTINGS, LISTING, {}, "s", {})
-    assert got.outcome is Outcome.ERROR and "more than 20 sequences" in got.why
+    assert got.outcome is Outcome.ERROR and "more than 20 sequences" in got.reason
 
 
 def write(folder: Path, *rows: str) -> Path:
@@ -263,9 +272,9 @@
     row = "at 500ms outcome reset part 40% node-a0 node-b0"
     ready = suites.load(write(tmp_path, LOAD, row, "expect answered-once"))
     scenario = ready.suite.scenarios[0]
-    tracks = [running._track(running.lives_of(ready, scenario)[0]) for _ in range(2)]
+    tracks = [running._track(running.trace_requests(ready, scenario)[0]) for _ in range(2)]
     scenario.seed = 2
-    assert tracks[0] == tracks[1] != running._track(running.lives_of(ready, scenario)[0])
+    assert tracks[0] == tracks[1] != running._track(running.trace_requests(ready, scenario)[0])
 
 
 def test_what_befalls_a_server_that_is_not_listed_then_is_an_error_of_the_suite(tmp_path: Path) -> None:
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -199,7 +199,7 @@
     made = Records()
     for r in of.day.requests:
         id_ = f"q{r.number}"
-        until = r.at + of.day.kind(r.class_name).deadline
+        until = r.at + of.day.kind(r.class_name).timeout_us
         made.asked.append(
             Asked(
                 r.at,
@@ -231,7 +231,9 @@
 
 
 def test_late_answers_earn_their_classes_late_worth(made: Plan) -> None:
-    got = Pricing(made).service(_perfect(made, lambda r: made.day.kind(r.class_name).aim + 1))
+    got = Pricing(made).service(
+        _perfect(made, lambda r: made.day.kind(r.class_name).latency_objective_us + 1)
+    )
     assert 0.18 < got.whole < 0.25
     assert got.counts["late"] == len(made.day.requests)
 
--- a/umberlead/commands/expect.py
+++ b/umberlead/commands/expect.py
@@ -101,7 +101,7 @@
 
 def _diff(files: tuple[Path, ...], listed: Path | None, as_json: bool) -> None:
     from umberlead.routing_tests.altered import differences
-    from umberlead.routing_tests.reach import TooMany
+    from umberlead.routing_tests.reach import TooManyBranchesError
     from umberlead.routing_tests.suites import Unreadable, side
 
     if len(files) != 2:
@@ -112,7 +112,7 @@
         return _unreadable(fault)
     try:
         found = differences(old[:2], new[:2])
-    except TooMany as fault:
+    except TooManyBranchesError as fault:
         click.echo(f"E115: {fault}", err=True)
         sys.exit(1)
     if as_json:
--- a/umberlead/emulator/client_connections.py
+++ b/umberlead/emulator/client_connections.py
@@ -7,7 +7,7 @@
 import httptools
 
 from umberlead.load_generator.clients import Try
-from umberlead.load_generator.day import SECOND
+from umberlead.load_generator.day import SECOND_US
 
 if TYPE_CHECKING:
     from umberlead.emulator.front_processes import FrontProcess
@@ -96,7 +96,7 @@
     """The try's whole request with the time that is left to it at `now`."""
     r = of.of
     body = r.block.encode() if r.write else b""
-    left = max(of.until - now, 1000) / SECOND
+    left = max(of.until - now, 1000) / SECOND_US
     head = (
         f"{'PUT' if r.write else 'GET'} /{r.class_name}?block={block} HTTP/1.1\r\nHost: service\r\n"
         f"X-Call-Id: {of.id}\r\nX-Plan: {r.plan}\r\nX-Budget: {left:.3f}\r\n"
--- a/umberlead/emulator/loopback.py
+++ b/umberlead/emulator/loopback.py
@@ -5,7 +5,7 @@
 import urllib.request
 from contextlib import suppress
 
-from umberlead.load_generator.day import SECOND
+from umberlead.load_generator.day import SECOND_US
 
 PULSE = 0.005  # s between looks at this process's own lateness; less than that counts as none
 
@@ -65,7 +65,7 @@
     def us(self) -> int:
         """Microseconds behind; 0 below what counts."""
         late = max(self._turn, self.loop.time() - self._due)
-        return int(late * SECOND) if late > PULSE else 0
+        return int(late * SECOND_US) if late > PULSE else 0
 
 
 def port_of(server: asyncio.Server) -> int:
--- a/umberlead/emulator/plan.py
+++ b/umberlead/emulator/plan.py
@@ -9,14 +9,14 @@
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.node import FOREVER, Node, Spell, Traits, traits
 from umberlead.emulator.settings import settings
-from umberlead.load_generator.day import SECOND, Day, Wave, draw
+from umberlead.load_generator.day import SECOND_US, Day, Wave, draw
 from umberlead.membership.model import ListProblem
 from umberlead.routing_tests.model import Fleet, Happening, Scenario
 from umberlead.scheduling.settings import Settings
 
 BESIDE = ("rooms", "gossip")  # told to fronts beside their settings
-AFTER = 8 * SECOND  # a day runs on until all is answered
-SHUFFLE = 3 * SECOND  # how far shuffled notices are thrown about
+AFTER = 8 * SECOND_US  # a day runs on until all is answered
+SHUFFLE = 3 * SECOND_US  # how far shuffled notices are thrown about
 
 
 class BadScript(ValueError):
@@ -98,7 +98,7 @@
 
     @property
     def length(self) -> int:
-        return int(self.day.seconds * SECOND)
+        return int(self.day.seconds * SECOND_US)
 
     def node(self, birth: Birth, start: int) -> Node:
         """`start` is the driver's clock at the day's start."""
@@ -142,20 +142,20 @@
     kinds = [traits(figures, chance) for _ in range(fleet.servers)]
     shards = fleet.servers // fleet.copies
     births = [
-        Birth(name_of(n), n % shards, (n % shards + n // shards) % fleet.rooms, 0, False, t)
+        Birth(name_of(n), n % shards, (n % shards + n // shards) % fleet.zones, 0, False, t)
         for n, t in enumerate(kinds)
     ]
-    waves = [Wave(h.at, h.until, h.value) for h in of.happenings if h.what == "surge"]
+    waves = [Wave(h.at_us, h.until_us, h.value) for h in of.happenings if h.kind == "surge"]
     classes = {g.name for g in figures.classes}
     for h in of.happenings:
-        if h.what == "costly":
-            waves.append(Wave(h.at, h.until, h.more[0], h.word, h.value))
-            if h.word not in classes:
+        if h.kind == "costly":
+            waves.append(Wave(h.at_us, h.until_us, h.parameters[0], h.label, h.value))
+            if h.label not in classes:
                 known = ", ".join(sorted(classes))
                 problems.append(
-                    ListProblem("E121", h.place, f"there is no class {h.word}; known are {known}")
+                    ListProblem("E121", h.place, f"there is no class {h.label}; known are {known}")
                 )
-        if h.at >= fleet.seconds * SECOND:
+        if h.at_us >= fleet.seconds * SECOND_US:
             problems.append(ListProblem("E122", h.place, f"the day ends after {fleet.seconds:g} s"))
         for name in h.servers:
             if name not in {b.name for b in births}:
@@ -163,7 +163,7 @@
                 problems.append(
                     ListProblem("E123", h.place, f"there is no server {name}; known are n00 to {last}")
                 )
-        if h.what in ("cut", "dark") and h.value >= fleet.rooms:
+        if h.kind in ("cut", "dark") and h.value >= fleet.zones:
             problems.append(ListProblem("E124", h.place, f"there is no room {h.value:g}; rooms count from 0"))
     if problems:
         raise BadScript(problems)
@@ -191,16 +191,16 @@
         day,
         settings(figures, day, fleet.fronts, shards),
         births,
-        [n % fleet.rooms for n in range(fleet.fronts)],
+        [n % fleet.zones for n in range(fleet.fronts)],
     )
-    for a in range(fleet.rooms):
-        for b in range(a, fleet.rooms):
+    for a in range(fleet.zones):
+        for b in range(a, fleet.zones):
             way = links.draw("same_room_ms" if a == b else "cross_room_ms", chance)
             made.ways[a, b] = made.ways[b, a] = int(way * 1000)
     made.client_way = int(links.draw("client_ms", chance) * 1000)
     made.rates = {v.name: v.rate for v in day.volumes}
     late = figures.reports.draw("meter_late_ms", chance) * 1000
-    made.meter = (int(figures.reports.one("meter_s") * SECOND), int(late))
+    made.meter = (int(figures.reports.one("meter_s") * SECOND_US), int(late))
     if alter is not None:
         alter(made.told)
     _Happen(made, of.happenings, chance).all()
@@ -211,21 +211,21 @@
     """Happenings to turns, notices, spells and successors."""
 
     def __init__(self, made: Plan, happenings: Iterable[Happening], chance: random.Random) -> None:
-        self.made, self.of, self.chance = made, sorted(happenings, key=lambda h: h.at), chance
+        self.made, self.of, self.chance = made, sorted(happenings, key=lambda h: h.at_us), chance
         rows = made.figures.list
-        self.notice = rows.draw("notice_s", chance) * SECOND
-        self.add = rows.draw("add_s", chance) * SECOND
+        self.notice = rows.draw("notice_s", chance) * SECOND_US
+        self.add = rows.draw("add_s", chance) * SECOND_US
         low, high = rows.range("spread_ms")
         self.spread = [chance.uniform(0, chance.uniform(low, high)) * 1000 for _ in made.rooms]
-        self.clock = [(h.at, h.until, int(h.value)) for h in self.of if h.what == "clock"]
-        self.lists = [h for h in self.of if h.what == "lists"]
+        self.clock = [(h.at_us, h.until_us, int(h.value)) for h in self.of if h.kind == "clock"]
+        self.lists = [h for h in self.of if h.kind == "lists"]
         self.shard = {b.name: b for b in made.births}
         self.ended: dict[str, int] = {}
         self.count = len(made.births)
 
     def all(self) -> None:
         for h in self.of:
-            getattr(self, f"on_{h.what}", self.on_nothing)(h)
+            getattr(self, f"on_{h.kind}", self.on_nothing)(h)
         made = self.made
         made.births.sort(key=lambda b: (b.at, b.name))
         made.turns.sort(key=lambda t: (t.at, t.server, t.state))
@@ -239,14 +239,14 @@
         for front in range(len(self.made.rooms)):
             late = wait + self.spread[front]
             for h in self.lists:
-                if h.at <= at < h.until:
-                    late += h.value if h.word == "late" else self.chance.uniform(0, SHUFFLE)
+                if h.at_us <= at < h.until_us:
+                    late += h.value if h.label == "late" else self.chance.uniform(0, SHUFFLE)
             self.made.notices.append(Notice(int(at + late), front, server, state, started, at))
 
     def spell(self, h: Happening, kind: str, value: float) -> None:
         for name in h.servers:
             spells = self.made.spells.setdefault(name, [])
-            spells.append(Spell(h.at, h.until or FOREVER, kind, value))
+            spells.append(Spell(h.at_us, h.until_us or FOREVER, kind, value))
 
     def on_nothing(self, h: Happening) -> None:
         """Surges and costly requests are the day's; lists and clocks are looked up by `tell`."""
@@ -257,80 +257,80 @@
     def on_neighbour(self, h: Happening) -> None:
         """On and off, as another program comes and goes."""
         for name in h.servers:
-            at, spells = float(h.at), self.made.spells.setdefault(name, [])
-            while at < h.until:
-                end = min(at + self.chance.uniform(1.2, 4.4) * SECOND, h.until)
+            at, spells = float(h.at_us), self.made.spells.setdefault(name, [])
+            while at < h.until_us:
+                end = min(at + self.chance.uniform(1.2, 4.4) * SECOND_US, h.until_us)
                 spells.append(Spell(int(at), int(end), "neighbour", h.value))
-                at = end + self.chance.uniform(1.2, 4.4) * SECOND
+                at = end + self.chance.uniform(1.2, 4.4) * SECOND_US
 
     def on_lag(self, h: Happening) -> None:
         self.spell(h, "lag", h.value)
-        self.spell(h, "lag-ms", h.more[0] / 1000)
+        self.spell(h, "lag-ms", h.parameters[0] / 1000)
 
     def on_outcome(self, h: Happening) -> None:
         words = {"timeout": "silence", "no-link": "early"}
-        self.spell(h, words.get(h.word, h.word), h.value)
+        self.spell(h, words.get(h.label, h.label), h.value)
 
     def on_cut(self, h: Happening) -> None:
-        self.made.cuts.append(Cut(h.at, h.until, int(h.value)))
+        self.made.cuts.append(Cut(h.at_us, h.until_us, int(h.value)))
 
     def on_dark(self, h: Happening) -> None:
         """Its machines go without a word and come back cold. The list tells of either late, and of a silent
         end only after a while."""
         room = int(h.value)
-        self.made.cuts.append(Cut(h.at, h.until, room, True))
-        silent = self.made.figures.list.draw("silent_notice_s", self.chance) * SECOND
+        self.made.cuts.append(Cut(h.at_us, h.until_us, room, True))
+        silent = self.made.figures.list.draw("silent_notice_s", self.chance) * SECOND_US
         for b in self.made.births:
-            if b.room != room or b.at > h.at or b.name in self.ended:
+            if b.room != room or b.at > h.at_us or b.name in self.ended:
                 continue
-            self.made.turns.append(Turn(h.until, b.name, "cold"))
-            if silent < h.until - h.at:
-                self.tell(h.at, b.name, "gone", silent)
-            self.tell(h.until, b.name, "up", self.add, h.until)
+            self.made.turns.append(Turn(h.until_us, b.name, "cold"))
+            if silent < h.until_us - h.at_us:
+                self.tell(h.at_us, b.name, "gone", silent)
+            self.tell(h.until_us, b.name, "up", self.add, h.until_us)
 
     def on_collector(self, h: Happening) -> None:
-        self.made.stops.append((h.at, h.until))
+        self.made.stops.append((h.at_us, h.until_us))
 
     def on_out(self, h: Happening) -> None:
-        self.made.hands += [Hand(h.at, name, True) for name in h.servers]
+        self.made.hands += [Hand(h.at_us, name, True) for name in h.servers]
 
     def on_in(self, h: Happening) -> None:
-        self.made.hands += [Hand(h.at, name, False) for name in h.servers]
+        self.made.hands += [Hand(h.at_us, name, False) for name in h.servers]
 
     def on_drain(self, h: Happening) -> None:
         for name in h.servers:
-            self.made.turns.append(Turn(h.at, name, "draining"))
-            self.tell(h.at, name, "draining", self.notice)
+            self.made.turns.append(Turn(h.at_us, name, "draining"))
+            self.tell(h.at_us, name, "draining", self.notice)
 
     def on_back(self, h: Happening) -> None:
         for name in h.servers:
-            self.made.turns.append(Turn(h.at, name, "up"))
-            self.tell(h.at, name, "up", self.add)
+            self.made.turns.append(Turn(h.at_us, name, "up"))
+            self.tell(h.at_us, name, "up", self.add)
 
     def on_leave(self, h: Happening) -> None:
         for name in h.servers:
-            self.made.turns.append(Turn(h.at, name, "gone"))
-            self.tell(h.at, name, "gone", self.notice)
-            self.ended[name] = h.at
+            self.made.turns.append(Turn(h.at_us, name, "gone"))
+            self.tell(h.at_us, name, "gone", self.notice)
+            self.ended[name] = h.at_us
 
     on_kill = on_leave
 
     def on_cold(self, h: Happening) -> None:
         """Its process starts anew: what it held is lost, and it is cold; its name stays."""
         for name in h.servers:
-            self.made.turns.append(Turn(h.at, name, "cold"))
-            self.tell(h.at, name, "up", self.add, h.at or 1)
+            self.made.turns.append(Turn(h.at_us, name, "cold"))
+            self.tell(h.at_us, name, "up", self.add, h.at_us or 1)
 
     def on_deploy(self, h: Happening) -> None:
         """Batches drain, end, and are each replaced by a cold successor of the same shard."""
-        batch, drain, over = h.more
+        batch, drain, over = h.parameters
         live = [b for b in self.made.births if b.name not in self.ended]
         chosen = self.chance.sample(live, max(round(h.value * len(live)), 1))
         size = max(round(batch * len(live)), 1)
         groups = [chosen[k : k + size] for k in range(0, len(chosen), size)]
         step = max(over - drain, 0) / max(len(groups) - 1, 1)
         for k, group in enumerate(groups):
-            at = h.at + int(k * step)
+            at = h.at_us + int(k * step)
             for old in group:
                 end = at + int(drain)
                 self.made.turns += [Turn(at, old.name, "draining"), Turn(end, old.name, "gone")]
@@ -346,7 +346,7 @@
 def rooms_told(made: Plan, front: int) -> dict[str, Any]:
     """A front's table [rooms]: what is told to all, with its own room and the others by their distance."""
     own = made.rooms[front]
-    others = sorted((r for r in range(made.fleet.rooms) if r != own), key=lambda r: made.ways[own, r])
+    others = sorted((r for r in range(made.fleet.zones) if r != own), key=lambda r: made.ways[own, r])
     return {"own": str(own), "near": [str(r) for r in others]} | made.told["rooms"]
 
 
--- a/umberlead/emulator/price.py
+++ b/umberlead/emulator/price.py
@@ -11,7 +11,7 @@
 
 from umberlead.emulator.plan import Plan
 from umberlead.emulator.records import Records
-from umberlead.load_generator.day import SECOND, Request
+from umberlead.load_generator.day import SECOND_US, Request
 
 WINDOW = 10  # s of the worst stretch
 
@@ -99,7 +99,7 @@
         self.room: dict[int, float] = defaultdict(float)
         for b in plan.births:
             if not b.at:
-                self.room[b.shard] += part * b.of.speed * b.of.cores * SECOND / day.unit
+                self.room[b.shard] += part * b.of.speed * b.of.cores * SECOND_US / day.unit
         self.weights = {v.name: self.plans[v.plan].one("weight") for v in day.volumes}
 
     def tiers(self) -> dict[tuple[str, int], Tiers]:
@@ -107,7 +107,7 @@
         day, seconds = self.plan.day, int(self.plan.day.seconds) + 1
         by_second: list[list[Request]] = [[] for _ in range(seconds)]
         for r in day.requests:
-            by_second[r.at // SECOND].append(r)
+            by_second[r.at // SECOND_US].append(r)
         store = {v.name: self._burst(v.name) for v in day.volumes}
         made: dict[tuple[str, int], Tiers] = {}
         nodes = len(self.room)
@@ -146,7 +146,7 @@
     def _burst(self, volume: str) -> float:
         """A second of the reserve, and one largest request."""
         reserve = self._reserve(volume)
-        return reserve + self.plan.day.most_units if reserve else 0.0
+        return reserve + self.plan.day.max_units if reserve else 0.0
 
     def service(self, records: Records) -> Service:
         day = self.plan.day
@@ -158,13 +158,13 @@
                 served.setdefault(first[answer.id], answer.at)
 
         def price(r: Request) -> float:
-            return kinds[r.class_name].worth * self.plans[r.plan].one("price")
+            return kinds[r.class_name].priority_weight * self.plans[r.plan].one("price")
 
         # What a volume's second takes is spread evenly over the requests that took it: who was answered first
         # is no merit of its class. (The operators' reports show classes above 1, which only this gives.)
         tiers, seconds = self.tiers(), defaultdict[tuple[str, int], list[Request]](list)
         for r in day.requests:
-            seconds[r.volume, r.at // SECOND].append(r)
+            seconds[r.volume, r.at // SECOND_US].append(r)
         due, earned, late = dict[int, float](), dict[int, float](), 0
         for key, requests in seconds.items():
             of = tiers[key]
@@ -174,13 +174,13 @@
             for r in requests:
                 due[r.number] = even * r.units * price(r)
                 if r.number in served:
-                    slow = served[r.number] - r.at > kinds[r.class_name].aim
+                    slow = served[r.number] - r.at > kinds[r.class_name].latency_objective_us
                     (after if slow else in_time).append(r)
             for rows, best in ((in_time, True), (after, False)):
                 units = sum(r.units for r in rows)
                 taken = of.take(units, best)
                 for r in rows:
-                    worth = 1.0 if best else kinds[r.class_name].late_worth
+                    worth = 1.0 if best else kinds[r.class_name].late_priority_weight
                     earned[r.number] = taken * r.units / units * price(r) * worth
             late += len(after)
         return self._summed(records, due, earned, served, late)
@@ -205,8 +205,8 @@
         seconds = max(int(day.seconds), 1)
         got, want = [0.0] * (seconds + 1), [0.0] * (seconds + 1)
         for r in day.requests:
-            got[r.at // SECOND] += earned.get(r.number, 0.0)
-            want[r.at // SECOND] += due[r.number]
+            got[r.at // SECOND_US] += earned.get(r.number, 0.0)
+            want[r.at // SECOND_US] += due[r.number]
         spans = [
             sum(got[k : k + WINDOW]) / sum(want[k : k + WINDOW])
             for k in range(max(seconds - WINDOW, 0) + 1)
--- a/umberlead/emulator/rehearsal.py
+++ b/umberlead/emulator/rehearsal.py
@@ -17,7 +17,7 @@
 from umberlead.emulator.records import Records
 from umberlead.membership.model import FilePosition, ListProblem
 from umberlead.routing_tests.language import parse
-from umberlead.routing_tests.model import Expectation, Life, Outcome, Scenario, Step, Verdict
+from umberlead.routing_tests.model import Expectation, Outcome, RequestTrace, Scenario, TraceStep, Verdict
 from umberlead.routing_tests.verdict import judged
 
 Progress = Callable[[float], None]
@@ -75,24 +75,24 @@
     return made
 
 
-def lives(records: Records) -> list[Life]:
+def lives(records: Records) -> list[RequestTrace]:
     """Requests' lives as the expectations know them, from servers' and clients' words."""
-    steps: dict[str, list[Step]] = defaultdict(list)
+    steps: dict[str, list[TraceStep]] = defaultdict(list)
     for came in records.came:
-        steps[came.id].append(Step(came.at, "sent", came.server))
+        steps[came.id].append(TraceStep(came.at, "sent", came.server))
         if came.word in NEVER_RAN:
             word = {"astray": "astray", "early": "no_link", "gone": "no_link"}.get(came.word, "full")
-            steps[came.id].append(Step(came.at, "ended", came.server, word))
+            steps[came.id].append(TraceStep(came.at, "ended", came.server, word))
     for end in records.ended:
-        steps[end.id].append(Step(end.at, "ended", end.server, end.word))
+        steps[end.id].append(TraceStep(end.at, "ended", end.server, end.word))
     for left in records.left:
-        steps[left.id].append(Step(left.at, "ended", left.server, "cancelled"))
+        steps[left.id].append(TraceStep(left.at, "ended", left.server, "cancelled"))
     for answer in records.answered:
-        steps[answer.id].append(Step(answer.at, "answered", "", answer.kind))
+        steps[answer.id].append(TraceStep(answer.at, "answered", "", answer.kind))
     made = []
     for a in records.asked:
-        life = Life(a.id, a.at, a.volume, a.class_name, a.plan, a.shard, a.units, a.write)
-        life.steps = [Step(a.at, "taken"), *sorted(steps.get(a.id, []), key=lambda s: s.at)]
+        life = RequestTrace(a.id, a.at, a.volume, a.class_name, a.plan, a.shard, a.units, a.write)
+        life.steps = [TraceStep(a.at, "taken"), *sorted(steps.get(a.id, []), key=lambda s: s.at_us)]
         made.append(life)
     return made
 
@@ -105,7 +105,7 @@
             return judged(expectation, got, settings, of.name)
         held = figure >= expectation.limit
         why = f"service is {figure:.1%}"
-        return Verdict(expectation, of.name, Outcome.HELD if held else Outcome.FAILED, why)
+        return Verdict(expectation, of.name, Outcome.PASSED if held else Outcome.FAILED, why)
 
     return [one(e) for e in of.expectations]
 
@@ -138,7 +138,7 @@
     breaches = Judge(made, records, SLACK if sockets else 0).breaches()
     priced = service(made, records)
     verdicts = [
-        (v.expectation.text, v.outcome.value, v.why) for v in _verdicts(of, made, records, priced.figure)
+        (v.expectation.text, v.outcome.value, v.reason) for v in _verdicts(of, made, records, priced.figure)
     ]
     return Result(
         of.name,
--- a/umberlead/emulator/server_connections.py
+++ b/umberlead/emulator/server_connections.py
@@ -6,7 +6,7 @@
 from umberlead.emulator.http_messages import HttpMessages
 from umberlead.emulator.node import Job, Node
 from umberlead.emulator.outcomes import AFTER, KEEPS, NEVER_RAN
-from umberlead.load_generator.day import SECOND
+from umberlead.load_generator.day import SECOND_US
 
 if TYPE_CHECKING:
     from umberlead.emulator.sockets import Sockets
@@ -40,7 +40,7 @@
         if node is None or not node.connect():
             return self.abort()
         self.node = node
-        self.play.dials[self.play.now() // SECOND] += 1
+        self.play.dials[self.play.now() // SECOND_US] += 1
         self.play.links.setdefault(self.name, set()).add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/umberlead/emulator/settings.py
+++ b/umberlead/emulator/settings.py
@@ -27,7 +27,7 @@
         },
         "extra": {
             "meanUnits": sum(asked) / max(len(asked), 1) or 1.0,
-            "maxUnits": float(day.most_units),
+            "maxUnits": float(day.max_units),
             "nShards": shards,
             "fairWorth": of.worth.one("share"),
             "idleWorth": of.worth.one("spare"),
@@ -43,11 +43,11 @@
         "grades": [
             {
                 "name": k.name,
-                "aim": k.aim,
-                "hardLimit": k.deadline,
+                "aim": k.latency_objective_us,
+                "hardLimit": k.timeout_us,
                 "effect": k.effect,
-                "credit": k.worth,
-                "lateWorth": k.late_worth,
+                "credit": k.priority_weight,
+                "lateWorth": k.late_priority_weight,
             }
             for k in day.kinds
         ],
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -28,7 +28,7 @@
 from umberlead.emulator.server_connections import ServerConnection
 from umberlead.emulator.world import Stage
 from umberlead.load_generator.clients import Try
-from umberlead.load_generator.day import SECOND
+from umberlead.load_generator.day import SECOND_US
 
 START_UP = 30.0  # s in which every front must listen
 BEAT = 2.0  # s between empty lines of a watch
@@ -66,17 +66,17 @@
     # Time
 
     def now(self) -> int:
-        return int((self.loop.time() - self.begin) * SECOND)
+        return int((self.loop.time() - self.begin) * SECOND_US)
 
     def at(self, when: int, what: Callable[[], Any]) -> None:
         def fire() -> None:
-            self.late = max(self.late, self.loop.time() - self.begin - when / SECOND)
+            self.late = max(self.late, self.loop.time() - self.begin - when / SECOND_US)
             what()
 
-        self.loop.call_at(self.begin + when / SECOND, fire)
+        self.loop.call_at(self.begin + when / SECOND_US, fire)
 
     def after(self, wait: int, what: Callable[[], Any]) -> None:
-        self.loop.call_later(wait / SECOND, what)
+        self.loop.call_later(wait / SECOND_US, what)
 
     def cut(self, front: int, node: Node) -> bool:
         return self.plan.cut_off(self.now(), front, int(node.room))
@@ -170,7 +170,7 @@
             else:
                 front.door = int(found[2])
         if " room_verdict " in text and 'state="lost"' in text and name is not None:
-            self.verdicts.setdefault(int(name[1]), self.now() / SECOND)
+            self.verdicts.setdefault(int(name[1]), self.now() / SECOND_US)
         if " module_error " in text or " unexpected_error " in text:
             self.strange.append(text.strip()[:500])
 
@@ -202,11 +202,11 @@
         beat, whole = 0.0, plan.length + RUN_ON
         requests, k = plan.day.requests, 0
         while (now := self.now()) < whole:
-            while k < len(requests) and requests[k].at < now + SECOND // 2:
+            while k < len(requests) and requests[k].at < now + SECOND_US // 2:
                 of = self.stage.clients.first(requests[k])
                 self.at(of.at, lambda t=of: self._ask(t))  # type: ignore[misc]
                 k += 1
-            if now / SECOND >= beat:
+            if now / SECOND_US >= beat:
                 beat += BEAT
                 for front in self.fronts:
                     front.agent.beat()
--- a/umberlead/load_generator/clients.py
+++ b/umberlead/load_generator/clients.py
@@ -8,7 +8,7 @@
 from umberlead.load_generator.day import Day, Request
 
 HARMLESS = ("refused",)
-LEAST = 20_000  # us: with less left, nobody asks again
+MIN_RETRY_TIME_US = 20_000  # us: with less left, nobody asks again
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
         self.day, self.kinds = day, {k.name: k for k in day.kinds}
 
     def first(self, of: Request) -> Try:
-        return Try(of, 0, of.at, of.at + self.kinds[of.class_name].deadline)
+        return Try(of, 0, of.at, of.at + self.kinds[of.class_name].timeout_us)
 
     def again(self, of: Try, kind: str, now: int) -> Try | None:
         """After an answer other than served, or none. What may have run is asked again only where that does
@@ -40,6 +40,11 @@
         cls = self.kinds[of.of.class_name]
         harmless = kind in HARMLESS or cls.effect != "at_most_once"
         at = now + self.day.retry_wait
-        if kind == "served" or not harmless or of.number >= self.day.retries or at + LEAST > of.until:
+        if (
+            kind == "served"
+            or not harmless
+            or of.number >= self.day.retries
+            or at + MIN_RETRY_TIME_US > of.until
+        ):
             return None
         return Try(of.of, of.number + 1, at, of.until)
--- a/umberlead/load_generator/day.py
+++ b/umberlead/load_generator/day.py
@@ -14,9 +14,9 @@
 from umberlead.common.errors import UmberleadError
 from umberlead.emulator.figures import Figures
 
-SECOND = 1_000_000
-FRESH = 8 * SECOND  # how far back a read of a new object reaches
-FRESH_MOST = 400
+SECOND_US = 1_000_000
+FRESH_OBJECT_US = 8 * SECOND_US  # how far back a read of a new object reaches
+MAX_FRESH_OBJECT_COUNT = 400
 
 
 class InvalidDayError(UmberleadError, ValueError):
@@ -55,10 +55,10 @@
     work: float
     cv: float
     noise: float
-    aim: int
-    deadline: int
-    worth: float
-    late_worth: float
+    latency_objective_us: int
+    timeout_us: int
+    priority_weight: float
+    late_priority_weight: float
     effect: str
     write: bool
 
@@ -68,7 +68,7 @@
     name: str
     plan: str
     rate: float  # units a second that its plan stands for
-    asks: float  # against that rate, all day
+    rate_ratio: float  # against that rate, all day
     surges: list[tuple[int, int, float]]  # from, to, times the rate
     shards: tuple[int, ...]
     fronts: tuple[int, ...]
@@ -77,7 +77,7 @@
     blocks: list[str] = field(default_factory=list)
 
     def times(self, at: int) -> float:
-        return self.asks + sum(x for begin, end, x in self.surges if begin <= at < end)
+        return self.rate_ratio + sum(x for begin, end, x in self.surges if begin <= at < end)
 
     def front(self, at: int, chance: random.Random) -> int:
         turn = bisect_right(self.shifts, at) % len(self.fronts)
@@ -93,7 +93,7 @@
     end: int
     by: float
     class_name: str = ""
-    part: float = 0.0
+    share: float = 0.0
 
 
 @dataclass(slots=True)
@@ -107,7 +107,7 @@
     unit: float  # us of work that a unit stands for
     power: float  # units a second that one node does, at its usual
     requests: list[Request] = field(default_factory=list)
-    most_units: int = 6
+    max_units: int = 6
     retries: int = 0
     retry_wait: int = 0
 
@@ -156,13 +156,13 @@
     """
     if not (seconds > 0 and 0 < load <= 10 and shards > 0 and fronts > 0):
         raise InvalidDayError("a day needs seconds, a load up to 10, and at least one shard and one front")
-    chance, length = random.Random(f"{seed}/day"), int(seconds * SECOND)
+    chance, length = random.Random(f"{seed}/day"), int(seconds * SECOND_US)
     kinds, cores = _kinds(of, chance), of.node.one("cores")
     shares = sum(k.share for k in kinds)
     mean = sum(k.share * k.work for k in kinds) / shares
-    unit, power = mean / 2, cores * speed * SECOND / (mean / 2)
+    unit, power = mean / 2, cores * speed * SECOND_US / (mean / 2)
     can = of.traffic.one("capacity_part") * power * shards * copies
-    day = Day(seconds, seed, kinds, [], unit, power, most_units=int(of.traffic.one("most_units")))
+    day = Day(seconds, seed, kinds, [], unit, power, max_units=int(of.traffic.one("most_units")))
     day.retries = of.clients.whole("retries", chance)
     day.retry_wait = int(of.clients.draw("wait_ms", chance) * 1000)
     count = of.traffic.draw("volumes_per_node", chance) * shards
@@ -183,7 +183,7 @@
             skew = of.traffic.draw("skew", chance)
             shifts, at = [], 0.0
             while at < length:
-                at += of.traffic.draw("shift_s", chance) * SECOND
+                at += of.traffic.draw("shift_s", chance) * SECOND_US
                 shifts.append(int(at))
             surges = list(_surges(of, chance, length)) if chance.random() < heavy else []
             name = f"{len(day.volumes):04x}{chance.getrandbits(48):012x}"
@@ -201,7 +201,7 @@
                     [f"{chance.getrandbits(64):016x}" for _ in range(200)],
                 )
             )
-    lift = load * can / sum(v.rate * v.asks for v in day.volumes)
+    lift = load * can / sum(v.rate * v.rate_ratio for v in day.volumes)
     for v in day.volumes:
         v.rate *= lift
     _scale(day, of.traffic.draw("excess", chance) * can * excess, length)
@@ -212,10 +212,10 @@
 def _surges(of: Figures, chance: random.Random, length: int) -> Iterator[tuple[int, int, float]]:
     every, at = of.traffic.one("surge_every_s"), 0.0
     while True:
-        at += chance.expovariate(1 / every) * SECOND
+        at += chance.expovariate(1 / every) * SECOND_US
         if at >= length:
             return
-        took = of.traffic.draw("surge_s", chance) * SECOND
+        took = of.traffic.draw("surge_s", chance) * SECOND_US
         yield int(at), min(int(at + took), length), of.traffic.draw("surge_x", chance)
         at += took
 
@@ -241,8 +241,8 @@
     peak = max([1.0] + [w.by for w in surge]) if surge else 1.0
     came: list[tuple[int, int]] = []
     for n, v in enumerate(day.volumes):
-        most = (v.asks + sum(x for _, _, x in v.surges)) * peak
-        step, at = v.rate * most / mean_units / SECOND, 0.0
+        most = (v.rate_ratio + sum(x for _, _, x in v.surges)) * peak
+        step, at = v.rate * most / mean_units / SECOND_US, 0.0
         while step and (at := at + chance.expovariate(step)) < length:
             now = int(at)
             by = math.prod(w.by for w in surge if w.begin <= now < w.end)
@@ -254,9 +254,9 @@
         v, kind = day.volumes[n], chance.choices(day.kinds, weights)[0]
         work = _work(chance, kind)
         for w in waves:
-            if w.class_name == kind.name and w.begin <= at < w.end and chance.random() < w.part:
+            if w.class_name == kind.name and w.begin <= at < w.end and chance.random() < w.share:
                 work *= w.by
-        units = min(max(round(work / day.unit), 1), day.most_units)
+        units = min(max(round(work / day.unit), 1), day.max_units)
         made = Request(
             number,
             at,
@@ -275,9 +275,9 @@
             made.shard, made.block = -1, f"{chance.getrandbits(64):016x}"
             latest = written.setdefault(n, [])
             latest.append(made)
-            del latest[:-FRESH_MOST]
+            del latest[:-MAX_FRESH_OBJECT_COUNT]
         elif chance.random() < reread and written.get(n):
-            fresh = [w for w in written[n] if w.at >= at - FRESH]
+            fresh = [w for w in written[n] if w.at >= at - FRESH_OBJECT_US]
             if fresh:
                 object_ = chance.choice(fresh)
                 made.of, made.block = object_.number, object_.block
@@ -292,7 +292,7 @@
 def _mean_units(day: Day, kind: Kind) -> float:
     """By numbers: rounding and the cap have no closed form worth having."""
     chance = random.Random(1)
-    drawn = [min(max(round(_work(chance, kind) / day.unit), 1), day.most_units) for _ in range(4000)]
+    drawn = [min(max(round(_work(chance, kind) / day.unit), 1), day.max_units) for _ in range(4000)]
     return sum(drawn) / len(drawn)
 
 
--- a/umberlead/load_generator/objects.py
+++ b/umberlead/load_generator/objects.py
@@ -12,8 +12,8 @@
 import httptools
 from hdrh.histogram import HdrHistogram
 
-KEPT = 2000  # names of stored objects that reads choose from
-LONGEST = 20.0  # s that a call may take
+STORED_NAME_LIMIT = 2000  # names of stored objects that reads choose from
+CALL_TIMEOUT_SECONDS = 20.0  # s that a call may take
 PLACES = ("in", "back", "part")  # stored, read whole, read as a range
 
 
@@ -31,7 +31,7 @@
     failed: int = 0
     wrong: list[str] = field(default_factory=list)  # what was not the same, in words
     took: dict[str, HdrHistogram] = field(
-        default_factory=lambda: {p: HdrHistogram(1, int(LONGEST * 2e6), 3) for p in PLACES}
+        default_factory=lambda: {p: HdrHistogram(1, int(CALL_TIMEOUT_SECONDS * 2e6), 3) for p in PLACES}
     )  # us
 
     def percentile(self, place: str, part: float) -> float:
@@ -78,7 +78,7 @@
     transport = None
     try:
         transport, made = await loop.create_connection(lambda: _Call(words), *address)
-        return await asyncio.wait_for(made.done, LONGEST)
+        return await asyncio.wait_for(made.done, CALL_TIMEOUT_SECONDS)
     except (OSError, TimeoutError, httptools.HttpParserError):
         return 0, b""
     finally:
@@ -92,7 +92,7 @@
     def __init__(self, address: tuple[str, int], buckets: list[str], rate: float, seed: int) -> None:
         self.address, self.buckets, self.rate, self.seed = address, buckets, rate, seed
         self.chance, self.tally = random.Random(seed), Tally()
-        self.stored: deque[tuple[str, int]] = deque(maxlen=KEPT)
+        self.stored: deque[tuple[str, int]] = deque(maxlen=STORED_NAME_LIMIT)
         self._count = 0
 
     async def run(self, until: asyncio.Event) -> None:
--- a/umberlead/load_generator/platform.py
+++ b/umberlead/load_generator/platform.py
@@ -14,7 +14,7 @@
 import httptools
 from hdrh.histogram import HdrHistogram
 
-LONGEST = 60_000_000  # us that the histogram tells apart
+MAX_LATENCY_US = 60_000_000  # us that the histogram tells apart
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class PlannedRequest:
     at: float  # s after the start
     front: int
     id: str
@@ -46,16 +46,16 @@
     block: str
 
 
-def draw(plan: Plan, fronts: int) -> list[Asked]:
+def draw(plan: Plan, fronts: int) -> list[PlannedRequest]:
     """All requests of a run, from its seed alone."""
-    chance, at, made = random.Random(plan.seed), 0.0, list[Asked]()
+    chance, at, made = random.Random(plan.seed), 0.0, list[PlannedRequest]()
     while True:
         at += chance.expovariate(plan.rate)
         if at >= plan.seconds:
             return made
         volume = chance.randrange(plan.volumes)
         made.append(
-            Asked(
+            PlannedRequest(
                 at,
                 chance.randrange(fronts),
                 f"{plan.seed:x}-{len(made):x}",
@@ -70,7 +70,9 @@
 
 @dataclass(slots=True)
 class Result:
-    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LONGEST, 3))  # us, served ones
+    latency: HdrHistogram = field(
+        default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3)
+    )  # us, served ones
     statuses: Counter[int] = field(default_factory=Counter)  # 0: no answer, or a broken one
     answers: Counter[str] = field(default_factory=Counter)  # by request
     late_start: float = 0.0  # s at most that the generator itself was behind
@@ -142,7 +144,7 @@
         link.ask(data, done)
 
 
-def _words(plan: Plan, of: Asked) -> bytes:
+def _words(plan: Plan, of: PlannedRequest) -> bytes:
     body = b"x" * 200 if of.write else b""
     name = plan.write if of.write else plan.read
     head = (
@@ -158,13 +160,13 @@
     made, of = Result(), [_Front(address) for address in fronts]
     begin, tasks, left = time.monotonic(), set[asyncio.Task[None]](), set[str]()
 
-    def answered(asked: Asked, status: int) -> None:
+    def answered(asked: PlannedRequest, status: int) -> None:
         made.statuses[status] += 1
         made.answers[asked.id] += 1
         left.discard(asked.id)
         if status == 200:
             took = time.monotonic() - begin - asked.at
-            made.latency.record_value(max(min(int(took * 1e6), LONGEST), 1))
+            made.latency.record_value(max(min(int(took * 1e6), MAX_LATENCY_US), 1))
 
     for asked in draw(plan, len(fronts)):
         wait = asked.at - (time.monotonic() - begin)
--- a/umberlead/routing_tests/altered.py
+++ b/umberlead/routing_tests/altered.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from umberlead.membership.model import CheckedList, EndpointSpec
-from umberlead.routing_tests.reach import Shape, TooMany, walk
+from umberlead.routing_tests.reach import Shape, TooManyBranchesError, walk
 from umberlead.scheduling.events import EndpointStatus
 from umberlead.scheduling.settings import Settings
 
@@ -26,10 +26,10 @@
     def of(shape: Shape, settings: Settings, listing: CheckedList) -> "Reach":
         servers, attempts, answers = set[str](), 0, set[str]()
         for life in walk(shape, settings, listing):
-            sent = life.sent()
+            sent = life.attempts()
             servers |= {step.server for step in sent}
             attempts = max(attempts, len(sent))
-            answers |= {step.word for step in life.answers()}
+            answers |= {step.result for step in life.answers()}
         return Reach(frozenset(servers), attempts, frozenset(answers))
 
 
@@ -178,5 +178,5 @@
         return Reach()
     try:
         return Reach.of(shape, settings, CheckedList(listing.version, listing.digest, own))
-    except TooMany as fault:
-        raise TooMany(f"{fault}: the difference can't be told") from None
+    except TooManyBranchesError as fault:
+        raise TooManyBranchesError(f"{fault}: the difference can't be told") from None
--- a/umberlead/routing_tests/grammar.py
+++ b/umberlead/routing_tests/grammar.py
@@ -168,7 +168,8 @@
         found: dict[str, Any] = {}
         for key, value, token in children:
             if key in found:
-                raise InvalidValueError(token, f"{key} is given twice")
+                name = key.removesuffix("_us")  # messages name no units
+                raise InvalidValueError(token, f"{name} is given twice")
             found[key] = value
         return Selector(**found)
 
@@ -176,8 +177,8 @@
     of = _condition("collection")
     shard = _condition("shard", int)
     new = _condition("new", lambda _: True)
-    since = _condition("begin", parse_duration_us)
-    until = _condition("end", parse_duration_us)
+    since = _condition("begin_us", parse_duration_us)
+    until = _condition("end_us", parse_duration_us)
 
     def servers(self, children: list[Token]) -> list[Token]:
         """The names of servers and groups, as written."""
--- a/umberlead/routing_tests/language.py
+++ b/umberlead/routing_tests/language.py
@@ -181,9 +181,9 @@
             new is not None,
             place,
         )
-        if made.end <= made.begin or not made.rate:
+        if made.end_us <= made.begin_us or not made.requests_per_second:
             raise SuiteError("the load is empty")
-        if made.rate * (made.end - made.begin) / 1e6 > 1e6:
+        if made.requests_per_second * (made.end_us - made.begin_us) / 1e6 > 1e6:
             raise SuiteError("the load has more than a million requests")
         assert self.scenario is not None
         self.scenario.loads.append(made)
@@ -204,19 +204,19 @@
         change = self._fleet_change if kind in FLEET_ONLY else self._server_change
         made = replace(made, **change(kind, of))
         if kind not in ("newlist", "state", "deploy", "kill") and of[-1] is not None:
-            made = replace(made, until=when + parse_duration_us(of[-1]))
+            made = replace(made, until_us=when + parse_duration_us(of[-1]))
         self.scenario.happenings.append(made)
 
     def _server_change(self, kind: str, of: list[Any]) -> dict[str, Any]:
         """The fields of a happening that every scenario may have."""
         if kind == "newlist":
-            return {"what": "list", "word": str(of[0])}
+            return {"kind": "list", "label": str(of[0])}
         if kind == "state":
-            return {"what": str(of[0]), "servers": self.names(of[1:])}
+            return {"kind": str(of[0]), "servers": self.names(of[1:])}
         if kind == "slow":
             return {"servers": self.names(of[1]), "value": float(of[0])}
         assert kind == "outcome", kind
-        return {"servers": self.names(of[2]), "value": parse_ratio(of[1]), "word": str(of[0])}
+        return {"servers": self.names(of[2]), "value": parse_ratio(of[1]), "label": str(of[0])}
 
     def _fleet_change(self, kind: str, of: list[Any]) -> dict[str, Any]:
         """The fields of a happening that needs a fleet."""
@@ -225,14 +225,14 @@
         if kind == "surge":
             return {"value": parse_ratio(of[0])}
         if kind == "costly":
-            return {"word": str(of[0]), "value": parse_ratio(of[1]), "more": (float(of[2]),)}
+            return {"label": str(of[0]), "value": parse_ratio(of[1]), "parameters": (float(of[2]),)}
         if kind == "deploy":
             more = (parse_ratio(of[1]), parse_duration_us(of[2]), parse_duration_us(of[3]))
-            return {"value": parse_ratio(of[0]), "more": more}
+            return {"value": parse_ratio(of[0]), "parameters": more}
         if kind in ("cut", "dark"):
             return {"value": int(of[0])}
         if kind == "lists":
-            return {"word": str(of[0]), "value": parse_duration_us(of[1]) if len(of) == 3 else 0}
+            return {"label": str(of[0]), "value": parse_duration_us(of[1]) if len(of) == 3 else 0}
         if kind == "clock":
             return {"value": parse_duration_us(of[1]) * (1 if of[0] == "ahead" else -1)}
         assert kind == "collector", kind
@@ -244,7 +244,7 @@
             return {"servers": self.names(of[1]), "value": parse_ratio(of[0])}
         if kind == "lag":
             more = (parse_duration_us(of[0]),)
-            return {"servers": self.names(of[2]), "value": parse_ratio(of[1]), "more": more}
+            return {"servers": self.names(of[2]), "value": parse_ratio(of[1]), "parameters": more}
         assert kind == "kill", kind
         return {"servers": self.names(of[0])}
 
@@ -266,7 +266,7 @@
             add("service", Selector(), limit=parse_ratio(of[0]))
         elif kind == "routed":
             after = parse_duration_us(of[-1]) if of[-1] is not None else 0
-            add(str(of[1]), of[0], servers=self.names(of[2:-1]), after=after)
+            add(str(of[1]), of[0], servers=self.names(of[2:-1]), after_us=after)
         elif kind == "attempts":
             add("attempts", of[0], limit=int(of[1]))
         elif kind == "once":
--- a/umberlead/routing_tests/model.py
+++ b/umberlead/routing_tests/model.py
@@ -5,7 +5,7 @@
 
 from umberlead.membership.model import FilePosition
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,9 +23,9 @@
 class Load:
     collection: str
     class_name: str
-    rate: float  # requests a second
-    begin: int  # us
-    end: int
+    requests_per_second: float  # requests a second
+    begin_us: int  # us
+    end_us: int
     units: float = 1.0
     new: bool = False  # writes of new objects, which any server may take
     place: FilePosition = field(default=FilePosition(""), compare=False)
@@ -37,14 +37,14 @@
     list; in a scenario with a fleet also: surge, costly, neighbour, lag, deploy, kill, cut, collector, lists,
     clock."""
 
-    at: int
-    what: str
+    at_us: int
+    kind: str
     servers: tuple[str, ...] = ()
     value: float = 0.0
-    word: str = ""
+    label: str = ""
     place: FilePosition = field(default=FilePosition(""), compare=False)
-    until: int = 0  # 0: for good
-    more: tuple[float, ...] = ()
+    until_us: int = 0  # 0: for good
+    parameters: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
     servers: int
     fronts: int
-    rooms: int = 3
+    zones: int = 3
     copies: int = 1  # servers of a shard, each in a room of its own
     seconds: float = 0.0
     load: float = 0.0
@@ -71,10 +71,10 @@
     collection: str = ""
     shard: int | None = None
     new: bool | None = None
-    begin: int = 0
-    end: int = 1 << 62
+    begin_us: int = 0
+    end_us: int = 1 << 62
 
-    def words(self) -> str:
+    def describe(self) -> str:
         made = [f"{k} {v}" for k, v in (("class", self.class_name), ("plan", self.plan)) if v]
         made += [f"collection {self.collection}"] if self.collection else []
         made += [f"shard {self.shard}"] if self.shard is not None else []
@@ -88,11 +88,11 @@
     may-never, may-attempts, may-once."""
 
     rule: str
-    of: Selector
+    selector: Selector
     servers: tuple[str, ...] = ()
     limit: float = 0.0  # of attempts, of us, or of a share
     tolerance: float = 0.0
-    after: int = 0
+    after_us: int = 0
     text: str = ""
     place: FilePosition = field(default=FilePosition(""), compare=False)
 
@@ -119,39 +119,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class TraceStep:
     """One event in a request's life."""
 
-    at: int
+    at_us: int
     kind: str  # taken, sent, ended, answered
     server: str = ""
-    word: str = ""  # an attempt's result, or the answer's kind
+    result: str = ""  # an attempt's result, or the answer's kind
     note: str = ""  # what the module saw
 
 
 @dataclass(slots=True)
-class Life:
+class RequestTrace:
     """A simulated request from its coming to its answer."""
 
     id: str
-    at: int
+    arrived_us: int
     collection: str
     class_name: str
     plan: str
     shard: int
     units: float
     new: bool
-    steps: list[Step] = field(default_factory=list)
+    steps: list[TraceStep] = field(default_factory=list)
 
-    def sent(self) -> list[Step]:
+    def attempts(self) -> list[TraceStep]:
         return [s for s in self.steps if s.kind == "sent"]
 
-    def answers(self) -> list[Step]:
+    def answers(self) -> list[TraceStep]:
         return [s for s in self.steps if s.kind == "answered"]
 
 
 class Outcome(Enum):
-    HELD = "held"
+    PASSED = "held"
     FAILED = "failed"
     ERROR = "error"  # the suite asks for what can't be told
 
@@ -161,6 +161,6 @@
     expectation: Expectation
     scenario: str
     outcome: Outcome
-    why: str = ""
-    witness: Life | None = None
-    requests: int = 0  # that it was judged by
+    reason: str = ""
+    witness: RequestTrace | None = None
+    request_count: int = 0  # that it was judged by
--- a/umberlead/routing_tests/proportion.py
+++ b/umberlead/routing_tests/proportion.py
@@ -5,13 +5,15 @@
 
 from scipy.stats import binomtest
 
-LEVEL = 0.99  # of the interval: one in a hundred sound checks is wrong, and a seed makes that one stay
+CONFIDENCE_PROBABILITY = (
+    0.99  # of the interval: one in a hundred sound checks is wrong, and a seed makes that one stay
+)
 
 
 class Judged(Enum):
     INSIDE = "inside"
     OUTSIDE = "outside"
-    UNTOLD = "untold"
+    UNDECIDED = "untold"
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,29 +22,30 @@
     measured: float
     low: float
     high: float
-    sample: int
+    sample_count: int
 
-    def words(self) -> str:
-        return f"measured {self.measured:.2%} of {self.sample} (interval {self.low:.2%} to {self.high:.2%})"
+    def describe(self) -> str:
+        interval = f"interval {self.low:.2%} to {self.high:.2%}"
+        return f"measured {self.measured:.2%} of {self.sample_count} ({interval})"
 
 
 def judge(hits: int, sample: int, want: float, tolerance: float) -> Share:
     """The Wilson interval against `want` plus or minus `tolerance`: inside it, outside it, or neither, which
     more requests or a wider tolerance would tell."""
     if not sample:
-        return Share(Judged.UNTOLD, 0.0, 0.0, 1.0, 0)
-    found = binomtest(hits, sample).proportion_ci(LEVEL, "wilson")
+        return Share(Judged.UNDECIDED, 0.0, 0.0, 1.0, 0)
+    found = binomtest(hits, sample).proportion_ci(CONFIDENCE_PROBABILITY, "wilson")
     low, high = float(found.low), float(found.high)
     if want - tolerance <= low and high <= want + tolerance:
         judged = Judged.INSIDE
     elif high < want - tolerance or low > want + tolerance:
         judged = Judged.OUTSIDE
     else:
-        judged = Judged.UNTOLD
+        judged = Judged.UNDECIDED
     return Share(judged, hits / sample, low, high, sample)
 
 
-def needed(want: float, tolerance: float) -> int:
+def required_sample_count(want: float, tolerance: float) -> int:
     """About how many requests tell a share that is just `want` within `tolerance`."""
     low, high = 1, 1
     while judge(round(want * high), high, want, tolerance).judged is not Judged.INSIDE and high < 1 << 24:
--- a/umberlead/routing_tests/reach.py
+++ b/umberlead/routing_tests/reach.py
@@ -10,9 +10,17 @@
 from dataclasses import dataclass
 
 from umberlead.membership.model import CheckedList
-from umberlead.routing_tests.model import Collection, Expectation, Life, Load, Outcome, Selector, Verdict
+from umberlead.routing_tests.model import (
+    Collection,
+    Expectation,
+    Load,
+    Outcome,
+    RequestTrace,
+    Selector,
+    Verdict,
+)
 from umberlead.routing_tests.verdict import sent_again
-from umberlead.routing_tests.world import QUIET, START, Modelled, World
+from umberlead.routing_tests.world import SETTLING_US, START, ServerModel, World
 from umberlead.scheduling.events import AttemptResult
 from umberlead.scheduling.settings import Settings
 
@@ -25,7 +33,7 @@
     AttemptResult.RESET,
     AttemptResult.NOT_SENT,
 )
-BRANCHES_MOST = 5000  # of one shape: with more the walk is cut off, and says so
+MAX_BRANCH_COUNT = 5000  # of one shape: with more the walk is cut off, and says so
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,11 +42,11 @@
     plan: str
     shard: int  # -1: a new object
 
-    def words(self) -> str:
+    def describe(self) -> str:
         return f"{self.class_name} on {self.plan}, " + ("new" if self.shard < 0 else f"shard {self.shard}")
 
 
-class TooMany(ValueError):
+class TooManyBranchesError(ValueError):
     """The walk was cut off."""
 
 
@@ -47,17 +55,19 @@
 
     def __init__(self, settings: Settings, listing: CheckedList, ends: tuple[AttemptResult, ...]) -> None:
         super().__init__(settings, listing, 1, explain=True)
-        self.ends, self.used, self.asked = ends, 0, 0
+        self.ends, self.used_count, self.draw_count = ends, 0, 0
 
-    def _drawn(self, model: Modelled) -> AttemptResult:
-        self.asked += 1
-        if self.used < len(self.ends):
-            self.used += 1
-            return self.ends[self.used - 1]
+    def _drawn(self, model: ServerModel) -> AttemptResult:
+        self.draw_count += 1
+        if self.used_count < len(self.ends):
+            self.used_count += 1
+            return self.ends[self.used_count - 1]
         return AttemptResult.OK
 
 
-def walk(shape: Shape, settings: Settings, listing: CheckedList, units: float = 1.0) -> Iterator[Life]:
+def walk(
+    shape: Shape, settings: Settings, listing: CheckedList, units: float = 1.0
+) -> Iterator[RequestTrace]:
     """The request's life under each sequence of outcomes."""
     collection = Collection("reach", shape.plan, (max(shape.shard, 0),))
     load = Load("reach", shape.class_name, 1.0, 0, 1, units, shape.shard < 0)
@@ -66,14 +76,18 @@
     while stack:
         ends = stack.pop()
         seen += 1
-        if seen > BRANCHES_MOST:
-            raise TooMany(f"{shape.words()}: more than {BRANCHES_MOST} sequences of outcomes")
+        if seen > MAX_BRANCH_COUNT:
+            raise TooManyBranchesError(
+                f"{shape.describe()}: more than {MAX_BRANCH_COUNT} sequences of outcomes"
+            )
         world = _Scripted(settings, listing, ends)
         life = world.take(collection, "reach.0", load, shape.shard, 0, "0" * 16)
-        tickets = world.engine.open_requests
-        world.loop.run(START + QUIET, lambda: bool(life.answers()) and not len(tickets))  # noqa: B023
+        tickets = world.lifecycle.open_requests
+        world.loop.run(START + SETTLING_US, lambda: bool(life.answers()) and not len(tickets))  # noqa: B023
         yield life
-        if world.asked > len(ends):  # it was sent once more than the sequence says: each way that can end
+        if world.draw_count > len(
+            ends
+        ):  # it was sent once more than the sequence says: each way that can end
             stack += [(*ends, end) for end in ENDS]
 
 
@@ -95,13 +109,13 @@
     return [Shape(c, p, s) for c in classes for p in plans for s in shards]
 
 
-def _fault(of: Expectation, life: Life) -> str:
+def _fault(of: Expectation, life: RequestTrace) -> str:
     if of.rule in ("may-only", "may-never"):
-        for step in life.sent():
+        for step in life.attempts():
             if (step.server in of.servers) == (of.rule == "may-never"):
                 return f"it can be sent to {step.server}"
     elif of.rule == "may-attempts":
-        n = len(life.sent())
+        n = len(life.attempts())
         return f"it can be sent {n} times" if n > of.limit else ""
     return ""
 
@@ -112,14 +126,14 @@
     listing: CheckedList,
     collections: dict[str, Collection],
     scenario: str,
-    walked: dict[Shape, list[Life]],
+    walked: dict[Shape, list[RequestTrace]],
 ) -> Verdict:
     """Holds for every sequence of every shape that fits, or fails with the shortest one found. `walked` keeps
     what was walked already."""
-    fitting, count = shapes(of.of, settings, listing, collections), 0
+    fitting, count = shapes(of.selector, settings, listing, collections), 0
     if not fitting:
         return Verdict(of, scenario, Outcome.ERROR, "no shape of request fits the expectation")
-    worst: tuple[int, Life, str] | None = None
+    worst: tuple[int, RequestTrace, str] | None = None
     for shape in fitting:
         try:
             if shape not in walked:
@@ -130,11 +144,11 @@
                 if of.rule == "may-once" and (step := sent_again(life)) is not None:
                     why = f"it can be sent to {step.server} after an attempt that may have run"
                 if why and (worst is None or len(life.steps) < worst[0]):
-                    ends = ", ".join(s.word for s in life.steps if s.kind == "ended")
-                    worst = len(life.steps), life, f"{shape.words()}: {why} when attempts end in: {ends}"
-        except TooMany as fault:
+                    ends = ", ".join(s.result for s in life.steps if s.kind == "ended")
+                    worst = len(life.steps), life, f"{shape.describe()}: {why} when attempts end in: {ends}"
+        except TooManyBranchesError as fault:
             return Verdict(of, scenario, Outcome.ERROR, str(fault), None, count)
     if worst is not None:
         return Verdict(of, scenario, Outcome.FAILED, worst[2], worst[1], count)
     why = f"all {count} sequences of outcomes of {len(fitting)} shapes"
-    return Verdict(of, scenario, Outcome.HELD, why, None, count)
+    return Verdict(of, scenario, Outcome.PASSED, why, None, count)
--- a/umberlead/routing_tests/report.py
+++ b/umberlead/routing_tests/report.py
@@ -3,27 +3,27 @@
 from pathlib import Path
 from typing import Any
 
-from umberlead.routing_tests.model import Life, Outcome, Verdict
+from umberlead.routing_tests.model import Outcome, RequestTrace, Verdict
 from umberlead.routing_tests.running import Played
 
 
-def life(of: Life) -> list[str]:
+def format_trace(of: RequestTrace) -> list[str]:
     """A request's life, a line an event."""
     where = "new" if of.new else f"shard {of.shard}"
     made = [f"{of.id}: {of.class_name} on {of.plan}, {where}, {of.units:g} units"]
     for step in of.steps:
-        words = " ".join(w for w in (step.kind, step.server, step.word) if w)
+        words = " ".join(w for w in (step.kind, step.server, step.result) if w)
         note = f"    [{step.note}]" if step.note else ""
-        made.append(f"  {step.at / 1000:9.1f} ms  {words}{note}")
+        made.append(f"  {step.at_us / 1000:9.1f} ms  {words}{note}")
     return made
 
 
-def failed(of: Verdict, command: str) -> list[str]:
+def format_failure(of: Verdict, command: str) -> list[str]:
     at = of.expectation
     kind = "FAILED" if of.outcome is Outcome.FAILED else "ERROR"
-    made = [f"{kind} {at.place}: scenario {of.scenario}: {at.text}", f"  rule {at.rule}: {of.why}"]
+    made = [f"{kind} {at.place}: scenario {of.scenario}: {at.text}", f"  rule {at.rule}: {of.reason}"]
     if of.witness is not None:
-        made += [f"  {line}" for line in life(of.witness)]
+        made += [f"  {line}" for line in format_trace(of.witness)]
         made.append(f"  replay: {command} --scenario {of.scenario}")
     return made
 
@@ -31,19 +31,19 @@
 def counted(played: list[Played]) -> dict[str, int]:
     verdicts = [v for of in played for v in of.verdicts]
     made = {o.value: sum(v.outcome is o for v in verdicts) for o in Outcome}
-    return made | {"expectations": len(verdicts), "requests": sum(of.requests for of in played)}
+    return made | {"expectations": len(verdicts), "requests": sum(of.request_count for of in played)}
 
 
 def text(played: list[Played], command: str, left: dict[str, list[str]]) -> list[str]:
     made = []
     for of in played:
         for verdict in of.verdicts:
-            if verdict.outcome is not Outcome.HELD:
-                made += failed(verdict, command)
+            if verdict.outcome is not Outcome.PASSED:
+                made += format_failure(verdict, command)
     for kind, names in left.items():
         made.append(f"not touched: {kind} {', '.join(names)}")
     n = counted(played)
-    took = sum(of.took for of in played)
+    took = sum(of.elapsed_seconds for of in played)
     words = f"{n['held']} held, {n['failed']} failed, {n['error']} errors; {n['requests']} requests"
     made.append(f"{words} in {len(played)} scenarios, {took:.1f} s of work")
     return made
@@ -57,9 +57,9 @@
             "rule": v.expectation.rule,
             "text": v.expectation.text,
             "outcome": v.outcome.value,
-            "why": v.why,
-            "requests": v.requests,
-            "witness": life(v.witness) if v.witness is not None else [],
+            "why": v.reason,
+            "requests": v.request_count,
+            "witness": format_trace(v.witness) if v.witness is not None else [],
         }
         for of in played
         for v in of.verdicts
@@ -75,11 +75,11 @@
         group = TestSuite(f"{suite}.{of.scenario}")
         for verdict in of.verdicts:
             case = TestCase(f"{verdict.expectation.place.line}: {verdict.expectation.text}", group.name)
-            case.time = of.took / max(len(of.verdicts), 1)
-            if verdict.outcome is not Outcome.HELD:
+            case.time = of.elapsed_seconds / max(len(of.verdicts), 1)
+            if verdict.outcome is not Outcome.PASSED:
                 kind = Failure if verdict.outcome is Outcome.FAILED else Error
-                result = kind(verdict.why, verdict.expectation.rule)
-                result.text = "\n".join(life(verdict.witness)) if verdict.witness is not None else ""
+                result = kind(verdict.reason, verdict.expectation.rule)
+                result.text = "\n".join(format_trace(verdict.witness)) if verdict.witness is not None else ""
                 case.result = [result]
             group.add_testcase(case)
         made.add_testsuite(group)
--- a/umberlead/routing_tests/running.py
+++ b/umberlead/routing_tests/running.py
@@ -7,29 +7,31 @@
 from pathlib import Path
 
 from umberlead.routing_tests import reach
-from umberlead.routing_tests.model import Expectation, Life, Outcome, Scenario, Verdict
+from umberlead.routing_tests.model import Expectation, Outcome, RequestTrace, Scenario, Verdict
 from umberlead.routing_tests.suites import Ready, load
 from umberlead.routing_tests.verdict import judged
-from umberlead.routing_tests.world import NotListed, World
+from umberlead.routing_tests.world import UnlistedServerError, World
 
 
 @dataclass(slots=True)
 class Played:
     scenario: str
     verdicts: list[Verdict]
-    requests: int
-    took: float
+    request_count: int
+    elapsed_seconds: float
     touched: set[tuple[str, str]] = field(default_factory=set)  # kind and name of what requests met
 
 
-def lives_of(ready: Ready, scenario: Scenario, explain: bool = False) -> tuple[list[Life], list[str]]:
+def trace_requests(
+    ready: Ready, scenario: Scenario, explain: bool = False
+) -> tuple[list[RequestTrace], list[str]]:
     world = World(ready.settings, ready.listing, scenario.seed, explain)
-    return world.play(scenario, ready.suite.collections, ready.lists), world.faults
+    return world.play(scenario, ready.suite.collections, ready.lists), world.errors
 
 
-def _track(lives: Iterable[Life]) -> list[tuple[object, ...]]:
+def _track(lives: Iterable[RequestTrace]) -> list[tuple[object, ...]]:
     return [
-        (life.id, life.at, life.shard, [(s.at, s.kind, s.server, s.word) for s in life.steps])
+        (life.id, life.arrived_us, life.shard, [(s.at_us, s.kind, s.server, s.result) for s in life.steps])
         for life in lives
     ]
 
@@ -38,12 +40,12 @@
     """The verdicts of a scenario. Explained notes are gathered only where something failed."""
     began = time.perf_counter()
     try:
-        lives, faults = lives_of(ready, scenario)
-    except NotListed as fault:
+        lives, faults = trace_requests(ready, scenario)
+    except UnlistedServerError as fault:
         errors = [Verdict(of, scenario.name, Outcome.ERROR, str(fault)) for of in scenario.expectations]
         return Played(scenario.name, errors, 0, time.perf_counter() - began)
     verdicts = list[Verdict]()
-    again, _ = lives_of(ready, scenario)
+    again, _ = trace_requests(ready, scenario)
     if faults:
         of = scenario.expectations[0]
         verdicts.append(Verdict(of, scenario.name, Outcome.ERROR, f"the module raised: {faults[0][-400:]}"))
@@ -51,19 +53,19 @@
         of = scenario.expectations[0]
         verdicts.append(Verdict(of, scenario.name, Outcome.ERROR, "two plays of one seed differ"))
     else:
-        walked: dict[reach.Shape, list[Life]] = {}
+        walked: dict[reach.Shape, list[RequestTrace]] = {}
         for of in scenario.expectations:
             verdicts.append(_judge(of, ready, scenario, lives, walked))
     if any(v.outcome is Outcome.FAILED and not v.expectation.rule.startswith("may") for v in verdicts):
-        explained = {life.id: life for life in lives_of(ready, scenario, explain=True)[0]}
+        explained = {life.id: life for life in trace_requests(ready, scenario, explain=True)[0]}
         verdicts = [
             replace(v, witness=explained.get(v.witness.id, v.witness)) if v.witness is not None else v
             for v in verdicts
         ]
     touched = {("class", life.class_name) for life in lives} | {("plan", life.plan) for life in lives}
-    touched |= {("server", s.server) for life in lives for s in life.sent()}
-    touched |= {("outcome", s.word) for life in lives for s in life.steps if s.kind == "ended"}
-    touched |= {("answer", s.word) for life in lives for s in life.answers()}
+    touched |= {("server", s.server) for life in lives for s in life.attempts()}
+    touched |= {("outcome", s.result) for life in lives for s in life.steps if s.kind == "ended"}
+    touched |= {("answer", s.result) for life in lives for s in life.answers()}
     touched |= {("rule", of.rule) for of in scenario.expectations}
     return Played(scenario.name, verdicts, len(lives), time.perf_counter() - began, touched)
 
@@ -72,8 +74,8 @@
     of: Expectation,
     ready: Ready,
     scenario: Scenario,
-    lives: list[Life],
-    walked: dict[reach.Shape, list[Life]],
+    lives: list[RequestTrace],
+    walked: dict[reach.Shape, list[RequestTrace]],
 ) -> Verdict:
     if of.rule.startswith("may-"):
         collections = ready.suite.collections
@@ -93,7 +95,7 @@
     listed: Path | None,
     only: str = "",
     workers: int = 0,
-    told: Callable[[int, int, Played], None] = lambda done, of, played: None,
+    on_played: Callable[[int, int, Played], None] = lambda done, of, played: None,
 ) -> tuple[Ready, list[Played]]:
     """All scenarios of a suite, or `only` that one, in its order; `told` as each is there. `Unreadable` where
     the suite can't be used."""
@@ -104,7 +106,7 @@
         made = list[Played]()
         for of in each:
             made.append(of)
-            told(len(made), len(chosen), of)
+            on_played(len(made), len(chosen), of)
         return made
 
     if workers == 1 or len(chosen) == 1:
--- a/umberlead/routing_tests/smallest.py
+++ b/umberlead/routing_tests/smallest.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 
 from umberlead.routing_tests.model import Collection, Expectation, Happening, Load, Outcome, Scenario
-from umberlead.routing_tests.running import lives_of
+from umberlead.routing_tests.running import trace_requests
 from umberlead.routing_tests.suites import Ready
 from umberlead.routing_tests.verdict import judged
-from umberlead.routing_tests.world import NotListed
+from umberlead.routing_tests.world import UnlistedServerError
 
-PLAYS_MOST = 200
-LEAST = 100_000  # us of load below which nothing is halved
+MAX_PLAY_COUNT = 200
+MIN_HALVED_LOAD_US = 100_000  # us of load below which nothing is halved
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,9 @@
     cut: bool  # ended by PLAYS_MOST
 
 
-def smallest(ready: Ready, of: Expectation, scenario: Scenario, most: int = PLAYS_MOST) -> Smallest | None:
+def smallest(
+    ready: Ready, of: Expectation, scenario: Scenario, most: int = MAX_PLAY_COUNT
+) -> Smallest | None:
     """None where the scenario, played alone, does not fail `of` (or where it is judged without a play)."""
     plays = 0
 
@@ -37,8 +39,8 @@
         nonlocal plays
         plays += 1
         try:
-            lives, faults = lives_of(ready, one)
-        except NotListed:
+            lives, faults = trace_requests(ready, one)
+        except UnlistedServerError:
             return 0
         bad = not faults and judged(of, lives, ready.settings, one.name).outcome is Outcome.FAILED
         return len(lives) if bad else 0
@@ -69,11 +71,11 @@
     for k in range(len(of.happenings)):
         yield replace(of, happenings=of.happenings[:k] + of.happenings[k + 1 :])
     for k, load in enumerate(of.loads):
-        half = (load.end - load.begin) // 2
-        if half >= LEAST:
-            for begin, end in ((load.begin, load.begin + half), (load.begin + half, load.end)):
+        half = (load.end_us - load.begin_us) // 2
+        if half >= MIN_HALVED_LOAD_US:
+            for begin, end in ((load.begin_us, load.begin_us + half), (load.begin_us + half, load.end_us)):
                 yield replace(
-                    of, loads=[*of.loads[:k], replace(load, begin=begin, end=end), *of.loads[k + 1 :]]
+                    of, loads=[*of.loads[:k], replace(load, begin_us=begin, end_us=end), *of.loads[k + 1 :]]
                 )
     for k, what in enumerate(of.happenings):
         for name in what.servers if len(what.servers) > 1 else ():
@@ -89,8 +91,8 @@
     of = found.scenario
     expected = of.expectations[0]
     used = [ready.suite.collections[n] for n in dict.fromkeys(load.collection for load in of.loads)]
-    if expected.of.collection and all(c.name != expected.of.collection for c in used):
-        used.append(ready.suite.collections[expected.of.collection])
+    if expected.selector.collection and all(c.name != expected.selector.collection for c in used):
+        used.append(ready.suite.collections[expected.selector.collection])
     lines = ["format 1", f"config {config}", f"list {listed}"]
     for name in dict.fromkeys(re.findall(r"@([^\s#]+)", expected.text)):
         lines.append(f"group {name} {' '.join(ready.suite.groups['@' + name])}")
@@ -118,17 +120,17 @@
 
 
 def _load(of: Load) -> str:
-    words = f"load {of.collection} class {of.class_name} rate {_number(of.rate)}"
-    words += f" from {_time(of.begin)} to {_time(of.end)} units {_number(of.units)}"
+    words = f"load {of.collection} class {of.class_name} rate {_number(of.requests_per_second)}"
+    words += f" from {_time(of.begin_us)} to {_time(of.end_us)} units {_number(of.units)}"
     return words + (" new" if of.new else "")
 
 
 def _happening(of: Happening, folder: Path) -> str:
-    at, names = f"at {_time(of.at)}", " ".join(of.servers)
-    if of.what == "list":
-        return f"{at} list {folder / of.word}"
-    if of.what == "slow":
+    at, names = f"at {_time(of.at_us)}", " ".join(of.servers)
+    if of.kind == "list":
+        return f"{at} list {folder / of.label}"
+    if of.kind == "slow":
         return f"{at} slow {_number(of.value)} {names}"
-    if of.what == "outcome":
-        return f"{at} outcome {of.word} part {_number(100 * of.value)}% {names}"
-    return f"{at} {of.what} {names}"
+    if of.kind == "outcome":
+        return f"{at} outcome {of.label} part {_number(100 * of.value)}% {names}"
+    return f"{at} {of.kind} {names}"
--- a/umberlead/routing_tests/suggest.py
+++ b/umberlead/routing_tests/suggest.py
@@ -10,9 +10,9 @@
 from umberlead.scheduling.events import EndpointStatus
 from umberlead.scheduling.settings import Repeatability, Settings
 
-RATE_MOST = 40.0  # requests a second of one class and plan
-DRAINS_MOST = 3  # servers whose drain is rehearsed
-LASTS = 4  # s of load
+MAX_RATE_REQUESTS = 40.0  # requests a second of one class and plan
+MAX_DRAIN_COUNT = 3  # servers whose drain is rehearsed
+LOAD_SECONDS = 4  # s of load
 
 
 def suite(settings: Settings, listing: CheckedList, config: str, listed: str) -> str:
@@ -43,7 +43,7 @@
     lines += [f"expect class {c} sent once" for c in once]
 
     ready = {n: [s for s in by_shard[n] if listing.endpoints[s].status is EndpointStatus.UP] for n in shards}
-    drains = [names[0] for names in ready.values() if len(names) > 1][:DRAINS_MOST]
+    drains = [names[0] for names in ready.values() if len(names) > 1][:MAX_DRAIN_COUNT]
     for name in drains:
         shard = listing.endpoints[name].shard
         lines += ["", f"# Its shard has other servers: nothing new goes to {name} once it drains."]
@@ -59,9 +59,9 @@
 
 
 def _loads(settings: Settings, servers: int, once: list[str]) -> list[str]:
-    each = min(RATE_MOST, max(servers, 1) * 4.0) / len(settings.plans)
+    each = min(MAX_RATE_REQUESTS, max(servers, 1) * 4.0) / len(settings.plans)
     return [
-        f"load {p.name}-all class {c.name} rate {each:g} from 0s to {LASTS}s units 1"
+        f"load {p.name}-all class {c.name} rate {each:g} from 0s to {LOAD_SECONDS}s units 1"
         + (" new" if c.name in once else "")
         for p in settings.plans
         for c in settings.classes
--- a/umberlead/routing_tests/suites.py
+++ b/umberlead/routing_tests/suites.py
@@ -74,10 +74,10 @@
             why = f"scenario {scenario.name} has a fleet: `umberlead rehearse` plays it"
             problems.append(ListProblem("E130", scenario.place, why))
         for happening in scenario.happenings:
-            if happening.what == "list" and happening.word not in lists:
-                found = _list(path.parent / happening.word, problems)
+            if happening.kind == "list" and happening.label not in lists:
+                found = _list(path.parent / happening.label, problems)
                 if found is not None:
-                    lists[happening.word] = found
+                    lists[happening.label] = found
     if settings is not None and listing is not None:
         problems += _unknown(suite, settings, listing, lists)
     if problems or settings is None or listing is None:
@@ -112,9 +112,9 @@
             for name in happening.servers:
                 check(happening.place, "server", name, servers)
         for of in scenario.expectations:
-            check(of.place, "class", of.of.class_name, classes)
-            check(of.place, "plan", of.of.plan, plans)
-            check(of.place, "collection", of.of.collection, set(suite.collections))
+            check(of.place, "class", of.selector.class_name, classes)
+            check(of.place, "plan", of.selector.plan, plans)
+            check(of.place, "collection", of.selector.collection, set(suite.collections))
             for name in of.servers:
                 check(of.place, "server", name, servers)
         for a, b, why in contradictions(scenario.expectations):
--- a/umberlead/routing_tests/verdict.py
+++ b/umberlead/routing_tests/verdict.py
@@ -2,25 +2,25 @@
 
 from collections.abc import Callable, Iterable
 
-from umberlead.routing_tests.model import Expectation, Life, Outcome, Selector, Step, Verdict
-from umberlead.routing_tests.proportion import Judged, judge, needed
+from umberlead.routing_tests.model import Expectation, Outcome, RequestTrace, Selector, TraceStep, Verdict
+from umberlead.routing_tests.proportion import Judged, judge, required_sample_count
 from umberlead.scheduling.settings import Settings
 
 NEVER_RAN = frozenset(("full", "no_link", "astray"))
 
 
-def fits(of: Selector, life: Life) -> bool:
+def fits(of: Selector, life: RequestTrace) -> bool:
     return (
         (not of.class_name or life.class_name == of.class_name)
         and (not of.plan or life.plan == of.plan)
         and (not of.collection or life.collection == of.collection)
         and (of.shard is None or (life.shard == of.shard and not life.new))
         and (of.new is None or life.new == of.new)
-        and of.begin <= life.at < of.end
+        and of.begin_us <= life.arrived_us < of.end_us
     )
 
 
-def may_have_run(steps: Iterable[Step]) -> bool:
+def may_have_run(steps: Iterable[TraceStep]) -> bool:
     """Whether an attempt before the end of `steps` may have taken effect; one still out may."""
     out = 0
     for step in steps:
@@ -28,12 +28,12 @@
             out += 1
         elif step.kind == "ended":
             out -= 1
-            if step.word not in NEVER_RAN:
+            if step.result not in NEVER_RAN:
                 return True
     return out > 0
 
 
-def sent_again(life: Life) -> Step | None:
+def sent_again(life: RequestTrace) -> TraceStep | None:
     """A sending that breaks "sent once": while another is out, or after one that may have run. Whether the
     configuration lets the class be repeated doesn't count: a suite that took it from there could not find it
     wrong."""
@@ -48,44 +48,46 @@
     return None
 
 
-def _routed(of: Expectation, life: Life, _: Settings) -> str:
-    for step in life.sent():
-        if step.at >= of.after and (step.server in of.servers) == (of.rule == "never"):
+def _routed(of: Expectation, life: RequestTrace, _: Settings) -> str:
+    for step in life.attempts():
+        if step.at_us >= of.after_us and (step.server in of.servers) == (of.rule == "never"):
             allowed = ", ".join(of.servers)
             if of.rule == "never":
-                return f"it was sent to {step.server} at {step.at / 1000:.0f} ms"
+                return f"it was sent to {step.server} at {step.at_us / 1000:.0f} ms"
             return f"it was sent to {step.server}, which is none of {allowed}"
     return ""
 
 
-def _attempts(of: Expectation, life: Life, _: Settings) -> str:
-    n = len(life.sent())
+def _attempts(of: Expectation, life: RequestTrace, _: Settings) -> str:
+    n = len(life.attempts())
     return f"it was sent {n} times" if n > of.limit else ""
 
 
-def _once(of: Expectation, life: Life, _: Settings) -> str:
+def _once(of: Expectation, life: RequestTrace, _: Settings) -> str:
     step = sent_again(life)
     if step is None:
         return ""
-    return f"it was sent to {step.server} at {step.at / 1000:.0f} ms though an earlier attempt may have run"
+    return (
+        f"it was sent to {step.server} at {step.at_us / 1000:.0f} ms though an earlier attempt may have run"
+    )
 
 
-def _within(of: Expectation, life: Life, _: Settings) -> str:
+def _within(of: Expectation, life: RequestTrace, _: Settings) -> str:
     answers = life.answers()
     if not answers:
         return "it was never answered"
-    took = answers[0].at - life.at
+    took = answers[0].at_us - life.arrived_us
     return f"it was answered after {took / 1000:.0f} ms" if took > of.limit else ""
 
 
-def _prompt(of: Expectation, life: Life, settings: Settings) -> str:
+def _prompt(of: Expectation, life: RequestTrace, settings: Settings) -> str:
     answers = life.answers()
-    refused = answers and answers[0].word == "refused"
+    refused = answers and answers[0].result == "refused"
     return _within(of, life, settings) if refused else ""
 
 
-def _ends(of: Expectation, life: Life, _: Settings) -> str:
-    words = [step.word for step in life.answers()]
+def _ends(of: Expectation, life: RequestTrace, _: Settings) -> str:
+    words = [step.result for step in life.answers()]
     if len(words) != 1:
         return f"it has {len(words)} answers"
     if of.rule == "answered-once" or words[0] == of.rule:
@@ -93,7 +95,7 @@
     return f"it was {words[0]}"
 
 
-RULES: dict[str, Callable[[Expectation, Life, Settings], str]] = {
+RULES: dict[str, Callable[[Expectation, RequestTrace, Settings], str]] = {
     "only": _routed,
     "never": _routed,
     "attempts": _attempts,
@@ -106,28 +108,29 @@
 }
 
 
-def _share(of: Expectation, lives: list[Life], scenario: str) -> Verdict:
-    first = [life.sent()[0] for life in lives if life.sent()]
+def _share(of: Expectation, lives: list[RequestTrace], scenario: str) -> Verdict:
+    first = [life.attempts()[0] for life in lives if life.attempts()]
     hits = sum(step.server in of.servers for step in first)
     got = judge(hits, len(first), of.limit, of.tolerance)
-    want = f"wanted {of.limit:.2%} within {of.tolerance:.2%}; {got.words()}"
+    want = f"wanted {of.limit:.2%} within {of.tolerance:.2%}; {got.describe()}"
     if got.judged is Judged.INSIDE:
-        return Verdict(of, scenario, Outcome.HELD, want, None, len(first))
-    if got.judged is Judged.UNTOLD:
-        more = needed(of.limit, of.tolerance)
+        return Verdict(of, scenario, Outcome.PASSED, want, None, len(first))
+    if got.judged is Judged.UNDECIDED:
+        more = required_sample_count(of.limit, of.tolerance)
         why = f"{want}: the sample can't tell; it takes about {more} requests, or a wider tolerance"
         return Verdict(of, scenario, Outcome.ERROR, why, None, len(first))
     over = got.measured > of.limit
     witness = next(
-        (life for life in lives if life.sent() and (life.sent()[0].server in of.servers) == over), None
+        (life for life in lives if life.attempts() and (life.attempts()[0].server in of.servers) == over),
+        None,
     )
     return Verdict(of, scenario, Outcome.FAILED, want, witness, len(first))
 
 
-def judged(of: Expectation, lives: list[Life], settings: Settings, scenario: str) -> Verdict:
+def judged(of: Expectation, lives: list[RequestTrace], settings: Settings, scenario: str) -> Verdict:
     """One expectation over all that fits it. Nothing that fits is an error: it would hold whatever
     happens."""
-    chosen = [life for life in lives if fits(of.of, life)]
+    chosen = [life for life in lives if fits(of.selector, life)]
     if not chosen:
         return Verdict(of, scenario, Outcome.ERROR, "no request of this scenario fits the expectation")
     if of.rule == "share":
@@ -136,9 +139,9 @@
     for life in chosen:
         if why := check(of, life, settings):
             return Verdict(of, scenario, Outcome.FAILED, why, life, len(chosen))
-    if of.rule == "prompt" and not any(s.word == "refused" for life in chosen for s in life.answers()):
+    if of.rule == "prompt" and not any(s.result == "refused" for life in chosen for s in life.answers()):
         return Verdict(of, scenario, Outcome.ERROR, "nothing is refused: the expectation tells nothing")
-    return Verdict(of, scenario, Outcome.HELD, "", None, len(chosen))
+    return Verdict(of, scenario, Outcome.PASSED, "", None, len(chosen))
 
 
 def contradictions(expectations: list[Expectation]) -> list[tuple[Expectation, Expectation, str]]:
@@ -146,7 +149,7 @@
     found = []
     for k, a in enumerate(expectations):
         for b in expectations[k + 1 :]:
-            if a.of != b.of:
+            if a.selector != b.selector:
                 continue
             rules = {a.rule, b.rule}
             both = set(a.servers) & set(b.servers)
@@ -156,12 +159,12 @@
                 found.append((a, b, "no server is in both"))
             elif rules in ({"only", "never"}, {"may-only", "may-never"}):
                 only, never = (a, b) if a.rule.endswith("only") else (b, a)
-                if set(only.servers) <= set(never.servers) and not never.after:
+                if set(only.servers) <= set(never.servers) and not never.after_us:
                     found.append((a, b, "every server that is left is forbidden"))
     shares: dict[Selector, list[Expectation]] = {}
     for of in expectations:
         if of.rule == "share":
-            shares.setdefault(of.of, []).append(of)
+            shares.setdefault(of.selector, []).append(of)
     for many in shares.values():
         apart = all(not set(a.servers) & set(b.servers) for k, a in enumerate(many) for b in many[k + 1 :])
         if apart and sum(of.limit - of.tolerance for of in many) > 1 + 1e-9:
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -22,17 +22,17 @@
 from umberlead.membership.model import CheckedList, EndpointSpec, MembershipChange, diff_endpoints
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, Attempt, IncomingRequest
-from umberlead.routing_tests.model import Collection, Happening, Life, Load, Scenario, Step
+from umberlead.routing_tests.model import Collection, Happening, Load, RequestTrace, Scenario, TraceStep
 from umberlead.scheduling.actions import Action, Fail, Reject, Send
 from umberlead.scheduling.events import AttemptResult, EndpointStatus
 from umberlead.scheduling.settings import Settings
 
-UNIT = 20_000  # us of work of a unit
-CORES = 2
-WAITING = 100
-WIRE = 500  # us to a server and back
-QUIET = 10_000_000  # us after the last load in which all must be answered
-TICK = 2000
+WORK_PER_UNIT_US = 20_000  # us of work of a unit
+CORE_COUNT = 2
+QUEUE_LIMIT = 100
+ROUND_TRIP_US = 500  # us to a server and back
+SETTLING_US = 10_000_000  # us after the last load in which all must be answered
+TIMER_TICK_US = 2000
 RESULTS = {
     "error": AttemptResult.ERROR,
     "full": AttemptResult.REJECTED,
@@ -48,12 +48,12 @@
 }
 
 
-class NotListed(ValueError):
+class UnlistedServerError(ValueError):
     """Something befalls a server that the list doesn't name at that time; the text tells which."""
 
 
 @dataclass(slots=True)
-class Modelled:
+class ServerModel:
     """A server's state beside what the list says."""
 
     slow: float = 1.0
@@ -67,26 +67,26 @@
     """One front and its servers."""
 
     def __init__(self, settings: Settings, listing: CheckedList, seed: int, explain: bool = False) -> None:
-        self.settings, self.loop, self.chance = settings, Loop(), random.Random(seed)
+        self.settings, self.loop, self.rng = settings, Loop(), random.Random(seed)
         loop = self.loop
-        self.wheel = TimerWheel(lambda: loop.now, self._alarm, TICK)
-        self.engine = RequestLifecycle(
+        self.wheel = TimerWheel(lambda: loop.now, self._alarm, TIMER_TICK_US)
+        self.lifecycle = RequestLifecycle(
             settings, seed, lambda: loop.now, self.wheel, loop.soon, Counters(), self._log
         )
-        self.engine.transport = self
+        self.lifecycle.transport = self
         self.addresses: dict[str, Any] = {}  # as a pool has them
         self.endpoint_counts: set[Any] | None = None
-        self.models: dict[str, Modelled] = {}
+        self.models: dict[str, ServerModel] = {}
         self.names: dict[str, str] = {}  # of ids
-        self.lives: list[Life] = []
-        self._life: dict[int, Life] = {}  # by slot of the open ticket's payload
-        self.faults: list[str] = []
-        self.machine = Membership(MembershipSettings(1.0, 10**12, FlapDampingSettings(1, 7000.0, 1000.0)))
-        self.told(self.machine.apply_files(loop.now, listing))
+        self.traces: list[RequestTrace] = []
+        self._life: dict[int, RequestTrace] = {}  # by slot of the open ticket's payload
+        self.errors: list[str] = []
+        self.membership = Membership(MembershipSettings(1.0, 10**12, FlapDampingSettings(1, 7000.0, 1000.0)))
+        self.apply_membership(self.membership.apply_files(loop.now, listing))
         self._now: dict[str, EndpointSpec] = dict(listing.endpoints)
         self._lists = 0
         if explain:
-            self.engine.decision_loop.action_observer = self._observe
+            self.lifecycle.decision_loop.action_observer = self._observe
         self._notes: dict[str, str] = {}
 
     def _alarm(self, delay: int, what: Callable[[], None]) -> Alarm:
@@ -96,12 +96,12 @@
 
     def _log(self, event: str, **pairs: Any) -> None:
         if event == "module_error":
-            self.faults.append(str(pairs.get("trace", event)))
+            self.errors.append(str(pairs.get("trace", event)))
 
     # The list
 
-    def told(self, change: MembershipChange) -> None:
-        apply_change(change, self.engine, self)  # type: ignore[arg-type]
+    def apply_membership(self, change: MembershipChange) -> None:
+        apply_change(change, self.lifecycle, self)  # type: ignore[arg-type]
         for member in change.added:
             self.names[member.id] = member.endpoint.name
 
@@ -112,50 +112,54 @@
         self._lists += 1
         self._now = servers
         listing = CheckedList(self._lists, f"{self._lists:064d}", dict(servers))
-        old = self.machine.file_list.endpoints if self.machine.file_list else {}
+        old = self.membership.file_list.endpoints if self.membership.file_list else {}
         delta = diff_endpoints(old, listing.endpoints)
-        change = self.machine.apply_files(self.loop.now, listing, delta, "")
-        if self.machine.pending is not None:  # an expectation asks what happens then, not whether it may
-            change = self.machine.confirm(self.loop.now, listing.digest)
-        self.told(change)
+        change = self.membership.apply_files(self.loop.now, listing, delta, "")
+        if self.membership.pending is not None:  # an expectation asks what happens then, not whether it may
+            change = self.membership.confirm(self.loop.now, listing.digest)
+        self.apply_membership(change)
 
     def happen(self, of: Happening, lists: dict[str, CheckedList]) -> None:
-        if of.what == "list":
-            return self.relist(dict(lists[of.word].endpoints))
+        if of.kind == "list":
+            return self.relist(dict(lists[of.label].endpoints))
         servers = dict(self._now)
         for name in of.servers:
-            model = self.models.setdefault(name, Modelled())
-            if name not in servers and (of.what != "back" or name not in self._first):
-                raise NotListed(
-                    f"{of.place}: {of.what} at {of.at / 1e6:g} s: no server {name} is listed then"
+            model = self.models.setdefault(name, ServerModel())
+            if name not in servers and (of.kind != "back" or name not in self._first):
+                raise UnlistedServerError(
+                    f"{of.place}: {of.kind} at {of.at_us / 1e6:g} s: no server {name} is listed then"
                 )
-            if of.what == "drain":
+            if of.kind == "drain":
                 servers[name] = replace(servers[name], status=EndpointStatus.DRAINING)
-            elif of.what == "back":
+            elif of.kind == "back":
                 model.alive, model.slow, model.mix = True, 1.0, {}
                 servers[name] = replace(servers.get(name) or self._first[name], status=EndpointStatus.UP)
-            elif of.what == "leave":
+            elif of.kind == "leave":
                 servers.pop(name, None)
-            elif of.what == "cold":
+            elif of.kind == "cold":
                 servers[name] = replace(servers[name], status=EndpointStatus.UP, started_us=self.loop.now)
-            elif of.what == "slow":
+            elif of.kind == "slow":
                 model.slow = of.value
-            elif of.what == "outcome":
-                model.mix[of.word] = of.value
-            elif of.what == "over":
-                model.slow = 1.0 if of.word == "slow" else model.slow
-                model.mix.pop(of.word, None)
+            elif of.kind == "outcome":
+                model.mix[of.label] = of.value
+            elif of.kind == "over":
+                model.slow = 1.0 if of.label == "slow" else model.slow
+                model.mix.pop(of.label, None)
             else:
-                self.told(self.machine.set_manual_drain(self.loop.now, name, of.what == "out", self.loop.now))
+                self.apply_membership(
+                    self.membership.set_manual_drain(self.loop.now, name, of.kind == "out", self.loop.now)
+                )
         if servers != self._now:
             self.relist(servers)
 
     # Requests
 
-    def take(self, collection: Collection, volume: str, load: Load, shard: int, name: int, key: str) -> Life:
+    def take(
+        self, collection: Collection, volume: str, load: Load, shard: int, name: int, key: str
+    ) -> RequestTrace:
         cls = next(c for c in self.settings.classes if c.name == load.class_name)
         now = self.loop.now
-        life = Life(
+        life = RequestTrace(
             f"{collection.name}/{name}",
             now - START,
             collection.name,
@@ -165,8 +169,8 @@
             load.units,
             load.new,
         )
-        life.steps.append(Step(now - START, "taken"))
-        self.lives.append(life)
+        life.steps.append(TraceStep(now - START, "taken"))
+        self.traces.append(life)
         ask = IncomingRequest(
             load.class_name,
             collection.plan,
@@ -178,25 +182,25 @@
             life,
             collection.hosts,
         )
-        self.engine.accept(ask, lambda answer: self._answered(life, answer))
+        self.lifecycle.accept(ask, lambda answer: self._answered(life, answer))
         return life
 
-    def _answered(self, life: Life, answer: Answer) -> None:
+    def _answered(self, life: RequestTrace, answer: Answer) -> None:
         note = "" if answer.kind.value == "served" else self._notes.get(life.id, "")
-        life.steps.append(Step(self.loop.now - START, "answered", "", answer.kind.value, note))
+        life.steps.append(TraceStep(self.loop.now - START, "answered", "", answer.kind.value, note))
 
     def _observe(self, now: int, acts: list[Action]) -> None:
         """What the module saw of the candidates as it sent or refused."""
         for act in acts:
             if isinstance(act, Send | Reject | Fail):
-                ticket = self.engine.open_requests.find(act.request_id)
-                if ticket is not None and isinstance(ticket.incoming.payload, Life):
-                    self._notes[ticket.incoming.payload.id] = self._saw(
-                        ticket.incoming.shard, ticket.incoming.units
+                pending = self.lifecycle.open_requests.find(act.request_id)
+                if pending is not None and isinstance(pending.incoming.payload, RequestTrace):
+                    self._notes[pending.incoming.payload.id] = self._saw(
+                        pending.incoming.shard, pending.incoming.units
                     )
 
     def _saw(self, shard: int, units: float) -> str:
-        head, now = self.engine.scheduler, self.loop.now
+        head, now = self.lifecycle.scheduler, self.loop.now
         made = []
         for node, view in list(head.directory.endpoints.items()):
             if shard >= 0 and view.endpoint.shard != shard:
@@ -223,39 +227,41 @@
     # The carrier
 
     def start(self, attempt: Attempt) -> None:
-        life: Life = attempt.request.incoming.payload
+        life: RequestTrace = attempt.request.incoming.payload
         name = self.names.get(attempt.endpoint, attempt.endpoint)
         note = self._notes.get(life.id, "")
-        life.steps.append(Step(self.loop.now - START, "sent", name, str(attempt.number), note))
-        model = self.models.setdefault(name, Modelled())
+        life.steps.append(TraceStep(self.loop.now - START, "sent", name, str(attempt.number), note))
+        model = self.models.setdefault(name, ServerModel())
         attempt.transport_state = model
         end = self._drawn(model)
         if end in (AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED, AttemptResult.NOT_SENT):
             attempt.misdirected = end is AttemptResult.NOT_SENT
-            return self.loop.at(self.loop.now + WIRE, lambda: self._end(attempt, end))
+            return self.loop.at(self.loop.now + ROUND_TRIP_US, lambda: self._end(attempt, end))
         if end is AttemptResult.TIMEOUT:
             return None  # silence: the engine stops it
         job = lambda: self.loop.at(  # noqa: E731
-            self.loop.now + int(UNIT * model.slow * attempt.request.incoming.units) + WIRE,
+            self.loop.now
+            + int(WORK_PER_UNIT_US * model.slow * attempt.request.incoming.units)
+            + ROUND_TRIP_US,
             lambda: self._worked(attempt, model, end),
         )
-        if model.busy < CORES:
+        if model.busy < CORE_COUNT:
             model.busy += 1
             job()
-        elif len(model.waiting) < WAITING:
+        elif len(model.waiting) < QUEUE_LIMIT:
             model.waiting.append(job)
         else:
-            self.loop.at(self.loop.now + WIRE, lambda: self._end(attempt, AttemptResult.REJECTED))
+            self.loop.at(self.loop.now + ROUND_TRIP_US, lambda: self._end(attempt, AttemptResult.REJECTED))
 
-    def _drawn(self, model: Modelled) -> AttemptResult:
-        draw = self.chance.random()
+    def _drawn(self, model: ServerModel) -> AttemptResult:
+        draw = self.rng.random()
         for word, part in model.mix.items():
             if draw < part:
                 return RESULTS[word]
             draw -= part
         return AttemptResult.OK
 
-    def _worked(self, attempt: Attempt, model: Modelled, end: AttemptResult) -> None:
+    def _worked(self, attempt: Attempt, model: ServerModel, end: AttemptResult) -> None:
         """A cancel stops nothing: the work is done whoever waits for it."""
         if model.waiting:
             model.waiting.popleft()()
@@ -265,11 +271,11 @@
 
     def _end(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.request.attempt is attempt:
-            life: Life = attempt.request.incoming.payload
+            life: RequestTrace = attempt.request.incoming.payload
             name = self.names.get(attempt.endpoint, attempt.endpoint)
             word = "astray" if attempt.misdirected else result.value
-            life.steps.append(Step(self.loop.now - START, "ended", name, word))
-            self.engine.attempt_ended(attempt, result)
+            life.steps.append(TraceStep(self.loop.now - START, "ended", name, word))
+            self.lifecycle.attempt_ended(attempt, result)
 
     def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         self.loop.soon(lambda: self._end(attempt, why))
@@ -283,25 +289,25 @@
 
     def play(
         self, of: Scenario, collections: dict[str, Collection], lists: dict[str, CheckedList]
-    ) -> list[Life]:
+    ) -> list[RequestTrace]:
         """All of a scenario's lives, to the last answer."""
-        self._first = dict(self.machine.file_list.endpoints) if self.machine.file_list else {}
+        self._first = dict(self.membership.file_list.endpoints) if self.membership.file_list else {}
         for happening in of.happenings:
-            self.loop.at(START + happening.at, partial(self.happen, happening, lists))
-            if happening.until:
-                word = happening.word or happening.what
-                over = replace(happening, at=happening.until, what="over", word=word)
-                self.loop.at(START + over.at, partial(self.happen, over, lists))
+            self.loop.at(START + happening.at_us, partial(self.happen, happening, lists))
+            if happening.until_us:
+                word = happening.label or happening.kind
+                over = replace(happening, at_us=happening.until_us, kind="over", label=word)
+                self.loop.at(START + over.at_us, partial(self.happen, over, lists))
         last, number = 0, count()
         for load in of.loads:
-            collection, at = collections[load.collection], float(load.begin)
-            last = max(last, load.end)
-            while (at := at + self.chance.expovariate(load.rate) * 1e6) < load.end:
-                volume = f"{collection.name}.{self.chance.randrange(collection.volumes)}"
-                shard = -1 if load.new else self.chance.choice(collection.shards)
-                key = f"{self.chance.getrandbits(64):016x}"
+            collection, at = collections[load.collection], float(load.begin_us)
+            last = max(last, load.end_us)
+            while (at := at + self.rng.expovariate(load.requests_per_second) * 1e6) < load.end_us:
+                volume = f"{collection.name}.{self.rng.randrange(collection.volumes)}"
+                shard = -1 if load.new else self.rng.choice(collection.shards)
+                key = f"{self.rng.getrandbits(64):016x}"
                 call = partial(self.take, collection, volume, load, shard, next(number), key)
                 self.loop.at(START + int(at), call)
-        last = max([last, *(h.at for h in of.happenings)])
-        self.loop.run(START + last + QUIET)
-        return self.lives
+        last = max([last, *(h.at_us for h in of.happenings)])
+        self.loop.run(START + last + SETTLING_US)
+        return self.traces
