--- a/umberlead/commands/__init__.py
+++ b/umberlead/commands/__init__.py
@@ -1,7 +1,8 @@
 """The command line, on click. Only what a command needs is imported, and only when it runs.
 
 Exit codes: 0 done; 1 the answer is no (a list with problems, lists that differ); 2 the call itself can't be
-carried out. Results go to standard output, errors to standard error."""
+carried out. Results go to standard output, errors to standard error.
+"""
 
 import os
 import sys
--- a/umberlead/commands/expect.py
+++ b/umberlead/commands/expect.py
@@ -1,7 +1,8 @@
 """`umberlead expect`: routing tests of suites, without traffic.
 
 Exit codes: 0 all held (or nothing differs), 1 something failed, differs, or the suite asks for what can't be
-told, 2 it can't be read."""
+told, 2 it can't be read.
+"""
 
 import json
 import sys
--- a/umberlead/commands/experiment.py
+++ b/umberlead/commands/experiment.py
@@ -19,7 +19,8 @@
 def experiment(path: Path, out: Path | None, workers: int | None) -> None:
     """Play the matrix of FILE, keep its measures as one dataset, and write the report.
 
-    Exit code 1: a cell gave no result, or a rule was broken."""
+    Exit code 1: a cell gave no result, or a rule was broken.
+    """
     from umberlead.commands.progress import Bar
 
     try:
--- a/umberlead/commands/play.py
+++ b/umberlead/commands/play.py
@@ -52,7 +52,8 @@
     """Run the front of CONFIG over emulated nodes for all of its list, with objects going in and coming back.
 
     Every object read is compared byte for byte with what was stored. Exit code 1: one was not the same, or
-    the front did not end well."""
+    the front did not end well.
+    """
     from umberlead import configuration
     from umberlead.commands.lists import checked_list_or_exit
     from umberlead.load_generator import showing
--- a/umberlead/commands/progress.py
+++ b/umberlead/commands/progress.py
@@ -6,12 +6,16 @@
 
 
 class Bar:
+    """A progress bar, used as a context manager."""
+
     def __init__(self, name: str) -> None:
+        """A bar named `name`, not shown yet."""
         self.name = name
         self.shown: Any = None
         self.task: Any = None
 
     def __enter__(self) -> "Bar":
+        """Shows the bar where standard error is a terminal."""
         if sys.stderr.isatty():
             from rich.console import Console
             from rich.progress import Progress
@@ -22,11 +26,13 @@
         return self
 
     def __call__(self, part: float) -> None:
+        """Sets the completed share, 0 to 1."""
         if self.shown is not None:
             self.shown.update(self.task, completed=part)
 
     def __exit__(
         self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
     ) -> None:
+        """Removes the bar."""
         if self.shown is not None:
             self.shown.stop()
--- a/umberlead/commands/rehearse.py
+++ b/umberlead/commands/rehearse.py
@@ -73,7 +73,8 @@
 ) -> None:
     """Play SCRIPT over emulated servers, judge the fronts by the rules, and price their service.
 
-    Exit code 1: a rule was broken, an expectation failed, or a front erred."""
+    Exit code 1: a rule was broken, an expectation failed, or a front erred.
+    """
     from umberlead.commands.progress import Bar
     from umberlead.emulator import rehearsal
     from umberlead.emulator.figures import PUBLISHED, BadFigure, Figures
--- a/umberlead/load_generator/clients.py
+++ b/umberlead/load_generator/clients.py
@@ -1,7 +1,8 @@
 """Clients, free of I/O: when each asks, whether it asks again, and how long it waits.
 
 A retry comes to the same front under a new name and belongs to its first try: its time is what the first
-left."""
+left.
+"""
 
 from dataclasses import dataclass
 
@@ -29,14 +30,16 @@
     """All clients of a day."""
 
     def __init__(self, day: Day) -> None:
-        self.day, self.kinds = day, {k.name: k for k in day.kinds}
+        self.day = day
+        self.kinds = {k.name: k for k in day.kinds}
 
     def first(self, of: Request) -> Try:
         return Try(of, 0, of.at, of.at + self.kinds[of.class_name].timeout_us)
 
     def again(self, of: Try, kind: str, now: int) -> Try | None:
         """After an answer other than served, or none. What may have run is asked again only where that does
-        no harm."""
+        no harm.
+        """
         cls = self.kinds[of.of.class_name]
         harmless = kind in HARMLESS or cls.effect != "at_most_once"
         at = now + self.day.retry_wait
--- a/umberlead/load_generator/day.py
+++ b/umberlead/load_generator/day.py
@@ -3,7 +3,8 @@
 Volumes stand on plans and ask at their plan's rate; some ask for more all day, some for many times it in
 surges. A volume's requests come through a few fronts, unevenly, and the busiest one changes. A read may ask
 for an object written in the seconds before, wherever that was put: which shard that is shows only as the day
-is played."""
+is played.
+"""
 
 import math
 import random
@@ -43,6 +44,7 @@
 
     @property
     def id(self) -> str:
+        """The request's identifier, 16 hexadecimal digits."""
         return f"{self.number:016x}"
 
 
@@ -65,6 +67,8 @@
 
 @dataclass(slots=True)
 class Volume:
+    """A client volume and the load that it sends."""
+
     name: str
     plan: str
     rate: float  # units a second that its plan stands for
@@ -77,9 +81,11 @@
     blocks: list[str] = field(default_factory=list)
 
     def times(self, at: int) -> float:
+        """The factor on the plan's rate at `at` microseconds."""
         return self.rate_ratio + sum(x for begin, end, x in self.surges if begin <= at < end)
 
     def front(self, at: int, chance: random.Random) -> int:
+        """Draws the front that a request at `at` microseconds comes through."""
         turn = bisect_right(self.shifts, at) % len(self.fronts)
         order = self.fronts[turn:] + self.fronts[:turn]
         return chance.choices(order, self.skew)[0]
@@ -112,6 +118,7 @@
     retry_wait: int = 0
 
     def kind(self, name: str) -> Kind:
+        """The request class of that name."""
         return next(k for k in self.kinds if k.name == name)
 
 
@@ -156,11 +163,14 @@
     """
     if not (seconds > 0 and 0 < load <= 10 and shards > 0 and fronts > 0):
         raise InvalidDayError("a day needs seconds, a load up to 10, and at least one shard and one front")
-    chance, length = random.Random(f"{seed}/day"), int(seconds * SECOND_US)
-    kinds, cores = _kinds(of, chance), of.node.one("cores")
+    chance = random.Random(f"{seed}/day")
+    length = int(seconds * SECOND_US)
+    kinds = _kinds(of, chance)
+    cores = of.node.one("cores")
     shares = sum(k.share for k in kinds)
     mean = sum(k.share * k.work for k in kinds) / shares
-    unit, power = mean / 2, cores * speed * SECOND_US / (mean / 2)
+    unit = mean / 2
+    power = cores * speed * SECOND_US / (mean / 2)
     can = of.traffic.one("capacity_part") * power * shards * copies
     day = Day(seconds, seed, kinds, [], unit, power, max_units=int(of.traffic.one("most_units")))
     day.retries = of.clients.whole("retries", chance)
@@ -173,7 +183,8 @@
     for g in of.plans:
         many = max(round(count * weight[g.name] / sum(weight.values())), 1)
         usage = of.traffic.draw("usage", chance)
-        busy, heavy = g.draw("busy", chance), g.draw("heavy", chance)
+        busy = g.draw("busy", chance)
+        heavy = g.draw("heavy", chance)
         for _ in range(many):
             asks = usage
             if chance.random() < busy:
@@ -181,7 +192,8 @@
             hosts = min(g.whole("hosts", chance), fronts)
             nodes = min(g.whole("nodes", chance), shards)
             skew = of.traffic.draw("skew", chance)
-            shifts, at = [], 0.0
+            shifts = []
+            at = 0.0
             while at < length:
                 at += of.traffic.draw("shift_s", chance) * SECOND_US
                 shifts.append(int(at))
@@ -210,7 +222,8 @@
 
 
 def _surges(of: Figures, chance: random.Random, length: int) -> Iterator[tuple[int, int, float]]:
-    every, at = of.traffic.one("surge_every_s"), 0.0
+    every = of.traffic.one("surge_every_s")
+    at = 0.0
     while True:
         at += chance.expovariate(1 / every) * SECOND_US
         if at >= length:
@@ -222,7 +235,8 @@
 
 def _scale(day: Day, wanted: float, length: int) -> None:
     """Surges together add up to `wanted` units a second, in the mean of the day, however few there are; but
-    no surge grows beyond thrice what was drawn."""
+    no surge grows beyond thrice what was drawn.
+    """
     got = sum(v.rate * x * (end - begin) for v in day.volumes for begin, end, x in v.surges) / length
     if not got:
         return
@@ -242,16 +256,19 @@
     came: list[tuple[int, int]] = []
     for n, v in enumerate(day.volumes):
         most = (v.rate_ratio + sum(x for _, _, x in v.surges)) * peak
-        step, at = v.rate * most / mean_units / SECOND_US, 0.0
+        step = v.rate * most / mean_units / SECOND_US
+        at = 0.0
         while step and (at := at + chance.expovariate(step)) < length:
             now = int(at)
             by = math.prod(w.by for w in surge if w.begin <= now < w.end)
             if chance.random() * most < v.times(now) * by:
                 came.append((now, n))
     came.sort()
-    weights, written = [k.share for k in day.kinds], dict[int, list[Request]]()
+    weights = [k.share for k in day.kinds]
+    written = dict[int, list[Request]]()
     for number, (at, n) in enumerate(came):
-        v, kind = day.volumes[n], chance.choices(day.kinds, weights)[0]
+        v = day.volumes[n]
+        kind = chance.choices(day.kinds, weights)[0]
         work = _work(chance, kind)
         for w in waves:
             if w.class_name == kind.name and w.begin <= at < w.end and chance.random() < w.share:
@@ -272,7 +289,8 @@
             kind.write,
         )
         if kind.write:
-            made.shard, made.block = -1, f"{chance.getrandbits(64):016x}"
+            made.shard = -1
+            made.block = f"{chance.getrandbits(64):016x}"
             latest = written.setdefault(n, [])
             latest.append(made)
             del latest[:-MAX_FRESH_OBJECT_COUNT]
@@ -280,7 +298,8 @@
             fresh = [w for w in written[n] if w.at >= at - FRESH_OBJECT_US]
             if fresh:
                 object_ = chance.choice(fresh)
-                made.of, made.block = object_.number, object_.block
+                made.of = object_.number
+                made.block = object_.block
         yield made
 
 
--- a/umberlead/load_generator/objects.py
+++ b/umberlead/load_generator/objects.py
@@ -1,7 +1,8 @@
 """Load on the object API, open loop: objects go in, and what comes back is compared byte for byte.
 
 An object's bytes come from its name, so nothing is kept but names; latencies run from the time at which a
-call was due (coordinated omission)."""
+call was due (coordinated omission).
+"""
 
 import asyncio
 import random
@@ -43,7 +44,8 @@
     """One request on a connection of its own."""
 
     def __init__(self, words: bytes) -> None:
-        self.words, self.body = words, list[bytes]()
+        self.words = words
+        self.body = list[bytes]()
         self.done: asyncio.Future[tuple[int, bytes]] = asyncio.get_running_loop().create_future()
         self.parser = httptools.HttpResponseParser(self)
 
@@ -90,14 +92,19 @@
     """The load of one front."""
 
     def __init__(self, address: tuple[str, int], buckets: list[str], rate: float, seed: int) -> None:
-        self.address, self.buckets, self.rate, self.seed = address, buckets, rate, seed
-        self.chance, self.tally = random.Random(seed), Tally()
+        self.address = address
+        self.buckets = buckets
+        self.rate = rate
+        self.seed = seed
+        self.chance = random.Random(seed)
+        self.tally = Tally()
         self.stored: deque[tuple[str, int]] = deque(maxlen=STORED_NAME_LIMIT)
         self._count = 0
 
     async def run(self, until: asyncio.Event) -> None:
         """Calls at times drawn ahead, until told to stop; then all are waited for."""
-        begin, at = time.monotonic(), 0.0
+        begin = time.monotonic()
+        at = 0.0
         tasks = set[asyncio.Task[None]]()
         while not until.is_set():
             at += self.chance.expovariate(self.rate)
@@ -131,7 +138,8 @@
             self.stored.append((name, size))
 
     async def _get(self, due: float, name: str, size: int, part: bool) -> None:
-        low, high = 0, size
+        low = 0
+        high = size
         if part:
             low = self.chance.randrange(size)
             high = self.chance.randint(low + 1, size)
--- a/umberlead/load_generator/platform.py
+++ b/umberlead/load_generator/platform.py
@@ -1,7 +1,8 @@
 """A load generator for the platform's protocol: arrivals are drawn ahead and wait for no answer.
 
 A request's latency runs from the time at which it was due, so that a front which stalls is not spared what it
-held up (coordinated omission). Each client keeps connections of its own and opens more once all are busy."""
+held up (coordinated omission). Each client keeps connections of its own and opens more once all are busy.
+"""
 
 import asyncio
 import random
@@ -36,6 +37,8 @@
 
 @dataclass(slots=True)
 class PlannedRequest:
+    """A request as drawn, with the time that it is due."""
+
     at: float  # s after the start
     front: int
     id: str
@@ -48,7 +51,9 @@
 
 def draw(plan: Plan, fronts: int) -> list[PlannedRequest]:
     """All requests of a run, from its seed alone."""
-    chance, at, made = random.Random(plan.seed), 0.0, list[PlannedRequest]()
+    chance = random.Random(plan.seed)
+    at = 0.0
+    made = list[PlannedRequest]()
     while True:
         at += chance.expovariate(plan.rate)
         if at >= plan.seconds:
@@ -70,6 +75,8 @@
 
 @dataclass(slots=True)
 class Result:
+    """Counts and latencies of a run."""
+
     latency: HdrHistogram = field(
         default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3)
     )  # us, served ones
@@ -78,6 +85,7 @@
     late_start: float = 0.0  # s at most that the generator itself was behind
 
     def row(self) -> dict[str, float]:
+        """The result as a row of figures."""
         took = self.latency
         made = {f"p{p:g}_ms": took.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
         made |= {"max_ms": took.get_max_value() / 1000, "asked": sum(self.statuses.values())}
@@ -111,9 +119,11 @@
                 self.transport.abort()
 
     def on_message_complete(self) -> None:
-        status, keep = self.parser.get_status_code(), self.parser.should_keep_alive()
+        status = self.parser.get_status_code()
+        keep = self.parser.should_keep_alive()
         self.parser = httptools.HttpResponseParser(self)
-        done, self.done = self.done, None
+        done = self.done
+        self.done = None
         if keep:
             self.front.idle.append(self)
         elif self.transport is not None:
@@ -125,13 +135,15 @@
         if self in self.front.idle:
             self.front.idle.remove(self)
         if self.done is not None:
-            done, self.done = self.done, None
+            done = self.done
+            self.done = None
             done(0)
 
 
 class _Front:
     def __init__(self, address: tuple[str, int]) -> None:
-        self.address, self.idle = address, deque[_Link]()
+        self.address = address
+        self.idle = deque[_Link]()
 
     async def ask(self, data: bytes, done: Callable[[int], None]) -> None:
         if self.idle:
@@ -157,8 +169,11 @@
 
 async def run(plan: Plan, fronts: list[tuple[str, int]]) -> Result:
     """Ask all that was drawn, and wait for the last answer (twice the budget at most)."""
-    made, of = Result(), [_Front(address) for address in fronts]
-    begin, tasks, left = time.monotonic(), set[asyncio.Task[None]](), set[str]()
+    made = Result()
+    of = [_Front(address) for address in fronts]
+    begin = time.monotonic()
+    tasks = set[asyncio.Task[None]]()
+    left = set[str]()
 
     def answered(asked: PlannedRequest, status: int) -> None:
         made.statuses[status] += 1
--- a/umberlead/load_generator/showing.py
+++ b/umberlead/load_generator/showing.py
@@ -1,5 +1,6 @@
 """The demo: a front in a process of its own, emulated nodes and object load in this one, figures on the
-terminal."""
+terminal.
+"""
 
 import asyncio
 import os
@@ -43,6 +44,7 @@
 
 
 def summary(tally: Tally) -> str:
+    """One row of figures a place."""
     read = tally.done["back"] + tally.done["part"]
     return (
         f"{tally.done['in']} objects in, {read} read back, {len(tally.wrong)} not the same; "
@@ -85,13 +87,16 @@
             self.live.update(Group(table, summary(tally), f"chunk servers: {servers}", "Ctrl-C ends it"))
         else:
             print(f"{summary(tally)}; chunk servers: {servers}", flush=True)
-        self.before, self.asked, self.since = Counter(tally.done), Counter(asked), now
+        self.before = Counter(tally.done)
+        self.asked = Counter(asked)
+        self.since = now
 
 
 async def _listens(process: asyncio.subprocess.Process, log: Any) -> tuple[str, int]:
     """The object front's address, the last one that a front names as it starts."""
     assert process.stderr is not None
-    last, found = "", None
+    last = ""
+    found = None
     while line := (await process.stderr.readline()).decode("utf-8", "replace"):
         log.write(line)
         last = line.strip()
@@ -110,7 +115,8 @@
     rate: float,
     seed: int,
 ) -> bool:
-    loop, done = asyncio.get_running_loop(), asyncio.Event()
+    loop = asyncio.get_running_loop()
+    done = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, done.set)
     kept, path = tempfile.mkstemp(prefix="umberlead-demo-", suffix=".log")
@@ -183,5 +189,6 @@
     seed: int,
 ) -> bool:
     """Until Ctrl-C, or for `seconds`. NoFront or OSError where it can't begin; False where bytes were
-    wrong."""
+    wrong.
+    """
     return asyncio.run(run(config, servers, buckets, seconds, rate, seed))
--- a/umberlead/routing_tests/altered.py
+++ b/umberlead/routing_tests/altered.py
@@ -3,7 +3,8 @@
 Each side is walked on the serving engine (`reach`), every sequence of outcomes of every shape of request, so
 that what is compared is what the module does and not what the files seem to say. A shard whose servers and
 settings are the same on both sides can't differ and is not walked. New objects may go to any server that
-takes them: there the servers and the parts of their weights are compared."""
+takes them: there the servers and the parts of their weights are compared.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -24,7 +25,10 @@
 
     @staticmethod
     def of(shape: Shape, settings: Settings, listing: CheckedList) -> "Reach":
-        servers, attempts, answers = set[str](), 0, set[str]()
+        """Walks every sequence of outcomes of a shape."""
+        servers = set[str]()
+        attempts = 0
+        answers = set[str]()
         for life in walk(shape, settings, listing):
             sent = life.attempts()
             servers |= {step.server for step in sent}
@@ -43,11 +47,13 @@
     notes: tuple[str, ...] = ()
 
     def __str__(self) -> str:
+        """The difference in one line."""
         parts = [f"+ {' '.join(self.gained)}"] * bool(self.gained)
         parts += [f"- {' '.join(self.lost)}"] * bool(self.lost)
         return f"{self.what}: " + "; ".join([*parts, *self.notes])
 
     def row(self) -> dict[str, object]:
+        """The difference as JSON has it."""
         return {
             "what": self.what,
             "gained": list(self.gained),
@@ -75,7 +81,8 @@
         ("plan", {p.name: p for p in old.plans}, {p.name: p for p in new.plans}),
     ):
         for name in [*before, *(n for n in after if n not in before)]:
-            a, b = before.get(name), after.get(name)
+            a = before.get(name)
+            b = after.get(name)
             if a is None or b is None:
                 yield Difference(f"{kind} {name}", notes=("is new" if a is None else "is gone",))
             elif a != b:
@@ -111,7 +118,8 @@
 
 def _new_objects(old: Side, new: Side) -> Iterator[Difference]:
     before, after = (_parts(listing) for _, listing in (old, new))
-    gained, lost = sorted(set(after) - set(before)), sorted(set(before) - set(after))
+    gained = sorted(set(after) - set(before))
+    lost = sorted(set(before) - set(after))
     notes = [
         f"{name} {100 * before[name]:.3g}% -> {100 * after[name]:.3g}%"
         for name in sorted(set(before) & set(after))
@@ -156,7 +164,8 @@
                 notes.append(f"answers {'/'.join(sorted(a.answers))} -> {'/'.join(sorted(b.answers))}")
             if not b.servers:
                 notes.append("nobody can serve it")
-            gained, lost = tuple(sorted(b.servers - a.servers)), tuple(sorted(a.servers - b.servers))
+            gained = tuple(sorted(b.servers - a.servers))
+            lost = tuple(sorted(a.servers - b.servers))
             yield Difference(f"{of}, shard {shard}", gained, lost, tuple(notes))
 
 
--- a/umberlead/routing_tests/model.py
+++ b/umberlead/routing_tests/model.py
@@ -21,6 +21,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
+    """Requests of a collection at a mean rate between two times."""
+
     collection: str
     class_name: str
     requests_per_second: float  # requests a second
@@ -33,9 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Happening:
-    """What befalls servers at a time. `what` is one of: drain, back, leave, out, in, cold, slow, outcome,
-    list; in a scenario with a fleet also: surge, costly, neighbour, lag, deploy, kill, cut, collector, lists,
-    clock."""
+    """A change to servers or to the fleet at a time.
+
+    `kind` is one of: drain, back, leave, out, in, cold, slow, outcome, list; in a scenario with a fleet also:
+    surge, costly, neighbour, lag, deploy, kill, cut, dark, collector, lists, clock.
+    """
 
     at_us: int
     kind: str
@@ -75,6 +79,7 @@
     end_us: int = 1 << 62
 
     def describe(self) -> str:
+        """The conditions in the suite's own language."""
         made = [f"{k} {v}" for k, v in (("class", self.class_name), ("plan", self.plan)) if v]
         made += [f"collection {self.collection}"] if self.collection else []
         made += [f"shard {self.shard}"] if self.shard is not None else []
@@ -84,8 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """`rule`: only, never, attempts, once, within, served, refused, prompt, share, or reach's: may-only,
-    may-never, may-attempts, may-once."""
+    """A rule that the selected requests have to keep.
+
+    `rule` is one of: only, never, attempts, once, within, served, refused, answered-once, prompt, share,
+    service; or one for every sequence of outcomes: may-only, may-never, may-attempts, may-once.
+    """
 
     rule: str
     selector: Selector
@@ -99,6 +107,8 @@
 
 @dataclass(slots=True)
 class Scenario:
+    """Loads, changes and expectations that are played together."""
+
     name: str
     place: FilePosition
     seed: int = 1
@@ -110,6 +120,8 @@
 
 @dataclass(slots=True)
 class Suite:
+    """A suite file as read."""
+
     file: str
     config: tuple[str, FilePosition] | None = None
     listed: tuple[str, FilePosition] | None = None
@@ -144,13 +156,17 @@
     steps: list[TraceStep] = field(default_factory=list)
 
     def attempts(self) -> list[TraceStep]:
+        """The steps that sent the request to a server."""
         return [s for s in self.steps if s.kind == "sent"]
 
     def answers(self) -> list[TraceStep]:
+        """The steps that answered the request."""
         return [s for s in self.steps if s.kind == "answered"]
 
 
 class Outcome(Enum):
+    """How an expectation came out."""
+
     PASSED = "held"
     FAILED = "failed"
     ERROR = "error"  # the suite asks for what can't be told
@@ -158,6 +174,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
+    """The outcome of one expectation, with a witness where it failed."""
+
     expectation: Expectation
     scenario: str
     outcome: Outcome
--- a/umberlead/routing_tests/proportion.py
+++ b/umberlead/routing_tests/proportion.py
@@ -11,6 +11,8 @@
 
 
 class Judged(Enum):
+    """Where the interval lies against the tolerated range."""
+
     INSIDE = "inside"
     OUTSIDE = "outside"
     UNDECIDED = "untold"
@@ -18,6 +20,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
+    """A measured share with its confidence interval."""
+
     judged: Judged
     measured: float
     low: float
@@ -25,17 +29,21 @@
     sample_count: int
 
     def describe(self) -> str:
+        """The share, its sample and its interval as text."""
         interval = f"interval {self.low:.2%} to {self.high:.2%}"
         return f"measured {self.measured:.2%} of {self.sample_count} ({interval})"
 
 
 def judge(hits: int, sample: int, want: float, tolerance: float) -> Share:
-    """The Wilson interval against `want` plus or minus `tolerance`: inside it, outside it, or neither, which
-    more requests or a wider tolerance would tell."""
+    """Compares the Wilson interval with `want` plus or minus `tolerance`.
+
+    It lies inside, outside, or neither, which more requests or a wider tolerance would decide.
+    """
     if not sample:
         return Share(Judged.UNDECIDED, 0.0, 0.0, 1.0, 0)
     found = binomtest(hits, sample).proportion_ci(CONFIDENCE_PROBABILITY, "wilson")
-    low, high = float(found.low), float(found.high)
+    low = float(found.low)
+    high = float(found.high)
     if want - tolerance <= low and high <= want + tolerance:
         judged = Judged.INSIDE
     elif high < want - tolerance or low > want + tolerance:
@@ -47,9 +55,11 @@
 
 def required_sample_count(want: float, tolerance: float) -> int:
     """About how many requests tell a share that is just `want` within `tolerance`."""
-    low, high = 1, 1
+    low = 1
+    high = 1
     while judge(round(want * high), high, want, tolerance).judged is not Judged.INSIDE and high < 1 << 24:
-        low, high = high, high * 2
+        low = high
+        high = high * 2
     while low + 1 < high:
         middle = (low + high) // 2
         inside = judge(round(want * middle), middle, want, tolerance).judged is Judged.INSIDE
--- a/umberlead/routing_tests/reach.py
+++ b/umberlead/routing_tests/reach.py
@@ -1,10 +1,10 @@
-"""Every sequence of outcomes that one request of a shape can meet, on the serving engine, to its last
-attempt.
+"""Walks every sequence of outcomes that one request of a shape can meet, to its last attempt.
 
 Covered: one request of each class, plan and shard that fits, alone on idle servers of the list in force,
-with each attempt ending in each of seven ways. Not covered: what only load brings about (bounds, worth,
-reserves), two requests at once, and lists that change under an attempt. A branch is replayed from its start,
-so that no state of the engine has to be copied."""
+with each attempt ending in each of seven ways. Not covered: what only load brings about (concurrency limits,
+priority weights, reserves), two requests at once, and lists that change under an attempt. A branch is
+replayed from its start, so that no state of the lifecycle has to be copied.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -38,11 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
+    """Class, plan and shard of a request."""
+
     class_name: str
     plan: str
     shard: int  # -1: a new object
 
     def describe(self) -> str:
+        """The shape as messages name it."""
         return f"{self.class_name} on {self.plan}, " + ("new" if self.shard < 0 else f"shard {self.shard}")
 
 
@@ -55,7 +58,9 @@
 
     def __init__(self, settings: Settings, listing: CheckedList, ends: tuple[AttemptResult, ...]) -> None:
         super().__init__(settings, listing, 1, explain=True)
-        self.ends, self.used_count, self.draw_count = ends, 0, 0
+        self.ends = ends
+        self.used_count = 0
+        self.draw_count = 0
 
     def _drawn(self, model: ServerModel) -> AttemptResult:
         self.draw_count += 1
@@ -128,9 +133,12 @@
     scenario: str,
     walked: dict[Shape, list[RequestTrace]],
 ) -> Verdict:
-    """Holds for every sequence of every shape that fits, or fails with the shortest one found. `walked` keeps
-    what was walked already."""
-    fitting, count = shapes(of.selector, settings, listing, collections), 0
+    """Judges an expectation over every sequence of every shape that fits.
+
+    The shortest counterexample is the witness; `walked` caches the traces of shapes.
+    """
+    fitting = shapes(of.selector, settings, listing, collections)
+    count = 0
     if not fitting:
         return Verdict(of, scenario, Outcome.ERROR, "no shape of request fits the expectation")
     worst: tuple[int, RequestTrace, str] | None = None
--- a/umberlead/routing_tests/report.py
+++ b/umberlead/routing_tests/report.py
@@ -19,6 +19,7 @@
 
 
 def format_failure(of: Verdict, command: str) -> list[str]:
+    """The lines that tell a failed expectation."""
     at = of.expectation
     kind = "FAILED" if of.outcome is Outcome.FAILED else "ERROR"
     made = [f"{kind} {at.place}: scenario {of.scenario}: {at.text}", f"  rule {at.rule}: {of.reason}"]
@@ -29,12 +30,14 @@
 
 
 def counted(played: list[Played]) -> dict[str, int]:
+    """Counts of verdicts by outcome, of expectations and of requests."""
     verdicts = [v for of in played for v in of.verdicts]
     made = {o.value: sum(v.outcome is o for v in verdicts) for o in Outcome}
     return made | {"expectations": len(verdicts), "requests": sum(of.request_count for of in played)}
 
 
 def text(played: list[Played], command: str, left: dict[str, list[str]]) -> list[str]:
+    """The report for people, by line."""
     made = []
     for of in played:
         for verdict in of.verdicts:
@@ -50,6 +53,7 @@
 
 
 def rows(played: list[Played], left: dict[str, list[str]]) -> dict[str, Any]:
+    """The report as `--json` prints it."""
     verdicts = [
         {
             "scenario": v.scenario,
@@ -68,6 +72,7 @@
 
 
 def junit(played: list[Played], path: Path, suite: str) -> None:
+    """Writes the report as JUnit XML."""
     from junitparser import Error, Failure, JUnitXml, TestCase, TestSuite
 
     made = JUnitXml()
--- a/umberlead/routing_tests/running.py
+++ b/umberlead/routing_tests/running.py
@@ -15,6 +15,8 @@
 
 @dataclass(slots=True)
 class Played:
+    """The verdicts of one scenario."""
+
     scenario: str
     verdicts: list[Verdict]
     request_count: int
@@ -25,6 +27,7 @@
 def trace_requests(
     ready: Ready, scenario: Scenario, explain: bool = False
 ) -> tuple[list[RequestTrace], list[str]]:
+    """Plays a scenario once; its traces, and the errors that the scheduler raised."""
     world = World(ready.settings, ready.listing, scenario.seed, explain)
     return world.play(scenario, ready.suite.collections, ready.lists), world.errors
 
@@ -97,8 +100,11 @@
     workers: int = 0,
     on_played: Callable[[int, int, Played], None] = lambda done, of, played: None,
 ) -> tuple[Ready, list[Played]]:
-    """All scenarios of a suite, or `only` that one, in its order; `told` as each is there. `Unreadable` where
-    the suite can't be used."""
+    """Plays all scenarios of a suite in its order, or `only` that one; calls `on_played` after each.
+
+    Raises:
+        Unreadable: The suite can't be used.
+    """
     ready = load(path, conf, listed)
     chosen = [s for s in ready.suite.scenarios if only in ("", s.name)]
 
--- a/umberlead/routing_tests/smallest.py
+++ b/umberlead/routing_tests/smallest.py
@@ -2,7 +2,8 @@
 
 Greedy and bounded: loads, what befalls servers, and time are left out piece by piece; what still fails the
 same expectation stays left out. The outcome is small, not proved to be the least there is. The same suite
-gives the same outcome, since each play is drawn from the scenario's seed."""
+gives the same outcome, since each play is drawn from the scenario's seed.
+"""
 
 import re
 from collections.abc import Iterator
@@ -21,6 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Smallest:
+    """The smallest scenario found that still fails."""
+
     scenario: Scenario
     requests: int  # of the smallest
     before: int  # of the scenario as written
@@ -58,7 +61,9 @@
             if plays >= most:
                 break
             if got := fails(smaller):
-                best, count, moved = smaller, got, True
+                best = smaller
+                count = got
+                moved = True
                 break
     return Smallest(best, count, before, plays, plays >= most)
 
@@ -126,7 +131,8 @@
 
 
 def _happening(of: Happening, folder: Path) -> str:
-    at, names = f"at {_time(of.at_us)}", " ".join(of.servers)
+    at = f"at {_time(of.at_us)}"
+    names = " ".join(of.servers)
     if of.kind == "list":
         return f"{at} list {folder / of.label}"
     if of.kind == "slow":
--- a/umberlead/routing_tests/suggest.py
+++ b/umberlead/routing_tests/suggest.py
@@ -1,7 +1,8 @@
 """A first suite for a configuration and a list: what is true of them today, to be read and sharpened.
 
 It claims only what the rules and the list alone promise (who holds a shard, that uploads go out once, that
-who drains gets nothing more), so that it holds as written; what is wanted beside that is the operator's."""
+who drains gets nothing more), so that it holds as written; what is wanted beside that is the operator's.
+"""
 
 from collections import defaultdict
 from pathlib import Path
--- a/umberlead/routing_tests/suites.py
+++ b/umberlead/routing_tests/suites.py
@@ -1,5 +1,6 @@
 """Suites from files: the suite itself, its configuration, and every list that it names, all checked
-together."""
+together.
+"""
 
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -18,6 +19,7 @@
     """The suite, its configuration or a list can't be used; `problems` tell where."""
 
     def __init__(self, problems: list[ListProblem]) -> None:
+        """An error that lists all `problems`."""
         super().__init__("\n".join(map(str, problems)))
         self.problems = problems
 
@@ -47,7 +49,9 @@
         suite, problems = parse(path.read_text(), path.name)
     except (OSError, UnicodeDecodeError) as fault:
         raise Unreadable([ListProblem("E100", FilePosition(str(path)), str(fault))]) from None
-    settings, listing, lists = None, None, dict[str, CheckedList]()
+    settings = None
+    listing = None
+    lists = dict[str, CheckedList]()
     if conf is None and suite.config is not None:
         conf = path.parent / suite.config[0]
     if conf is None:
@@ -89,10 +93,12 @@
     suite: Suite, settings: Settings, listing: CheckedList, lists: dict[str, CheckedList]
 ) -> list[ListProblem]:
     """Names that stand nowhere, expectations that contradict each other, and scenarios that expect
-    nothing."""
+    nothing.
+    """
     found = list[ListProblem]()
     servers = {n for of in (listing, *lists.values()) for n in of.endpoints}
-    classes, plans = {c.name for c in settings.classes}, {p.name for p in settings.plans}
+    classes = {c.name for c in settings.classes}
+    plans = {p.name for p in settings.plans}
 
     def check(place: FilePosition, what: str, name: str, known: set[str]) -> None:
         import difflib
--- a/umberlead/routing_tests/verdict.py
+++ b/umberlead/routing_tests/verdict.py
@@ -10,6 +10,7 @@
 
 
 def fits(of: Selector, life: RequestTrace) -> bool:
+    """Whether a request matches every condition of a selector."""
     return (
         (not of.class_name or life.class_name == of.class_name)
         and (not of.plan or life.plan == of.plan)
@@ -34,9 +35,11 @@
 
 
 def sent_again(life: RequestTrace) -> TraceStep | None:
-    """A sending that breaks "sent once": while another is out, or after one that may have run. Whether the
-    configuration lets the class be repeated doesn't count: a suite that took it from there could not find it
-    wrong."""
+    """A sending that breaks "sent once": while another is out, or after one that may have run.
+
+    Whether the configuration lets the class be repeated doesn't count: a suite that took it from there could
+    not find it wrong.
+    """
     out = False
     for k, step in enumerate(life.steps):
         if step.kind == "ended":
@@ -128,8 +131,10 @@
 
 
 def judged(of: Expectation, lives: list[RequestTrace], settings: Settings, scenario: str) -> Verdict:
-    """One expectation over all that fits it. Nothing that fits is an error: it would hold whatever
-    happens."""
+    """Judges one expectation over all requests that fit it.
+
+    Nothing that fits is an error: the expectation would hold whatever happens.
+    """
     chosen = [life for life in lives if fits(of.selector, life)]
     if not chosen:
         return Verdict(of, scenario, Outcome.ERROR, "no request of this scenario fits the expectation")
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -1,9 +1,10 @@
-"""Virtual time: the serving engine, module and membership machine over modelled servers. Nothing is copied of
-their logic; the clock, the loop and the carrier are this file's.
+"""Plays a scenario in virtual time: the request lifecycle and membership over modelled servers.
 
-A server has two cores, works on a unit for `UNIT`, and answers in turn of arrival. What an attempt's end
-proves follows the platform's protocol, as `net/endpoint_connection.py` has it: refused links and full queues
-never ran."""
+None of their logic is copied; the clock, the loop and the transport are this file's. A server has two cores,
+works on a unit for `WORK_PER_UNIT_US`, and answers in order of arrival. What an attempt's end proves follows
+the platform's protocol, as `net/endpoint_connection.py` has it: refused connections and full queues never
+ran.
+"""
 
 import random
 from collections import deque
@@ -67,7 +68,10 @@
     """One front and its servers."""
 
     def __init__(self, settings: Settings, listing: CheckedList, seed: int, explain: bool = False) -> None:
-        self.settings, self.loop, self.rng = settings, Loop(), random.Random(seed)
+        """A front with the servers of `listing`; `explain` records what the scheduler saw."""
+        self.settings = settings
+        self.loop = Loop()
+        self.rng = random.Random(seed)
         loop = self.loop
         self.wheel = TimerWheel(lambda: loop.now, self._alarm, TIMER_TICK_US)
         self.lifecycle = RequestLifecycle(
@@ -101,6 +105,7 @@
     # The list
 
     def apply_membership(self, change: MembershipChange) -> None:
+        """Applies a membership change to the lifecycle."""
         apply_change(change, self.lifecycle, self)  # type: ignore[arg-type]
         for member in change.added:
             self.names[member.id] = member.endpoint.name
@@ -109,6 +114,7 @@
         """A pool would close its idle connections."""
 
     def relist(self, servers: dict[str, EndpointSpec]) -> None:
+        """Puts a new list of servers in force."""
         self._lists += 1
         self._now = servers
         listing = CheckedList(self._lists, f"{self._lists:064d}", dict(servers))
@@ -120,6 +126,11 @@
         self.apply_membership(change)
 
     def happen(self, of: Happening, lists: dict[str, CheckedList]) -> None:
+        """Applies a scenario's change.
+
+        Raises:
+            UnlistedServerError: A server isn't listed at that time.
+        """
         if of.kind == "list":
             return self.relist(dict(lists[of.label].endpoints))
         servers = dict(self._now)
@@ -132,7 +143,9 @@
             if of.kind == "drain":
                 servers[name] = replace(servers[name], status=EndpointStatus.DRAINING)
             elif of.kind == "back":
-                model.alive, model.slow, model.mix = True, 1.0, {}
+                model.alive = True
+                model.slow = 1.0
+                model.mix = {}
                 servers[name] = replace(servers.get(name) or self._first[name], status=EndpointStatus.UP)
             elif of.kind == "leave":
                 servers.pop(name, None)
@@ -157,6 +170,7 @@
     def take(
         self, collection: Collection, volume: str, load: Load, shard: int, name: int, key: str
     ) -> RequestTrace:
+        """Hands one request to the lifecycle; its trace."""
         cls = next(c for c in self.settings.classes if c.name == load.class_name)
         now = self.loop.now
         life = RequestTrace(
@@ -200,7 +214,8 @@
                     )
 
     def _saw(self, shard: int, units: float) -> str:
-        head, now = self.lifecycle.scheduler, self.loop.now
+        head = self.lifecycle.scheduler
+        now = self.loop.now
         made = []
         for node, view in list(head.directory.endpoints.items()):
             if shard >= 0 and view.endpoint.shard != shard:
@@ -227,6 +242,7 @@
     # The carrier
 
     def start(self, attempt: Attempt) -> None:
+        """Starts an attempt, as the transport does."""
         life: RequestTrace = attempt.request.incoming.payload
         name = self.names.get(attempt.endpoint, attempt.endpoint)
         note = self._notes.get(life.id, "")
@@ -278,9 +294,11 @@
             self.lifecycle.attempt_ended(attempt, result)
 
     def stop(self, attempt: Attempt, why: AttemptResult) -> None:
+        """Ends an attempt early."""
         self.loop.soon(lambda: self._end(attempt, why))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
+        """Always false: an attempt is sent at once."""
         return False  # what is sent is there at once
 
     # A scenario
@@ -298,9 +316,11 @@
                 word = happening.label or happening.kind
                 over = replace(happening, at_us=happening.until_us, kind="over", label=word)
                 self.loop.at(START + over.at_us, partial(self.happen, over, lists))
-        last, number = 0, count()
+        last = 0
+        number = count()
         for load in of.loads:
-            collection, at = collections[load.collection], float(load.begin_us)
+            collection = collections[load.collection]
+            at = float(load.begin_us)
             last = max(last, load.end_us)
             while (at := at + self.rng.expovariate(load.requests_per_second) * 1e6) < load.end_us:
                 volume = f"{collection.name}.{self.rng.randrange(collection.volumes)}"
