--- a/umberlead/commands/expect.py
+++ b/umberlead/commands/expect.py
@@ -41,7 +41,7 @@
     goes before the list that either names.
     """
     from umberlead.routing_tests import report, running
-    from umberlead.routing_tests.suites import Unreadable
+    from umberlead.routing_tests.suites import UnreadableSuiteError
 
     if suggest:
         return _suggest(suites, conf, listed)
@@ -55,7 +55,7 @@
     for path in suites:
         try:
             ready, played = running.run(path, conf, listed, scenario, workers, _progress)
-        except Unreadable as fault:
+        except UnreadableSuiteError as fault:
             for problem in fault.problems:
                 click.echo(str(problem), err=True)
             sys.exit(2)
@@ -86,13 +86,13 @@
 
 def _suggest(suites: tuple[Path, ...], conf: Path | None, listed: Path | None) -> None:
     from umberlead.routing_tests.suggest import beside, suite
-    from umberlead.routing_tests.suites import Unreadable, side
+    from umberlead.routing_tests.suites import UnreadableSuiteError, side
 
     if suites or conf is None:
         raise click.UsageError("--suggest takes --config FILE, perhaps --list FILE, and no suites")
     try:
         settings, listing, where = side(conf, listed)
-    except Unreadable as fault:
+    except UnreadableSuiteError as fault:
         return _unreadable(fault)
     here = Path.cwd()
     click.echo(
@@ -103,13 +103,13 @@
 def _diff(files: tuple[Path, ...], listed: Path | None, as_json: bool) -> None:
     from umberlead.routing_tests.altered import differences
     from umberlead.routing_tests.reach import TooManyBranchesError
-    from umberlead.routing_tests.suites import Unreadable, side
+    from umberlead.routing_tests.suites import UnreadableSuiteError, side
 
     if len(files) != 2:
         raise click.UsageError("diff takes two configurations: OLD NEW")
     try:
         old, new = (side(path, listed) for path in files)
-    except Unreadable as fault:
+    except UnreadableSuiteError as fault:
         return _unreadable(fault)
     try:
         found = differences(old[:2], new[:2])
--- a/umberlead/commands/play.py
+++ b/umberlead/commands/play.py
@@ -70,7 +70,7 @@
     servers = list(checked_list_or_exit(conf.watched_lists.main_path, resolve_names=True).endpoints.values())
     try:
         sound = showing.main(config, servers, sorted(conf.object_api.plan_by_bucket), seconds, rate, seed)
-    except (OSError, showing.NoFront) as fault:
+    except (OSError, showing.FrontStartError) as fault:
         click.echo(f"demo: {fault}", err=True)
         sys.exit(2)
     sys.exit(0 if sound else 1)
--- a/umberlead/load_generator/clients.py
+++ b/umberlead/load_generator/clients.py
@@ -23,6 +23,7 @@
 
     @property
     def id(self) -> str:
+        """The identifier of the request and of this try."""
         return f"{self.of.number:014x}{self.number:02x}"
 
 
@@ -30,15 +31,18 @@
     """All clients of a day."""
 
     def __init__(self, day: Day) -> None:
+        """Clients that send the requests of `day`."""
         self.day = day
         self.kinds = {k.name: k for k in day.kinds}
 
     def first(self, of: Request) -> Try:
+        """The first try of a request."""
         return Try(of, 0, of.at, of.at + self.kinds[of.class_name].timeout_us)
 
     def again(self, of: Try, kind: str, now: int) -> Try | None:
-        """After an answer other than served, or none. What may have run is asked again only where that does
-        no harm.
+        """The next try after an answer other than served, or after none.
+
+        What may have run is sent again only where that does no harm.
         """
         cls = self.kinds[of.of.class_name]
         harmless = kind in HARMLESS or cls.effect != "at_most_once"
--- a/umberlead/load_generator/day.py
+++ b/umberlead/load_generator/day.py
@@ -155,8 +155,10 @@
     excess: float = 1.0,
     copies: int = 1,
 ) -> Day:
-    """`load` is the usual traffic against nine tenths of what `shards` nodes of mean `speed` can do; `excess`
-    scales the surges on top; each shard has `copies` nodes.
+    """Draws a day.
+
+    `load` is the usual traffic against nine tenths of what `shards` endpoints of mean `speed` can do;
+    `excess` scales the surges on top; each shard has `copies` endpoints.
 
     Raises:
         InvalidDayError: The day can't be drawn.
@@ -234,8 +236,9 @@
 
 
 def _scale(day: Day, wanted: float, length: int) -> None:
-    """Surges together add up to `wanted` units a second, in the mean of the day, however few there are; but
-    no surge grows beyond thrice what was drawn.
+    """Scales the surges so that together they add up to `wanted` units a second in the mean of the day.
+
+    No surge grows beyond thrice what was drawn.
     """
     got = sum(v.rate * x * (end - begin) for v in day.volumes for begin, end, x in v.surges) / length
     if not got:
--- a/umberlead/load_generator/objects.py
+++ b/umberlead/load_generator/objects.py
@@ -19,6 +19,7 @@
 
 
 def content(name: str, size: int) -> bytes:
+    """The bytes of an object, by its name and size alone."""
     return random.Random(name).randbytes(size)
 
 
@@ -36,7 +37,7 @@
     )  # us
 
     def percentile(self, place: str, part: float) -> float:
-        """ms."""
+        """A percentile of the latency, in milliseconds."""
         return float(self.took[place].get_value_at_percentile(part)) / 1000
 
 
@@ -92,6 +93,7 @@
     """The load of one front."""
 
     def __init__(self, address: tuple[str, int], buckets: list[str], rate: float, seed: int) -> None:
+        """A load of `rate` calls a second on the front at `address`."""
         self.address = address
         self.buckets = buckets
         self.rate = rate
--- a/umberlead/load_generator/showing.py
+++ b/umberlead/load_generator/showing.py
@@ -1,5 +1,6 @@
-"""The demo: a front in a process of its own, emulated nodes and object load in this one, figures on the
-terminal.
+"""The demo: a front in a process of its own, emulated endpoints and object load in this one.
+
+Figures are shown on the terminal.
 """
 
 import asyncio
@@ -14,6 +15,7 @@
 from pathlib import Path
 from typing import Any
 
+from umberlead.common.errors import UmberleadError
 from umberlead.load_generator.objects import PLACES, Objects, Tally
 from umberlead.membership.model import EndpointSpec
 from umberlead.testing import fleet
@@ -24,7 +26,7 @@
 NAMES = {"in": "objects in", "back": "objects back", "part": "ranges back"}
 
 
-class NoFront(RuntimeError):
+class FrontStartError(UmberleadError, RuntimeError):
     """The front did not come up; the text has its last line."""
 
 
@@ -56,12 +58,15 @@
     """A live table on a terminal, a line now and then elsewhere."""
 
     def __init__(self, names: list[str]) -> None:
-        self.names, self.live = names, None  # type: Any, Any
+        """A table with a row for each server of `names`."""
+        self.names = names
+        self.live: Any = None
         self.before: Counter[str] = Counter()
         self.asked: Counter[str] = Counter()
         self.since = time.monotonic()
 
     def __enter__(self) -> "Screen":
+        """Shows the table where standard output is a terminal."""
         if sys.stdout.isatty():
             from rich.live import Live
 
@@ -70,10 +75,12 @@
         return self
 
     def __exit__(self, *_: object) -> None:
+        """Stops the table's updates."""
         if self.live is not None:
             self.live.stop()
 
     def show(self, tally: Tally, asked: Counter[str]) -> None:
+        """Shows the figures since the last call."""
         now = time.monotonic()
         took = max(now - self.since, 1e-3)
         servers = fleet.told(asked, self.asked, self.names, took)
@@ -104,7 +111,7 @@
             found = re.search(r'address="([^"]+):(\d+)"', line)
         if " limits " in line and found is not None:
             return found[1], int(found[2])
-    raise NoFront(last or "it said nothing")
+    raise FrontStartError(last or "it said nothing")
 
 
 async def run(
@@ -115,6 +122,7 @@
     rate: float,
     seed: int,
 ) -> bool:
+    """Runs the demo until a signal, or for `seconds`; whether all bytes were right."""
     loop = asyncio.get_running_loop()
     done = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -188,7 +196,10 @@
     rate: float,
     seed: int,
 ) -> bool:
-    """Until Ctrl-C, or for `seconds`. NoFront or OSError where it can't begin; False where bytes were
-    wrong.
+    """Runs the demo until Ctrl-C, or for `seconds`; False where bytes were wrong.
+
+    Raises:
+        FrontStartError: The front did not come up.
+        OSError: A socket or file can't be used.
     """
     return asyncio.run(run(config, servers, buckets, seconds, rate, seed))
--- a/umberlead/routing_tests/reach.py
+++ b/umberlead/routing_tests/reach.py
@@ -9,6 +9,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+from umberlead.common.errors import UmberleadError
 from umberlead.membership.model import CheckedList
 from umberlead.routing_tests.model import (
     Collection,
@@ -49,7 +50,7 @@
         return f"{self.class_name} on {self.plan}, " + ("new" if self.shard < 0 else f"shard {self.shard}")
 
 
-class TooManyBranchesError(ValueError):
+class TooManyBranchesError(UmberleadError, ValueError):
     """The walk was cut off."""
 
 
--- a/umberlead/routing_tests/running.py
+++ b/umberlead/routing_tests/running.py
@@ -103,7 +103,7 @@
     """Plays all scenarios of a suite in its order, or `only` that one; calls `on_played` after each.
 
     Raises:
-        Unreadable: The suite can't be used.
+        UnreadableSuiteError: The suite can't be used.
     """
     ready = load(path, conf, listed)
     chosen = [s for s in ready.suite.scenarios if only in ("", s.name)]
--- a/umberlead/routing_tests/suites.py
+++ b/umberlead/routing_tests/suites.py
@@ -1,11 +1,10 @@
-"""Suites from files: the suite itself, its configuration, and every list that it names, all checked
-together.
-"""
+"""Suites from files, checked together with their configuration and every list that they name."""
 
 from dataclasses import dataclass, field
 from pathlib import Path
 
 from umberlead import configuration
+from umberlead.common.errors import UmberleadError
 from umberlead.membership.loading import ListLoader
 from umberlead.membership.model import CheckedList, FilePosition, ListProblem
 from umberlead.membership.name_resolution import NameResolver
@@ -15,7 +14,7 @@
 from umberlead.scheduling.settings import Settings
 
 
-class Unreadable(ValueError):
+class UnreadableSuiteError(UmberleadError, ValueError):
     """The suite, its configuration or a list can't be used; `problems` tell where."""
 
     def __init__(self, problems: list[ListProblem]) -> None:
@@ -44,11 +43,11 @@
 
 
 def load(path: Path, conf: Path | None = None, listed: Path | None = None) -> Ready:
-    """`conf` and `listed` go before what the suite names. `Unreadable` with all that is wrong."""
+    """`conf` and `listed` go before what the suite names. `UnreadableSuiteError` with all that is wrong."""
     try:
         suite, problems = parse(path.read_text(), path.name)
     except (OSError, UnicodeDecodeError) as fault:
-        raise Unreadable([ListProblem("E100", FilePosition(str(path)), str(fault))]) from None
+        raise UnreadableSuiteError([ListProblem("E100", FilePosition(str(path)), str(fault))]) from None
     settings = None
     listing = None
     lists = dict[str, CheckedList]()
@@ -85,16 +84,14 @@
     if settings is not None and listing is not None:
         problems += _unknown(suite, settings, listing, lists)
     if problems or settings is None or listing is None:
-        raise Unreadable(problems)
+        raise UnreadableSuiteError(problems)
     return Ready(suite, settings, listing, lists)
 
 
 def _unknown(
     suite: Suite, settings: Settings, listing: CheckedList, lists: dict[str, CheckedList]
 ) -> list[ListProblem]:
-    """Names that stand nowhere, expectations that contradict each other, and scenarios that expect
-    nothing.
-    """
+    """Unknown names, expectations that contradict each other, and scenarios that expect nothing."""
     found = list[ListProblem]()
     servers = {n for of in (listing, *lists.values()) for n in of.endpoints}
     classes = {c.name for c in settings.classes}
@@ -129,11 +126,11 @@
 
 
 def side(path: Path, listed: Path | None = None) -> tuple[Settings, CheckedList, Path]:
-    """A configuration, the list that it or the call names, and that list's path. `Unreadable`."""
+    """A configuration, the list that it or the call names, and that list's path. `UnreadableSuiteError`."""
     try:
         made = configuration.load_operator_file(str(path))
     except configuration.ConfigError as fault:
-        raise Unreadable([ListProblem("E110", FilePosition(str(path)), str(fault))]) from None
+        raise UnreadableSuiteError([ListProblem("E110", FilePosition(str(path)), str(fault))]) from None
     where = (
         listed
         if listed is not None
@@ -143,9 +140,9 @@
     )
     if where is None:
         why = "it has no membership table, and --list names no list"
-        raise Unreadable([ListProblem("E111", FilePosition(str(path)), why)])
+        raise UnreadableSuiteError([ListProblem("E111", FilePosition(str(path)), why)])
     problems: list[ListProblem] = []
     listing = _list(where, problems)
     if listing is None:
-        raise Unreadable(problems)
+        raise UnreadableSuiteError(problems)
     return made.settings, listing, where
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from umberlead.common.counters import Counters
+from umberlead.common.errors import UmberleadError
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.emulator.loop import START, Alarm, Loop
 from umberlead.membership.flap_damping import FlapDampingSettings
@@ -49,7 +50,7 @@
 }
 
 
-class UnlistedServerError(ValueError):
+class UnlistedServerError(UmberleadError, ValueError):
     """Something befalls a server that the list doesn't name at that time; the text tells which."""
 
 
