--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -23,7 +23,7 @@
 from umberlead.membership.loading import ListLoader
 from umberlead.membership.name_resolution import NameResolver
 from umberlead.routing_tests.model import Collection, Happening, Load
-from umberlead.routing_tests.world import START, ServerModel, World
+from umberlead.routing_tests.world import START_US, ServerModel, World
 from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
 ROOT = Path(__file__).parent.parent
@@ -142,7 +142,7 @@
         world.models[name] = ServerModel(PACES[name[0]] / 0.020)
     made = []
     for k, (cls, shard) in enumerate(script.requests):
-        world.loop.run(START + int(times[k][0] * 1e6))
+        world.loop.run(START_US + int(times[k][0] * 1e6))
         for move in script.moves.get(k, ()):
             if move.what == "outcome":
                 world.models[move.server].mix = {move.word: 1.0} if move.word else {}
@@ -150,7 +150,7 @@
                 slow, mix = world.models[move.server].slow, world.models[move.server].mix
                 world.happen(Happening(0, move.what, (move.server,)), {})
                 world.models[move.server].slow, world.models[move.server].mix = slow, mix
-        world.loop.run(START + int(times[k][1] * 1e6))
+        world.loop.run(START_US + int(times[k][1] * 1e6))
         load = Load("c", cls, 1.0, 0, 1)
         made.append(world.take(Collection("c", "basic", (shard,)), "0a", load, shard, k, f"{k:016x}"))
     world.loop.run(world.loop.now + 5_000_000)
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -30,7 +30,7 @@
 
 from umberlead import configuration
 from umberlead.emulator.figures import Figures
-from umberlead.emulator.node import FOREVER, Job, Node, Traits
+from umberlead.emulator.node import FOREVER_US, Job, Node, Traits
 from umberlead.emulator.settings import settings as told_by
 from umberlead.load_generator.day import Day, Request, draw
 from umberlead.scheduling import events
@@ -140,7 +140,7 @@
             hit = [h or got > limit for h, limit in zip(hit, limits, strict=True)]
             made.most = max(made.most, got / limits[1])
     made.fell = [int(h) for h in hit]
-    power = of.node.of.cores * of.node.of.speed * SECOND
+    power = of.node.traits.cores * of.node.traits.speed * SECOND
     for second in range(s.warm_up_us // SECOND):
         can = power * of.node.warmth(of.at + second * SECOND + SECOND // 2)
         asked = of.offered.get(second, 0.0)
@@ -196,7 +196,7 @@
         self.order, self.now = count(), 0
         self.starts = {shard: self._start(shard, speed) for shard in self.cold}
         self.by_node = {of.node.name: of for of in self.starts.values()}
-        self.armed: dict[str, int] = defaultdict(lambda: FOREVER)
+        self.armed: dict[str, int] = defaultdict(lambda: FOREVER_US)
         self.jobs: dict[str, tuple[Process, str, int]] = {}
         self.seed = seed
         self.fronts = [Process(self, n, seed * 1000 + n) for n in range(heads)]
@@ -209,11 +209,11 @@
         of = Traits(
             cores=2,
             speed=speed * chance.uniform(0.9, 1.1),
-            room=100,
+            queue_capacity=100,
             errors=0.02,
-            cold_from=cold.draw("from", chance),
-            warm=cold.draw("warm_s", chance) * SECOND,
-            multiple=1e9,
+            initial_warmth=cold.draw("from", chance),
+            warm_up_us=cold.draw("warm_s", chance) * SECOND,
+            overload_multiple=1e9,
             thrash=self.of.node.draw("thrash", chance),
             thrash_at=self.of.node.draw("thrash_at", chance),
         )
@@ -268,7 +268,7 @@
             self.at(due, self.advance, start)
 
     def advance(self, start: Start) -> None:
-        self.armed[start.node.name] = FOREVER
+        self.armed[start.node.name] = FOREVER_US
         for job in start.node.advance(self.now):
             of, request, attempt = self.jobs.pop(job.id)
             if self.now < start.at + self.settings.warm_up_us:
--- a/benchmarks/room_loss.py
+++ b/benchmarks/room_loss.py
@@ -84,7 +84,7 @@
 
 def measured(made: Plan, of: Records, dials: Counter[int]) -> dict[str, float]:
     """From servers' and clients' records: how the reserves fared in the loss, and connections."""
-    (cut,) = made.cuts
+    (cut,) = made.partitions
     begin, end = cut.begin // MICROSECONDS_PER_S, cut.end // MICROSECONDS_PER_S
     first = {a.id: a.first for a in of.asked}
     served = {first[a.id]: a.at for a in of.answered if a.kind == "served" and a.id in first}
@@ -116,9 +116,9 @@
 
     import uvloop
 
-    from umberlead.emulator.judge import SLACK, Judge
+    from umberlead.emulator.judge import SOCKET_SLACK_US, Judge
     from umberlead.emulator.price import service
-    from umberlead.emulator.sockets import Sockets
+    from umberlead.emulator.sockets import SocketScenario
 
     rows: dict[str, list[dict[str, float]]] = {"without": [], "learnt": []}
     scenario = rehearsal.read(SCRIPT)[0]
@@ -126,15 +126,17 @@
         for arm, kept in rows.items():
             alter = (lambda told: told.update(rooms={"spill": "learnt"})) if arm == "learnt" else None
             made = plan(scenario, Figures(), seed, alter)
-            world = Sockets(made)
+            world = SocketScenario(made)
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 of = runner.run(world.play())
             got = measured(made, of, world.dials)
             got["service"] = service(made, of).figure
-            got["rules broken"] = len(Judge(made, of, SLACK).breaches()) + len(world.strange)
+            got["rules broken"] = len(Judge(made, of, SOCKET_SLACK_US).breaches()) + len(world.faults)
             got["requests a second"] = len(of.asked) / made.day.seconds
             last = max(world.verdicts.values(), default=0.0)
-            got["last front sure after, s"] = last - made.cuts[0].begin / MICROSECONDS_PER_S if last else -1.0
+            got["last front sure after, s"] = (
+                last - made.partitions[0].begin / MICROSECONDS_PER_S if last else -1.0
+            )
             kept.append(got)
             print(arm, seed, {k: round(v, 3) for k, v in got.items()}, flush=True)
     text = (
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -36,7 +36,7 @@
         began = loop.time()
         await asyncio.gather(*[_ask(address, "GET", "0a") for _ in range(20)])
         assert loop.time() - began > 0.1  # 20 pieces of some 12 ms on two cores, repeats cheaper
-        assert not node.node.busy and node.node.links == len(node.connections)
+        assert not node.node.busy and node.node.connections == len(node.connections)
         node.close()
 
     asyncio.run(test())
@@ -46,9 +46,9 @@
     async def test() -> None:
         node = StoringNode("n", 3, Model(), Record(), 1)
         address = ("127.0.0.1", await node.listen("127.0.0.1", 0))
-        node.node.links = node.node.of.links
+        node.node.connections = node.node.traits.max_connections
         assert await _ask(address, "GET", "0a") == (0, b"")
-        node.node.links = 0
+        node.node.connections = 0
         assert (await _ask(address, "GET", "0a"))[0] == 404
         node.close()
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from umberlead.emulator.figures import BadFigure, Figures
-from umberlead.emulator.node import FOREVER, SECOND, Job, Meter, Node, Spell, Traits, traits
-from umberlead.emulator.plan import BadScript, plan
+from umberlead.emulator.figures import FigureError, Figures
+from umberlead.emulator.node import FOREVER_US, SECOND_US, Impairment, Job, Meter, Node, Traits, traits
+from umberlead.emulator.plan import ScriptError, plan
 from umberlead.emulator.settings import settings
 from umberlead.load_generator.clients import Clients
 from umberlead.load_generator.day import Wave, draw, noise
@@ -29,16 +29,16 @@
 
 def run(of: Node) -> list[Job]:
     made = []
-    while of.due() < FOREVER:
+    while of.due() < FOREVER_US:
         made += of.advance(of.due())
     return made
 
 
 def test_two_cores_serve_in_turn_and_the_room_turns_away() -> None:
-    n = node(room=2)
+    n = node(queue_capacity=2)
     words = [n.offer(0, job(f"j{k}")) for k in range(5)]
     assert words == ["taken"] * 4 + ["full"]
-    assert [(j.id, j.answer_at) for j in run(n)] == [
+    assert [(j.id, j.answer_at_us) for j in run(n)] == [
         ("j0", 10_000),
         ("j1", 10_000),
         ("j2", 20_000),
@@ -56,23 +56,29 @@
 
 
 def test_a_cold_one_warms_up_evenly_and_falls_when_overfed() -> None:
-    of = {"cold_from": 0.2, "warm": 10.0 * SECOND, "room": 10_000}
+    of = {"initial_warmth": 0.2, "warm_up_us": 10.0 * SECOND_US, "queue_capacity": 10_000}
     n = node(True, **of)
-    assert [n.warmth(t * SECOND) for t in (0, 5, 10, 20)] == pytest.approx([0.2, 0.6, 1.0, 1.0])
+    assert [n.warmth(t * SECOND_US) for t in (0, 5, 10, 20)] == pytest.approx([0.2, 0.6, 1.0, 1.0])
     # It bears 4 times what it can do at that moment in 3 s: 2 cores at 0.2 make 4.8 s of work.
     fed = [n.offer(0, job(f"j{k}", 100_000)) for k in range(49)]
     assert fed == ["taken"] * 48 + ["fallen"]
     lost = n.fall()
-    assert len(lost) == 48 and n.offer(SECOND, job("later")) == "gone" and not n.connect()
+    assert len(lost) == 48 and n.offer(SECOND_US, job("later")) == "gone" and not n.connect()
     slow = node(True, **of)  # the same work over a longer time is borne
     assert {slow.offer(k * 100_000, job(f"j{k}", 100_000)) for k in range(49)} == {"taken"}
     warm = node(False, **of)
     assert {warm.offer(0, job(f"j{k}", 100_000)) for k in range(500)} == {"taken"}
 
 
-@given(st.integers(0, 60 * SECOND), st.floats(1_000, 3_000_000), st.integers(1, 1 << 30))
+@given(st.integers(0, 60 * SECOND_US), st.floats(1_000, 3_000_000), st.integers(1, 1 << 30))
 def test_pauses_stretch_what_they_meet_and_nothing_else(start: int, work: float, seed: int) -> None:
-    n = Node("n", 0, Traits(pause=(92_000, 210_000), pause_every=(2.1 * SECOND, 9.0 * SECOND)), seed, 0)
+    n = Node(
+        "n",
+        0,
+        Traits(pause_us=(92_000, 210_000), pause_interval_us=(2.1 * SECOND_US, 9.0 * SECOND_US)),
+        seed,
+        0,
+    )
     end = n.finish_of(start, work)
     stood, at = 0, start
     while True:
@@ -84,25 +90,25 @@
     assert end - start == pytest.approx(work + stood, abs=2)
     assert all(92_000 <= b - a <= 210_000 for a, b in n._pauses)
     gaps = [b[0] - a[1] for a, b in zip(n._pauses, n._pauses[1:], strict=False)]
-    assert all(2.1 * SECOND - 1 <= g <= 9 * SECOND for g in gaps)
+    assert all(2.1 * SECOND_US - 1 <= g <= 9 * SECOND_US for g in gaps)
 
 
 def test_part_of_a_write_is_put_off_and_done_in_one_go() -> None:
-    n = node(defer=0.5, flush=100_000.0, cores=1)
+    n = node(defer=0.5, flush_interval_us=100_000.0, cores=1)
     n.offer(0, job("w", 100_000, write=True))
-    assert [j.answer_at for j in run(n)] == [50_000]
-    assert n.put_off == 50_000
+    assert [j.answer_at_us for j in run(n)] == [50_000]
+    assert n.deferred_work_us == 50_000
     n.offer(110_000, job("r", 10_000))
     n.offer(110_000, job("s", 10_000))  # waits for the put-off work: it is done once a core is free
-    assert [(j.id, j.answer_at) for j in run(n)] == [("r", 120_000), ("s", 180_000)]
-    assert n.put_off == 0
+    assert [(j.id, j.answer_at_us) for j in run(n)] == [("r", 120_000), ("s", 180_000)]
+    assert n.deferred_work_us == 0
 
 
 def test_a_repeat_of_a_recent_piece_is_cheaper_at_its_first_attempt_alone() -> None:
     n = node(seek=0.5, remembers=2, cores=1)
     times = []
     for name, block in (("a", "x"), ("b", "x"), ("b", "x"), ("c", "y"), ("d", "z"), ("e", "x")):
-        n.offer(n.due() if n.due() < FOREVER else 0, job(name, block=block))
+        n.offer(n.due() if n.due() < FOREVER_US else 0, job(name, block=block))
         before = n.done_work
         run(n)
         times.append(before)
@@ -117,20 +123,20 @@
 
 
 def test_connections_cost_work_and_are_capped() -> None:
-    n = node(links=2, handshake=1_000.0, full_tax=0.1, cores=1)
+    n = node(max_connections=2, handshake_us=1_000.0, full_tax=0.1, cores=1)
     assert [n.connect() for _ in range(3)] == [True, True, False]
     assert n.rate(0) == pytest.approx(0.9)
     n.offer(0, job("a", 7_000))
-    assert run(n)[0].answer_at == 10_000  # 7,000 and two handshakes, at 0.9
+    assert run(n)[0].answer_at_us == 10_000  # 7,000 and two handshakes, at 0.9
     n.disconnect()
     assert n.connect()
 
 
 def test_reports_are_refreshed_now_and_then_and_come_late() -> None:
-    n = node(report_every=400_000.0, report_late=200_000.0, cores=1)
+    n = node(report_interval_us=400_000.0, report_delay_us=200_000.0, cores=1)
     assert n.report(0)["inflight"] == 0
     for k in range(5):
-        n.offer(400_000, job(f"j{k}", 10 * SECOND))
+        n.offer(400_000, job(f"j{k}", 10 * SECOND_US))
     assert n.report(450_000)["inflight"] == 0  # made now, told later
     assert n.report(649_999)["inflight"] == 0
     assert n.report(650_000)["inflight"] == 5
@@ -157,34 +163,37 @@
 @pytest.mark.parametrize("kind", ["error", "reset", "silence", "half", "spoilt", "surplus", "lag"])
 def test_spells_end_what_they_are_told_to_in_their_time_alone(kind: str) -> None:
     n = node()
-    n.spells = [Spell(SECOND, 2 * SECOND, kind, 1.0), Spell(0, FOREVER, "lag-ms", 300.0)]
+    n.impairments = [
+        Impairment(SECOND_US, 2 * SECOND_US, kind, 1.0),
+        Impairment(0, FOREVER_US, "lag-ms", 300.0),
+    ]
     ends = []
-    for at in (0, SECOND, 2 * SECOND):
+    for at in (0, SECOND_US, 2 * SECOND_US):
         assert n.offer(at, job(f"{at}")) == "taken"
         ends += run(n)
     assert [j.end for j in ends] == ["ok", kind, "ok"]
-    assert ends[1].answer_at == SECOND + 10_000 + (300_000 if kind == "lag" else 0)
+    assert ends[1].answer_at_us == SECOND_US + 10_000 + (300_000 if kind == "lag" else 0)
 
 
 @pytest.mark.parametrize("kind", ["full", "astray", "early"])
 def test_what_is_turned_away_never_runs(kind: str) -> None:
     n = node()
-    n.spells = [Spell(0, SECOND, kind, 1.0)]
+    n.impairments = [Impairment(0, SECOND_US, kind, 1.0)]
     assert n.offer(0, job("a")) == kind
-    assert n.due() == FOREVER and not n.done_work
+    assert n.due() == FOREVER_US and not n.done_work
 
 
 def test_slow_and_neighbours_take_their_part() -> None:
     n = node()
-    n.spells = [Spell(0, SECOND, "slow", 4.0), Spell(500_000, SECOND, "neighbour", 0.5)]
-    assert [n.rate(t) for t in (0, 600_000, SECOND)] == [0.25, 0.125, 1.0]
+    n.impairments = [Impairment(0, SECOND_US, "slow", 4.0), Impairment(500_000, SECOND_US, "neighbour", 0.5)]
+    assert [n.rate(t) for t in (0, 600_000, SECOND_US)] == [0.25, 0.125, 1.0]
 
 
 def test_traits_lie_in_the_published_ranges() -> None:
     drawn = [traits(FIGURES, random.Random(k)) for k in range(200)]
     assert {t.cores for t in drawn} == {2}
-    assert all(0.85 <= t.speed <= 1.1 and 0.17 <= t.cold_from <= 0.35 for t in drawn)
-    assert all(54 <= t.room <= 176 and 0.21 <= t.defer <= 0.48 for t in drawn)
+    assert all(0.85 <= t.speed <= 1.1 and 0.17 <= t.initial_warmth <= 0.35 for t in drawn)
+    assert all(54 <= t.queue_capacity <= 176 and 0.21 <= t.defer <= 0.48 for t in drawn)
     assert {t.remembers for t in drawn} == {2, 3, 4}
 
 
@@ -204,7 +213,7 @@
     text = Path("umberlead/emulator/figures.toml").read_text()
     assert old in text
     (tmp_path / "figures.toml").write_text(text.replace(old, new))
-    with pytest.raises(BadFigure, match="figures.toml") as caught:
+    with pytest.raises(FigureError, match="figures.toml") as caught:
         traits(Figures(tmp_path / "figures.toml"), random.Random(1))
     assert why in str(caught.value)
 
@@ -225,7 +234,7 @@
 def test_a_day_asks_what_the_figures_say() -> None:
     made = [day(k, excess=0.0, seconds=60) for k in range(6)]
     for d in made:
-        asked = sum(r.work for r in d.requests) / (60 * SECOND * 10 * 2)
+        asked = sum(r.work for r in d.requests) / (60 * SECOND_US * 10 * 2)
         assert 0.36 < asked < 0.56  # half of nine tenths, give or take what 60 s leave to chance
         assert {r.units for r in d.requests} == set(range(1, 7))
         assert all(r.shard == -1 for r in d.requests if r.write)
@@ -243,11 +252,11 @@
 def test_surges_come_on_top_and_waves_from_scripts_only_in_their_time() -> None:
     calm, more = day(2, excess=0.0), day(2)
     assert sum(r.units for r in more.requests) > 1.2 * sum(r.units for r in calm.requests)
-    waves = (Wave(10 * SECOND, 20 * SECOND, 3.0), Wave(0, 40 * SECOND, 20.0, "image-read", 0.02))
+    waves = (Wave(10 * SECOND_US, 20 * SECOND_US, 3.0), Wave(0, 40 * SECOND_US, 20.0, "image-read", 0.02))
     waved = day(2, excess=0.0, waves=waves)
 
     def count(d: object, begin: int, end: int) -> int:
-        return sum(begin * SECOND <= r.at < end * SECOND for r in d.requests)  # type: ignore[attr-defined]
+        return sum(begin * SECOND_US <= r.at < end * SECOND_US for r in d.requests)  # type: ignore[attr-defined]
 
     assert count(waved, 10, 20) / count(calm, 10, 20) == pytest.approx(3.0, rel=0.25)
     assert count(waved, 20, 40) / count(calm, 20, 40) == pytest.approx(1.0, rel=0.25)
@@ -291,7 +300,7 @@
     assert [c.latency_objective_us for c in got.classes] == [300_000, 600_000, 2_000_000]
     assert got.front_count == 4 and got.shard_count == 10 and got.slow_start_overload_factor == 4.0
     # What a cold node always bears is less than what pushes the slowest of them over.
-    assert got.slow_start_units * d.unit < 4 * 3 * SECOND * 2 * 0.85 * 0.17
+    assert got.slow_start_units * d.unit < 4 * 3 * SECOND_US * 2 * 0.85 * 0.17
 
 
 # Plans of scripts
@@ -309,37 +318,46 @@
 def test_a_plan_is_drawn_from_its_seed_alone() -> None:
     of = script("at 5s deploy 60% batch 20% drain 3s over 20s", "at 1s lists shuffled for 30s")
     a, b, c = plan(of, FIGURES), plan(of, FIGURES), plan(of, FIGURES, 6)
-    assert (a.births, a.turns, a.notices, a.day.requests) == (b.births, b.turns, b.notices, b.day.requests)
-    assert a.births != c.births
+    assert (a.node_starts, a.state_changes, a.notices, a.day.requests) == (
+        b.node_starts,
+        b.state_changes,
+        b.notices,
+        b.day.requests,
+    )
+    assert a.node_starts != c.node_starts
 
 
 def test_a_deploy_replaces_in_batches_with_cold_successors_of_the_same_shard() -> None:
     made = plan(script("at 5s deploy 60% batch 20% drain 3s over 20s"), FIGURES)
-    new = [b for b in made.births if b.cold]
-    old = [t.server for t in made.turns if t.state == "draining"]
+    new = [b for b in made.node_starts if b.slow_start]
+    old = [t.server for t in made.state_changes if t.state == "draining"]
     assert len(new) == len(old) == 6
-    shard = {b.name: b.shard for b in made.births}
+    shard = {b.name: b.shard for b in made.node_starts}
     assert sorted(b.shard for b in new) == sorted(shard[name] for name in old)
-    begins = sorted({t.at for t in made.turns if t.state == "draining"})
-    assert begins == [5 * SECOND, 13_500_000, 22 * SECOND]  # three batches of two, the last ends at 25 s
-    for t in made.turns:
+    begins = sorted({t.at for t in made.state_changes if t.state == "draining"})
+    assert begins == [
+        5 * SECOND_US,
+        13_500_000,
+        22 * SECOND_US,
+    ]  # three batches of two, the last ends at 25 s
+    for t in made.state_changes:
         heard = [n.at for n in made.notices if (n.server, n.state) == (t.server, t.state)]
-        assert len(heard) == 3 and all(1.3 * SECOND <= at - t.at <= 4.3 * SECOND for at in heard)
+        assert len(heard) == 3 and all(1.3 * SECOND_US <= at - t.at <= 4.3 * SECOND_US for at in heard)
     for b in new:
         started = {n.started for n in made.notices if n.server == b.name}
-        assert started == {b.at}
+        assert started == {b.at_us}
 
 
 def test_lists_come_late_or_out_of_order_and_clocks_step_only_in_their_time() -> None:
     calm = plan(script("at 9s drain n01", "at 30s drain n02"), FIGURES)
     late = plan(script("at 8s lists late 4s for 5s", "at 9s drain n01", "at 30s drain n02"), FIGURES)
     for a, b in zip(calm.notices, late.notices, strict=True):
-        assert b.at - a.at == pytest.approx(4 * SECOND if a.server == "n01" else 0, abs=1)
+        assert b.at - a.at == pytest.approx(4 * SECOND_US if a.server == "n01" else 0, abs=1)
     mixed = plan(script("at 1s lists shuffled for 30s", "at 2s drain n01", "at 2.1s back n01"), FIGURES)
     order = {f: [n.state for n in mixed.notices if n.front == f] for f in range(3)}
     assert all(sorted(o) == ["draining", "up"] for o in order.values())
     stepped = plan(script("at 1s clock ahead 300ms for 5s", "at 2s cold n01", "at 8s cold n02"), FIGURES)
-    assert {(n.server, n.started) for n in stepped.notices} == {("n01", 2_300_000), ("n02", 8 * SECOND)}
+    assert {(n.server, n.started) for n in stepped.notices} == {("n01", 2_300_000), ("n02", 8 * SECOND_US)}
 
 
 @pytest.mark.parametrize(
@@ -352,7 +370,7 @@
     ],
 )
 def test_a_plan_that_makes_no_sense_names_its_line(line: str, why: str) -> None:
-    with pytest.raises(BadScript) as caught:
+    with pytest.raises(ScriptError) as caught:
         plan(script(line), FIGURES)
     code, place = why.split()
     assert code in str(caught.value) and place in str(caught.value)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -7,8 +7,8 @@
 
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.judge import NAMES, Judge
-from umberlead.emulator.plan import Plan, checked, plan
-from umberlead.emulator.price import Pricing, Tiers, shares
+from umberlead.emulator.plan import Plan, parsed_settings, plan
+from umberlead.emulator.price import Pricing, Tiers, allocate_by_weight
 from umberlead.emulator.records import Answered, Asked, Came, Ended, Left, Life, Records, Told
 from umberlead.load_generator.day import Request
 from umberlead.routing_tests.language import parse
@@ -84,7 +84,7 @@
 
 def _fed(of: Records, part: float, told: bool = True) -> None:
     """A start, and within one window the given part of what the budget and chance leave, in small work."""
-    s, day = checked(DAY), DAY.day
+    s, day = parsed_settings(DAY), DAY.day
     n, mean = s.slow_start_units / s.mean_request_units, sum(r.work for r in day.requests) / len(day.requests)
     of.lives.append(Life(2 * S, "n00", "cold", 0))
     of.told += [Told(2 * S, 0, "n00", "up")] if told else []
@@ -190,9 +190,11 @@
 
 
 def test_shares_are_dealt_by_weight_and_nobody_gets_more_than_it_wants() -> None:
-    got = shares({("a", 0): 10.0, ("b", 0): 1.0, ("c", 0): 10.0}, {0: 10.0}, {"a": 1.0, "b": 1.0, "c": 2.0})
+    got = allocate_by_weight(
+        {("a", 0): 10.0, ("b", 0): 1.0, ("c", 0): 10.0}, {0: 10.0}, {"a": 1.0, "b": 1.0, "c": 2.0}
+    )
     assert got == pytest.approx({"a": 3.0, "b": 1.0, "c": 6.0})
-    assert shares({("a", 0): 3.0}, {0: 0.0}, {"a": 1.0}).get("a", 0.0) == 0.0
+    assert allocate_by_weight({("a", 0): 3.0}, {0: 0.0}, {"a": 1.0}).get("a", 0.0) == 0.0
 
 
 def _perfect(of: Plan, late: Callable[[Request], int]) -> Records:
--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -20,12 +20,12 @@
 from umberlead.emulator import rehearsal, virtual
 from umberlead.emulator.discovery_agent import Agent
 from umberlead.emulator.figures import Figures
-from umberlead.emulator.judge import NAMES, SLACK, Judge, by_name
-from umberlead.emulator.loop import START
+from umberlead.emulator.judge import NAMES, SOCKET_SLACK_US, Judge, count_by_name
+from umberlead.emulator.loop import START_US
 from umberlead.emulator.loopback import Blackhole, Lateness
 from umberlead.emulator.plan import plan
-from umberlead.emulator.sockets import Sockets
-from umberlead.emulator.virtual import Front, Virtual
+from umberlead.emulator.sockets import SocketScenario
+from umberlead.emulator.virtual import Front, VirtualScenario
 from umberlead.load_generator.clients import Try
 from umberlead.requests.types import Answer, AnswerKind, Attempt, Reply
 from umberlead.routing_tests.language import parse
@@ -100,8 +100,8 @@
 def _copy(front: Front, attempt: Attempt, wait: int) -> None:
     """The request of an attempt once more, past the engine."""
     out = attempt.transport_state
-    if isinstance(out, virtual._Out):
-        again = virtual._Out(attempt, out.node)
+    if isinstance(out, virtual._AttemptUnderWay):
+        again = virtual._AttemptUnderWay(attempt, out.node)
         again.over = again.written = True
         _later(front, wait, lambda: front.world.arrived(front, again, 0))
 
@@ -117,7 +117,7 @@
 
 def _elsewhere(front: Rogue, attempt: Attempt) -> None:
     """To a server of another shard."""
-    names = sorted(front.world.stage.nodes)
+    names = sorted(front.world.state.nodes)
     attempt.endpoint = names[(names.index(attempt.endpoint) + 1) % len(names)]
     Front.start(front, attempt)
 
@@ -143,7 +143,7 @@
 
     def told(self, notice: Any, at: int) -> None:
         if notice.state != "up":
-            self.world.stage.told(self.world.now, self.number, notice.server, notice.state)
+            self.world.state.record_notice(self.world.now, self.number, notice.server, notice.state)
         else:
             super().told(notice, at)
 
@@ -152,7 +152,7 @@
     """Sends to the newest server, whether its list has named that or not."""
 
     def start(self, attempt: Attempt) -> None:
-        attempt.endpoint = max(self.world.stage.nodes)
+        attempt.endpoint = max(self.world.state.nodes)
         super().start(attempt)
 
 
@@ -169,46 +169,46 @@
             _later(self, 7_000_000, lambda: self.world.left(of))
 
 
-def _answering(change: Callable[[Virtual, Any, Answer], None]) -> type[Virtual]:
-    class Planted(Virtual):
+def _answering(change: Callable[[VirtualScenario, Any, Answer], None]) -> type[VirtualScenario]:
+    class Planted(VirtualScenario):
         def answered(self, of: Any, answer: Answer) -> None:
             change(self, of, answer)
 
     return Planted
 
 
-def _twice_answered(world: Virtual, of: Any, answer: Answer) -> None:
-    Virtual.answered(world, of, answer)
-    Virtual.answered(world, of, answer)
+def _twice_answered(world: VirtualScenario, of: Any, answer: Answer) -> None:
+    VirtualScenario.answered(world, of, answer)
+    VirtualScenario.answered(world, of, answer)
 
 
-def _altered(world: Virtual, of: Any, answer: Answer) -> None:
+def _altered(world: VirtualScenario, of: Any, answer: Answer) -> None:
     if answer.reply is not None:
         answer.reply.body += b"x"
-    Virtual.answered(world, of, answer)
+    VirtualScenario.answered(world, of, answer)
 
 
 _last: list[bytes] = [b""]
 
 
-def _of_another(world: Virtual, of: Any, answer: Answer) -> None:
+def _of_another(world: VirtualScenario, of: Any, answer: Answer) -> None:
     if answer.reply is not None and answer.reply.body:
         _last[0], answer.reply.body = answer.reply.body, _last[0] or answer.reply.body
-    Virtual.answered(world, of, answer)
+    VirtualScenario.answered(world, of, answer)
 
 
-def _harmless(world: Virtual, of: Any, answer: Answer) -> None:
+def _harmless(world: VirtualScenario, of: Any, answer: Answer) -> None:
     """Failed uploads are told as refused."""
     if answer.kind is AnswerKind.FAILED:
         answer.kind = AnswerKind.REJECTED
-    Virtual.answered(world, of, answer)
+    VirtualScenario.answered(world, of, answer)
 
 
 def _to_the_drained(front: Rogue, attempt: Attempt) -> None:
     """Once more, to a server that turns it away."""
     Front.start(front, attempt)
-    node = front.world.stage.nodes["n02"]
-    again = virtual._Out(attempt, node)
+    node = front.world.state.nodes["n02"]
+    again = virtual._AttemptUnderWay(attempt, node)
     again.over = again.written = True
     _later(front, 20_000, lambda: front.world.arrived(front, again, 0))
 
@@ -247,13 +247,13 @@
 
 @pytest.mark.parametrize("name", sorted(PLANTED))
 def test_a_front_that_breaks_a_rule_is_found_out(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    fault, world = PLANTED[name], Virtual
-    if issubclass(fault, Virtual):
+    fault, world = PLANTED[name], VirtualScenario
+    if issubclass(fault, VirtualScenario):
         world = fault
     else:
         monkeypatch.setattr(virtual, "Front", fault)
     made = plan(script(), Figures())
-    found = by_name(Judge(made, world(made).play()).breaches())
+    found = count_by_name(Judge(made, world(made).play()).breaches())
     assert name in found, found
 
 
@@ -287,7 +287,7 @@
     is told to: while the judge's process is held up, or after the request's time."""
 
     def __init__(self, wait: float = 0.1) -> None:
-        self.made = Sockets(plan(script(), Figures()))
+        self.made = SocketScenario(plan(script(), Figures()))
         self.made.loop = loop = asyncio.get_running_loop()
         self.made.lateness, self.made.begin = Lateness(loop), loop.time()
         request = self.made.plan.day.requests[0]
@@ -314,11 +314,11 @@
 
     async def over(self) -> list[str]:
         """What the judge finds, once its client has its answer or has left."""
-        while self.of.id in self.made.stage.open:
+        while self.of.id in self.made.state.open:
             await asyncio.sleep(0.001)
-        records = self.made.stage.records
+        records = self.made.state.records
         self.socket.close()
-        return [b.name for b in Judge(self.made.plan, records, SLACK).breaches()]
+        return [b.name for b in Judge(self.made.plan, records, SOCKET_SLACK_US).breaches()]
 
 
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop])
@@ -334,7 +334,7 @@
             def data_received(self, data: bytes) -> None:
                 of.tell.set()
                 assert of.told.wait(PATIENCE)
-                while of.made.now() <= of.of.until + 2 * SLACK:
+                while of.made.now() <= of.of.until + 2 * SOCKET_SLACK_US:
                     pass
 
         here, there = socket.socketpair()
@@ -342,8 +342,8 @@
         there.send(b"x")
         assert await of.over() == []
         there.close()
-        row = of.made.stage.records.answered[0]
-        assert row.at - row.behind <= of.of.until + SLACK < row.at
+        row = of.made.state.records.answered[0]
+        assert row.at - row.behind <= of.of.until + SOCKET_SLACK_US < row.at
 
     with asyncio.Runner(loop_factory=loop) as runner:
         runner.run(test())
@@ -360,7 +360,7 @@
         of = Judged()
         of.made._ask(of.of)
         await of.heard()
-        while (over := of.made.now() - of.of.until - SLACK) <= 40_000:
+        while (over := of.made.now() - of.of.until - SOCKET_SLACK_US) <= 40_000:
             if not held_up or abs(over) > 10_000:
                 await asyncio.sleep(0.001)
         of.tell.set()
@@ -469,7 +469,7 @@
 
 def test_times_in_records_count_from_the_days_start() -> None:
     made = plan(script(), Figures())
-    world = Virtual(made)
+    world = VirtualScenario(made)
     of = world.play()
-    assert world.loop.now - START == made.length + 8_000_000
+    assert world.loop.now - START_US == made.length_us + 8_000_000
     assert 0 <= of.asked[0].at < 1_000_000
--- a/tests/test_zones_front.py
+++ b/tests/test_zones_front.py
@@ -16,7 +16,7 @@
 from umberlead.emulator.judge import Judge
 from umberlead.emulator.loop import Alarm, Loop
 from umberlead.emulator.plan import plan
-from umberlead.emulator.virtual import Virtual
+from umberlead.emulator.virtual import VirtualScenario
 from umberlead.requests.lifecycle import RequestLifecycle
 from umberlead.requests.types import Answer, AnswerKind, Attempt, IncomingRequest
 from umberlead.routing_tests.language import parse
@@ -29,20 +29,22 @@
 HEAD += "day seconds 24 load 35% excess 50% retries 1\n"
 
 
-def played(*lines: str, rooms: dict[str, Any] | None = None, copies: int = 2, gossip: str = "") -> Virtual:
+def played(
+    *lines: str, rooms: dict[str, Any] | None = None, copies: int = 2, gossip: str = ""
+) -> VirtualScenario:
     text = HEAD.format(copies=copies) + "".join(f"{line}\n" for line in lines)
     suite, problems = parse(f"{text}end {text.count(chr(10))}\n", "s")
     assert not problems, problems
     told: dict[str, Any] = {"rooms": {"spill": "learnt"} if rooms is None else rooms}
     told |= {"gossip": gossip} if gossip else {}
-    world = Virtual(plan(suite.scenarios[0], Figures(), None, lambda t: t.update(told)))
+    world = VirtualScenario(plan(suite.scenarios[0], Figures(), None, lambda t: t.update(told)))
     world.play()
     assert not world.faults, world.faults
-    assert not Judge(world.plan, world.stage.records).breaches()
+    assert not Judge(world.plan, world.state.records).breaches()
     return world
 
 
-def states(world: Virtual) -> list[Counter[str]]:
+def states(world: VirtualScenario) -> list[Counter[str]]:
     return [
         Counter({w: n for w, n in f.engine.counters.report().items() if w.startswith("rooms_")})
         for f in world.fronts
@@ -53,14 +55,14 @@
     world = played("at 6s dark room 1 for 6s")
     for made in states(world):
         assert made["rooms_lost"] >= 1 and made["rooms_return"] >= 1 and made["rooms_trials"] >= 4
-    assert all(f.rooms.router.zone_health.state("1") is ZoneState.HEALTHY for f in world.fronts)
-    lived = [r for r in world.stage.records.lives if r.what == "fallen"]
+    assert all(f.zones.router.zone_health.state("1") is ZoneState.HEALTHY for f in world.fronts)
+    lived = [r for r in world.state.records.lives if r.what == "fallen"]
     assert not lived
 
 
 def test_a_shard_of_the_down_zone_alone_is_rejected_at_once() -> None:
     world = played("at 6s dark room 1 for 8s", copies=1)
-    of, dark = world.stage.records, {b.shard for b in world.plan.births if b.room == 1}
+    of, dark = world.state.records, {b.shard for b in world.plan.node_starts if b.zone == 1}
     asked = {
         a.id: a
         for a in of.asked
@@ -88,13 +90,13 @@
 
 def test_a_zone_that_flaps_is_down_for_longer() -> None:
     world = played("at 2s dark room 1 for 4s", "at 12s dark room 1 for 5s")
-    assert max(f.rooms.router.zone_health.zones["1"].failures for f in world.fronts) >= 2
+    assert max(f.zones.router.zone_health.zones["1"].failures for f in world.fronts) >= 2
 
 
 def test_spillover_mode_never_rejects_what_would_have_to_move() -> None:
     line = "at 6s dark room 1 for 8s"
     never, all_ = played(line, rooms={"spill": "never"}), played(line, rooms={"spill": "all"})
-    own = [f.number for f in never.fronts if never.plan.rooms[f.number] == 1]
+    own = [f.number for f in never.fronts if never.plan.front_zones[f.number] == 1]
     assert own
     assert sum(states(never)[n]["rooms_refused"] for n in own) > sum(
         states(all_)[n]["rooms_refused"] for n in own
@@ -108,7 +110,7 @@
     assert world.talk is not None and any(m.alive_members() for m in world.talk.members)
     assert all(not made["rooms_lost"] for made in states(world))
     if gossip == "liars":
-        assert any(r.peer_states for f in world.fronts for r in f.rooms.router.zone_health.zones.values())
+        assert any(r.peer_states for f in world.fronts for r in f.zones.router.zone_health.zones.values())
 
 
 # One engine by hand
--- a/umberlead/commands/rehearse.py
+++ b/umberlead/commands/rehearse.py
@@ -77,8 +77,8 @@
     """
     from umberlead.commands.progress import Bar
     from umberlead.emulator import rehearsal
-    from umberlead.emulator.figures import PUBLISHED, BadFigure, Figures
-    from umberlead.emulator.plan import BadScript
+    from umberlead.emulator.figures import PUBLISHED, FigureError, Figures
+    from umberlead.emulator.plan import ScriptError
 
     made = []
     try:
@@ -101,7 +101,7 @@
                     )
                 )
             click.echo(told(made[-1]))
-    except (BadScript, BadFigure, ValueError, RuntimeError, OSError) as fault:
+    except (ScriptError, FigureError, ValueError, RuntimeError, OSError) as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
     if out is not None:
--- a/umberlead/emulator/client_connections.py
+++ b/umberlead/emulator/client_connections.py
@@ -11,15 +11,15 @@
 
 if TYPE_CHECKING:
     from umberlead.emulator.front_processes import FrontProcess
-    from umberlead.emulator.sockets import Sockets
+    from umberlead.emulator.sockets import SocketScenario
 
-KINDS = {200: "served", 429: "refused", 503: "refused"}
+KIND_BY_STATUS = {200: "served", 429: "refused", 503: "refused"}
 
 
 class ClientConnection(asyncio.Protocol):
     """A client's connection to a front: one request at a time."""
 
-    def __init__(self, play: "Sockets", front: "FrontProcess") -> None:
+    def __init__(self, play: "SocketScenario", front: "FrontProcess") -> None:
         """A connection to this front."""
         self.play = play
         self.front = front
@@ -52,7 +52,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.play.strange.append("an answer that is no HTTP")
+            self.play.faults.append("an answer that is no HTTP")
             self.abort()
 
     def on_body(self, body: bytes) -> None:
@@ -72,7 +72,7 @@
         elif self.transport is not None:
             self.transport.close()
         if of is not None:
-            kind = KINDS.get(status, "failed")
+            kind = KIND_BY_STATUS.get(status, "failed")
             self.play.answered(of, kind, body.decode("latin-1") if kind == "served" else "")
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/umberlead/emulator/figures.py
+++ b/umberlead/emulator/figures.py
@@ -10,7 +10,7 @@
 PUBLISHED = Path(__file__).with_name("figures.toml")
 
 
-class BadFigure(ValueError):
+class FigureError(ValueError):
     """A figure that is missing, or not of its form; the text names file and key."""
 
 
@@ -23,9 +23,9 @@
     def entry(self, key: str) -> Any:
         entry = self.got.get(key)
         if not isinstance(entry, dict) or "is" not in entry:
-            raise BadFigure(f"{self.where}.{key}: must be a table with `is` and `source`")
+            raise FigureError(f"{self.where}.{key}: must be a table with `is` and `source`")
         if not str(entry.get("source", "")).strip():
-            raise BadFigure(f"{self.where}.{key}: names no source")
+            raise FigureError(f"{self.where}.{key}: names no source")
         return entry["is"]
 
     def range(self, key: str) -> tuple[float, float]:
@@ -33,20 +33,20 @@
         ends = value if isinstance(value, list) else [value, value]
         sound = len(ends) == 2 and all(isinstance(e, int | float) and not isinstance(e, bool) for e in ends)
         if not sound or ends[0] > ends[1]:
-            raise BadFigure(f"{self.where}.{key}: must be a number or [lowest, highest], not {value!r}")
+            raise FigureError(f"{self.where}.{key}: must be a number or [lowest, highest], not {value!r}")
         return float(ends[0]), float(ends[1])
 
     def draw(self, key: str, chance: random.Random) -> float:
         return chance.uniform(*self.range(key))
 
-    def whole(self, key: str, chance: random.Random) -> int:
+    def draw_int(self, key: str, chance: random.Random) -> int:
         low, high = self.range(key)
         return chance.randint(round(low), round(high))
 
     def one(self, key: str) -> float:
         low, high = self.range(key)
         if low != high:
-            raise BadFigure(f"{self.where}.{key}: must be one number")
+            raise FigureError(f"{self.where}.{key}: must be one number")
         return low
 
     def text(self, key: str) -> str:
@@ -58,7 +58,7 @@
     @property
     def name(self) -> str:
         if not isinstance(self.got.get("name"), str):
-            raise BadFigure(f"{self.where}.name: is missing")
+            raise FigureError(f"{self.where}.name: is missing")
         return str(self.got["name"])
 
 
@@ -69,17 +69,17 @@
         try:
             got = tomllib.loads(path.read_text())
         except (OSError, ValueError) as fault:
-            raise BadFigure(f"{path}: {fault}") from None
+            raise FigureError(f"{path}: {fault}") from None
 
         def group(key: str) -> Group:
             if not isinstance(got.get(key), dict):
-                raise BadFigure(f"{path.name}: {key}: the table is missing")
+                raise FigureError(f"{path.name}: {key}: the table is missing")
             return Group(got[key], f"{path.name}: {key}")
 
         def groups(key: str) -> list[Group]:
             rows = got.get(key)
             if not isinstance(rows, list) or not rows:
-                raise BadFigure(f"{path.name}: {key}: needs at least one [[{key}]]")
+                raise FigureError(f"{path.name}: {key}: needs at least one [[{key}]]")
             return [Group(row, f"{path.name}: {key}.{n}") for n, row in enumerate(rows)]
 
         self.node, self.cold, self.links = group("node"), group("cold"), group("links")
--- a/umberlead/emulator/front_processes.py
+++ b/umberlead/emulator/front_processes.py
@@ -10,9 +10,9 @@
 
 from umberlead.emulator.client_connections import ClientConnection
 from umberlead.emulator.discovery_agent import Agent
-from umberlead.emulator.plan import BESIDE, Plan, rooms_told
+from umberlead.emulator.plan import TABLES_BESIDE_SETTINGS, Plan, zones_table
 
-END = 15.0  # s for a front to end after SIGTERM
+EXIT_TIMEOUT_S = 15.0  # s for a front to end after SIGTERM
 
 
 @dataclass
@@ -23,7 +23,7 @@
     process: asyncio.subprocess.Process | None = None
     agent: Agent = field(default_factory=Agent)
     address: tuple[str, int] = ("", 0)
-    door: int = 0
+    admin_port: int = 0
     idle: list[ClientConnection] = field(default_factory=list)
     reader: asyncio.Task[None] | None = None
 
@@ -59,7 +59,7 @@
         """Its exit code, with patience for its end."""
         assert self.process is not None
         try:
-            return await asyncio.wait_for(self.process.wait(), END)
+            return await asyncio.wait_for(self.process.wait(), EXIT_TIMEOUT_S)
         except TimeoutError:
             self.process.kill()
             return await self.process.wait()
@@ -74,8 +74,8 @@
         "discovery": f"127.0.0.1:{discovery_port}",
         "seed": f"{plan.seed * 1000 + number:x}",
         "log": {"level": "info"} | ({"collector": collector} if collector else {}),
-        "settings": {k: v for k, v in plan.told.items() if k not in BESIDE},
+        "settings": {k: v for k, v in plan.front_settings.items() if k not in TABLES_BESIDE_SETTINGS},
     }
-    if "rooms" in plan.told:
-        conf["rooms"] = rooms_told(plan, number)
+    if "rooms" in plan.front_settings:
+        conf["rooms"] = zones_table(plan, number)
     return tomli_w.dumps(conf)
--- a/umberlead/emulator/judge.py
+++ b/umberlead/emulator/judge.py
@@ -9,13 +9,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from umberlead.emulator.outcomes import AFTER
-from umberlead.emulator.plan import Plan, checked
+from umberlead.emulator.outcomes import RESULT_AFTER_RUN
+from umberlead.emulator.plan import Plan, parsed_settings
 from umberlead.emulator.records import Asked, Came, Records
 
-SLACK = 50_000  # us
-GRACE = 1_000_000  # us in which a front may still send to what it was told drains or is gone
-ATTEMPTS = 3
+SOCKET_SLACK_US = 50_000  # us
+NOTICE_GRACE_US = 1_000_000  # us in which a front may still send to what it was told drains or is gone
+MAX_ATTEMPTS = 3
 
 NAMES = {
     "no-answer": "a request was not answered before its client left",
@@ -24,7 +24,7 @@
     "upload-twice": "an upload ran, or may have run, twice",
     "upload-resent": "an upload that may have run was sent again, and turned away",
     "two-out": "a second attempt began while one was out",
-    "too-many-attempts": f"more than {ATTEMPTS} attempts",
+    "too-many-attempts": f"more than {MAX_ATTEMPTS} attempts",
     "sent-after-answer": "an attempt after the request's answer",
     "sent-after-time": "an attempt after the client left",
     "sent-to-draining": "new work more than 1 s after the front was told that the server drains",
@@ -52,7 +52,7 @@
     server: str = ""
     why: str = ""
 
-    def words(self) -> str:
+    def describe(self) -> str:
         of = f", request {self.id}" if self.id else ""
         of += f", server {self.server}" if self.server else ""
         return f"{self.name} at {self.at / 1e6:.3f} s{of}: {self.why or NAMES[self.name]}"
@@ -62,11 +62,11 @@
     """All rules over one rehearsal's records."""
 
     def __init__(self, plan: Plan, records: Records, slack: int = 0) -> None:
-        self.plan, self.of, self.slack = plan, records, slack
-        self.asked = {a.id: a for a in records.asked}
-        self.came: dict[str, list[Came]] = defaultdict(list)
+        self.plan, self.records, self.slack = plan, records, slack
+        self.requests = {a.id: a for a in records.asked}
+        self.arrivals: dict[str, list[Came]] = defaultdict(list)
         for row in records.came:
-            self.came[row.id].append(row)
+            self.arrivals[row.id].append(row)
         self.ended = defaultdict(list)
         for end in records.ended:
             self.ended[end.id].append(end)
@@ -80,8 +80,8 @@
 
     def breaches(self) -> list[Breach]:
         made = [*self._answers(), *self._fallen(), *self._over_budget(), *self._listed()]
-        for id_, rows in self.came.items():
-            asked = self.asked.get(id_)
+        for id_, rows in self.arrivals.items():
+            asked = self.requests.get(id_)
             if asked is None:
                 made += [Breach("unknown-request", r.at, id_, r.server) for r in rows]
                 continue
@@ -92,7 +92,7 @@
 
     def _answers(self) -> Iterator[Breach]:
         bodies = {e.body: i for i, ends in self.ended.items() for e in ends if e.body}
-        for id_, asked in self.asked.items():
+        for id_, asked in self.requests.items():
             answers = self.answered.get(id_, [])
             if len(answers) > 1:
                 yield Breach("two-answers", answers[1].at, id_)
@@ -101,17 +101,17 @@
             if not answers:
                 continue
             answer = answers[0]
-            ran = [r for r in self.came.get(id_, []) if r.word == "taken"]
+            ran = [r for r in self.arrivals.get(id_, []) if r.word == "taken"]
             if answer.kind == "refused" and asked.write and ran:
                 yield Breach("refused-though-run", answer.at, id_, ran[0].server)
             if answer.kind == "served":
                 yield from self._served(id_, answer.at, answer.body, bodies)
         for id_, answers in self.answered.items():
-            if id_ not in self.asked:
+            if id_ not in self.requests:
                 yield Breach("stranger-answered", answers[0].at, id_)
 
     def _served(self, id_: str, at: int, body: str, bodies: dict[str, str]) -> Iterator[Breach]:
-        ends = [e for e in self.ended.get(id_, []) if AFTER[e.word] is not None and e.body]
+        ends = [e for e in self.ended.get(id_, []) if RESULT_AFTER_RUN[e.word] is not None and e.body]
         if not ends:
             yield Breach("answer-invented", at, id_)
         elif body not in [e.body for e in ends]:
@@ -131,8 +131,8 @@
 
     def _attempts(self, asked: Asked, rows: list[Came]) -> Iterator[Breach]:
         id_ = asked.id
-        if len(rows) > ATTEMPTS:
-            yield Breach("too-many-attempts", rows[ATTEMPTS].at, id_, rows[ATTEMPTS].server)
+        if len(rows) > MAX_ATTEMPTS:
+            yield Breach("too-many-attempts", rows[MAX_ATTEMPTS].at, id_, rows[MAX_ATTEMPTS].server)
         answers = self.answered.get(id_, [])
         for k, row in enumerate(rows):
             if answers and row.at > answers[0].at + self.slack:
@@ -151,13 +151,13 @@
         ends = [
             e.at
             for e in self.ended.get(row.id, [])
-            if e.server == row.server and e.at >= row.at and AFTER[e.word] is not None
+            if e.server == row.server and e.at >= row.at and RESULT_AFTER_RUN[e.word] is not None
         ]
         leaves = [at for at in self.left.get((row.id, row.server), []) if at >= row.at]
         return min([*ends, *leaves, 1 << 62])
 
     def _fallen(self) -> Iterator[Breach]:
-        for life in self.of.lives:
+        for life in self.records.lives:
             if life.what == "fallen":
                 yield Breach("cold-pushed-over", life.at, "", life.server)
 
@@ -165,18 +165,18 @@
         """Beyond N requests of mean work that the settings allow a server in a window after its start,
         2 root N + 2 are chance. What it turns away counts too. Over two thirds of the window must have come
         from fronts that had been told of it since its start."""
-        s, asked = checked(self.plan), self.plan.day.requests
+        s, asked = parsed_settings(self.plan), self.plan.day.requests
         if s.slow_start_units <= 0 or not asked:
             return
         mean = sum(r.work for r in asked) / len(asked)
         told: dict[tuple[int, str], list[int]] = defaultdict(list)
-        for news in self.of.told:
+        for news in self.records.told:
             if news.state == "up":
                 told[news.front, news.server].append(news.at)
         came: dict[str, list[Came]] = defaultdict(list)
-        for row in self.of.came:
+        for row in self.records.came:
             came[row.server].append(row)
-        starts = [life for life in self.of.lives if life.what == "cold"]
+        starts = [life for life in self.records.lives if life.what == "cold"]
         for life in starts:
             again = [o.at for o in starts if o.server == life.server and o.at > life.at]
             end = min([life.at + s.warm_up_us, *again])
@@ -198,11 +198,11 @@
 
     def _listed(self) -> Iterator[Breach]:
         told: dict[tuple[int, str], tuple[list[int], list[str]]] = defaultdict(lambda: ([], []))
-        for news in self.of.told:
+        for news in self.records.told:
             times, states = told[news.front, news.server]
             times.append(news.at)
             states.append(news.state)
-        for row in self.of.came:
+        for row in self.records.came:
             times, states = told.get((row.front, row.server), ([], []))
             at = bisect_right(times, row.at) - 1
             if at < 0:
@@ -214,9 +214,9 @@
             while at > 0 and state != "up" and states[at - 1] != "up":
                 at -= 1
                 since = times[at]
-            if state != "up" and row.at > since + GRACE + self.slack:
+            if state != "up" and row.at > since + NOTICE_GRACE_US + self.slack:
                 yield Breach(f"sent-to-{state}", row.at, row.id, row.server)
 
 
-def by_name(breaches: list[Breach]) -> dict[str, int]:
+def count_by_name(breaches: list[Breach]) -> dict[str, int]:
     return dict(sorted(Counter(b.name for b in breaches).items()))
--- a/umberlead/emulator/latency.py
+++ b/umberlead/emulator/latency.py
@@ -6,22 +6,22 @@
 from umberlead.emulator.plan import Plan
 from umberlead.emulator.records import Records
 
-LONGEST = 60_000_000  # us that the histogram tells apart
-PARTS = (50.0, 90.0, 99.0, 99.9)
+LONGEST_LATENCY_US = 60_000_000  # us that the histogram tells apart
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 def histograms(plan: Plan, records: Records) -> dict[str, HdrHistogram]:
     """Of served requests, in us to three digits; a retry's answer counts from its first try."""
     due = {r.number: r for r in plan.day.requests}
     first = {a.id: a.first for a in records.asked}
-    made = {k.name: HdrHistogram(1, LONGEST, 3) for k in plan.day.kinds}
+    made = {k.name: HdrHistogram(1, LONGEST_LATENCY_US, 3) for k in plan.day.kinds}
     seen = set[int]()
     for answer in records.answered:
         number = first.get(answer.id, -1)
         if answer.kind == "served" and number in due and number not in seen:
             seen.add(number)
             request = due[number]
-            made[request.class_name].record_value(min(max(answer.at - request.at, 1), LONGEST))
+            made[request.class_name].record_value(min(max(answer.at - request.at, 1), LONGEST_LATENCY_US))
     return made
 
 
@@ -31,5 +31,5 @@
         f"latency.{name}.p{part:g}": of.get_value_at_percentile(part) / 1000
         for name, of in histograms(plan, records).items()
         if of.get_total_count()
-        for part in PARTS
+        for part in PERCENTILES
     }
--- a/umberlead/emulator/log_collector.py
+++ b/umberlead/emulator/log_collector.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING, cast
 
 if TYPE_CHECKING:
-    from umberlead.emulator.sockets import Sockets
+    from umberlead.emulator.sockets import SocketScenario
 
 
 class CollectorConnection(asyncio.Protocol):
     """Takes fronts' log lines, or for a while does not."""
 
-    def __init__(self, play: "Sockets") -> None:
+    def __init__(self, play: "SocketScenario") -> None:
         """Lines go to `play`."""
         self.play = play
         self.rest = b""
--- a/umberlead/emulator/loop.py
+++ b/umberlead/emulator/loop.py
@@ -6,14 +6,14 @@
 from itertools import count
 from typing import Any
 
-START = 10_000_000  # us at which scenarios begin
+START_US = 10_000_000  # us at which scenarios begin
 
 
 class Loop:
     """Virtual time, and what is due in it; ties go by the order in which they were set."""
 
     def __init__(self) -> None:
-        self.now = START
+        self.now = START_US
         self._due: list[tuple[int, int, Callable[[], Any]]] = []
         self._soon = deque[Callable[[], Any]]()
         self._order = count()
--- a/umberlead/emulator/loopback.py
+++ b/umberlead/emulator/loopback.py
@@ -7,7 +7,7 @@
 
 from umberlead.load_generator.day import SECOND_US
 
-PULSE = 0.005  # s between looks at this process's own lateness; less than that counts as none
+LATENESS_INTERVAL_S = 0.005  # s between looks at this process's own lateness; less than that counts as none
 
 
 class Blackhole:
@@ -55,7 +55,7 @@
     def _beat(self) -> None:
         now = self.loop.time()
         self._turn = now - self._due
-        self._due = now + PULSE
+        self._due = now + LATENESS_INTERVAL_S
         self.loop.call_at(self._due, self._beat)
         self.loop.call_soon(self.loop.call_soon, self._read)
 
@@ -65,7 +65,7 @@
     def us(self) -> int:
         """Microseconds behind; 0 below what counts."""
         late = max(self._turn, self.loop.time() - self._due)
-        return int(late * SECOND_US) if late > PULSE else 0
+        return int(late * SECOND_US) if late > LATENESS_INTERVAL_S else 0
 
 
 def port_of(server: asyncio.Server) -> int:
--- a/umberlead/emulator/node.py
+++ b/umberlead/emulator/node.py
@@ -14,8 +14,8 @@
 
 from umberlead.emulator.figures import Figures
 
-SECOND = 1_000_000
-FOREVER = 1 << 62
+SECOND_US = 1_000_000
+FOREVER_US = 1 << 62
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,26 +24,26 @@
 
     cores: int = 2
     speed: float = 1.0
-    room: int = 100  # requests that wait
+    queue_capacity: int = 100  # requests that wait
     thrash: float = 0.0  # work more with each doubling of what is held beyond `thrash_at` a core
     thrash_at: float = 6.0
-    pause: tuple[float, float] = (0.0, 0.0)  # us, shortest and longest
-    pause_every: tuple[float, float] = (0.0, 0.0)  # us; 0: never
+    pause_us: tuple[float, float] = (0.0, 0.0)  # us, shortest and longest
+    pause_interval_us: tuple[float, float] = (0.0, 0.0)  # us; 0: never
     errors: float = 0.0
     seek: float = 0.0  # part of the work that a repeat saves
     remembers: int = 0
     defer: float = 0.0  # part of a write's work that is put off
-    flush: float = 2.0 * SECOND
-    cold_from: float = 1.0
-    warm: float = 16.0 * SECOND
-    multiple: float = 4.0
-    window: int = 3 * SECOND
-    handshake: float = 0.0  # us of work
-    rtts: float = 1.0
-    links: int = 1200  # connections at most
+    flush_interval_us: float = 2.0 * SECOND_US
+    initial_warmth: float = 1.0
+    warm_up_us: float = 16.0 * SECOND_US
+    overload_multiple: float = 4.0
+    overload_window_us: int = 3 * SECOND_US
+    handshake_us: float = 0.0  # us of work
+    handshake_round_trips: float = 1.0
+    max_connections: int = 1200  # connections at most
     full_tax: float = 0.0  # of the capacity, with the table full
-    report_every: float = 400_000.0
-    report_late: float = 200_000.0
+    report_interval_us: float = 400_000.0
+    report_delay_us: float = 200_000.0
     report_noise: float = 0.0
 
 
@@ -59,16 +59,16 @@
         node.draw("thrash", chance),
         node.draw("thrash_at", chance),
         (pause[0] * 1000, pause[1] * 1000),
-        (every[0] * SECOND, every[1] * SECOND),
+        (every[0] * SECOND_US, every[1] * SECOND_US),
         node.draw("error_rate", chance),
         node.draw("seek", chance),
-        node.whole("remembers", chance),
+        node.draw_int("remembers", chance),
         node.draw("defer", chance),
-        node.draw("flush_s", chance) * SECOND,
+        node.draw("flush_s", chance) * SECOND_US,
         cold.draw("from", chance),
-        cold.draw("warm_s", chance) * SECOND,
+        cold.draw("warm_s", chance) * SECOND_US,
         cold.one("multiple"),
-        int(cold.one("window_s") * SECOND),
+        int(cold.one("window_s") * SECOND_US),
         links.draw("handshake_us", chance),
         links.draw("handshake_rtts", chance),
         round(links.draw("cap_per_core", chance) * cores),
@@ -93,14 +93,14 @@
     write: bool
     front: int
     token: Any = None  # the driver's own
-    came: int = 0
-    begun: int = 0
+    arrived_us: int = 0
+    started_us: int = 0
     end: str = "ok"
-    answer_at: int = 0  # slow answers leave later than the work's end
+    answer_at_us: int = 0  # slow answers leave later than the work's end
 
 
 @dataclass(slots=True)
-class Spell:
+class Impairment:
     """Something that holds from a time to a time."""
 
     begin: int
@@ -125,24 +125,24 @@
     def __init__(
         self, name: str, shard: int, of: Traits, seed: int, born: int, cold: bool = False, room: str = ""
     ) -> None:
-        self.name, self.shard, self.of, self.room, self.born = name, shard, of, room, born
+        self.name, self.shard, self.traits, self.zone, self.started_us = name, shard, of, room, born
         self.chance = random.Random(f"{seed}/{name}/ends")
         self._quiet = random.Random(f"{seed}/{name}/pauses")
         self._noise = random.Random(f"{seed}/{name}/reports")
-        self.cold_since = born if cold else -FOREVER
+        self.slow_start_since_us = born if cold else -FOREVER_US
         self.state = "up"  # draining, gone, fallen
-        self.spells: list[Spell] = []
+        self.impairments: list[Impairment] = []
         self.waiting: deque[Job] = deque()
         self.busy: list[tuple[int, int, Job | None]] = []  # None: work put off before
         self._order = 0
         self._pauses: list[tuple[int, int]] = []
         self._last_pause = born
-        self.put_off = 0.0
-        self._flush_at = born + int(of.flush)
-        self.debt = 0.0  # handshakes' work, done with the next request
+        self.deferred_work_us = 0.0
+        self._flush_at = born + int(of.flush_interval_us)
+        self.handshake_work_us = 0.0  # handshakes' work, done with the next request
         self.recent: deque[str] = deque(maxlen=of.remembers or None)
         self.seen: set[str] = set()  # first attempts are cheaper, later ones are not
-        self.links = 0
+        self.connections = 0
         self.served: Counter[str] = Counter()  # units by volume
         self._through: dict[tuple[str, int], int] = {}  # what was told, by volume and front
         self._sent: deque[tuple[int, float]] = deque()  # work in the window of the cold rule
@@ -154,34 +154,36 @@
     # What it is like at a time
 
     def warmth(self, now: int) -> float:
-        if self.cold_since < 0:
+        if self.slow_start_since_us < 0:
             return 1.0
-        part = (now - self.cold_since) / self.of.warm
-        return min(self.of.cold_from + (1 - self.of.cold_from) * max(part, 0.0), 1.0)
+        part = (now - self.slow_start_since_us) / self.traits.warm_up_us
+        return min(self.traits.initial_warmth + (1 - self.traits.initial_warmth) * max(part, 0.0), 1.0)
 
     def _value(self, now: int, kind: str) -> float:
-        return max((s.value for s in self.spells if s.kind == kind and s.begin <= now < s.end), default=0.0)
+        return max(
+            (s.value for s in self.impairments if s.kind == kind and s.begin <= now < s.end), default=0.0
+        )
 
     def rate(self, now: int) -> float:
         """Of one core, against one of speed 1."""
-        of, held = self.of, self.held
+        of, held = self.traits, self.in_flight
         made = of.speed * self.warmth(now) / max(self._value(now, "slow"), 1.0)
         made *= 1 - min(self._value(now, "neighbour"), 0.95)
-        made *= 1 - of.full_tax * min(self.links / of.links, 1.0)
+        made *= 1 - of.full_tax * min(self.connections / of.max_connections, 1.0)
         over = held / (of.thrash_at * of.cores)
         return made / (1 + of.thrash * math.log2(over)) if over > 1 else made
 
     @property
-    def held(self) -> int:
+    def in_flight(self) -> int:
         return len(self.waiting) + len(self.busy)
 
     def _pause_after(self, at: int) -> tuple[int, int]:
         """The first pause that ends after `at`; drawn as time goes on, from the node's own source."""
-        if not self.of.pause_every[1]:
-            return FOREVER, FOREVER
+        if not self.traits.pause_interval_us[1]:
+            return FOREVER_US, FOREVER_US
         while not self._pauses or self._pauses[-1][1] <= at:
-            begin = self._last_pause + int(self._quiet.uniform(*self.of.pause_every))
-            self._last_pause = begin + int(self._quiet.uniform(*self.of.pause))
+            begin = self._last_pause + int(self._quiet.uniform(*self.traits.pause_interval_us))
+            self._last_pause = begin + int(self._quiet.uniform(*self.traits.pause_us))
             self._pauses.append((begin, self._last_pause))
             if len(self._pauses) > 64:
                 del self._pauses[:32]
@@ -201,14 +203,14 @@
 
     def connect(self) -> bool:
         """Another connection; False where the table is full, or nobody listens."""
-        if self.state in ("gone", "fallen") or self.links >= self.of.links:
+        if self.state in ("gone", "fallen") or self.connections >= self.traits.max_connections:
             return False
-        self.links += 1
-        self.debt += self.of.handshake
+        self.connections += 1
+        self.handshake_work_us += self.traits.handshake_us
         return True
 
     def disconnect(self) -> None:
-        self.links -= 1
+        self.connections -= 1
 
     # Requests
 
@@ -217,7 +219,7 @@
         pushed over takes what pushed it, and ends it with all else: "fallen"."""
         if self.state in ("gone", "fallen"):
             return "gone"
-        job.came = now
+        job.arrived_us = now
         end = self._drawn(now)
         if end in BEFORE:
             return end
@@ -227,15 +229,15 @@
             return "astray"
         if self._pushed(now, job.work):
             return "fallen"
-        if len(self.busy) >= self.of.cores and len(self.waiting) >= self.of.room:
+        if len(self.busy) >= self.traits.cores and len(self.waiting) >= self.traits.queue_capacity:
             return "full"
         job.end = end
-        if self.of.remembers:
+        if self.traits.remembers:
             if job.block in self.recent and job.id not in self.seen:
-                job.work *= 1 - self.of.seek
+                job.work *= 1 - self.traits.seek
             self.recent.append(job.block)
         self.seen.add(job.id)
-        if len(self.busy) < self.of.cores:
+        if len(self.busy) < self.traits.cores:
             self._begin(now, job)
         else:
             self.waiting.append(job)
@@ -243,24 +245,24 @@
 
     def _drawn(self, now: int) -> str:
         draw = self.chance.random()
-        for spell in self.spells:
+        for spell in self.impairments:
             if spell.kind in ENDS and spell.begin <= now < spell.end:
                 if draw < spell.value:
                     return spell.kind
                 draw -= spell.value
-        return "error" if draw < self.of.errors else "ok"
+        return "error" if draw < self.traits.errors else "ok"
 
     def _pushed(self, now: int, work: float) -> bool:
         """More in the window than the multiple of what it can do at this moment: it falls, and stays down."""
         if self.warmth(now) >= 1.0:
             return False
-        since = now - self.of.window
+        since = now - self.traits.overload_window_us
         while self._sent and self._sent[0][0] <= since:
             self._sum -= self._sent.popleft()[1]
         self._sent.append((now, work))
         self._sum += work
-        can = self.of.cores * self.of.speed * self.warmth(now) * self.of.window
-        return self._sum > self.of.multiple * can
+        can = self.traits.cores * self.traits.speed * self.warmth(now) * self.traits.overload_window_us
+        return self._sum > self.traits.overload_multiple * can
 
     def fall(self) -> list[Job]:
         """Down, and what it held with it."""
@@ -271,22 +273,22 @@
         return lost
 
     def _begin(self, now: int, job: Job) -> None:
-        work, self.debt = job.work + self.debt, 0.0
+        work, self.handshake_work_us = job.work + self.handshake_work_us, 0.0
         if job.write:
-            self.put_off += job.work * self.of.defer
-            work -= job.work * self.of.defer
+            self.deferred_work_us += job.work * self.traits.defer
+            work -= job.work * self.traits.defer
         self._start(now, work, job)
 
     def _start(self, now: int, work: float, job: Job | None) -> None:
         if job is not None:
-            job.begun = now
+            job.started_us = now
         self.done_work += work
         self._order += 1
         heappush(self.busy, (self.finish_of(now, work), self._order, job))
 
     def due(self) -> int:
         """When to call `advance` next; `FOREVER` where nothing is in work."""
-        return self.busy[0][0] if self.busy else FOREVER
+        return self.busy[0][0] if self.busy else FOREVER_US
 
     def advance(self, now: int) -> list[Job]:
         """What is done by `now`, in order; the cores go on with what waits."""
@@ -300,16 +302,16 @@
         return made
 
     def _next(self, at: int) -> None:
-        if self.put_off and at >= self._flush_at:
-            work, self.put_off = self.put_off, 0.0
-            self._flush_at = at + int(self.of.flush)
+        if self.deferred_work_us and at >= self._flush_at:
+            work, self.deferred_work_us = self.deferred_work_us, 0.0
+            self._flush_at = at + int(self.traits.flush_interval_us)
             self._start(at, work, None)
         elif self.waiting:
             self._begin(at, self.waiting.popleft())
 
     def _ended(self, at: int, job: Job) -> None:
-        job.answer_at = at + int(self._value(at, "lag-ms") * 1000) if job.end == "lag" else at
-        self._took.append(float(at - job.begun))
+        job.answer_at_us = at + int(self._value(at, "lag-ms") * 1000) if job.end == "lag" else at
+        self._took.append(float(at - job.started_us))
         self.served[job.volume] += int(job.units)
 
     # What its answers tell
@@ -323,12 +325,12 @@
 
     def report(self, now: int) -> dict[str, float]:
         """`inflight` and `latency_ms` as they were some time ago."""
-        of = self.of
-        if now - self._reports[-1][0] >= of.report_every:
+        of = self.traits
+        if now - self._reports[-1][0] >= of.report_interval_us:
             took = sum(self._took) / len(self._took) / 1000 if self._took else 0.0
             factor = max(1 + self._noise.gauss(0, of.report_noise), 0.0)
-            self._reports.append((now, _Load(self.held * factor, took * factor)))
-        while len(self._reports) > 1 and self._reports[1][0] <= now - of.report_late:
+            self._reports.append((now, _Load(self.in_flight * factor, took * factor)))
+        while len(self._reports) > 1 and self._reports[1][0] <= now - of.report_delay_us:
             self._reports.popleft()
         load = self._reports[0][1]
         return {"inflight": round(load.held), "latency_ms": round(load.latency, 1)}
@@ -338,23 +340,23 @@
 class Meter:
     """What a volume was served everywhere in a finished period, told late."""
 
-    period: int
-    late: int
+    period_us: int
+    delay_us: int
     rates: dict[str, float]  # units a second of each volume's plan
     counts: dict[tuple[str, int], float] = field(default_factory=dict)
     _oldest: int = 0
 
     def add(self, now: int, volume: str, units: float) -> None:
-        key = (volume, now // self.period)
+        key = (volume, now // self.period_us)
         self.counts[key] = self.counts.get(key, 0.0) + units
         if len(self.counts) > 50_000:
-            old = (now - self.late) // self.period - 4
+            old = (now - self.delay_us) // self.period_us - 4
             self.counts = {k: v for k, v in self.counts.items() if k[1] >= old}
 
     def percent(self, now: int, volume: str) -> int:
         """Of the plan's rate; -1 before the first period is told."""
-        finished = (now - self.late) // self.period - 1
+        finished = (now - self.delay_us) // self.period_us - 1
         rate = self.rates.get(volume, 0.0)
         if finished < 0 or not rate:
             return -1
-        return round(100 * self.counts.get((volume, finished), 0.0) * SECOND / self.period / rate)
+        return round(100 * self.counts.get((volume, finished), 0.0) * SECOND_US / self.period_us / rate)
--- a/umberlead/emulator/outcomes.py
+++ b/umberlead/emulator/outcomes.py
@@ -3,7 +3,7 @@
 from umberlead.scheduling.events import AttemptResult
 
 # Turned away, or broken off before its last byte: it never ran.
-AT_ONCE = {
+RESULT_WITHOUT_RUN = {
     "full": AttemptResult.REJECTED,
     "draining": AttemptResult.REJECTED,
     "astray": AttemptResult.NOT_SENT,
@@ -13,7 +13,7 @@
 }
 NEVER_RAN = frozenset(("full", "draining", "astray", "early", "gone"))
 # Run to its end; None: silence.
-AFTER = {
+RESULT_AFTER_RUN = {
     "ok": AttemptResult.OK,
     "lag": AttemptResult.OK,
     "surplus": AttemptResult.OK,
@@ -24,4 +24,4 @@
     "lost": AttemptResult.RESET,
     "silence": None,
 }
-KEEPS = frozenset(("ok", "lag", "error", "full", "draining", "astray"))  # its connection stays
+KEEPS_CONNECTION = frozenset(("ok", "lag", "error", "full", "draining", "astray"))  # its connection stays
--- a/umberlead/emulator/plan.py
+++ b/umberlead/emulator/plan.py
@@ -7,19 +7,19 @@
 from typing import Any
 
 from umberlead.emulator.figures import Figures
-from umberlead.emulator.node import FOREVER, Node, Spell, Traits, traits
+from umberlead.emulator.node import FOREVER_US, Impairment, Node, Traits, traits
 from umberlead.emulator.settings import settings
 from umberlead.load_generator.day import SECOND_US, Day, Wave, draw
 from umberlead.membership.model import ListProblem
 from umberlead.routing_tests.model import Fleet, Happening, Scenario
 from umberlead.scheduling.settings import Settings
 
-BESIDE = ("rooms", "gossip")  # told to fronts beside their settings
-AFTER = 8 * SECOND_US  # a day runs on until all is answered
-SHUFFLE = 3 * SECOND_US  # how far shuffled notices are thrown about
+TABLES_BESIDE_SETTINGS = ("rooms", "gossip")  # told to fronts beside their settings
+RUN_ON_US = 8 * SECOND_US  # a day runs on until all is answered
+SHUFFLE_US = 3 * SECOND_US  # how far shuffled notices are thrown about
 
 
-class BadScript(ValueError):
+class ScriptError(ValueError):
     """A scenario that can't be played; `problems` name the places."""
 
     def __init__(self, problems: list[ListProblem]) -> None:
@@ -28,17 +28,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Birth:
+class NodeStart:
     name: str
     shard: int
-    room: int
-    at: int
-    cold: bool
-    of: Traits
+    zone: int
+    at_us: int
+    slow_start: bool
+    traits: Traits
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class StateChange:
     """A server changes: draining, gone, up."""
 
     at: int
@@ -59,18 +59,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class ZonePartition:
     begin: int
     end: int
-    room: int
-    dark: bool = False  # its machines are off: fronts there reach them no more than others do
+    zone: int
+    powered_off: bool = False  # its machines are off: fronts there reach them no more than others do
 
 
 @dataclass(frozen=True, slots=True)
-class Hand:
+class ManualDrain:
     at: int
     server: str
-    out: bool
+    drained: bool
 
 
 @dataclass(slots=True)
@@ -82,47 +82,54 @@
     figures: Figures
     fleet: Fleet
     day: Day
-    told: dict[str, Any]  # fronts' settings
-    births: list[Birth]
-    rooms: list[int]  # of fronts
-    ways: dict[tuple[int, int], int] = field(default_factory=dict)  # us one way, by rooms
-    client_way: int = 50
-    turns: list[Turn] = field(default_factory=list)
+    front_settings: dict[str, Any]  # fronts' settings
+    node_starts: list[NodeStart]
+    front_zones: list[int]  # of fronts
+    one_way_delays_us: dict[tuple[int, int], int] = field(default_factory=dict)  # us one way, by rooms
+    client_delay_us: int = 50
+    state_changes: list[StateChange] = field(default_factory=list)
     notices: list[Notice] = field(default_factory=list)
-    spells: dict[str, list[Spell]] = field(default_factory=dict)
-    cuts: list[Cut] = field(default_factory=list)
-    hands: list[Hand] = field(default_factory=list)
-    stops: list[tuple[int, int]] = field(default_factory=list)  # of the log collector
+    impairments: dict[str, list[Impairment]] = field(default_factory=dict)
+    partitions: list[ZonePartition] = field(default_factory=list)
+    manual_drains: list[ManualDrain] = field(default_factory=list)
+    collector_stops: list[tuple[int, int]] = field(default_factory=list)  # of the log collector
     rates: dict[str, float] = field(default_factory=dict)  # units a second of a volume's plan
     meter: tuple[int, int] = (500_000, 800_000)  # period and lateness, us
 
     @property
-    def length(self) -> int:
+    def length_us(self) -> int:
         return int(self.day.seconds * SECOND_US)
 
-    def node(self, birth: Birth, start: int) -> Node:
+    def node(self, birth: NodeStart, start: int) -> Node:
         """`start` is the driver's clock at the day's start."""
         made = Node(
-            birth.name, birth.shard, birth.of, self.seed, start + birth.at, birth.cold, str(birth.room)
+            birth.name,
+            birth.shard,
+            birth.traits,
+            self.seed,
+            start + birth.at_us,
+            birth.slow_start,
+            str(birth.zone),
         )
-        made.spells = [
-            replace(s, begin=start + s.begin, end=start + s.end) for s in self.spells.get(birth.name, [])
+        made.impairments = [
+            replace(s, begin=start + s.begin, end=start + s.end) for s in self.impairments.get(birth.name, [])
         ]
         return made
 
-    def way(self, front: int, server_room: int) -> int:
-        return self.ways[self.rooms[front], server_room]
+    def one_way_delay_us(self, front: int, server_room: int) -> int:
+        return self.one_way_delays_us[self.front_zones[front], server_room]
 
-    def cut_off(self, at: int, front: int, room: int) -> bool:
+    def is_partitioned(self, at: int, front: int, room: int) -> bool:
         """Whether a front reaches nothing of a room."""
-        mine = self.rooms[front]
+        mine = self.front_zones[front]
         return any(
-            c.begin <= at < c.end and (c.room == room if c.dark else (c.room == room) != (c.room == mine))
-            for c in self.cuts
+            c.begin <= at < c.end
+            and (c.zone == room if c.powered_off else (c.zone == room) != (c.zone == mine))
+            for c in self.partitions
         )
 
 
-def name_of(n: int) -> str:
+def node_name(n: int) -> str:
     return f"n{n:02d}"
 
 
@@ -132,17 +139,19 @@
     seed: int | None = None,
     alter: Callable[[dict[str, Any]], None] | None = None,
 ) -> Plan:
-    """`seed` goes before the script's; `alter` changes what fronts are told, and nothing else. BadScript for
-    what makes no sense."""
+    """`seed` goes before the script's; `alter` changes what fronts are told, and nothing else. ScriptError
+    for what makes no sense."""
     fleet, problems = of.fleet, list[ListProblem]()
     if fleet is None or not fleet.seconds:
-        raise BadScript([ListProblem("E120", of.place, f"scenario {of.name} has no fleet, or no day for it")])
+        raise ScriptError(
+            [ListProblem("E120", of.place, f"scenario {of.name} has no fleet, or no day for it")]
+        )
     seed = of.seed if seed is None else seed
     chance = random.Random(f"{seed}/fleet")
     kinds = [traits(figures, chance) for _ in range(fleet.servers)]
     shards = fleet.servers // fleet.copies
     births = [
-        Birth(name_of(n), n % shards, (n % shards + n // shards) % fleet.zones, 0, False, t)
+        NodeStart(node_name(n), n % shards, (n % shards + n // shards) % fleet.zones, 0, False, t)
         for n, t in enumerate(kinds)
     ]
     waves = [Wave(h.at_us, h.until_us, h.value) for h in of.happenings if h.kind == "surge"]
@@ -166,7 +175,7 @@
         if h.kind in ("cut", "dark") and h.value >= fleet.zones:
             problems.append(ListProblem("E124", h.place, f"there is no room {h.value:g}; rooms count from 0"))
     if problems:
-        raise BadScript(problems)
+        raise ScriptError(problems)
     speed = sum(t.speed for t in kinds) / len(kinds)
     day = draw(
         figures,
@@ -196,18 +205,18 @@
     for a in range(fleet.zones):
         for b in range(a, fleet.zones):
             way = links.draw("same_room_ms" if a == b else "cross_room_ms", chance)
-            made.ways[a, b] = made.ways[b, a] = int(way * 1000)
-    made.client_way = int(links.draw("client_ms", chance) * 1000)
+            made.one_way_delays_us[a, b] = made.one_way_delays_us[b, a] = int(way * 1000)
+    made.client_delay_us = int(links.draw("client_ms", chance) * 1000)
     made.rates = {v.name: v.rate for v in day.volumes}
     late = figures.reports.draw("meter_late_ms", chance) * 1000
     made.meter = (int(figures.reports.one("meter_s") * SECOND_US), int(late))
     if alter is not None:
-        alter(made.told)
-    _Happen(made, of.happenings, chance).all()
+        alter(made.front_settings)
+    _HappeningCompiler(made, of.happenings, chance).all()
     return made
 
 
-class _Happen:
+class _HappeningCompiler:
     """Happenings to turns, notices, spells and successors."""
 
     def __init__(self, made: Plan, happenings: Iterable[Happening], chance: random.Random) -> None:
@@ -216,37 +225,37 @@
         self.notice = rows.draw("notice_s", chance) * SECOND_US
         self.add = rows.draw("add_s", chance) * SECOND_US
         low, high = rows.range("spread_ms")
-        self.spread = [chance.uniform(0, chance.uniform(low, high)) * 1000 for _ in made.rooms]
+        self.spread = [chance.uniform(0, chance.uniform(low, high)) * 1000 for _ in made.front_zones]
         self.clock = [(h.at_us, h.until_us, int(h.value)) for h in self.of if h.kind == "clock"]
         self.lists = [h for h in self.of if h.kind == "lists"]
-        self.shard = {b.name: b for b in made.births}
+        self.shard = {b.name: b for b in made.node_starts}
         self.ended: dict[str, int] = {}
-        self.count = len(made.births)
+        self.count = len(made.node_starts)
 
     def all(self) -> None:
         for h in self.of:
             getattr(self, f"on_{h.kind}", self.on_nothing)(h)
         made = self.made
-        made.births.sort(key=lambda b: (b.at, b.name))
-        made.turns.sort(key=lambda t: (t.at, t.server, t.state))
+        made.node_starts.sort(key=lambda b: (b.at_us, b.name))
+        made.state_changes.sort(key=lambda t: (t.at, t.server, t.state))
         made.notices.sort(key=lambda n: (n.at, n.front, n.server, n.state))
-        made.hands.sort(key=lambda h: (h.at, h.server))
+        made.manual_drains.sort(key=lambda h: (h.at, h.server))
 
     def tell(self, at: int, server: str, state: str, wait: float, started: int = 0) -> None:
         """Each front hears of it late, each a little apart; scripts delay lists or throw them about."""
         if started:  # a server whose clock is off tells its start by that clock
             started += sum(by for begin, end, by in self.clock if begin <= at < end)
-        for front in range(len(self.made.rooms)):
+        for front in range(len(self.made.front_zones)):
             late = wait + self.spread[front]
             for h in self.lists:
                 if h.at_us <= at < h.until_us:
-                    late += h.value if h.label == "late" else self.chance.uniform(0, SHUFFLE)
+                    late += h.value if h.label == "late" else self.chance.uniform(0, SHUFFLE_US)
             self.made.notices.append(Notice(int(at + late), front, server, state, started, at))
 
     def spell(self, h: Happening, kind: str, value: float) -> None:
         for name in h.servers:
-            spells = self.made.spells.setdefault(name, [])
-            spells.append(Spell(h.at_us, h.until_us or FOREVER, kind, value))
+            spells = self.made.impairments.setdefault(name, [])
+            spells.append(Impairment(h.at_us, h.until_us or FOREVER_US, kind, value))
 
     def on_nothing(self, h: Happening) -> None:
         """Surges and costly requests are the day's; lists and clocks are looked up by `tell`."""
@@ -257,10 +266,10 @@
     def on_neighbour(self, h: Happening) -> None:
         """On and off, as another program comes and goes."""
         for name in h.servers:
-            at, spells = float(h.at_us), self.made.spells.setdefault(name, [])
+            at, spells = float(h.at_us), self.made.impairments.setdefault(name, [])
             while at < h.until_us:
                 end = min(at + self.chance.uniform(1.2, 4.4) * SECOND_US, h.until_us)
-                spells.append(Spell(int(at), int(end), "neighbour", h.value))
+                spells.append(Impairment(int(at), int(end), "neighbour", h.value))
                 at = end + self.chance.uniform(1.2, 4.4) * SECOND_US
 
     def on_lag(self, h: Happening) -> None:
@@ -272,44 +281,44 @@
         self.spell(h, words.get(h.label, h.label), h.value)
 
     def on_cut(self, h: Happening) -> None:
-        self.made.cuts.append(Cut(h.at_us, h.until_us, int(h.value)))
+        self.made.partitions.append(ZonePartition(h.at_us, h.until_us, int(h.value)))
 
     def on_dark(self, h: Happening) -> None:
         """Its machines go without a word and come back cold. The list tells of either late, and of a silent
         end only after a while."""
         room = int(h.value)
-        self.made.cuts.append(Cut(h.at_us, h.until_us, room, True))
+        self.made.partitions.append(ZonePartition(h.at_us, h.until_us, room, True))
         silent = self.made.figures.list.draw("silent_notice_s", self.chance) * SECOND_US
-        for b in self.made.births:
-            if b.room != room or b.at > h.at_us or b.name in self.ended:
+        for b in self.made.node_starts:
+            if b.zone != room or b.at_us > h.at_us or b.name in self.ended:
                 continue
-            self.made.turns.append(Turn(h.until_us, b.name, "cold"))
+            self.made.state_changes.append(StateChange(h.until_us, b.name, "cold"))
             if silent < h.until_us - h.at_us:
                 self.tell(h.at_us, b.name, "gone", silent)
             self.tell(h.until_us, b.name, "up", self.add, h.until_us)
 
     def on_collector(self, h: Happening) -> None:
-        self.made.stops.append((h.at_us, h.until_us))
+        self.made.collector_stops.append((h.at_us, h.until_us))
 
     def on_out(self, h: Happening) -> None:
-        self.made.hands += [Hand(h.at_us, name, True) for name in h.servers]
+        self.made.manual_drains += [ManualDrain(h.at_us, name, True) for name in h.servers]
 
     def on_in(self, h: Happening) -> None:
-        self.made.hands += [Hand(h.at_us, name, False) for name in h.servers]
+        self.made.manual_drains += [ManualDrain(h.at_us, name, False) for name in h.servers]
 
     def on_drain(self, h: Happening) -> None:
         for name in h.servers:
-            self.made.turns.append(Turn(h.at_us, name, "draining"))
+            self.made.state_changes.append(StateChange(h.at_us, name, "draining"))
             self.tell(h.at_us, name, "draining", self.notice)
 
     def on_back(self, h: Happening) -> None:
         for name in h.servers:
-            self.made.turns.append(Turn(h.at_us, name, "up"))
+            self.made.state_changes.append(StateChange(h.at_us, name, "up"))
             self.tell(h.at_us, name, "up", self.add)
 
     def on_leave(self, h: Happening) -> None:
         for name in h.servers:
-            self.made.turns.append(Turn(h.at_us, name, "gone"))
+            self.made.state_changes.append(StateChange(h.at_us, name, "gone"))
             self.tell(h.at_us, name, "gone", self.notice)
             self.ended[name] = h.at_us
 
@@ -318,13 +327,13 @@
     def on_cold(self, h: Happening) -> None:
         """Its process starts anew: what it held is lost, and it is cold; its name stays."""
         for name in h.servers:
-            self.made.turns.append(Turn(h.at_us, name, "cold"))
+            self.made.state_changes.append(StateChange(h.at_us, name, "cold"))
             self.tell(h.at_us, name, "up", self.add, h.at_us or 1)
 
     def on_deploy(self, h: Happening) -> None:
         """Batches drain, end, and are each replaced by a cold successor of the same shard."""
         batch, drain, over = h.parameters
-        live = [b for b in self.made.births if b.name not in self.ended]
+        live = [b for b in self.made.node_starts if b.name not in self.ended]
         chosen = self.chance.sample(live, max(round(h.value * len(live)), 1))
         size = max(round(batch * len(live)), 1)
         groups = [chosen[k : k + size] for k in range(0, len(chosen), size)]
@@ -333,34 +342,41 @@
             at = h.at_us + int(k * step)
             for old in group:
                 end = at + int(drain)
-                self.made.turns += [Turn(at, old.name, "draining"), Turn(end, old.name, "gone")]
+                self.made.state_changes += [
+                    StateChange(at, old.name, "draining"),
+                    StateChange(end, old.name, "gone"),
+                ]
                 self.ended[old.name] = end
                 self.tell(at, old.name, "draining", self.notice)
                 self.tell(end, old.name, "gone", self.notice)
-                name, self.count = name_of(self.count), self.count + 1
+                name, self.count = node_name(self.count), self.count + 1
                 of = traits(self.made.figures, self.chance)
-                self.made.births.append(Birth(name, old.shard, old.room, end, True, of))
+                self.made.node_starts.append(NodeStart(name, old.shard, old.zone, end, True, of))
                 self.tell(end, name, "up", self.add, end or 1)
 
 
-def rooms_told(made: Plan, front: int) -> dict[str, Any]:
+def zones_table(made: Plan, front: int) -> dict[str, Any]:
     """A front's table [rooms]: what is told to all, with its own room and the others by their distance."""
-    own = made.rooms[front]
-    others = sorted((r for r in range(made.fleet.zones) if r != own), key=lambda r: made.ways[own, r])
-    return {"own": str(own), "near": [str(r) for r in others]} | made.told["rooms"]
+    own = made.front_zones[front]
+    others = sorted(
+        (r for r in range(made.fleet.zones) if r != own), key=lambda r: made.one_way_delays_us[own, r]
+    )
+    return {"own": str(own), "near": [str(r) for r in others]} | made.front_settings["rooms"]
 
 
-def checked(made: Plan) -> Settings:
+def parsed_settings(made: Plan) -> Settings:
     """The fronts' settings through the one reader of configurations."""
     from umberlead import configuration
 
-    told = {k: v for k, v in made.told.items() if k not in BESIDE}
+    told = {k: v for k, v in made.front_settings.items() if k not in TABLES_BESIDE_SETTINGS}
     settings = configuration.parse_settings(configuration.flatten(told))
-    if "rooms" in made.told:
+    if "rooms" in made.front_settings:
         from umberlead.zones.integration import with_retry_budget
 
         settings = with_retry_budget(
             settings,
-            configuration.parse_zones(configuration.Keys(made.told["rooms"], "rooms")).retry_budget_ratio,
+            configuration.parse_zones(
+                configuration.Keys(made.front_settings["rooms"], "rooms")
+            ).retry_budget_ratio,
         )
     return settings
--- a/umberlead/emulator/price.py
+++ b/umberlead/emulator/price.py
@@ -13,7 +13,7 @@
 from umberlead.emulator.records import Records
 from umberlead.load_generator.day import SECOND_US, Request
 
-WINDOW = 10  # s of the worst stretch
+WORST_STRETCH_S = 10  # s of the worst stretch
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
         return made | {"held_back": float(self.held_back)}
 
 
-def shares(
+def allocate_by_weight(
     want: dict[tuple[str, int], float], room: dict[int, float], weights: dict[str, float]
 ) -> dict[str, float]:
     """Room of each node dealt by weight among the volumes that want more there, nobody more than it wants."""
@@ -97,9 +97,9 @@
         self.worths = (1.0, figures.worth.one("share"), figures.worth.one("spare"))
         part = figures.traffic.one("capacity_part")
         self.room: dict[int, float] = defaultdict(float)
-        for b in plan.births:
-            if not b.at:
-                self.room[b.shard] += part * b.of.speed * b.of.cores * SECOND_US / day.unit
+        for b in plan.node_starts:
+            if not b.at_us:
+                self.room[b.shard] += part * b.traits.speed * b.traits.cores * SECOND_US / day.unit
         self.weights = {v.name: self.plans[v.plan].one("weight") for v in day.volumes}
 
     def tiers(self) -> dict[tuple[str, int], Tiers]:
@@ -131,7 +131,7 @@
                 part = inside[v] / asked[v]
                 room[node] -= units * part
                 want[v, node] = units * (1 - part)
-            got = shares(want, {n: max(r, 0.0) for n, r in room.items()}, self.weights)
+            got = allocate_by_weight(want, {n: max(r, 0.0) for n, r in room.items()}, self.weights)
             for v, units in asked.items():
                 fair = min(got.get(v, 0.0), units - inside[v])
                 made[v, second] = Tiers([inside[v], fair, units - inside[v] - fair], self.worths)
@@ -208,9 +208,9 @@
             got[r.at // SECOND_US] += earned.get(r.number, 0.0)
             want[r.at // SECOND_US] += due[r.number]
         spans = [
-            sum(got[k : k + WINDOW]) / sum(want[k : k + WINDOW])
-            for k in range(max(seconds - WINDOW, 0) + 1)
-            if sum(want[k : k + WINDOW])
+            sum(got[k : k + WORST_STRETCH_S]) / sum(want[k : k + WORST_STRETCH_S])
+            for k in range(max(seconds - WORST_STRETCH_S, 0) + 1)
+            if sum(want[k : k + WORST_STRETCH_S])
         ]
         whole = sum(got) / sum(want) if sum(want) else 0.0
         worst, classes = min(spans, default=0.0), part(lambda r: r.class_name)
--- a/umberlead/emulator/rehearsal.py
+++ b/umberlead/emulator/rehearsal.py
@@ -10,9 +10,9 @@
 
 from umberlead.emulator import latency
 from umberlead.emulator.figures import Figures
-from umberlead.emulator.judge import SLACK, Judge, by_name
+from umberlead.emulator.judge import SOCKET_SLACK_US, Judge, count_by_name
 from umberlead.emulator.outcomes import NEVER_RAN
-from umberlead.emulator.plan import BadScript, Plan, checked, plan
+from umberlead.emulator.plan import Plan, ScriptError, parsed_settings, plan
 from umberlead.emulator.price import service
 from umberlead.emulator.records import Records
 from umberlead.membership.model import FilePosition, ListProblem
@@ -59,11 +59,11 @@
 
 
 def read(path: Path) -> list[Scenario]:
-    """The scenarios with a fleet. BadScript with all that is wrong."""
+    """The scenarios with a fleet. ScriptError with all that is wrong."""
     try:
         suite, problems = parse(path.read_text(), path.name)
     except (OSError, UnicodeDecodeError) as fault:
-        raise BadScript([ListProblem("E100", FilePosition(str(path)), str(fault))]) from None
+        raise ScriptError([ListProblem("E100", FilePosition(str(path)), str(fault))]) from None
     made = [s for s in suite.scenarios if s.fleet is not None]
     if not made and not problems:
         problems = [ListProblem("E120", FilePosition(path.name), "no scenario has a fleet")]
@@ -71,7 +71,7 @@
         if of.fleet is not None and not of.fleet.seconds:
             problems.append(ListProblem("E120", of.place, f"scenario {of.name} has no day"))
     if problems:
-        raise BadScript(problems)
+        raise ScriptError(problems)
     return made
 
 
@@ -98,7 +98,7 @@
 
 
 def _verdicts(of: Scenario, made: Plan, records: Records, figure: float) -> list[Verdict]:
-    got, settings = lives(records), checked(made)
+    got, settings = lives(records), parsed_settings(made)
 
     def one(expectation: Expectation) -> Verdict:
         if expectation.rule != "service":
@@ -122,7 +122,7 @@
     alter: Callable[[dict[str, Any]], None] | None = None,
 ) -> Result:
     """Play and judge one scenario; `keep` is given plan and records, `root` is the fronts' program on
-    sockets. BadScript where it can't be played, NoStart where a front does not come up."""
+    sockets. ScriptError where it can't be played, FrontStartError where a front does not come up."""
     made = plan(of, figures, seed, alter)
     late = 0.0
     if sockets:
@@ -135,7 +135,7 @@
         records, faults = play(made, progress)
     if keep is not None:
         keep(made, records)
-    breaches = Judge(made, records, SLACK if sockets else 0).breaches()
+    breaches = Judge(made, records, SOCKET_SLACK_US if sockets else 0).breaches()
     priced = service(made, records)
     verdicts = [
         (v.expectation.text, v.outcome.value, v.reason) for v in _verdicts(of, made, records, priced.figure)
@@ -146,8 +146,8 @@
         "sockets" if sockets else "virtual",
         priced.rows() | latency.rows(made, records),
         priced.seconds,
-        by_name(breaches),
-        [b.words() for b in breaches[:20]],
+        count_by_name(breaches),
+        [b.describe() for b in breaches[:20]],
         verdicts,
         faults[:20],
         late,
--- a/umberlead/emulator/server_connections.py
+++ b/umberlead/emulator/server_connections.py
@@ -5,13 +5,13 @@
 
 from umberlead.emulator.http_messages import HttpMessages
 from umberlead.emulator.node import Job, Node
-from umberlead.emulator.outcomes import AFTER, KEEPS, NEVER_RAN
+from umberlead.emulator.outcomes import KEEPS_CONNECTION, NEVER_RAN, RESULT_AFTER_RUN
 from umberlead.load_generator.day import SECOND_US
 
 if TYPE_CHECKING:
-    from umberlead.emulator.sockets import Sockets
+    from umberlead.emulator.sockets import SocketScenario
 
-WORDS = {
+STATUS_LINES = {
     "full": b"503 Full",
     "draining": b"503 Draining",
     "astray": b"504 Astray",
@@ -22,7 +22,7 @@
 class ServerConnection(HttpMessages):
     """A front's connection to an emulated server."""
 
-    def __init__(self, play: "Sockets", name: str, front: int) -> None:
+    def __init__(self, play: "SocketScenario", name: str, front: int) -> None:
         """A connection of a front (its number) to the server of this name."""
         super().__init__()
         self.play = play
@@ -36,7 +36,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The server takes the connection, or breaks it at once."""
         super().connection_made(transport)
-        node = self.play.stage.nodes.get(self.name)
+        node = self.play.state.nodes.get(self.name)
         if node is None or not node.connect():
             return self.abort()
         self.node = node
@@ -49,7 +49,7 @@
             self.node.disconnect()
             self.play.links[self.name].discard(self)
         if self.job is not None and self.node is not None:
-            self.play.stage.left(self.play.now(), self.node, self.job.id)
+            self.play.state.record_leave(self.play.now(), self.node, self.job.id)
             self.job = None
 
     def data_received(self, data: bytes) -> None:
@@ -66,8 +66,8 @@
         headers = self.headers
         body = b"".join(self.body)
         self.fresh()
-        way = self.play.plan.way(self.front, int(self.node.room))
-        wait = way if self.used else way + int(2 * way * self.node.of.rtts)
+        way = self.play.plan.one_way_delay_us(self.front, int(self.node.zone))
+        wait = way if self.used else way + int(2 * way * self.node.traits.handshake_round_trips)
         self.used = True
         self.play.after(wait, lambda: self._arrived(target, headers, body))
 
@@ -81,7 +81,7 @@
         block = query.removeprefix("block=")
         shard = int(io.get("shard", "-1"))
         id_ = headers.get(b"x-call-id", b"").decode("latin-1")
-        word, job = play.stage.came(
+        word, job = play.state.record_arrival(
             play.now(), node, self.front, id_, path.strip("/"), block, shard, body.decode("latin-1")
         )
         job.token = self
@@ -89,31 +89,31 @@
             self.job = job
             if self.transport is not None and self.transport.is_closing():
                 self.job = None
-                play.stage.left(play.now(), node, id_)
+                play.state.record_leave(play.now(), node, id_)
             return play.arm(node)
         if word == "fallen":
             return play.fall(node)
-        if word not in WORDS:
+        if word not in STATUS_LINES:
             return self.abort()
         assert word in NEVER_RAN
-        play.after(self.way, lambda: self._reply(WORDS[word], b"", b"X-Rejected: 1\r\n"))
+        play.after(self.way, lambda: self._reply(STATUS_LINES[word], b"", b"X-Rejected: 1\r\n"))
 
     @property
     def way(self) -> int:
         """Microseconds from the server to the front."""
         assert self.node is not None
-        return self.play.plan.way(self.front, int(self.node.room))
+        return self.play.plan.one_way_delay_us(self.front, int(self.node.zone))
 
     def done(self, job: Job, body: str) -> None:
         """Its answer sets out."""
         if self.job is job:
-            wait = max(job.answer_at - self.play.now(), 0) + self.way
+            wait = max(job.answer_at_us - self.play.now(), 0) + self.way
             self.play.after(wait, lambda: self._answer(job, body.encode()))
 
     def _answer(self, job: Job, body: bytes) -> None:
         if self.job is not job or self.node is None:
             return
-        if self.silent or AFTER[job.end] is None or self.play.cut(self.front, self.node):
+        if self.silent or RESULT_AFTER_RUN[job.end] is None or self.play.cut(self.front, self.node):
             self.silent = True
             return
         self.job = None
@@ -125,19 +125,19 @@
         elif word == "half":
             self.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (len(body) + 9) + body)
         elif word == "error":
-            self._reply(WORDS["error"], b"failed\n", b"")
+            self._reply(STATUS_LINES["error"], b"failed\n", b"")
         else:
             self._reply(b"200 OK", body, self._figures(job))
             if word == "surplus":
                 self.send(b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nsurplus")
-        if word not in KEEPS and self.transport is not None:
+        if word not in KEEPS_CONNECTION and self.transport is not None:
             self.transport.close()
 
     def _figures(self, job: Job) -> bytes:
         play = self.play
         node = self.node
         assert node is not None
-        percent = play.stage.meter.percent(play.now(), job.volume)
+        percent = play.state.meter.percent(play.now(), job.volume)
         made = b"X-Volume-Use: %d\r\n" % percent if percent >= 0 else b""
         if elsewhere := node.elsewhere(job.volume, job.front, job.units):
             made += b"X-Served-Elsewhere: %d\r\n" % elsewhere
--- a/umberlead/emulator/settings.py
+++ b/umberlead/emulator/settings.py
@@ -5,8 +5,8 @@
 from umberlead.emulator.figures import Figures
 from umberlead.load_generator.day import Day
 
-SECOND = 1_000_000
-COLD_ALWAYS = (
+SECOND_US = 1_000_000
+SLOW_START_PART = (
     0.5  # of what a node at its coldest bears in the window: from all fronts, whatever the meanwhile
 )
 
@@ -23,7 +23,7 @@
             "maxAttempts": 3,
             "cancel": True,
             "dialTimeout": int(of.links.one("timeout_ms") * 1000),
-            "keepalive": int(of.links.one("idle_s") * SECOND),
+            "keepalive": int(of.links.one("idle_s") * SECOND_US),
         },
         "extra": {
             "meanUnits": sum(asked) / max(len(asked), 1) or 1.0,
@@ -31,13 +31,13 @@
             "nShards": shards,
             "fairWorth": of.worth.one("share"),
             "idleWorth": of.worth.one("spare"),
-            "coldUnits": COLD_ALWAYS * bears,
+            "coldUnits": SLOW_START_PART * bears,
         },
         "guarantees": {
             "coldShare": of.cold.one("least"),
             "fallMultiple": of.cold.one("multiple"),
-            "overloadFor": int(of.cold.one("window_s") * SECOND),
-            "warmUp": int(of.cold.one("longest_s") * SECOND),
+            "overloadFor": int(of.cold.one("window_s") * SECOND_US),
+            "warmUp": int(of.cold.one("longest_s") * SECOND_US),
         },
         "loadReport": {"fields": ["inflight", "latency_ms"]},
         "grades": [
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -18,42 +18,42 @@
 from umberlead.emulator.client_connections import ClientConnection, request_text
 from umberlead.emulator.discovery_agent import AgentConnection
 from umberlead.emulator.front_processes import FrontProcess, configuration_text
-from umberlead.emulator.judge import SLACK
+from umberlead.emulator.judge import SOCKET_SLACK_US
 from umberlead.emulator.log_collector import CollectorConnection
 from umberlead.emulator.loopback import Blackhole, Lateness, bound_socket, port_of, put
-from umberlead.emulator.node import FOREVER, Node
-from umberlead.emulator.plan import AFTER as RUN_ON
-from umberlead.emulator.plan import Hand, Notice, Plan, Turn
+from umberlead.emulator.node import FOREVER_US, Node
+from umberlead.emulator.plan import RUN_ON_US as RUN_ON
+from umberlead.emulator.plan import ManualDrain, Notice, Plan, StateChange
 from umberlead.emulator.records import Records
 from umberlead.emulator.server_connections import ServerConnection
-from umberlead.emulator.world import Stage
+from umberlead.emulator.world import ScenarioState
 from umberlead.load_generator.clients import Try
 from umberlead.load_generator.day import SECOND_US
 
-START_UP = 30.0  # s in which every front must listen
-BEAT = 2.0  # s between empty lines of a watch
-STATUS = {"up": "ready", "draining": "draining", "gone": "gone"}
+START_TIMEOUT_S = 30.0  # s in which every front must listen
+HEARTBEAT_INTERVAL_S = 2.0  # s between empty lines of a watch
+STATUS_BY_STATE = {"up": "ready", "draining": "draining", "gone": "gone"}
 
 
-class NoStart(RuntimeError):
+class FrontStartError(RuntimeError):
     """A front did not come up; the text has its last lines."""
 
 
-class Sockets:
+class SocketScenario:
     """One rehearsal."""
 
     def __init__(self, plan: Plan, python: str = sys.executable, root: Path | None = None) -> None:
         """`root` is where the program's package lies that fronts run: another version's, for comparisons."""
-        self.plan, self.stage = plan, Stage(plan)
+        self.plan, self.state = plan, ScenarioState(plan)
         self.python, self.root = python, root or Path(__file__).parents[2]
         self.fronts = [FrontProcess(n) for n in range(plan.fleet.fronts)]
         self.links: dict[str, set[ServerConnection]] = {}
         self.servers: dict[tuple[str, int], asyncio.Server] = {}
         self.ports: dict[tuple[str, int], int] = {}
         self.holes: dict[tuple[str, int], Blackhole] = {}
-        self.stage_room = {b.name: b.room for b in plan.births}
+        self.stage_room = {b.name: b.zone for b in plan.node_starts}
         self.collectors: list[CollectorConnection] = []
-        self.strange: list[str] = []
+        self.faults: list[str] = []
         self.lines: list[str] = []
         self.dials: Counter[int] = Counter()  # connections to servers by second of the day
         self.verdicts: dict[int, float] = {}  # fronts' first word that a room is lost: s of the day
@@ -79,7 +79,7 @@
         self.loop.call_later(wait / SECOND_US, what)
 
     def cut(self, front: int, node: Node) -> bool:
-        return self.plan.cut_off(self.now(), front, int(node.room))
+        return self.plan.is_partitioned(self.now(), front, int(node.zone))
 
     # The course
 
@@ -92,32 +92,38 @@
                 await self._day(progress)
             finally:
                 await self._end()
-        self.stage.records.sort()
-        return self.stage.records
+        self.state.records.sort()
+        return self.state.records
 
     async def _start(self, folder: Path) -> None:
-        for birth in self.plan.births:
+        for birth in self.plan.node_starts:
             for front in self.fronts:
                 await self._listen(birth.name, front.number, 0)
         collector = ""
-        if self.plan.stops:
+        if self.plan.collector_stops:
             taker = await self.loop.create_server(lambda: CollectorConnection(self), "127.0.0.1", 0)
             self.servers["collector", 0] = taker
             collector = f"tcp://127.0.0.1:{port_of(taker)}"
         for front in self.fronts:
-            for birth in self.plan.births:
-                if not birth.at:
+            for birth in self.plan.node_starts:
+                if not birth.at_us:
                     front.agent.entries[birth.name] = self._entry(
                         front.number, birth.name, birth.shard, "up", 0
                     )
             await self._spawn(front, folder, collector)
-        end = time.monotonic() + START_UP
-        while not all(front.address[1] and front.door and front.agent.watchers for front in self.fronts):
+        end = time.monotonic() + START_TIMEOUT_S
+        while not all(
+            front.address[1] and front.admin_port and front.agent.watchers for front in self.fronts
+        ):
             for front in self.fronts:
                 if front.ended:
-                    raise NoStart(f"front {front.number} ended at its start: {' | '.join(self.lines[-5:])}")
+                    raise FrontStartError(
+                        f"front {front.number} ended at its start: {' | '.join(self.lines[-5:])}"
+                    )
             if time.monotonic() > end:
-                raise NoStart(f"not all fronts listen after {START_UP:g} s: {' | '.join(self.lines[-5:])}")
+                raise FrontStartError(
+                    f"not all fronts listen after {START_TIMEOUT_S:g} s: {' | '.join(self.lines[-5:])}"
+                )
             for front in self.fronts:
                 front.agent.beat()
             await asyncio.sleep(0.1)
@@ -137,7 +143,7 @@
             "zone": str(self.stage_room[name]),
             "type": "node",
             "group": shard,
-            "status": STATUS[state],
+            "status": STATUS_BY_STATE[state],
             "weight": 1.0,
             "since_ms": since,
         }
@@ -168,51 +174,51 @@
             if found[1] == "listening":
                 front.address = ("127.0.0.1", int(found[2]))
             else:
-                front.door = int(found[2])
+                front.admin_port = int(found[2])
         if " room_verdict " in text and 'state="lost"' in text and name is not None:
             self.verdicts.setdefault(int(name[1]), self.now() / SECOND_US)
         if " module_error " in text or " unexpected_error " in text:
-            self.strange.append(text.strip()[:500])
+            self.faults.append(text.strip()[:500])
 
     async def _day(self, progress: Callable[[float], None] | None) -> None:
         plan = self.plan
         self.begin, self.unix = self.loop.time() + 0.5, time.time() + 0.5
-        for birth in plan.births:
-            if birth.at:
-                self.at(birth.at, lambda b=birth: self.stage.birth(b))  # type: ignore[misc]
+        for birth in plan.node_starts:
+            if birth.at_us:
+                self.at(birth.at_us, lambda b=birth: self.state.start_node(b))  # type: ignore[misc]
             else:
-                self.stage.birth(birth)
+                self.state.start_node(birth)
         for front in self.fronts:
-            for birth in plan.births:
-                if not birth.at:
-                    self.stage.told(0, front.number, birth.name, "up")
+            for birth in plan.node_starts:
+                if not birth.at_us:
+                    self.state.record_notice(0, front.number, birth.name, "up")
         news: dict[tuple[int, str], int] = {}
         for notice in plan.notices:
             self.at(notice.at, lambda n=notice: self._tell(n, news))  # type: ignore[misc]
-        for turn in plan.turns:
+        for turn in plan.state_changes:
             self.at(turn.at, lambda t=turn: self._turn(t))  # type: ignore[misc]
-        for hand in plan.hands:
+        for hand in plan.manual_drains:
             self.at(hand.at, lambda h=hand: self._hand(h))  # type: ignore[misc]
-        for cut in plan.cuts:
+        for cut in plan.partitions:
             self.at(cut.begin, lambda: self._spawned(self._holes()))
             self.at(cut.end, lambda: self._spawned(self._holes()))
-        for begin, end in plan.stops:
+        for begin, end in plan.collector_stops:
             self.at(begin, lambda: self._collect(False))
             self.at(end, lambda: self._collect(True))
-        beat, whole = 0.0, plan.length + RUN_ON
+        beat, whole = 0.0, plan.length_us + RUN_ON
         requests, k = plan.day.requests, 0
         while (now := self.now()) < whole:
             while k < len(requests) and requests[k].at < now + SECOND_US // 2:
-                of = self.stage.clients.first(requests[k])
+                of = self.state.clients.first(requests[k])
                 self.at(of.at, lambda t=of: self._ask(t))  # type: ignore[misc]
                 k += 1
             if now / SECOND_US >= beat:
-                beat += BEAT
+                beat += HEARTBEAT_INTERVAL_S
                 for front in self.fronts:
                     front.agent.beat()
             if progress is not None:
                 progress(now / whole)
-            if k == len(requests) and not self.stage.open and now > plan.length:
+            if k == len(requests) and not self.state.open and now > plan.length_us:
                 break
             await asyncio.sleep(0.1)
 
@@ -229,7 +235,7 @@
                 continue
             code = await front.end()
             if code != 0:
-                self.strange.append(f"front {front.number} ended with {code}")
+                self.faults.append(f"front {front.number} ended with {code}")
             if front.reader is not None:
                 await front.reader
         for hole in self.holes.values():
@@ -253,13 +259,13 @@
         if notice.since < news.get(key, 0):
             return
         news[key] = notice.since
-        self.stage.told(self.now(), notice.front, notice.server, notice.state)
-        shard = self.stage.nodes[notice.server].shard
+        self.state.record_notice(self.now(), notice.front, notice.server, notice.state)
+        shard = self.state.nodes[notice.server].shard
         entry = self._entry(notice.front, notice.server, shard, notice.state, notice.started)
         self.fronts[notice.front].agent.tell(entry)
 
-    def _turn(self, turn: Turn) -> None:
-        lost = self.stage.turn(self.now(), turn)
+    def _turn(self, turn: StateChange) -> None:
+        lost = self.state.change_state(self.now(), turn)
         del lost  # their connections break with all others of the process
         if turn.state in ("gone", "cold"):
             self._break(turn.server)
@@ -274,7 +280,7 @@
                 link.abort()
 
     def fall(self, node: Node) -> None:
-        self.stage.lose(self.now(), node)
+        self.state.drop_jobs(self.now(), node)
         self._break(node.name)
         for front in self.fronts:
             self.servers[node.name, front.number].close()
@@ -288,13 +294,13 @@
 
     async def _holes(self) -> None:
         """Cuts begin or end: addresses across them stop to answer, or answer again."""
-        for birth in self.plan.births:
-            node = self.stage.nodes.get(birth.name)
+        for birth in self.plan.node_starts:
+            node = self.state.nodes.get(birth.name)
             if node is None or node.state in ("gone", "fallen"):
                 continue
             for front in self.fronts:
                 key = (birth.name, front.number)
-                cut = self.plan.cut_off(self.now() + 1, front.number, birth.room)
+                cut = self.plan.is_partitioned(self.now() + 1, front.number, birth.zone)
                 if cut and key not in self.holes:
                     self.servers[key].close()
                     await asyncio.sleep(0)
@@ -303,37 +309,37 @@
                     self.holes.pop(key).close()
                     await self._listen(birth.name, front.number, self.ports[key])
 
-    def _hand(self, hand: Hand) -> None:
+    def _hand(self, hand: ManualDrain) -> None:
         for front in self.fronts:
-            word = "offline" if hand.out else "online"
-            url = f"http://127.0.0.1:{front.door}/control/chunk-servers/{hand.server}/{word}"
+            word = "offline" if hand.drained else "online"
+            url = f"http://127.0.0.1:{front.admin_port}/control/chunk-servers/{hand.server}/{word}"
             self._spawned(asyncio.to_thread(put, url))
 
     def arm(self, node: Node) -> None:
         due = node.due()
-        if due < self._armed.get(node.name, FOREVER):
+        if due < self._armed.get(node.name, FOREVER_US):
             self._armed[node.name] = due
             self.at(due, lambda: self._advance(node))
 
     def _advance(self, node: Node) -> None:
-        self._armed[node.name] = FOREVER
+        self._armed[node.name] = FOREVER_US
         for job in node.advance(self.now()):
             body = f"{node.name}:{job.id}"
-            self.stage.done(node, job, body)
+            self.state.record_end(node, job, body)
             job.token.done(job, body)
         self.arm(node)
 
     # Clients
 
     def _ask(self, of: Try) -> None:
-        block, shard = self.stage.ask(self.now(), of)
+        block, shard = self.state.record_request(self.now(), of)
         r = of.of
         words = lambda: request_text(of, block, shard, self.now())  # noqa: E731
 
         # Where this process was held up, an answer that came in time is here and not read yet: one turn of
         # the loop reads it.
         leave = lambda: self.loop.call_soon(self._leave, of)  # noqa: E731
-        self.at(of.until + SLACK, lambda: self.loop.call_soon(leave))
+        self.at(of.until + SOCKET_SLACK_US, lambda: self.loop.call_soon(leave))
         front = self.fronts[r.front]
         if front.idle:
             client = front.idle.pop()
@@ -349,31 +355,31 @@
             )
         except OSError:
             return self.broke(of)
-        if of.id not in self.stage.open:
+        if of.id not in self.state.open:
             return client.abort()
         self._asking[of.id] = client
         client.ask(of, words, False)
 
     def once_more(self, of: Try, words: Callable[[], bytes]) -> None:
-        if of.id in self.stage.open:
+        if of.id in self.state.open:
             self._spawned(self._connect(of, words))
 
     def answered(self, of: Try, kind: str, body: str) -> None:
         self._asking.pop(of.id, None)
-        self._again(self.stage.answer(self.now(), of, kind, body, self.lateness.us()))
+        self._again(self.state.answer(self.now(), of, kind, body, self.lateness.us()))
 
     def broke(self, of: Try) -> None:
         """Its front ended the connection without an answer."""
         self._asking.pop(of.id, None)
-        self.strange.append(f"request {of.id}: its connection ended without an answer")
-        self._again(self.stage.leave(self.now(), of))
+        self.faults.append(f"request {of.id}: its connection ended without an answer")
+        self._again(self.state.leave(self.now(), of))
 
     def _leave(self, of: Try) -> None:
         client = self._asking.pop(of.id, None)
         if client is not None and client.of is of:
             client.of = None
             client.abort()
-        self._again(self.stage.leave(self.now(), of))
+        self._again(self.state.leave(self.now(), of))
 
     def _again(self, of: Try | None) -> None:
         if of is not None:
@@ -386,6 +392,6 @@
     """The records, what was strange, and how far (s) the rehearsal's own process was behind at most."""
     import uvloop
 
-    made = Sockets(plan, root=root)
+    made = SocketScenario(plan, root=root)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(made.play(progress)), made.strange, made.late
+        return runner.run(made.play(progress)), made.faults, made.late
--- a/umberlead/emulator/stored.py
+++ b/umberlead/emulator/stored.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from umberlead.emulator.figures import Figures
-from umberlead.emulator.node import FOREVER, SECOND, Job, Node, traits
+from umberlead.emulator.node import FOREVER_US, SECOND_US, Job, Node, traits
 from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
-UNIT = 25_000.0  # us of work of a unit, near the middle of the operators' days
-NOISE = 0.45  # sigma of the factor on it
+UNIT_WORK_US = 25_000.0  # us of work of a unit, near the middle of the operators' days
+WORK_NOISE_SIGMA = 0.45  # sigma of the factor on it
 DONE = {"ok": "ok", "lag": "ok", "surplus": "ok", "error": "error"}
 
 
@@ -21,10 +21,10 @@
         self._loop = asyncio.get_event_loop()
         self._begin = self._loop.time()
         self.node = Node(name, shard, of, seed, 0)
-        self._armed = FOREVER
+        self._armed = FOREVER_US
 
     def _now(self) -> int:
-        return int((self._loop.time() - self._begin) * SECOND)
+        return int((self._loop.time() - self._begin) * SECOND_US)
 
     def admit(self) -> bool:
         return self.node.connect()
@@ -37,7 +37,7 @@
         return f"X-Load-Report: {load}\r\n".encode()
 
     def serve(self, row: dict[str, Any], units: float, done: Callable[[str], None]) -> bool:
-        work = UNIT * units * self.chance.lognormvariate(-(NOISE**2) / 2, NOISE)
+        work = UNIT_WORK_US * units * self.chance.lognormvariate(-(WORK_NOISE_SIGMA**2) / 2, WORK_NOISE_SIGMA)
         write = row["method"] == "PUT"
         job = Job(row["id"], row["class"], "", row["block"], row["shard"], units, work, write, 0, done)
         if self.node.offer(self._now(), job) != "taken":
@@ -49,10 +49,10 @@
         due = self.node.due()
         if due < self._armed:
             self._armed = due
-            self._loop.call_at(self._begin + due / SECOND, self._advance)
+            self._loop.call_at(self._begin + due / SECOND_US, self._advance)
 
     def _advance(self) -> None:
-        self._armed = FOREVER
+        self._armed = FOREVER_US
         for job in self.node.advance(self._now()):
             job.token(self.force or DONE.get(job.end, "reset"))
         self._arm()
--- a/umberlead/emulator/world.py
+++ b/umberlead/emulator/world.py
@@ -4,13 +4,13 @@
 from collections import Counter
 
 from umberlead.emulator.node import Job, Meter, Node
-from umberlead.emulator.plan import Birth, Plan, Turn
+from umberlead.emulator.plan import NodeStart, Plan, StateChange
 from umberlead.emulator.records import Answered, Asked, Came, Ended, Left, Life, Records, Told
 from umberlead.load_generator.clients import Clients, Try
 from umberlead.load_generator.day import noise
 
 
-class Stage:
+class ScenarioState:
     """Servers and clients of a plan, and all that is written down of them."""
 
     def __init__(self, plan: Plan) -> None:
@@ -24,45 +24,45 @@
 
     # Servers
 
-    def birth(self, birth: Birth) -> Node:
+    def start_node(self, birth: NodeStart) -> Node:
         node = self.plan.node(birth, 0)
         self.nodes[birth.name] = node
-        word = "cold" if birth.cold else "born"
-        power = birth.of.speed * birth.of.cores
-        self.records.lives.append(Life(birth.at, birth.name, word, birth.shard, power))
+        word = "cold" if birth.slow_start else "born"
+        power = birth.traits.speed * birth.traits.cores
+        self.records.lives.append(Life(birth.at_us, birth.name, word, birth.shard, power))
         return node
 
-    def turn(self, at: int, turn: Turn) -> list[Job]:
+    def change_state(self, at: int, turn: StateChange) -> list[Job]:
         """What its change costs: requests that are lost with a process."""
         node = self.nodes[turn.server]
         if node.state == "fallen" and turn.state != "cold":
             return []
         lost: list[Job] = []
         if turn.state in ("gone", "cold"):
-            lost = self.lose(at, node)
+            lost = self.drop_jobs(at, node)
         if turn.state == "cold":
             self.nodes[turn.server] = again = Node(
-                node.name, node.shard, node.of, self.plan.seed, at, True, node.room
+                node.name, node.shard, node.traits, self.plan.seed, at, True, node.zone
             )
-            again.spells = node.spells
+            again.impairments = node.impairments
         else:
             node.state = turn.state
-        power = node.of.speed * node.of.cores
+        power = node.traits.speed * node.traits.cores
         self.records.lives.append(Life(at, turn.server, turn.state, node.shard, power))
         return lost
 
-    def lose(self, at: int, node: Node) -> list[Job]:
+    def drop_jobs(self, at: int, node: Node) -> list[Job]:
         lost = node.fall()
         for job in lost:
             self.records.ended.append(Ended(at, node.name, job.id, "lost"))
         return lost
 
-    def told(self, at: int, front: int, server: str, state: str) -> None:
+    def record_notice(self, at: int, front: int, server: str, state: str) -> None:
         self.records.told.append(Told(at, front, server, state))
 
     # Clients
 
-    def ask(self, at: int, of: Try) -> tuple[str, int]:
+    def record_request(self, at: int, of: Try) -> tuple[str, int]:
         """The block and shard that a try names: a read of a new object goes wherever that was put."""
         r = of.of
         shard = self.placed.get(r.of, r.shard) if r.of >= 0 else r.shard
@@ -99,7 +99,7 @@
 
     # Requests at servers
 
-    def came(
+    def record_arrival(
         self,
         at: int,
         node: Node,
@@ -127,9 +127,9 @@
             self.records.lives.append(Life(at, node.name, "fallen", node.shard))
         return word, job
 
-    def done(self, node: Node, job: Job, body: str) -> None:
+    def record_end(self, node: Node, job: Job, body: str) -> None:
         """It has run."""
-        at = job.answer_at or job.came
+        at = job.answer_at_us or job.arrived_us
         self.records.ended.append(Ended(at, node.name, job.id, job.end, job.work, body))
         of = self.tries.get(job.id)
         if of is not None:
@@ -137,5 +137,5 @@
                 self.placed.setdefault(of.of.number, node.shard)
             self.meter.add(at, job.volume, job.units)
 
-    def left(self, at: int, node: Node, name: str) -> None:
+    def record_leave(self, at: int, node: Node, name: str) -> None:
         self.records.left.append(Left(at, node.name, name))
--- a/umberlead/experiments/one.py
+++ b/umberlead/experiments/one.py
@@ -9,7 +9,7 @@
 
 def figures_with(changes: dict[str, Any]) -> Any:
     """The published figures, some of them replaced: `group.key`, a class's or plan's as `class.NAME.key`."""
-    from umberlead.emulator.figures import BadFigure, Figures, Group
+    from umberlead.emulator.figures import FigureError, Figures, Group
 
     made = Figures()
     for key, value in changes.items():
@@ -20,7 +20,7 @@
             getattr(made, of, None) if rows is None else next((g for g in rows if g.name == rest), None)
         )
         if not isinstance(group, Group) or name not in group.got:
-            raise BadFigure(f"configuration.figures.{key}: there is no such figure")
+            raise FigureError(f"configuration.figures.{key}: there is no such figure")
         group.got = dict(group.got) | {name: {"is": value, "source": "the experiment"}}
     return made
 
--- a/umberlead/load_generator/day.py
+++ b/umberlead/load_generator/day.py
@@ -175,7 +175,7 @@
     power = cores * speed * SECOND_US / (mean / 2)
     can = of.traffic.one("capacity_part") * power * shards * copies
     day = Day(seconds, seed, kinds, [], unit, power, max_units=int(of.traffic.one("most_units")))
-    day.retries = of.clients.whole("retries", chance)
+    day.retries = of.clients.draw_int("retries", chance)
     day.retry_wait = int(of.clients.draw("wait_ms", chance) * 1000)
     count = of.traffic.draw("volumes_per_node", chance) * shards
     # Volumes of each plan in step with its part of the traffic over its size: one base rate for all, brought
@@ -191,8 +191,8 @@
             asks = usage
             if chance.random() < busy:
                 asks *= of.traffic.draw("busy_x", chance)
-            hosts = min(g.whole("hosts", chance), fronts)
-            nodes = min(g.whole("nodes", chance), shards)
+            hosts = min(g.draw_int("hosts", chance), fronts)
+            nodes = min(g.draw_int("nodes", chance), shards)
             skew = of.traffic.draw("skew", chance)
             shifts = []
             at = 0.0
--- a/umberlead/routing_tests/reach.py
+++ b/umberlead/routing_tests/reach.py
@@ -21,7 +21,7 @@
     Verdict,
 )
 from umberlead.routing_tests.verdict import sent_again
-from umberlead.routing_tests.world import SETTLING_US, START, ServerModel, World
+from umberlead.routing_tests.world import SETTLING_US, START_US, ServerModel, World
 from umberlead.scheduling.events import AttemptResult
 from umberlead.scheduling.settings import Settings
 
@@ -89,7 +89,7 @@
         world = _Scripted(settings, listing, ends)
         life = world.take(collection, "reach.0", load, shape.shard, 0, "0" * 16)
         tickets = world.lifecycle.open_requests
-        world.loop.run(START + SETTLING_US, lambda: bool(life.answers()) and not len(tickets))  # noqa: B023
+        world.loop.run(START_US + SETTLING_US, lambda: bool(life.answers()) and not len(tickets))  # noqa: B023
         yield life
         if world.draw_count > len(
             ends
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -17,7 +17,7 @@
 from umberlead.common.counters import Counters
 from umberlead.common.errors import UmberleadError
 from umberlead.common.timer_wheel import TimerWheel
-from umberlead.emulator.loop import START, Alarm, Loop
+from umberlead.emulator.loop import START_US, Alarm, Loop
 from umberlead.membership.flap_damping import FlapDampingSettings
 from umberlead.membership.integration import apply_change
 from umberlead.membership.list_merge import Membership, MembershipSettings
@@ -176,7 +176,7 @@
         now = self.loop.now
         life = RequestTrace(
             f"{collection.name}/{name}",
-            now - START,
+            now - START_US,
             collection.name,
             load.class_name,
             collection.plan,
@@ -184,7 +184,7 @@
             load.units,
             load.new,
         )
-        life.steps.append(TraceStep(now - START, "taken"))
+        life.steps.append(TraceStep(now - START_US, "taken"))
         self.traces.append(life)
         ask = IncomingRequest(
             load.class_name,
@@ -202,7 +202,7 @@
 
     def _answered(self, life: RequestTrace, answer: Answer) -> None:
         note = "" if answer.kind.value == "served" else self._notes.get(life.id, "")
-        life.steps.append(TraceStep(self.loop.now - START, "answered", "", answer.kind.value, note))
+        life.steps.append(TraceStep(self.loop.now - START_US, "answered", "", answer.kind.value, note))
 
     def _observe(self, now: int, acts: list[Action]) -> None:
         """What the module saw of the candidates as it sent or refused."""
@@ -247,7 +247,7 @@
         life: RequestTrace = attempt.request.incoming.payload
         name = self.names.get(attempt.endpoint, attempt.endpoint)
         note = self._notes.get(life.id, "")
-        life.steps.append(TraceStep(self.loop.now - START, "sent", name, str(attempt.number), note))
+        life.steps.append(TraceStep(self.loop.now - START_US, "sent", name, str(attempt.number), note))
         model = self.models.setdefault(name, ServerModel())
         attempt.transport_state = model
         end = self._drawn(model)
@@ -291,7 +291,7 @@
             life: RequestTrace = attempt.request.incoming.payload
             name = self.names.get(attempt.endpoint, attempt.endpoint)
             word = "astray" if attempt.misdirected else result.value
-            life.steps.append(TraceStep(self.loop.now - START, "ended", name, word))
+            life.steps.append(TraceStep(self.loop.now - START_US, "ended", name, word))
             self.lifecycle.attempt_ended(attempt, result)
 
     def stop(self, attempt: Attempt, why: AttemptResult) -> None:
@@ -312,11 +312,11 @@
         """All of a scenario's lives, to the last answer."""
         self._first = dict(self.membership.file_list.endpoints) if self.membership.file_list else {}
         for happening in of.happenings:
-            self.loop.at(START + happening.at_us, partial(self.happen, happening, lists))
+            self.loop.at(START_US + happening.at_us, partial(self.happen, happening, lists))
             if happening.until_us:
                 word = happening.label or happening.kind
                 over = replace(happening, at_us=happening.until_us, kind="over", label=word)
-                self.loop.at(START + over.at_us, partial(self.happen, over, lists))
+                self.loop.at(START_US + over.at_us, partial(self.happen, over, lists))
         last = 0
         number = count()
         for load in of.loads:
@@ -328,7 +328,7 @@
                 shard = -1 if load.new else self.rng.choice(collection.shards)
                 key = f"{self.rng.getrandbits(64):016x}"
                 call = partial(self.take, collection, volume, load, shard, next(number), key)
-                self.loop.at(START + int(at), call)
+                self.loop.at(START_US + int(at), call)
         last = max([last, *(h.at_us for h in of.happenings)])
-        self.loop.run(START + last + SETTLING_US)
+        self.loop.run(START_US + last + SETTLING_US)
         return self.traces
