--- a/umberlead/emulator/client_connections.py
+++ b/umberlead/emulator/client_connections.py
@@ -2,24 +2,21 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING, cast
+from typing import cast
 
 import httptools
 
+from umberlead.emulator.scenario_driver import ConnectedFront, ScenarioDriver
 from umberlead.load_generator.clients import Try
 from umberlead.load_generator.day import SECOND_US
 
-if TYPE_CHECKING:
-    from umberlead.emulator.front_processes import FrontProcess
-    from umberlead.emulator.sockets import SocketScenario
-
 KIND_BY_STATUS = {200: "served", 429: "refused", 503: "refused"}
 
 
 class ClientConnection(asyncio.Protocol):
     """A client's connection to a front: one request at a time."""
 
-    def __init__(self, play: "SocketScenario", front: "FrontProcess") -> None:
+    def __init__(self, play: ScenarioDriver, front: ConnectedFront) -> None:
         """A connection to this front."""
         self.play = play
         self.front = front
--- a/umberlead/emulator/log_collector.py
+++ b/umberlead/emulator/log_collector.py
@@ -2,16 +2,15 @@
 
 import asyncio
 import re
-from typing import TYPE_CHECKING, cast
+from typing import cast
 
-if TYPE_CHECKING:
-    from umberlead.emulator.sockets import SocketScenario
+from umberlead.emulator.scenario_driver import ScenarioDriver
 
 
 class CollectorConnection(asyncio.Protocol):
     """Takes fronts' log lines, or for a while does not."""
 
-    def __init__(self, play: "SocketScenario") -> None:
+    def __init__(self, play: ScenarioDriver) -> None:
         """Lines go to `play`."""
         self.play = play
         self.rest = b""
--- a/umberlead/emulator/server_connections.py
+++ b/umberlead/emulator/server_connections.py
@@ -1,16 +1,13 @@
 """Fronts' connections to emulated servers."""
 
 import asyncio
-from typing import TYPE_CHECKING
 
 from umberlead.emulator.http_messages import HttpMessages
 from umberlead.emulator.node import Job, Node
 from umberlead.emulator.outcomes import KEEPS_CONNECTION, NEVER_RAN, RESULT_AFTER_RUN
+from umberlead.emulator.scenario_driver import ScenarioDriver
 from umberlead.load_generator.day import SECOND_US
 
-if TYPE_CHECKING:
-    from umberlead.emulator.sockets import SocketScenario
-
 STATUS_LINES = {
     "full": b"503 Full",
     "draining": b"503 Draining",
@@ -22,7 +19,7 @@
 class ServerConnection(HttpMessages):
     """A front's connection to an emulated server."""
 
-    def __init__(self, play: "SocketScenario", name: str, front: int) -> None:
+    def __init__(self, play: ScenarioDriver, name: str, front: int) -> None:
         """A connection of a front (its number) to the server of this name."""
         super().__init__()
         self.play = play
