--- a/umberlead/emulator/scenario_driver.py
+++ b/umberlead/emulator/scenario_driver.py
@@ -38,6 +38,12 @@
     def cut(self, front: int, node: Node) -> bool:
         """Tell whether a front is partitioned from a server."""
 
+    def arm(self, node: Node) -> None:
+        """Set the timer of a server's next step."""
+
+    def fall(self, node: Node) -> None:
+        """End a server that was overloaded."""
+
     def once_more(self, of: Try, words: Callable[[], bytes]) -> None:
         """Send a request once more on a new connection."""
 
