--- a/umberlead/requests/lifecycle.py
+++ b/umberlead/requests/lifecycle.py
@@ -1,16 +1,19 @@
-"""Requests, attempts and outcomes between fronts, the decision module and whatever carries attempts.
+"""The life of a request: accepted from a frontend, scheduled, attempted, and answered once.
 
-A front hands in an `IncomingRequest` and is called back once with its `Answer`. The module's word is carried
-out as it comes; what the rules forbid (`send_guard.py`) is not sent whoever asks for it. No wire is known
-here."""
+A frontend hands in an `IncomingRequest` and is called back once with its `Answer`. The scheduler's actions
+are carried out as they come; what the rules forbid (`send_guard.py`) is not sent whoever asks for it. No wire
+is known here.
+"""
 
 import traceback
 from collections.abc import Callable
 from typing import Any
 
 from umberlead.common.counters import Counters
+from umberlead.common.errors import UmberleadError
 from umberlead.common.slot_table import SlotTable
 from umberlead.common.timer_wheel import TimerWheel
+from umberlead.requests.call_ids import RecentCallIds
 from umberlead.requests.invariants import InvariantChecker
 from umberlead.requests.send_guard import Denial, SendGuard
 from umberlead.requests.types import (
@@ -44,11 +47,38 @@
 from umberlead.scheduling.scheduler import Scheduler
 from umberlead.scheduling.settings import Repeatability, Settings
 
-CALL_ID_RETENTION_US = 10_000_000  # us at least that a request's name stays taken after it came
-DECISION_GRACE_US = 10_000  # us after a request's end by which the engine answers in the module's place
+DECISION_GRACE_US = 10_000  # after a request's deadline, by which it is answered in the scheduler's place
+
+
+class UnknownClassOrPlanError(UmberleadError, ValueError):
+    """A request of a class or plan that the settings don't have; the text names both."""
+
+
+class SecondOutcomeError(UmberleadError, RuntimeError):
+    """An attempt ended twice; the text names it."""
 
 
 class RequestLifecycle:
+    """Owns the open requests, from their acceptance to their one final answer.
+
+    Attributes:
+        settings: the scheduler's.
+        classes: the settings' classes, by name.
+        scheduler: decides who is sent where and when.
+        open_requests: those that are not answered or have an attempt in flight.
+        call_ids: the ids of requests that came lately.
+        transport: carries attempts; set before the first request.
+        hooks: see requests, outcomes and answers.
+        decision_observer: sees endpoint lists and attempts, and may change the former.
+        action_observer: is called with the time and actions of each decision.
+        trace_log: takes a line for each attempt.
+        unanswered_count: requests accepted and not answered.
+        answer_counts: answers, by kind and class.
+        stopping: whether the process ends: nothing new is begun.
+        guard: asked before each attempt.
+        invariants: run-time checks.
+    """
+
     def __init__(
         self,
         settings: Settings,
@@ -60,373 +90,439 @@
         log: Callable[..., None],
         hooks: RequestHooks | None = None,
     ) -> None:
-        self.settings, self.clock, self.wheel, self.counters = settings, clock, wheel, counters
-        self.log, self.hooks, self._call_soon = log, hooks, soon
+        """Begin without requests.
+
+        Args:
+            settings: checked by the scheduler.
+            seed: of the scheduler's random choices.
+            clock: tells microseconds that only move forward.
+            wheel: holds deadlines.
+            soon: calls back in the next turn of the loop.
+            counters: of the process.
+            log: takes an event's name and its fields.
+            hooks: see requests, outcomes and answers.
+        """
+        self.settings = settings
+        self.clock = clock
+        self.wheel = wheel
+        self.counters = counters
+        self.log = log
+        self.hooks = hooks
         self.call_soon = soon
-        self.classes = {c.name: c for c in settings.classes}
-        self.plans = {p.name for p in settings.plans}
+        self.classes = {cls.name: cls for cls in settings.classes}
+        self.plans = {plan.name for plan in settings.plans}
         self.scheduler = Scheduler(settings, seed, clock())
         self.open_requests: SlotTable[InFlightRequest] = SlotTable()
-        self.max_remembered_call_ids = 20_000
+        self.call_ids = RecentCallIds(clock)
         self.transport: Transport | None = None
         self.decision_observer: DecisionObserver | None = None
-        self.action_observer: Callable[[int, list[Action]], None] | None = None  # of each decision
-        self._events: list[Event] = []
-        self._number = 0
-        self._recent_call_ids, self._earlier_call_ids = (
-            set[bytes](),
-            set[bytes](),
-        )  # of two spans, so that old ones go
-        self._call_ids_since_us = clock()
-        self._open_by_call_id: dict[bytes, InFlightRequest] = {}
-        self.unanswered_count = 0  # requests taken and not answered
-        self.stopping = False  # the process ends: nothing new is begun
-        self.answer_counts = {(kind, c.name): 0 for kind in AnswerKind for c in settings.classes}  # answers
-        self.trace_log: Callable[..., None] | None = None  # a line of each attempt, for the log
+        self.action_observer: Callable[[int, list[Action]], None] | None = None
+        self.trace_log: Callable[..., None] | None = None
+        self.unanswered_count = 0
+        self.stopping = False
+        self.answer_counts = {(kind, cls.name): 0 for kind in AnswerKind for cls in settings.classes}
         self.guard = SendGuard(
             self.classes, settings.max_attempts, clock, self.accepts_new_requests, self.client_waits
         )
         self.invariants = InvariantChecker(settings, clock, counters, log)
+        self._events: list[Event] = []
+        self._accepted_count = 0
+        self._open_by_call_id: dict[bytes, InFlightRequest] = {}
 
-    # From the fronts
-
-    def accept(self, ask: IncomingRequest, done: Callable[[Answer], None]) -> InFlightRequest:
-        """Owe `ask` one answer."""
-        if ask.class_name not in self.classes or ask.plan not in self.plans:
-            raise ValueError(f"unknown class or plan: {ask.class_name}, {ask.plan}")
-        if ask.call_id:
-            self._remember_call_id(ask.call_id)
-        ticket = InFlightRequest(ask, done, accepted_us=self.clock())
-        if ask.call_id:
-            self._open_by_call_id[ask.call_id] = ticket
-        ticket.slot, self._number = self.open_requests.add(ticket), self._number + 1
-        ticket.id = f"{ticket.slot}.{self._number}"
+    # From the frontends
+
+    def accept(self, incoming: IncomingRequest, on_answer: Callable[[Answer], None]) -> InFlightRequest:
+        """Owe `incoming` one answer, which may come within this call.
+
+        Raises:
+            UnknownClassOrPlanError: the settings don't have its class or plan.
+            DuplicateRequestError: its call id is another's.
+        """
+        if incoming.class_name not in self.classes or incoming.plan not in self.plans:
+            raise UnknownClassOrPlanError(f"unknown class or plan: {incoming.class_name}, {incoming.plan}")
+        if incoming.call_id:
+            self._take_call_id(incoming.call_id)
+        request = InFlightRequest(incoming, on_answer, accepted_us=self.clock())
+        if incoming.call_id:
+            self._open_by_call_id[incoming.call_id] = request
+        request.slot = self.open_requests.add(request)
+        self._accepted_count += 1
+        request.id = f"{request.slot}.{self._accepted_count}"
         self.counters.add("requests_taken")
         self.unanswered_count += 1
-        reason = self.hooks.on_request(ticket) if self.hooks else None
+        rejection = self._rejection_of(request)
+        if rejection is not None:
+            answer = Answer(
+                AnswerKind.REJECTED, retry_after_us=rejection.retry_after_us, reason=rejection.reason
+            )
+            self._answer(request, answer)
+            return request
+        request.timer = self.wheel.call_at(incoming.deadline_us, self._on_deadline, request)
+        self._post(self._arrival_of(request))
+        return request
+
+    def _take_call_id(self, call_id: bytes) -> None:
+        try:
+            self.call_ids.take(call_id, call_id in self._open_by_call_id)
+        except DuplicateRequestError:
+            self.counters.add("requests_duplicate")
+            raise
+
+    def _rejection_of(self, request: InFlightRequest) -> Rejection | None:
+        """Return why a request is rejected as it comes; None where it is not."""
+        reason = self.hooks.on_request(request) if self.hooks else None
         if self.stopping:
             reason = "the front stops"
-        if reason is not None or ask.deadline_us <= self.clock():
-            why = reason if isinstance(reason, Rejection) else Rejection(reason or "no time left")
-            self._answer(
-                ticket, Answer(AnswerKind.REJECTED, retry_after_us=why.retry_after_us, reason=why.reason)
-            )
-            return ticket
-        ticket.timer = self.wheel.call_at(ask.deadline_us, self._on_deadline, ticket)
-        self._post(
-            Request(
-                ticket.id,
-                ask.key,
-                ask.volume,
-                ask.deadline_us,
-                ask.shard,
-                ask.units,
-                ask.class_name,
-                ask.plan,
-                ask.volume_front_count,
-                ask.is_client_retry,
-            )
+        if reason is None and request.request.deadline_us > self.clock():
+            return None
+        return reason if isinstance(reason, Rejection) else Rejection(reason or "no time left")
+
+    @staticmethod
+    def _arrival_of(request: InFlightRequest) -> Request:
+        incoming = request.request
+        return Request(
+            request.id,
+            incoming.key,
+            incoming.volume,
+            incoming.deadline_us,
+            incoming.shard,
+            incoming.units,
+            incoming.class_name,
+            incoming.plan,
+            incoming.volume_front_count,
+            incoming.is_client_retry,
         )
-        return ticket
-
-    def _remember_call_id(self, name: bytes) -> None:
-        """Chunk servers know a request by its name alone: a second one with it would be a second copy."""
-        now = self.clock()
-        if (
-            now - self._call_ids_since_us >= CALL_ID_RETENTION_US
-            or len(self._recent_call_ids) > self.max_remembered_call_ids
-        ):
-            self._recent_call_ids, self._earlier_call_ids, self._call_ids_since_us = (
-                set(),
-                self._recent_call_ids,
-                now,
-            )
-        if name in self._open_by_call_id or name in self._recent_call_ids or name in self._earlier_call_ids:
-            self.counters.add("requests_duplicate")
-            raise DuplicateRequestError("this request's id is another's")
-        self._recent_call_ids.add(name)
-
-    def client_left(self, ticket: InFlightRequest) -> None:
-        """Its client left: nothing is owed. An attempt that is out runs on: no cancel stops the node's work,
-        and its outcome is news. One that still waits for its connection is not sent any more."""
-        if not ticket.answered:
-            ticket.answered = True
-            ticket.client_left_us = ticket.client_left_us or self.clock()
-            self.unanswered_count -= 1
-            self.counters.add("clients_gone")
-            if ticket.attempt is not None and self.transport is not None:
-                self.transport.cancel_if_unsent(ticket.attempt)
-            self._post(ClientDisconnected(ticket.id))
-            self._release(ticket)
-
-    def client_waits(self, ticket: InFlightRequest) -> bool:
-        """Whether its client still waits, looked for at this moment: where a front is busy or stood still,
-        news that it left comes behind the turn that begins an attempt. If it left, that is acted on here."""
-        if ticket.answered or ticket.abandoned:
+
+    def client_left(self, request: InFlightRequest) -> None:
+        """Take note that a request's client left: nothing is owed.
+
+        An attempt in flight runs on: no cancel stops the endpoint's work, and its outcome tells something.
+        One that still waits for its connection is not sent any more.
+        """
+        if request.answered:
+            return
+        request.answered = True
+        request.client_left_us = request.client_left_us or self.clock()
+        self.unanswered_count -= 1
+        self.counters.add("clients_gone")
+        if request.attempt is not None and self.transport is not None:
+            self.transport.cancel_if_unsent(request.attempt)
+        self._post(ClientDisconnected(request.id))
+        self._release(request)
+
+    def client_waits(self, request: InFlightRequest) -> bool:
+        """Tell whether a request's client still waits, looked for at this moment.
+
+        Where a front is busy or stood still, the event that it left comes behind the turn that begins an
+        attempt. If it left, that is acted on here.
+        """
+        if request.answered or request.abandoned:
             return False
-        if ticket.request.client_has_left is None or not ticket.request.client_has_left():
+        client_has_left = request.request.client_has_left
+        if client_has_left is None or not client_has_left():
             return True
-        if not ticket.abandoned:  # by its front, in that look
-            self.client_left(ticket)
+        if not request.abandoned:  # by its frontend, in that look
+            self.client_left(request)
         return False
 
-    def abandon(self, ticket: InFlightRequest) -> None:
-        """Its client left, and a front keeps account of what ran: no attempt is begun any more, and the
-        answer comes as soon as it is known what became of one that is out."""
-        if ticket.answered or ticket.abandoned:
+    def abandon(self, request: InFlightRequest) -> None:
+        """Begin no attempt any more: its client left, and its frontend keeps account of what ran.
+
+        The answer comes as soon as it is known what became of an attempt in flight.
+        """
+        if request.answered or request.abandoned:
             return
-        ticket.abandoned = True
-        ticket.client_left_us = ticket.client_left_us or self.clock()
+        request.abandoned = True
+        request.client_left_us = request.client_left_us or self.clock()
         self.counters.add("clients_gone")
-        if ticket.attempt is None:
-            self._answer_abandoned(ticket)
-            self._post(ClientDisconnected(ticket.id))
+        if request.attempt is None:
+            self._answer_abandoned(request)
+            self._post(ClientDisconnected(request.id))
         elif self.transport is not None:
-            self.transport.cancel_if_unsent(ticket.attempt)
-
-    def _answer_abandoned(self, ticket: InFlightRequest) -> None:
-        kind = AnswerKind.REJECTED if self.guard.may_repeat(ticket) else AnswerKind.FAILED
-        self._answer(ticket, Answer(kind, None, 0, ticket.may_have_run, "its client left"))
-
-    def apply_endpoint_list(self, news: EndpointList) -> None:
-        self.invariants.listed(news)
-        self._post(news if self.decision_observer is None else self.decision_observer.on_endpoint_list(news))
-
-    def notify_scheduler(self, news: EndpointList) -> None:
-        """To the module as it is, past the watcher whose word it is."""
-        self._post(news)
-
-    def reject_waiting(self, which: Callable[[InFlightRequest], bool], reason: str, retry_after: int) -> int:
-        """Refuse what waits with no attempt out and may be repeated, now instead of at its aim; how many."""
-        count = 0
-        for ticket in list(self.open_requests):
-            if (
-                ticket.answered
-                or ticket.attempt is not None
-                or not self.guard.may_repeat(ticket)
-                or not which(ticket)
-            ):
-                continue
-            count += 1
-            self._answer(ticket, Answer(AnswerKind.REJECTED, None, retry_after, ticket.may_have_run, reason))
-            self._post(ClientDisconnected(ticket.id))
-        return count
-
-    def cancel_attempts(self, which: Callable[["Attempt"], bool]) -> int:
-        """Stop waiting for attempts of requests that may be repeated: the module may try elsewhere; how
-        many."""
-        count = 0
-        for ticket in list(self.open_requests):
-            out = ticket.attempt
-            safe = self.classes[ticket.request.class_name].repeatability is Repeatability.IDEMPOTENT
-            if out is not None and out.transport_state is not None and safe and self.transport and which(out):
-                count += 1
-                self.transport.stop(out, AttemptResult.CANCELLED)
-        return count
-
-    def accepts_new_requests(self, node: str) -> bool:
-        """Whether the list, as it stands now, lets anything new begin there."""
-        view = self.scheduler.endpoints.get(node)
-        return (
-            view is not None
-            and view.endpoint.status is EndpointStatus.UP
-            and node not in self.scheduler.manual_drains
-        )
+            self.transport.cancel_if_unsent(request.attempt)
 
-    def set_manual_drain(self, node: str, out: bool, at: int) -> None:
-        self.invariants.taken_out(node, out)
-        self._post(ManualDrain(node, out, at))
+    def _answer_abandoned(self, request: InFlightRequest) -> None:
+        kind = AnswerKind.REJECTED if self.guard.may_repeat(request) else AnswerKind.FAILED
+        self._answer(request, Answer(kind, None, 0, request.may_have_run, "its client left"))
 
-    def set_process_share(self, part: float) -> None:
-        """Of the volumes' limits this process has `part`, to 1, of its front's."""
-        self._post(ProcessShare(part))
+    def count_unread_rejection(self, class_name: str) -> None:
+        """Count a request that a frontend rejected before it came here: a rejection like any other."""
+        if class_name in self.classes:
+            self.answer_counts[AnswerKind.REJECTED, class_name] += 1
+
+    def stream_ended(self, class_name: str, complete: bool | None) -> None:
+        """Count a streamed answer that is out, or broke off; None where the client left."""
+        if complete is None:
+            self.unanswered_count -= 1
+        else:
+            self._count(AnswerKind.SERVED if complete else AnswerKind.FAILED, class_name)
 
-    def set_open_limit(self, requests: int) -> None:
-        """So many requests may be open; beyond that those of least value are refused. 0 for any number."""
-        self._post(OpenRequestLimit(requests))
+    # From lists, operators and limits
+
+    def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
+        """Take over an endpoint list, by way of the observer where there is one."""
+        self.invariants.record_endpoint_list(endpoint_list)
+        if self.decision_observer is not None:
+            endpoint_list = self.decision_observer.on_endpoint_list(endpoint_list)
+        self._post(endpoint_list)
+
+    def notify_scheduler(self, endpoint_list: EndpointList) -> None:
+        """Hand a list to the scheduler as it is, past the observer whose word it is."""
+        self._post(endpoint_list)
+
+    def set_manual_drain(self, endpoint: str, drained: bool, at_us: int) -> None:
+        """Take an endpoint out by hand, as of `at_us`, or put it back."""
+        self.invariants.record_manual_drain(endpoint, drained)
+        self._post(ManualDrain(endpoint, drained, at_us))
+
+    def set_process_share(self, share: float) -> None:
+        """Let this process have `share`, to 1, of the volumes' limits that its front has."""
+        self._post(ProcessShare(share))
+
+    def set_open_limit(self, max_requests: int) -> None:
+        """Let so many requests be open; beyond that the lowest priority is rejected. 0: any number."""
+        self._post(OpenRequestLimit(max_requests))
+
+    def reject_waiting(
+        self, condition: Callable[[InFlightRequest], bool], reason: str, retry_after_us: int
+    ) -> int:
+        """Reject what waits with no attempt in flight and may be repeated, now instead of at its objective.
+
+        Returns:
+            How many requests met the `condition` and were rejected.
+        """
+        rejected_count = 0
+        for request in list(self.open_requests):
+            if request.answered or request.attempt is not None or not self.guard.may_repeat(request):
+                continue
+            if not condition(request):
+                continue
+            rejected_count += 1
+            answer = Answer(AnswerKind.REJECTED, None, retry_after_us, request.may_have_run, reason)
+            self._answer(request, answer)
+            self._post(ClientDisconnected(request.id))
+        return rejected_count
+
+    def cancel_attempts(self, condition: Callable[[Attempt], bool]) -> int:
+        """Cancel attempts of idempotent requests: the scheduler may try elsewhere.
+
+        Returns:
+            How many attempts met the `condition` and were cancelled.
+        """
+        cancelled_count = 0
+        for request in list(self.open_requests):
+            attempt = request.attempt
+            if attempt is None or attempt.transport_state is None or self.transport is None:
+                continue
+            if self._is_idempotent(request) and condition(attempt):
+                cancelled_count += 1
+                self.transport.stop(attempt, AttemptResult.CANCELLED)
+        return cancelled_count
+
+    def _is_idempotent(self, request: InFlightRequest) -> bool:
+        repeatability = self.classes[request.request.class_name].repeatability
+        return repeatability is Repeatability.IDEMPOTENT
+
+    def accepts_new_requests(self, endpoint: str) -> bool:
+        """Tell whether the list as it stands, and operators, let anything new begin at an endpoint."""
+        directory = self.scheduler.directory
+        state = directory.endpoints.get(endpoint)
+        is_up = state is not None and state.endpoint.status is EndpointStatus.UP
+        return is_up and endpoint not in directory.manual_drains
 
     def endpoint_summary(self) -> tuple[int, int]:
-        """Nodes listed, and those of them left out, by hand or as they refuse to be reached."""
-        head = self.scheduler
-        avoided = sum(
-            n in head.manual_drains or v.ejected_until_us > head.now for n, v in head.endpoints.items()
+        """Return how many endpoints are listed, and how many of them are drained by hand or ejected."""
+        directory = self.scheduler.directory
+        now_us = self.scheduler.now_us
+        avoided_count = sum(
+            name in directory.manual_drains or state.ejected_until_us > now_us
+            for name, state in directory.endpoints.items()
         )
-        return len(head.endpoints), avoided
+        return len(directory.endpoints), avoided_count
 
-    def knows_endpoint(self, node: str) -> bool:
-        return node in self.scheduler.endpoints or node in self.scheduler.manual_drains
-
-    def count_unread_rejection(self, class_name: str) -> None:
-        """A request that a front turned away before it came here: a refusal like any other."""
-        if class_name in self.classes:
-            self.answer_counts[AnswerKind.REJECTED, class_name] += 1
+    def knows_endpoint(self, endpoint: str) -> bool:
+        """Tell whether an endpoint is listed or drained by hand."""
+        directory = self.scheduler.directory
+        return endpoint in directory.endpoints or endpoint in directory.manual_drains
 
-    # From the carrier
+    # From the transport
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult, reply: Reply | None = None) -> None:
-        """The attempt's one outcome."""
-        ticket, reply = attempt.request, reply or Reply()
-        if ticket.attempt is not attempt:
-            raise RuntimeError(f"second outcome for attempt {attempt.number} of {ticket.id}")
-        ticket.attempt = None
-        ticket.last_result = result
-        self.invariants.ended(attempt, result)
-        ticket.may_have_run |= result not in RESULTS_WITHOUT_EFFECT
+        """Take the attempt's one outcome.
+
+        Raises:
+            SecondOutcomeError: it had one.
+        """
+        request = attempt.request
+        reply = reply or Reply()
+        if request.attempt is not attempt:
+            raise SecondOutcomeError(f"second outcome for attempt {attempt.number} of {request.id}")
+        request.attempt = None
+        request.last_result = result
+        self.invariants.record_outcome(attempt, result)
+        request.may_have_run |= result not in RESULTS_WITHOUT_EFFECT
         self.counters.add(f"attempts_{result.value}")
-        elapsed = max(self.clock() - attempt.started_us, 0)
+        elapsed_us = max(self.clock() - attempt.started_us, 0)
         if self.hooks:
-            self.hooks.on_outcome(ticket, attempt.endpoint, result, elapsed)
-        if result is AttemptResult.OK and not ticket.answered:
-            self._answer(ticket, Answer(AnswerKind.SERVED, reply, may_have_run=True))
-        elif ticket.abandoned and not ticket.answered:
-            self._answer_abandoned(ticket)
+            self.hooks.on_outcome(request, attempt.endpoint, result, elapsed_us)
+        if result is AttemptResult.OK and not request.answered:
+            self._answer(request, Answer(AnswerKind.SERVED, reply, may_have_run=True))
+        elif request.abandoned and not request.answered:
+            self._answer_abandoned(request)
         self._post(
             Outcome(
-                ticket.id,
+                request.id,
                 attempt.endpoint,
                 attempt.number,
                 result,
-                elapsed,
-                ticket.answered,
+                elapsed_us,
+                request.answered,
                 reply.load_report,
                 reply.used_rate_percent,
                 reply.units_elsewhere,
                 attempt.misdirected,
             )
         )
-        self._release(ticket)
+        self._release(request)
 
-    # To and from the module
+    # To and from the scheduler
 
     def _post(self, event: Event) -> None:
         """Events of one turn of the loop make one batch."""
         if not self._events:
-            self._call_soon(self._decide)
+            self.call_soon(self._decide)
         self._events.append(event)
 
     def _decide(self) -> None:
-        events, self._events = self._events, []
-        now = self.clock()
+        events = self._events
+        self._events = []
+        now_us = self.clock()
         try:
-            acts = self.scheduler.handle(now, events)
-        except Exception:  # what is open is still answered: _out_of_time and _last_word see to it
+            actions = self.scheduler.handle(now_us, events)
+        except Exception:  # open requests are still answered: `_on_deadline` sees to it
             self.counters.add("module_errors")
             self.log("module_error", trace=traceback.format_exc())
             return
         if self.action_observer is not None:
-            self.action_observer(now, acts)
-        # All are found before any is carried out: at one of them its client may turn out to have left, with
-        # other requests of its own, and each Send is owed an outcome.
-        for act, ticket in [(act, self._request_of(act)) for act in acts]:
-            if isinstance(act, SetTimer):
-                self.wheel.call_at(now + act.delay_us, self._post, TimerExpired(act.label))
-            elif isinstance(act, LogNote):
-                self.log("module_note", text=act.text)
-            elif isinstance(act, Send | Reject | Fail | Cancel) and ticket is not None:
-                self._carry_out(ticket, act)
-
-    def _request_of(self, act: Action) -> InFlightRequest | None:
-        if not isinstance(act, Send | Reject | Fail | Cancel):
+            self.action_observer(now_us, actions)
+        # All requests are found before any action is carried out: at one of them its client may turn out to
+        # have left, with other requests of its own, and each Send is owed an outcome.
+        for action, request in [(action, self._request_of(action)) for action in actions]:
+            if isinstance(action, SetTimer):
+                self.wheel.call_at(now_us + action.delay_us, self._post, TimerExpired(action.label))
+            elif isinstance(action, LogNote):
+                self.log("module_note", text=action.text)
+            elif isinstance(action, Send | Reject | Fail | Cancel) and request is not None:
+                self._carry_out(request, action)
+
+    def _request_of(self, action: Action) -> InFlightRequest | None:
+        if not isinstance(action, Send | Reject | Fail | Cancel):
             return None
-        ticket = self.open_requests.get(int(act.request_id.partition(".")[0]))
-        return ticket if ticket is not None and ticket.id == act.request_id else None
-
-    def _carry_out(self, ticket: InFlightRequest, act: Send | Reject | Fail | Cancel) -> None:
-        if isinstance(act, Send):
-            self._send(ticket, act.endpoint)
-        elif isinstance(act, Cancel):
-            if ticket.attempt is not None and ticket.attempt.number == act.attempt and self.transport:
-                self.transport.stop(ticket.attempt, AttemptResult.CANCELLED)
-        elif not ticket.answered:
-            refused = isinstance(act, Reject)
-            advice = act.retry_after_us if isinstance(act, Reject) else 0
-            kind = AnswerKind.REJECTED if refused and self.guard.may_repeat(ticket) else AnswerKind.FAILED
-            if act.reason is not None:
-                self.counters.add(f"requests_{kind.value}_{act.reason.value}")
-            self._answer(ticket, Answer(kind, None, advice, ticket.may_have_run))
-            self._release(ticket)
-
-    def _send(self, ticket: InFlightRequest, node: str) -> None:
-        number, now = ticket.attempt_count, self.clock()
-        denial = Denial.STOPPING if self.transport is None else self.guard.may_begin(ticket)
-        ticket.attempt_count += 1
+        request = self.open_requests.get(int(action.request_id.partition(".")[0]))
+        return request if request is not None and request.id == action.request_id else None
+
+    def _carry_out(self, request: InFlightRequest, action: Send | Reject | Fail | Cancel) -> None:
+        if isinstance(action, Send):
+            self._send(request, action.endpoint)
+        elif isinstance(action, Cancel):
+            self._cancel(request, action.attempt)
+        elif not request.answered:
+            self._end(request, action)
+
+    def _cancel(self, request: InFlightRequest, attempt_number: int) -> None:
+        attempt = request.attempt
+        if attempt is not None and attempt.number == attempt_number and self.transport:
+            self.transport.stop(attempt, AttemptResult.CANCELLED)
+
+    def _end(self, request: InFlightRequest, action: Reject | Fail) -> None:
+        """Answer what the scheduler gives up; a rejection that is not harmless is a failure."""
+        is_rejection = isinstance(action, Reject) and self.guard.may_repeat(request)
+        kind = AnswerKind.REJECTED if is_rejection else AnswerKind.FAILED
+        retry_after_us = action.retry_after_us if isinstance(action, Reject) else 0
+        if action.reason is not None:
+            self.counters.add(f"requests_{kind.value}_{action.reason.value}")
+        self._answer(request, Answer(kind, None, retry_after_us, request.may_have_run))
+        self._release(request)
+
+    def _send(self, request: InFlightRequest, endpoint: str) -> None:
+        number = request.attempt_count
+        now_us = self.clock()
+        denial = Denial.STOPPING if self.transport is None else self.guard.may_begin(request)
+        request.attempt_count += 1
         if denial is not None or self.transport is None:
             self.counters.add("attempts_barred")
             self.counters.add(f"attempts_barred_{denial.value if denial else 'stopping'}")
-            self._post(Outcome(ticket.id, node, number, AttemptResult.NOT_SENT, 0, ticket.answered))
+            self._post(Outcome(request.id, endpoint, number, AttemptResult.NOT_SENT, 0, request.answered))
             return
-        last = ticket.attempt_count >= self.settings.max_attempts
-        once = last or self.classes[ticket.request.class_name].repeatability is not Repeatability.IDEMPOTENT
-        ticket.attempt = Attempt(ticket, number, node, now, ticket.request.deadline_us, once)
+        is_last = request.attempt_count >= self.settings.max_attempts
+        must_not_repeat = is_last or not self._is_idempotent(request)
+        attempt = Attempt(request, number, endpoint, now_us, request.request.deadline_us, must_not_repeat)
+        request.attempt = attempt
         self.counters.add("attempts_sent")
-        if number and ticket.last_result is not None:
-            self.counters.add(f"attempts_repeated_after_{ticket.last_result.value}")
+        if number and request.last_result is not None:
+            self.counters.add(f"attempts_repeated_after_{request.last_result.value}")
         if self.trace_log is not None:
-            after = ticket.last_result.value if ticket.last_result else ""
-            self.trace_log("attempt", **self._log_fields(ticket), number=number, node=node, after=after)
+            after = request.last_result.value if request.last_result else ""
+            self.trace_log("attempt", **self._log_fields(request), number=number, node=endpoint, after=after)
         if self.decision_observer is not None:
-            self.decision_observer.on_attempt(ticket, node)
-        self.transport.start(ticket.attempt)
+            self.decision_observer.on_attempt(request, endpoint)
+        self.transport.start(attempt)
 
     @staticmethod
-    def _log_fields(ticket: InFlightRequest) -> dict[str, str]:
-        """What a line of the log names a request by: its id here, and its client's own."""
-        return {"request": ticket.id, "call": ticket.request.call_id.decode("latin-1")}
+    def _log_fields(request: InFlightRequest) -> dict[str, str]:
+        """Return what a log line names a request by: its id here, and its client's own."""
+        return {"request": request.id, "call": request.request.call_id.decode("latin-1")}
 
     # Ends
 
     def finish(self) -> None:
-        """The process ends: what is open is answered with what is known of it, what comes is refused."""
+        """End: what is open is answered with what is known of it, what comes is rejected."""
         self.stopping = True
-        for ticket in self.open_requests:
-            self._answer_undecided(ticket)
-
-    def _on_deadline(self, ticket: InFlightRequest) -> None:
-        """The time of the request, and of the attempt that is out, is over. An attempt of a client that
-        left ends here too."""
-        ticket.timer = None
-        if ticket.attempt is not None and self.transport:
-            self.transport.stop(ticket.attempt, AttemptResult.TIMEOUT)
-        if not ticket.answered:
-            self.wheel.call_after(DECISION_GRACE_US, self._answer_undecided, ticket)
-
-    def _answer_undecided(self, ticket: InFlightRequest) -> None:
-        """The module left it open: answered here, for each request taken is owed one answer."""
-        if not ticket.answered:
-            self.counters.add("answered_for_module")
-            out = ticket.attempt
-            unsent = out is None or (self.transport is not None and self.transport.cancel_if_unsent(out))
-            kind = AnswerKind.REJECTED if unsent and self.guard.may_repeat(ticket) else AnswerKind.FAILED
-            self._answer(ticket, Answer(kind, may_have_run=ticket.may_have_run or not unsent))
-            self._post(ClientDisconnected(ticket.id))
-            self._release(ticket)
-
-    def _answer(self, ticket: InFlightRequest, answer: Answer) -> None:
-        self.invariants.answered(ticket)
-        ticket.answered = True
+        for request in self.open_requests:
+            self._answer_undecided(request)
+
+    def _on_deadline(self, request: InFlightRequest) -> None:
+        """End the time of a request and of its attempt in flight, also where its client has left."""
+        request.timer = None
+        if request.attempt is not None and self.transport:
+            self.transport.stop(request.attempt, AttemptResult.TIMEOUT)
+        if not request.answered:
+            self.wheel.call_after(DECISION_GRACE_US, self._answer_undecided, request)
+
+    def _answer_undecided(self, request: InFlightRequest) -> None:
+        """Answer what the scheduler left open, for each accepted request is owed one answer."""
+        if request.answered:
+            return
+        self.counters.add("answered_for_module")
+        attempt = request.attempt
+        unsent = attempt is None or (self.transport is not None and self.transport.cancel_if_unsent(attempt))
+        kind = AnswerKind.REJECTED if unsent and self.guard.may_repeat(request) else AnswerKind.FAILED
+        self._answer(request, Answer(kind, may_have_run=request.may_have_run or not unsent))
+        self._post(ClientDisconnected(request.id))
+        self._release(request)
+
+    def _answer(self, request: InFlightRequest, answer: Answer) -> None:
+        self.invariants.record_answer(request)
+        request.answered = True
         if answer.reply is None or answer.reply.stream is None:
-            self._count(answer.kind, ticket.request.class_name)
+            self._count(answer.kind, request.request.class_name)
         self.counters.add(f"requests_{answer.kind.value}")
         if self.hooks:
-            self.hooks.on_answer(ticket, answer)
-        ticket.on_answer(answer)
-        self._release(ticket)
+            self.hooks.on_answer(request, answer)
+        request.on_answer(answer)
+        self._release(request)
 
     def _count(self, kind: AnswerKind, class_name: str) -> None:
         self.unanswered_count -= 1
         self.answer_counts[kind, class_name] += 1
 
-    def stream_ended(self, class_name: str, whole: bool | None) -> None:
-        """A long answer is out, or broke off; None where the client left."""
-        if whole is None:
-            self.unanswered_count -= 1
-        else:
-            self._count(AnswerKind.SERVED if whole else AnswerKind.FAILED, class_name)
-
-    def _release(self, ticket: InFlightRequest) -> None:
-        if ticket.answered and ticket.attempt is None and self.open_requests.get(ticket.slot) is ticket:
-            if ticket.timer is not None:
-                ticket.timer.cancel()
-            self._open_by_call_id.pop(ticket.request.call_id, None)
-            self.open_requests.free(ticket.slot)
-            self.invariants.released(ticket)
+    def _release(self, request: InFlightRequest) -> None:
+        if not request.answered or request.attempt is not None:
+            return
+        if self.open_requests.get(request.slot) is not request:
+            return
+        if request.timer is not None:
+            request.timer.cancel()
+        self._open_by_call_id.pop(request.request.call_id, None)
+        self.open_requests.free(request.slot)
+        self.invariants.forget_request(request)
--- a/umberlead/requests/send_guard.py
+++ b/umberlead/requests/send_guard.py
@@ -1,8 +1,8 @@
 """The one guard that every attempt passes, before it is begun and again before its first byte is written.
 
 It holds the rules that bind whoever decides: one attempt at a time, none past the request's end or its
-client's, no repeat of what must not run twice, nothing new to a node that drains or is gone. Free of I/O:
-what it needs to know of clients is asked through a call.
+client's, no repeat of what must not run twice, nothing new to an endpoint that drains or is gone. Free of
+I/O: what it needs to know of clients is asked through a call.
 """
 
 from collections.abc import Callable
@@ -33,20 +33,23 @@
         classes: dict[str, RequestClass],
         max_attempts: int,
         clock: Callable[[], int],
-        node_takes_new: Callable[[str], bool],
+        accepts_new_requests: Callable[[str], bool],
         client_waits: Callable[[InFlightRequest], bool],
     ) -> None:
         """Guard requests of `classes`.
 
         Args:
-            classes: by name; what a class's effect forbids is not repeated.
+            classes: by name; what a class's repeatability forbids is not repeated.
             max_attempts: of one request.
             clock: tells microseconds.
-            node_takes_new: whether the list as it stands lets anything new begin at a node.
+            accepts_new_requests: whether the list as it stands lets anything new begin at an endpoint.
             client_waits: looks for the client at this very moment; asked last, as it costs a system call.
         """
-        self._classes, self._max_attempts, self._clock = classes, max_attempts, clock
-        self._node_takes_new, self._client_waits = node_takes_new, client_waits
+        self._classes = classes
+        self._max_attempts = max_attempts
+        self._clock = clock
+        self._accepts_new_requests = accepts_new_requests
+        self._client_waits = client_waits
 
     def may_repeat(self, request: InFlightRequest) -> bool:
         """Tell whether running it again does no harm: nothing ran, or its class is safe to repeat."""
@@ -68,7 +71,7 @@
 
     def may_write(self, attempt: Attempt) -> Denial | None:
         """Return why an attempt whose connection is up may not be written now; None lets it."""
-        if not self._node_takes_new(attempt.endpoint):
+        if not self._accepts_new_requests(attempt.endpoint):
             return Denial.ENDPOINT_OUT_OF_SERVICE
         return self._denied_client(attempt.request)
 
--- a/umberlead/scheduling/actions.py
+++ b/umberlead/scheduling/actions.py
@@ -8,17 +8,17 @@
 
 
 class EndReason(Enum):
-    """Why a request was refused or failed."""
+    """Why a request was rejected or failed."""
 
     OBJECTIVE_UNREACHABLE = "hopeless"  # it would be served late, and take the place of one in time
-    OBJECTIVE_PASSED = "aim_over"  # it waited up to its aim
+    OBJECTIVE_PASSED = "aim_over"  # it waited up to its latency objective
     NO_ATTEMPT_LEFT = "no_further_attempt"  # its class, its count or the budget allows none
     OVERLOAD = "overload"  # more wait than there are places for their connections
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the request's next attempt (numbered from 0) at a node."""
+    """Start the request's next attempt, numbered from 0, at an endpoint."""
 
     request_id: str
     endpoint: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final: not served, harmless to try again, best after `retry_after` (0: no advice)."""
+    """Final: not served, harmless to retry, best after `retry_after_us` (0: no advice)."""
 
     request_id: str
     retry_after_us: int = 0
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Give up one attempt."""
 
     request_id: str
     attempt: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `Wake` after `delay`."""
+    """Ask for a `TimerExpired` after `delay_us`."""
 
     delay_us: int
     label: str
@@ -59,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Examine a node."""
+    """Check the health of an endpoint."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask to be told of changes in the node list."""
+    """Ask to be notified of changes in the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/umberlead/scheduling/endpoint_state.py
@@ -0,0 +1,219 @@
+"""What the scheduler knows of one endpoint: its concurrency limit, its health, its slow start.
+
+The concurrency limit grows by additive increase while requests wait and is lowered by late answers. An
+endpoint that can't be connected to, or whose queue is full, is ejected for a while. All times are whole
+microseconds.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointStatus
+from umberlead.scheduling.moving_average import MovingAverage
+from umberlead.scheduling.settings import Settings
+from umberlead.scheduling.slow_start import SendWindow, max_window_units, pacing_delay_us
+from umberlead.scheduling.token_bucket import NEVER
+
+MAX_CONCURRENCY_REQUESTS = 8.0  # of mean size, in flight from one front
+TARGET_LATENCY_RATIO = 0.33  # of the smallest latency objective: the rest is left for waiting here
+LATE_ANSWER_DECREASE_RATIO = 0.5  # of its own units by which an answer that is very late lowers the limit
+LATENCY_SAMPLE_WEIGHT = 0.2
+LATENCY_MEMORY_US = 2_000_000  # after which an endpoint's own mean has faded towards the fleet's
+MAX_LATENCY_SAMPLE_RATIO = 3.0  # of the target latency, most that one answer counts for
+ERROR_SAMPLE_WEIGHT = 2 * LATENCY_SAMPLE_WEIGHT
+ERROR_MEMORY_US = 2 * LATENCY_MEMORY_US
+MAX_ERROR_SAMPLE_RATIO = 1.0
+OUTLIER_ERROR_RATE_THRESHOLD = 0.3
+EJECTION_CONNECT_TIMEOUTS_COUNT = 2  # for which an endpoint is ejected
+OVERDUE_LATENCY_FACTOR = 4.0  # of its endpoint's mean latency, from which an attempt is overdue
+MIN_OVERLOAD_FACTOR = 1.01
+
+
+def fleet_latency_average(now_us: int) -> MovingAverage:
+    """Return the mean latency of all endpoints together, over the target latency."""
+    return MovingAverage(now_us, LATENCY_SAMPLE_WEIGHT, LATENCY_MEMORY_US, MAX_LATENCY_SAMPLE_RATIO)
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointContext:
+    """What all endpoints of a scheduler have in common.
+
+    Attributes:
+        settings: the scheduler's.
+        started_us: when the scheduler started.
+        fleet_latency: the mean latency of all endpoints, which stands in for one that is not known.
+        traffic_share: this front's share, to 1, of a shard's traffic.
+    """
+
+    settings: Settings
+    started_us: int
+    fleet_latency: MovingAverage
+    traffic_share: Callable[[int], float]
+
+
+@dataclass(slots=True, eq=False)
+class AttemptInFlight:
+    """One attempt that is out.
+
+    Attributes:
+        endpoint_state: of the endpoint that it was sent to.
+        sent_us: when it was sent.
+        reserved_units: its part of the units in flight; none once it is written off.
+        slow_start_credit_us: of the endpoint's pacing, that being served gives back.
+        request_units: the request's size, written off or not.
+    """
+
+    endpoint_state: "EndpointState"
+    sent_us: int
+    reserved_units: float
+    slow_start_credit_us: float
+    request_units: float = field(init=False)
+
+    def __post_init__(self) -> None:
+        """Reserve the request's whole size."""
+        self.request_units = self.reserved_units
+
+
+class EndpointState:
+    """The state of one endpoint.
+
+    Attributes:
+        endpoint: its line of the endpoint list in force.
+        first_send_jitter: part, to 1, of its pacing that passes before the first request: fronts differ in
+        it. concurrency_limit_units: most units in flight, as learnt.
+        relative_latency: mean latency over `target_latency_us`.
+        units_in_flight: units sent and not answered, without those written off.
+        ejected_until_us: no request is sent before.
+        error_rate: share of answers that are errors.
+        send_window: what was sent during slow start.
+        latest_served_sent_us: when the latest sent of those served was sent.
+        paced_until_us: what was sent during slow start is paid for by then.
+        target_latency_us: latency above which the concurrency limit falls.
+    """
+
+    def __init__(
+        self, endpoint: Endpoint, context: EndpointContext, now_us: int, first_send_jitter: float
+    ) -> None:
+        """Begin with nothing known of `endpoint`; `first_send_jitter` is drawn from 0 to 1."""
+        settings = context.settings
+        self.settings = settings
+        self.endpoint = endpoint
+        self.traffic_share = context.traffic_share
+        self.first_send_jitter = first_send_jitter
+        # All fronts may begin at once.
+        self.concurrency_limit_units = max(
+            self.max_concurrency_units() / settings.front_count, settings.mean_request_units
+        )
+        self.relative_latency = MovingAverage(
+            now_us,
+            LATENCY_SAMPLE_WEIGHT,
+            LATENCY_MEMORY_US,
+            MAX_LATENCY_SAMPLE_RATIO,
+            context.fleet_latency,
+        )
+        self.units_in_flight = 0.0
+        self.ejected_until_us = 0
+        self.error_rate = MovingAverage(now_us, ERROR_SAMPLE_WEIGHT, ERROR_MEMORY_US, MAX_ERROR_SAMPLE_RATIO)
+        self.send_window = SendWindow(settings.cold_window_us)
+        self.latest_served_sent_us = 0
+        # What this front's previous process sent is not known.
+        self.paced_until_us: float = max(now_us, context.started_us + settings.cold_window_us)
+        smallest_objective_us = min(cls.latency_objective_us for cls in settings.classes)
+        self.target_latency_us = int(TARGET_LATENCY_RATIO * smallest_objective_us)
+
+    def max_concurrency_units(self) -> float:
+        """Return the most units that may ever be in flight."""
+        configured_units = self.endpoint.max_in_flight_units or NEVER
+        return min(MAX_CONCURRENCY_REQUESTS * self.settings.mean_request_units, configured_units)
+
+    def slow_start_cost_us(self, now_us: int, units: float) -> float:
+        """Return how long `units` take of this front's share of a warming endpoint; 0 of a warm one."""
+        share = self.traffic_share(self.endpoint.shard)
+        return pacing_delay_us(self.settings, self.endpoint, now_us, units, share)
+
+    def ready_at_us(self, now_us: int, units: float) -> float:
+        """Return when the endpoint may take `units` more; NEVER while only an event can change that."""
+        if self.endpoint.status is not EndpointStatus.UP or self._is_full(units):
+            return NEVER
+        cost_us = self.slow_start_cost_us(now_us, units)
+        if not cost_us:
+            return max(self.ejected_until_us, now_us)
+        first_delay_us = self.first_send_jitter * max(cost_us - self.settings.cold_window_us, 0.0)
+        share = self.traffic_share(self.endpoint.shard)
+        max_units = max_window_units(self.settings, self.endpoint, now_us, share)
+        window_free_us = self.send_window.free_at(now_us, units, max_units)
+        return max(self.ejected_until_us, self.paced_until_us + first_delay_us, window_free_us)
+
+    def _is_full(self, units: float) -> bool:
+        """Tell whether `units` more are over the limit; a single request is never too large."""
+        if not self.units_in_flight:
+            return False
+        limit_units = min(self.concurrency_limit_units, self.max_concurrency_units())
+        return self.units_in_flight + units > limit_units
+
+    def is_outlier(self, now_us: int) -> bool:
+        """Tell whether requests with a choice go elsewhere: an endpoint that fails quickly looks idle."""
+        return self.error_rate.read(now_us) >= OUTLIER_ERROR_RATE_THRESHOLD
+
+    def overdue_at_us(self, now_us: int, units: float) -> float:
+        """Return when an attempt of `units` sent now is overdue."""
+        size_factor = max(units / self.settings.mean_request_units, 1.0)
+        mean_us = self.relative_latency.read(now_us) * self.target_latency_us * size_factor
+        return now_us + max(OVERDUE_LATENCY_FACTOR * mean_us, self.target_latency_us)
+
+    def record_send(self, now_us: int, units: float) -> AttemptInFlight:
+        """Note that `units` are sent, and return their attempt.
+
+        What is served can't pass a cold endpoint's capacity, so one part in the overload factor is set aside
+        for it, and the rest is charged for what is not served. Being served gives that back, but for one part
+        in the factor where the front's share is below a request: many fronts may wait for the same. The
+        window keeps all.
+        """
+        self.units_in_flight += units
+        self.first_send_jitter = 0.0
+        cost_us = self.slow_start_cost_us(now_us, units)
+        served_ratio = 1 / max(self.settings.cold_overload_factor, MIN_OVERLOAD_FACTOR)
+        self.paced_until_us = max(self.paced_until_us, now_us) + int(cost_us / (1 - served_ratio))
+        if cost_us:
+            self.send_window.add(now_us, units)
+        kept_us = 0 if cost_us < self.settings.cold_window_us else served_ratio * cost_us
+        return AttemptInFlight(self, now_us, units, cost_us / (1 - served_ratio) - kept_us)
+
+    def record_outcome(
+        self,
+        now_us: int,
+        attempt: AttemptInFlight,
+        result: AttemptResult,
+        elapsed_us: int,
+        requests_wait: bool,
+    ) -> None:
+        """Learn from an attempt's end; the limit grows only while `requests_wait` for it."""
+        if result is AttemptResult.OK:
+            self.latest_served_sent_us = max(self.latest_served_sent_us, attempt.sent_us)
+            self.paced_until_us -= attempt.slow_start_credit_us
+        self.units_in_flight = max(self.units_in_flight - attempt.reserved_units, 0.0)
+        if result in (AttemptResult.OK, AttemptResult.ERROR):
+            self.error_rate.add(now_us, result is AttemptResult.ERROR)
+        # The latency of an error that comes quickly tells nothing.
+        if result in (AttemptResult.OK, AttemptResult.TIMEOUT) or elapsed_us > self.target_latency_us:
+            self._learn_latency(now_us, attempt, elapsed_us, requests_wait)
+        # A connection that breaks ejects nobody: a peer may close connections as it likes.
+        if result in (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED):
+            self.concurrency_limit_units = self.settings.mean_request_units
+            ejection_us = self.settings.connect_timeout_us * EJECTION_CONNECT_TIMEOUTS_COUNT
+            self.ejected_until_us = now_us + ejection_us
+
+    def _learn_latency(
+        self, now_us: int, attempt: AttemptInFlight, elapsed_us: int, requests_wait: bool
+    ) -> None:
+        mean_units = self.settings.mean_request_units
+        latency_ratio = elapsed_us / self.target_latency_us
+        self.relative_latency.add(now_us, latency_ratio / max(attempt.request_units / mean_units, 1.0))
+        if elapsed_us > self.target_latency_us:
+            decrease = LATE_ANSWER_DECREASE_RATIO * min(latency_ratio - 1, 1.0) * attempt.reserved_units
+            self.concurrency_limit_units = max(self.concurrency_limit_units - decrease, mean_units)
+        elif requests_wait:
+            increase = attempt.reserved_units * mean_units / self.concurrency_limit_units
+            self.concurrency_limit_units = min(
+                self.concurrency_limit_units + increase, self.max_concurrency_units()
+            )
--- a/umberlead/scheduling/events.py
+++ b/umberlead/scheduling/events.py
@@ -8,7 +8,7 @@
 
 
 class EndpointStatus(Enum):
-    """What the node list says of a node."""
+    """What the endpoint list says of an endpoint."""
 
     UP = "up"
     DRAINING = "draining"
@@ -19,32 +19,43 @@
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # the node answered with an error; it may have run
-    REJECTED = "full"  # turned away unseen
+    ERROR = "error"  # the endpoint answered with an error; it may have run
+    REJECTED = "full"  # the endpoint rejected it; it never ran
     TIMEOUT = "timeout"  # no answer in time; it may have run
-    CONNECT_FAILED = "no_link"  # no connection came about
+    CONNECT_FAILED = "no_link"  # no connection was made; it never ran
     RESET = "reset"  # the connection broke; it may have run
-    CANCELLED = "cancelled"  # withdrawn; it may have run
-    NOT_SENT = "moot"  # never went out
+    CANCELLED = "cancelled"  # given up; it may have run
+    NOT_SENT = "moot"  # never sent, or the endpoint has no use for it; it never ran
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A line of the node list."""
+    """An entry of the endpoint list.
+
+    Attributes:
+        name: its name in the list.
+        status: whether it takes requests.
+        shard: the data that it holds.
+        started_us: when it started; 0: long ago.
+        weight: its part of new objects, where the list gives weights.
+        max_in_flight_units: most units in flight from one front; 0: the scheduler's own bound alone.
+        distance_factor: by which its latency counts more where there is a choice.
+        zone: its failure domain, as the list tells it; nothing is decided by that here.
+    """
 
     name: str
     status: EndpointStatus
     shard: int
-    started_us: int = 0  # 0: long ago
-    weight: float | None = None  # its part of new objects, where the list gives weights
-    max_in_flight_units: float = 0.0  # most units that one head has out there; 0: the design's bound alone
-    distance_factor: float = 1.0  # how much dearer its answers count where there is a choice
-    zone: str = ""  # where it stands, as the list tells it; nothing is decided by that here
+    started_us: int = 0
+    weight: float | None = None
+    max_in_flight_units: float = 0.0
+    distance_factor: float = 1.0
+    zone: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """News of the nodes: the whole list, or only what changed."""
+    """The endpoint list: `complete`, or only the entries that changed."""
 
     complete: bool
     endpoints: tuple[Endpoint, ...]
@@ -52,12 +63,25 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListFailed:
-    """A call for the node list failed; the list held so far stays valid."""
+    """A call for the endpoint list failed; the list in force stays."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request, to be answered once before `give_up`."""
+    """A client's request, to be answered once before `deadline_us`.
+
+    Attributes:
+        request_id: its name between the scheduler and its caller.
+        key: the piece of data; None where it names none.
+        volume: the volume that it belongs to.
+        deadline_us: when its client gives up.
+        shard: the shard that holds the data; -1 for a new object.
+        units: its size.
+        class_name: its class.
+        plan: its volume's plan.
+        volume_front_count: through how many fronts its volume works.
+        is_client_retry: whether its client marked it as a retry.
+    """
 
     request_id: str
     key: str | None
@@ -81,7 +105,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one attempt ended; `final` when the request is over."""
+    """How one attempt ended.
+
+    Attributes:
+        request_id: the request's.
+        endpoint: where it was sent.
+        attempt: its number, from 0.
+        result: how it ended.
+        elapsed_us: since it was sent.
+        final: whether the request is answered with it.
+        load_report: the endpoint's figures.
+        used_rate_percent: 1 + percent of the plan's rate served for the volume in an earlier period; 0:
+        unknown. units_elsewhere: served there for the volume through other fronts.
+        misdirected: rejected as the request is over, or not for this endpoint: a retry there would end the
+        same.
+    """
 
     request_id: str
     endpoint: str
@@ -90,11 +128,9 @@
     elapsed_us: int
     final: bool
     load_report: dict[str, float] = field(default_factory=dict)
-    used_rate_percent: int = 0  # 1 + percent of the plan's rate served for the volume in a past period
-    units_elsewhere: int = 0  # units served there for the volume through other heads
-    misdirected: bool = (
-        False  # turned away as the request is over, or not for this node: again would end the same
-    )
+    used_rate_percent: int = 0
+    units_elsewhere: int = 0
+    misdirected: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """What a probe found."""
+    """What a health check found."""
 
     endpoint: str
     result: AttemptResult
@@ -116,14 +152,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer asked for has come due."""
+    """A timer that was asked for has expired."""
 
     label: str
 
 
 @dataclass(frozen=True, slots=True)
 class ManualDrain:
-    """An operator takes a node out, at `at`, or puts it back; the list has no say in that."""
+    """An operator took an endpoint out at `at_us`, or put it back, whatever the list says."""
 
     endpoint: str
     drained: bool
@@ -132,15 +168,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessShare:
-    """Of what its front may send for a volume this process has `share`, above 0, to 1: processes that stand
-    beside each other never have more than 1 together. Told at the start, and again with each change."""
+    """This process's share, above 0 to 1, of what its front may send for a volume.
+
+    Sibling processes never have more than 1 together. It comes at the start, and with each change.
+    """
 
     share: float
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRequestLimit:
-    """From now on so many requests may be open at once, 0 for any number."""
+    """From now on so many requests may be open at once; 0 for any number."""
 
     max_requests: int
 
--- a/umberlead/scheduling/moving_average.py
+++ b/umberlead/scheduling/moving_average.py
@@ -1,30 +1,55 @@
-"""A mean of what was seen, over seen times that come as they come: many a second, or one in some seconds."""
+"""An exponentially weighted moving average over samples that come irregularly."""
 
 import math
 
 
 class MovingAverage:
-    """A mean of answers' time over target that fades, with no news, to that of `base`, else to nothing.
+    """A mean that decays, while no sample comes, to that of a fallback, else to nothing.
 
-    News weighs `smooth` where it comes often. Where it comes seldom it weighs more, as the last has faded:
-    one of 40 fronts that sees a server once in two seconds would else never learn that it is slow, for what
-    it learnt of one answer is gone with the next. It weighs what fades in half the time since: all of it made
-    single answers carry (lbsim quick 0.765 for 0.774). `memory` is in us, `most` bounds what
-    one answer counts."""
+    A sample weighs `sample_weight` where samples are frequent. Where they are rare it weighs more, as the
+    mean has decayed since the last: one of many fronts that sees an endpoint once in two seconds would else
+    never learn that it is slow. It weighs what decays in half the time since the last sample; all of it would
+    let single answers dominate.
+
+    Attributes:
+        mean: at `updated_us`.
+        updated_us: when the last sample came.
+        fallback: an average over more sources, which gets the samples too.
+        sample_weight: least weight of a sample, to 1.
+        memory_us: time constant of the decay.
+        max_sample: what one sample counts for at most.
+    """
+
+    __slots__ = ("fallback", "max_sample", "mean", "memory_us", "sample_weight", "updated_us")
 
     def __init__(
-        self, now: int, smooth: float, memory: int, most: float, base: "MovingAverage | None" = None
+        self,
+        now_us: int,
+        sample_weight: float,
+        memory_us: int,
+        max_sample: float,
+        fallback: "MovingAverage | None" = None,
     ) -> None:
-        self.mean, self.updated_us, self.fallback = base.read(now) if base else 0.0, now, base
-        self.sample_weight, self.memory_us, self.max_sample = smooth, memory, most
+        """Begin at the fallback's mean, else at nothing."""
+        self.mean = fallback.read(now_us) if fallback else 0.0
+        self.updated_us = now_us
+        self.fallback = fallback
+        self.sample_weight = sample_weight
+        self.memory_us = memory_us
+        self.max_sample = max_sample
 
-    def read(self, now: int) -> float:
-        base = self.fallback.read(now) if self.fallback else 0.0
-        return base + (self.mean - base) * math.exp((self.updated_us - now) / self.memory_us)
+    def read(self, now_us: int) -> float:
+        """Return the mean as it has decayed by now."""
+        fallback_mean = self.fallback.read(now_us) if self.fallback else 0.0
+        decay = math.exp((self.updated_us - now_us) / self.memory_us)
+        return fallback_mean + (self.mean - fallback_mean) * decay
 
-    def add(self, now: int, news: float) -> None:
+    def add(self, now_us: int, sample: float) -> None:
+        """Take a sample."""
         if self.fallback:
-            self.fallback.add(now, news)
-        old = self.read(now)
-        weight = max(self.sample_weight, 1 - math.exp((self.updated_us - now) / (2 * self.memory_us)))
-        self.mean, self.updated_us = old + weight * (min(news, self.max_sample) - old), now
+            self.fallback.add(now_us, sample)
+        decayed_mean = self.read(now_us)
+        decayed_ratio = 1 - math.exp((self.updated_us - now_us) / (2 * self.memory_us))
+        weight = max(self.sample_weight, decayed_ratio)
+        self.mean = decayed_mean + weight * (min(sample, self.max_sample) - decayed_mean)
+        self.updated_us = now_us
--- a/umberlead/scheduling/rate_limits.py
+++ b/umberlead/scheduling/rate_limits.py
@@ -1,169 +1,219 @@
-"""What a head may send for a volume, and what it owes it: its parts of stores that all fronts share.
+"""What this process may send for a volume, and what it owes it: its shares of buckets that all fronts share.
 
-The rule (BENCH, WIRE, PROTOCOL): for a plan with a limit each volume has one store for all fronts, full at
-first, that fills at the limit's rate up to its burst. A request takes its units once, when its last byte has
-come to a chunk server for the first time; the store may go below nothing by the slack.
+The rule (the operators' protocol page): for a plan with a limit each volume has one bucket over all fronts,
+full at first, that fills at the limit's rate up to its burst. A request takes its units once, when its last
+byte has come to an endpoint for the first time; the bucket may go below nothing by the slack.
 
-Why the sum holds: a front has one part in `writers` of rate and burst, and a process has its part of the
-front's. Parts never add up to more than one, no store holds more than its part of the burst, and who begins
-beside others begins with nothing: so all stores together never hold more than the rule's one. Beyond that
-there is half a part of the slack at the birth of a front that nobody stands beside, which can't know what was
-spent before. Fronts don't speak of it: how many send for a volume is known from `writers` alone."""
+Why the sum holds: a front has one share in `front_count` of rate and burst, and a process has its share of
+the front's. Shares never add up to more than one, no bucket holds more than its share of the burst, and a
+process that starts beside others starts with nothing: so all buckets together never hold more than the rule's
+one. Beyond that there is half a share of the slack at the start of a front without a sibling process, which
+can't know what was spent before. Fronts don't speak of it: how many serve a volume is known from its requests
+alone.
+"""
+
+from dataclasses import dataclass
 
 from umberlead.scheduling.events import AttemptResult, Outcome, Request
 from umberlead.scheduling.pending_request import PendingRequest
 from umberlead.scheduling.settings import Plan, Settings
 from umberlead.scheduling.token_bucket import NEVER, TokenBucket
 
-PROCESS_NOTICE_US = (
-    100_000  # us in which others learn of a new process, by their next look; the slack bears a late one
-)
-MAX_SHARE_CHANGES = 8  # of the part that are remembered; before these, a volume not yet seen has nothing
-RESULTS_OF_DELIVERY = (
-    AttemptResult.OK,
-    AttemptResult.ERROR,
-    AttemptResult.REJECTED,
-)  # its node answered: the request had come there whole
+PROCESS_NOTICE_US = 100_000  # in which siblings learn of a new process; the slack bears a late one
+MAX_SHARE_CHANGES_COUNT = 8  # that are remembered; before these, a volume not yet seen has nothing
+START_SLACK_RATIO = 0.5  # of the slack, that a process without siblings starts with
+# The endpoint answered: the request had come there completely.
+RESULTS_OF_DELIVERY = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED)
+
+
+@dataclass(frozen=True, slots=True)
+class BucketSize:
+    """How fast a bucket fills, and how much it holds."""
+
+    units_per_second: float
+    capacity_units: float
+
+
+@dataclass(frozen=True, slots=True)
+class ShareChange:
+    """From `at_us` on, this process has `share`, to 1, of its front."""
+
+    at_us: int
+    share: float
 
 
 class VolumeLimit:
-    """`limit` is this process's part; `due`, the reserve or what the usual rate earns, this front's, and kept
-    in the mean, on credit."""
-
-    def __init__(self, plan: Plan, writers: int, s: Settings, now: int) -> None:
-        self.plan, self.settings, self.front_count, self.process_share = plan, s, writers, 1.0
-        self.last_request_us, self.lower_front_count, self.lower_since_us = (
-            now,
-            0,
-            now,
-        )  # told of late, where it is below `writers`
-        owed, most = self._owed()
-        self.entitlement, self.limit = TokenBucket(owed, most, most, now), TokenBucket(1.0, NEVER, NEVER, now)
-
-    def start_limit(self, since: int, part: float, credit: float) -> None:
-        """The limit's store as it was at `since` (us), with that part of the slack in it."""
-        self.process_share = part
-        rate, most = self._limit()
-        have = self.plan.limit_slack_units * credit * part / self.front_count if most < NEVER else NEVER
-        self.limit = TokenBucket(rate, most, min(have, most), since)
-
-    def _limit(self) -> tuple[float, float]:
-        if not self.plan.limit_units_per_second:
-            return 1.0, NEVER
-        part = self.process_share / self.front_count
-        return self.plan.limit_units_per_second * part, self.plan.limit_burst_units * part
-
-    def _owed(self) -> tuple[float, float]:
-        owed = (
-            max(
-                self.plan.reserved_units_per_second,
-                self.settings.within_share_factor * self.plan.usual_units_per_second,
-            )
-            / self.front_count
+    """One volume's limit and entitlement.
+
+    Attributes:
+        front_count: through how many fronts the volume works.
+        process_share: of its front, that this process has.
+        last_request_us: when the volume's last request came.
+        limit: this process's share of the volume's rate limit.
+        entitlement: this front's share of the reserve, or of what the usual rate earns; kept in the mean, on
+            credit.
+    """
+
+    def __init__(self, plan: Plan, front_count: int, settings: Settings, now_us: int) -> None:
+        """Begin with a full entitlement and no limit: `start_limit` sets that."""
+        self.front_count = front_count
+        self.process_share = 1.0
+        self.last_request_us = now_us
+        self._plan = plan
+        self._settings = settings
+        self._lower_front_count = 0  # as requests tell lately, where it is below `front_count`
+        self._lower_since_us = now_us
+        size = self._entitlement_size()
+        self.entitlement = TokenBucket(
+            size.units_per_second, size.capacity_units, size.capacity_units, now_us
         )
-        return owed, owed + self.settings.mean_request_units
-
-    def set_process_share(self, now: int, part: float) -> None:
-        """The process has another part from `now` on."""
-        self.process_share = part
-        self.limit.resize(now, *self._limit())
-
-    def set_front_count(self, now: int, writers: int, hold: int) -> None:
-        """A request tells of `writers`. More hold at once, fewer after `hold` (us): until then another front
-        may still send what it took when there were more."""
-        self.last_request_us = now
-        if writers < self.front_count:
-            self.lower_since_us = self.lower_since_us if self.lower_front_count else now
-            self.lower_front_count = max(self.lower_front_count, writers)
-            if now - self.lower_since_us < hold:
+        self.limit = TokenBucket(1.0, NEVER, NEVER, now_us)
+
+    def start_limit(self, since_us: int, process_share: float, slack_ratio: float) -> None:
+        """Set the limit as it was at `since_us`, with that part of the slack in it."""
+        self.process_share = process_share
+        size = self._limit_size()
+        available_units = NEVER
+        if size.capacity_units < NEVER:
+            slack_units = self._plan.limit_slack_units * slack_ratio * process_share / self.front_count
+            available_units = min(slack_units, size.capacity_units)
+        self.limit = TokenBucket(size.units_per_second, size.capacity_units, available_units, since_us)
+
+    def _limit_size(self) -> BucketSize:
+        if not self._plan.limit_units_per_second:
+            return BucketSize(1.0, NEVER)
+        share = self.process_share / self.front_count
+        return BucketSize(self._plan.limit_units_per_second * share, self._plan.limit_burst_units * share)
+
+    def _entitlement_size(self) -> BucketSize:
+        usual_units = self._settings.within_share_factor * self._plan.usual_units_per_second
+        units_per_second = max(self._plan.reserved_units_per_second, usual_units) / self.front_count
+        return BucketSize(units_per_second, units_per_second + self._settings.mean_request_units)
+
+    def set_process_share(self, now_us: int, process_share: float) -> None:
+        """Let the process have another share from now on."""
+        self.process_share = process_share
+        size = self._limit_size()
+        self.limit.resize(now_us, size.units_per_second, size.capacity_units)
+
+    def set_front_count(self, now_us: int, front_count: int, hold_us: int) -> None:
+        """Take over the number of fronts that a request tells.
+
+        More hold at once, fewer after `hold_us`: until then another front may still send what it took when
+        there were more.
+        """
+        self.last_request_us = now_us
+        if front_count < self.front_count:
+            self._lower_since_us = self._lower_since_us if self._lower_front_count else now_us
+            self._lower_front_count = max(self._lower_front_count, front_count)
+            if now_us - self._lower_since_us < hold_us:
                 return
-            writers = self.lower_front_count
-        self.lower_front_count = 0
-        if writers != self.front_count:
-            before, self.front_count = self.limit.capacity_units, writers
-            rate, most = self._limit()
-            self.limit.refill(now)
-            if most < before:  # whoever joins may have as much in its store as each of the others gives up
-                self.limit.available_units -= before - most
-            self.limit.resize(now, rate, most)
-            self.entitlement.resize(now, *self._owed())
+            front_count = self._lower_front_count
+        self._lower_front_count = 0
+        if front_count != self.front_count:
+            self._resize_for(now_us, front_count)
+
+    def _resize_for(self, now_us: int, front_count: int) -> None:
+        earlier_capacity_units = self.limit.capacity_units
+        self.front_count = front_count
+        size = self._limit_size()
+        self.limit.refill(now_us)
+        # A front that joins may have as much in its bucket as each of the others gives up.
+        if size.capacity_units < earlier_capacity_units:
+            self.limit.available_units -= earlier_capacity_units - size.capacity_units
+        self.limit.resize(now_us, size.units_per_second, size.capacity_units)
+        entitlement = self._entitlement_size()
+        self.entitlement.resize(now_us, entitlement.units_per_second, entitlement.capacity_units)
 
 
 class RateLimits(dict[str, VolumeLimit]):
-    """The volumes that a head has seen of late, by name."""
+    """The volumes seen lately, by name.
+
+    Attributes:
+        process_share: of its front, that this process has; 0 while it was not told.
+    """
 
-    def __init__(self, s: Settings, born: int) -> None:
+    def __init__(self, settings: Settings, started_us: int) -> None:
+        """Begin with no volume known; `started_us` is the process's start."""
         super().__init__()
-        self.settings, self.longest_timeout_us = s, max(c.timeout_us for c in s.classes)
-        self.buckets_since_us, self.first_share, self.slack_credit = (
-            born,
-            1.0,
-            0.5,
-        )  # how the store of any volume began
-        self.share_changes: list[tuple[int, float]] = []  # of the part since then: when, and to what
-        self.unused, self.process_share = True, 0.0  # nothing was asked yet; the part told last, 0 for none
-
-    def set_process_share(self, now: int, part: float) -> None:
-        """This process has `part` (to 1) of what its front may send, from `now` (us) on."""
-        if self.unused and (
-            part < self.process_share or not self.process_share
-        ):  # it begins; beside others with nothing
-            self.buckets_since_us, self.first_share, self.slack_credit, self.share_changes = (
-                now,
-                part,
-                0.5,
-                [],
-            )
-            if part < 1:
-                self.buckets_since_us, self.slack_credit = now + PROCESS_NOTICE_US, 0.0
+        self.process_share = 0.0
+        self._settings = settings
+        self._longest_timeout_us = max(cls.timeout_us for cls in settings.classes)
+        # How the bucket of any volume started, and the changes of the share since then.
+        self._first_change = ShareChange(started_us, 1.0)
+        self._slack_ratio = START_SLACK_RATIO
+        self._share_changes: list[ShareChange] = []
+        self._is_unused = True
+
+    def set_process_share(self, now_us: int, share: float) -> None:
+        """Let this process have `share`, to 1, of what its front may send, from now on."""
+        if self._is_unused and (share < self.process_share or not self.process_share):
+            self._start_with(now_us, share)
         else:
-            self.share_changes.append((now, part))
-        self.process_share = part
-        if len(self.share_changes) > MAX_SHARE_CHANGES:
-            (self.buckets_since_us, self.first_share), self.slack_credit = self.share_changes.pop(0), 0.0
+            self._share_changes.append(ShareChange(now_us, share))
+        self.process_share = share
+        if len(self._share_changes) > MAX_SHARE_CHANGES_COUNT:
+            self._first_change = self._share_changes.pop(0)
+            self._slack_ratio = 0.0
         for volume in self.values():
-            volume.set_process_share(now, part)
-
-    def record_request(self, req: Request, plan: Plan, now: int) -> None:
-        """A request came: its volume is known from here on, and through how many fronts it works."""
-        writers, self.unused = max(req.volume_front_count, 1), False
-        if (known := self.get(req.volume)) is not None:
-            known.set_front_count(now, writers, self.longest_timeout_us)
+            volume.set_process_share(now_us, share)
+
+    def _start_with(self, now_us: int, share: float) -> None:
+        """Start anew: beside siblings with empty buckets, once they know of this process."""
+        self._share_changes = []
+        if share < 1:
+            self._first_change = ShareChange(now_us + PROCESS_NOTICE_US, share)
+            self._slack_ratio = 0.0
+        else:
+            self._first_change = ShareChange(now_us, share)
+            self._slack_ratio = START_SLACK_RATIO
+
+    def record_request(self, request: Request, plan: Plan, now_us: int) -> None:
+        """Note that a request came: its volume is known from here on, and its front count."""
+        front_count = max(request.volume_front_count, 1)
+        self._is_unused = False
+        known = self.get(request.volume)
+        if known is not None:
+            known.set_front_count(now_us, front_count, self._longest_timeout_us)
             return
-        volume = self[req.volume] = VolumeLimit(plan, writers, self.settings, now)
-        volume.start_limit(self.buckets_since_us, self.first_share, self.slack_credit)
-        for at, part in self.share_changes:
-            volume.set_process_share(at, part)
-
-    def wait_us(self, item: PendingRequest, now: int) -> int:
-        """How long (us) until `item` may go as far as its volume's limit is concerned."""
-        return (
-            0
-            if item.charged_attempt is not None
-            else self[item.request.volume].limit.wait_us(now, item.request.units)
-        )
-
-    def charge(self, item: PendingRequest) -> None:
-        """The next attempt of `item` goes out."""
-        if item.charged_attempt is None:
-            self[item.request.volume].limit.available_units -= item.request.units
-            item.charged_attempt = item.attempt_count
-
-    def record_outcome(self, item: PendingRequest, e: Outcome) -> None:
-        """What was never sent takes nothing. Where a node answered, the request took its units, and a further
-        attempt takes none. Else that is not known, and a further one is charged as well: it comes later than
-        what was charged. A failed connection takes its units too: the simulator counts them."""
-        if e.attempt != item.charged_attempt or e.result in RESULTS_OF_DELIVERY or e.misdirected:
+        volume = self[request.volume] = VolumeLimit(plan, front_count, self._settings, now_us)
+        volume.start_limit(self._first_change.at_us, self._first_change.share, self._slack_ratio)
+        for change in self._share_changes:
+            volume.set_process_share(change.at_us, change.share)
+
+    def wait_us(self, pending: PendingRequest, now_us: int) -> int:
+        """Return how long until a request may be sent as far as its volume's limit is concerned."""
+        if pending.charged_attempt is not None:
+            return 0
+        return self[pending.request.volume].limit.wait_us(now_us, pending.request.units)
+
+    def charge(self, pending: PendingRequest) -> None:
+        """Take the units of a request whose next attempt is sent, unless an earlier one took them."""
+        if pending.charged_attempt is None:
+            self[pending.request.volume].limit.available_units -= pending.request.units
+            pending.charged_attempt = pending.attempt_count
+
+    def record_outcome(self, pending: PendingRequest, outcome: Outcome) -> None:
+        """Settle what an attempt took.
+
+        What was never sent takes nothing. Where an endpoint answered, the request took its units, and a
+        further attempt takes none. Else that is not known, and a further one is charged as well: it comes
+        later than what was charged. A failed connection takes its units too: the simulator counts them.
+        """
+        was_delivered = outcome.result in RESULTS_OF_DELIVERY or outcome.misdirected
+        if outcome.attempt != pending.charged_attempt or was_delivered:
             return
-        item.charged_attempt = None
-        if e.result is AttemptResult.NOT_SENT and item.request.volume in self:
-            self[item.request.volume].limit.give_back(item.request.units)
-
-    def forget_idle(self, now: int, old: int) -> None:
-        """Volumes silent since `old` go once their store is full: a new one would hold no more."""
-        for name in [
-            k
-            for k, v in self.items()
-            if v.last_request_us <= old and not v.limit.wait_us(now, v.limit.capacity_units)
-        ]:
+        pending.charged_attempt = None
+        if outcome.result is AttemptResult.NOT_SENT and pending.request.volume in self:
+            self[pending.request.volume].limit.give_back(pending.request.units)
+
+    def forget_idle(self, now_us: int, idle_since_us: int) -> None:
+        """Forget volumes that are silent since then and whose limit is full."""
+        idle = [
+            name
+            for name, volume in self.items()
+            if volume.last_request_us <= idle_since_us
+            and not volume.limit.wait_us(now_us, volume.limit.capacity_units)
+        ]
+        for name in idle:
             del self[name]
--- /dev/null
+++ b/umberlead/scheduling/retries.py
@@ -0,0 +1,61 @@
+"""Whether a request may be attempted once more: its class, the count of its attempts, the retry budget."""
+
+from collections import deque
+
+from umberlead.scheduling.pending_request import PendingRequest
+from umberlead.scheduling.settings import Repeatability, RequestClass, Settings
+from umberlead.scheduling.token_bucket import NEVER
+
+
+def repeat_window_us(request_class: RequestClass) -> float:
+    """Return how long after an attempt that may have run another one is harmless; NEVER ends it."""
+    if request_class.repeatability is Repeatability.IDEMPOTENT:
+        return NEVER
+    if request_class.repeatability is Repeatability.IDEMPOTENT_BY_KEY:
+        return request_class.deduplication_window_us
+    return 0
+
+
+def is_harmless_to_repeat(pending: PendingRequest) -> bool:
+    """Tell whether the client may send a request again, whatever became of its attempts."""
+    request_class = pending.request_class
+    if pending.may_have_run_since_us is None or request_class.repeatability is Repeatability.IDEMPOTENT:
+        return True
+    deduplicated = request_class.repeatability is Repeatability.IDEMPOTENT_BY_KEY
+    return deduplicated and request_class.deduplication_scope == "all"
+
+
+class RetryPolicy:
+    """Applies the classes' rules, `max_attempts`, and a budget of retries over a sliding window."""
+
+    def __init__(self, settings: Settings) -> None:
+        """Begin with nothing sent."""
+        self._settings = settings
+        self._requests_us: deque[int] = deque()
+        self._retries_us: deque[int] = deque()
+
+    def record_request(self, now_us: int) -> None:
+        """Note that a request came: it earns its part of the budget."""
+        self._requests_us.append(now_us)
+
+    def record_retry(self, now_us: int) -> None:
+        """Note that a request is attempted again."""
+        self._retries_us.append(now_us)
+
+    def may_attempt(self, pending: PendingRequest, now_us: int) -> bool:
+        """Tell whether `pending` may be attempted now, for the first time or again."""
+        ran_us = pending.may_have_run_since_us
+        repeatable = ran_us is None or now_us - ran_us < repeat_window_us(pending.request_class)
+        if not repeatable or pending.attempt_count >= self._settings.max_attempts:
+            return False
+        self._expire(now_us)
+        if pending.attempt_count == 0 or self._settings.retry_budget_window_us <= 0:
+            return True
+        budget = self._settings.retry_budget_ratio * len(self._requests_us)
+        return len(self._retries_us) + 1 <= self._settings.retry_budget_min_retries + budget
+
+    def _expire(self, now_us: int) -> None:
+        expired_us = now_us - self._settings.retry_budget_window_us
+        for times_us in (self._requests_us, self._retries_us):
+            while times_us and times_us[0] <= expired_us:
+                times_us.popleft()
--- a/umberlead/scheduling/scheduler.py
+++ b/umberlead/scheduling/scheduler.py
@@ -1,13 +1,14 @@
-"""Every decision of a head. The types it speaks are in interface.py, beside this file.
+"""The scheduler: takes events batch by batch and returns the actions to carry out.
 
-Requests leave their shard's lane by start tag under a bound of units out at the node; the plan shares behind
-the tags come from the paper's estimator and law (14), in controller.py. The rest guards the rules."""
+Requests leave their shard's fair queue by start tag under a concurrency limit of their endpoint; the plans'
+shares behind the tags come from the paper's estimator and law (14), in `controller.py`. Admission, retries,
+ordering, rate limits and load shedding are decided in modules of their own. All times are whole microseconds
+of one clock that only moves forward.
+"""
 
 import heapq
 import random
-from collections import deque
-from collections.abc import Callable
-from dataclasses import replace
+from collections.abc import Callable, Iterable
 from itertools import count
 
 from umberlead.scheduling.actions import (
@@ -20,15 +21,15 @@
     SetTimer,
     WatchEndpoints,
 )
-from umberlead.scheduling.client_retries import ClientRetries
+from umberlead.scheduling.admission import AdmissionControl
 from umberlead.scheduling.controller import MIN_SHARE, Controller
+from umberlead.scheduling.endpoint_directory import EndpointDirectory
+from umberlead.scheduling.endpoint_state import EndpointState
 from umberlead.scheduling.events import (
     AttemptResult,
     ClientDisconnected,
-    Endpoint,
     EndpointList,
     EndpointListFailed,
-    EndpointStatus,
     Event,
     ManualDrain,
     OpenRequestLimit,
@@ -36,653 +37,399 @@
     ProcessShare,
     Request,
 )
+from umberlead.scheduling.fair_queue import FairQueue
 from umberlead.scheduling.load_shedding import LoadShedder
-from umberlead.scheduling.moving_average import MovingAverage
-from umberlead.scheduling.pending_request import AttemptInFlight, PendingRequest
+from umberlead.scheduling.ordered_requests import OrderedRequests
+from umberlead.scheduling.pending_request import PendingRequest
+from umberlead.scheduling.placements import Placements
 from umberlead.scheduling.rate_limits import RateLimits
+from umberlead.scheduling.retries import RetryPolicy, is_harmless_to_repeat
 from umberlead.scheduling.settings import Repeatability, Settings, validate_settings
-from umberlead.scheduling.slow_start import (
-    SendWindow,
-    available_capacity_ratio,
-    max_window_units,
-    pacing_delay_us,
-)
-from umberlead.scheduling.token_bucket import NEVER
-from umberlead.scheduling.weighted_round_robin import SmoothWeightedRoundRobin
-
-INTERVAL = 500_000  # us between control steps: the paper's interval for its file server
-BOUND = 8.0  # mean-size requests: most that one head has out at a node
-TARGET = 0.33  # wanted time at a node, in the smallest class aim: the rest is left for waiting here
-CUT = 0.5  # share of its own units by which a late answer lowers the bound
-SMOOTH = 0.2  # weight of a new answer in a node's mean time
-REST_LINK = 2  # link time-outs a node rests after a failed connection or a full queue
-OVERDUE = 4.0  # an attempt is overdue after so many mean times of its node, or the wanted time if longer
-MEMORY = 2_000_000  # us after which a node's own mean has lost most of its weight against the fleet's
-SMALL = 0.5  # least part of a mean-size request's time that a smaller one is counted with
-MOSTLY = 0.9  # most of its aim that a request is thought to take at a node: on arrival all have a chance
-MOST = 3.0  # most targets that one answer counts for
-KEPT = 10_000_000  # us that a silent volume is kept: longer than its due store takes to fill
-PRIOR = 0.1  # units that a head counts as asked of every shard before it has seen any
-SICK = 0.3  # part of errors from which a node gets no new objects while others can take them
-CALM = 0.5  # targets that answers take at most where there is room for who can wait
-PATIENT = 6  # targets before its aim until which a request can wait: for others there is no later
-PART = 1 / 3  # most of a shard's traffic that a head takes for its own
-
-
-class EndpointState:
-    """What this head knows of one node: bound, health, cold window."""
-
-    def __init__(self, node: Endpoint, head: "Scheduler") -> None:
-        s, now = head.settings, head.now
-        self.settings, self.endpoint, self.traffic_share, self.first_send_jitter = (
-            s,
-            node,
-            head.traffic_share,
-            head.rng.random(),
-        )
-        self.concurrency_limit_units = max(
-            self.max_concurrency_units() / s.front_count, s.mean_request_units
-        )  # all heads may begin at once
-        self.relative_latency, self.units_in_flight, self.ejected_until_us = (
-            MovingAverage(now, SMOOTH, MEMORY, MOST, head.fleet_latency),
-            0.0,
-            0,
-        )
-        self.error_rate = MovingAverage(now, 2 * SMOOTH, 2 * MEMORY, 1.0)  # part of answers that are errors
-        self.send_window = SendWindow(s.cold_window_us)
-        self.latest_served_sent_us = 0  # when the latest sent of those served was sent
-        self.paced_until_us: float = max(
-            now, head.started_us + s.cold_window_us
-        )  # what our last life sent is not known
-        self.target_latency_us = int(TARGET * min(c.latency_objective_us for c in s.classes))
-
-    def max_concurrency_units(self) -> float:
-        return min(BOUND * self.settings.mean_request_units, self.endpoint.max_in_flight_units or NEVER)
-
-    def slow_start_cost_us(self, now: int, units: float) -> float:
-        """How long `units` take of this head's part of a warming node; in the mean if below a request."""
-        return pacing_delay_us(
-            self.settings, self.endpoint, now, units, self.traffic_share(self.endpoint.shard)
-        )
 
-    def ready_at_us(self, now: int, units: float) -> float:
-        """When the node may take `units` more."""
-        if self.endpoint.status is not EndpointStatus.UP or (
-            self.units_in_flight
-            and self.units_in_flight + units > min(self.concurrency_limit_units, self.max_concurrency_units())
-        ):
-            return NEVER
-        if not (cost := self.slow_start_cost_us(now, units)):
-            return max(self.ejected_until_us, now)
-        first = self.first_send_jitter * max(
-            cost - self.settings.cold_window_us, 0.0
-        )  # before the first one, by chance: heads differ
-        most = max_window_units(self.settings, self.endpoint, now, self.traffic_share(self.endpoint.shard))
-        return max(
-            self.ejected_until_us, self.paced_until_us + first, self.send_window.free_at(now, units, most)
-        )
+CONTROL_INTERVAL_US = 500_000  # the paper's interval for its file server
+VOLUME_RETENTION_US = 10_000_000  # of a silent volume: longer than its entitlement takes to fill
+MIN_SIZE_RATIO = 0.5  # of a mean request's time, least that a smaller request is expected to take
+MAX_EXPECTED_LATENCY_RATIO = 0.9  # of the objective, so that on arrival every request has a chance
+RELAXED_LATENCY_RATIO = 0.5  # of the target latency, up to which an endpoint takes requests that can wait
+DEFERRABLE_LATENCIES_COUNT = 6  # target latencies before its objective, up to which a request can wait
+DEFERRAL_DIVISOR_COUNT = 4  # parts of the target latency after which a deferred request is tried again
+UNCERTAIN_RESULTS = (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
 
-    def is_outlier(self, now: int) -> bool:
-        """Who has a choice goes elsewhere: who fails quickly looks idle. What only it has is still asked."""
-        return self.error_rate.read(now) >= SICK
+Timer = tuple[int, int, Callable[..., None], tuple[object, ...]]  # when, number, callback, arguments
 
-    def overdue_at_us(self, now: int, units: float) -> float:
-        mean = (
-            self.relative_latency.read(now)
-            * self.target_latency_us
-            * max(units / self.settings.mean_request_units, 1.0)
-        )
-        return now + max(OVERDUE * mean, self.target_latency_us)
-
-    def record_send(self, now: int, units: float) -> AttemptInFlight:
-        """What is served can't pass a cold node's capacity: one of the multiple is set aside for it, the
-        rest is charged for what is not served. Service gives that back, but for one in the multiple where
-        the part is below a request: many heads may be waiting for the same. The window keeps all."""
-        self.units_in_flight, self.first_send_jitter = self.units_in_flight + units, 0.0
-        cost, one = self.slow_start_cost_us(now, units), 1 / max(self.settings.cold_overload_factor, 1.01)
-        self.paced_until_us = max(self.paced_until_us, now) + int(cost / (1 - one))
-        if cost:
-            self.send_window.add(now, units)
-        return AttemptInFlight(
-            self, now, units, cost / (1 - one) - (0 if cost < self.settings.cold_window_us else one * cost)
-        )
 
-    def record_outcome(
-        self, now: int, tried: AttemptInFlight, result: AttemptResult, elapsed: int, pressed: bool
-    ) -> None:
-        """Bound and health follow each outcome."""
-        units, one = tried.reserved_units, self.settings.mean_request_units
-        if result is AttemptResult.OK:
-            self.latest_served_sent_us, self.paced_until_us = (
-                max(self.latest_served_sent_us, tried.sent_us),
-                self.paced_until_us - tried.slow_start_credit_us,
-            )
-        self.units_in_flight = max(self.units_in_flight - units, 0.0)
-        if result in (AttemptResult.OK, AttemptResult.ERROR):
-            self.error_rate.add(now, result is AttemptResult.ERROR)
-        if (
-            result in (AttemptResult.OK, AttemptResult.TIMEOUT) or elapsed > self.target_latency_us
-        ):  # a quick error is none
-            self.relative_latency.add(
-                now, elapsed / self.target_latency_us / max(tried.request_units / one, 1.0)
-            )  # see overdue
-            if elapsed > self.target_latency_us:
-                self.concurrency_limit_units = max(
-                    self.concurrency_limit_units
-                    - CUT * min(elapsed / self.target_latency_us - 1, 1.0) * units,
-                    one,
-                )
-            elif pressed:
-                self.concurrency_limit_units = min(
-                    self.concurrency_limit_units + units * one / self.concurrency_limit_units,
-                    self.max_concurrency_units(),
-                )
-        if result in (
-            AttemptResult.REJECTED,
-            AttemptResult.CONNECT_FAILED,
-        ):  # a break rests none: a peer may drop links
-            self.concurrency_limit_units, self.ejected_until_us = (
-                one,
-                now + self.settings.connect_timeout_us * REST_LINK,
-            )
-
-
-class FairQueue:
-    """One shard's fair queue of volumes; within one, the class of most worth, then the nearest aim."""
-
-    def __init__(self, plans: int) -> None:
-        self.virtual_time = 0.0
-        self.finish_tags: dict[str, float] = {}  # finish tag by volume
-        self.waiting: dict[str, list[tuple[float, int, int, PendingRequest]]] = {}
-        self.start_tags: list[tuple[float, int, str]] = []
-        self.valid_tag_numbers: dict[str, int] = {}  # the volume's valid entry among the tags
-        self.waiting_volumes_by_plan, self.tag_numbers = (
-            [0] * plans,
-            count(),
-        )  # volumes waiting; numbers of tags
-
-    def push(self, item: PendingRequest) -> None:
-        waiting = self.waiting.setdefault(item.request.volume, [])
-        self.waiting_volumes_by_plan[item.plan_index] += not waiting
-        heapq.heappush(
-            waiting, (-item.request_class.priority_weight, item.objective_at_us, item.sequence_number, item)
-        )
-        item.queued = True
-
-    def most_urgent(self, volume: str) -> PendingRequest | None:
-        """The volume's most urgent live request; an emptied volume leaves the lane."""
-        waiting = self.waiting.get(volume, [])
-        while waiting and not waiting[0][3].queued:
-            item = heapq.heappop(waiting)[3]
-            if not waiting:
-                self.waiting_volumes_by_plan[item.plan_index] -= 1
-                del self.waiting[volume]
-        return waiting[0][3] if waiting else None
-
-    def tag_volume(self, volume: str) -> None:
-        """A volume's start tag, replacing an earlier one."""
-        self.valid_tag_numbers[volume] = next(self.tag_numbers)
-        start = max(self.virtual_time, self.finish_tags.get(volume, 0.0))
-        heapq.heappush(self.start_tags, (start, self.valid_tag_numbers[volume], volume))
-
-    def prune(self, known: RateLimits) -> None:
-        """Tags that no longer count go: of ever new volumes the tables would grow for ever."""
-        self.finish_tags = {
-            v: tag for v, tag in self.finish_tags.items() if tag > self.virtual_time and v in known
-        }
-        self.valid_tag_numbers = {
-            v: number for v, number in self.valid_tag_numbers.items() if v in self.waiting
-        }
-
-    def dequeue(self, item: PendingRequest, weight: float) -> None:
-        """`item` leaves: virtual time moves on, its units over `weight` advance the volume's tag."""
-        self.virtual_time = start = heapq.heappop(self.start_tags)[0]
-        item.queued = False
-        self.finish_tags[item.request.volume] = (
-            start + item.request.units * self.waiting_volumes_by_plan[item.plan_index] / weight
-        )
+class Scheduler:
+    """One front's scheduler.
 
+    Attributes:
+        requests: those that are not answered or have an attempt in flight, by id.
+        directory: the endpoints.
+        queues: by shard; a queue outlives its endpoints and waits for the shard's next one.
+        open_request_count: requests that are not answered.
+    """
 
-class Scheduler:
-    """One head: hand it its events batch by batch, do what it says."""
+    def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
+        """Begin without endpoints.
 
-    def __init__(self, settings: Settings, seed: int, now: int) -> None:
+        Raises:
+            ValueError: `settings` make no sense.
+        """
         validate_settings(settings)
-        s = self.settings = settings
-        self.now, self.started_us, self.timer_due_us, self.rng = now, now, 0, random.Random(seed)
-        self.classes = {c.name: c for c in s.classes}
-        self.max_priority = (
-            max(c.priority_weight for c in s.classes) * max(p.priority_factor for p in s.plans) or 1.0
-        )
-        self.plan_index = {p.name: k for k, p in enumerate(s.plans)}
-        self.fleet_latency = MovingAverage(
-            now, SMOOTH, MEMORY, MOST
-        )  # mean time of answers, all nodes together
-        self.controller = Controller([p.weight for p in s.plans])
-        self.latency_ratio_sums, self.latency_ratio_counts = [0.0] * len(s.plans), [0] * len(s.plans)
+        self.settings = settings
+        self.now_us = now_us
+        self.classes = {cls.name: cls for cls in settings.classes}
+        self.plan_index = {plan.name: index for index, plan in enumerate(settings.plans)}
+        self.controller = Controller([plan.weight for plan in settings.plans])
+        self.latency_ratio_sums = [0.0] * len(settings.plans)
+        self.latency_ratio_counts = [0] * len(settings.plans)
         self.requests: dict[str, PendingRequest] = {}
-        self.endpoints: dict[str, EndpointState] = {}
-        self.by_shard: dict[int, dict[str, None]] = {}
-        self.manual_drains: dict[str, int] = {}  # by hand, and when
-        self.manual_returns: dict[
-            str, tuple[int, int]
-        ] = {}  # taken out, and back again: restarted in between
-        self.round_robin, self.placement_weights = SmoothWeightedRoundRobin(), dict[str, float]()
-        self.demand_by_shard: dict[int, float] = {}  # units by shard, of late
-        self.queues, self.rate_limits = dict[int, FairQueue](), RateLimits(s, now)
-        self.ordered_requests: dict[
-            str, deque[PendingRequest]
-        ] = {}  # ordered classes: requests of a key, as taken
-        self.key_paused_until_us: dict[str, int] = {}
-        self.placements = dict[str, int](), dict[str, int]()  # where new objects went; this span, last
-        self.longest_timeouts_us: dict[str, int] = {}  # most time a client of the class has left on arrival
-        self.recent_requests_us, self.recent_retries_us = (
-            deque[int](),
-            deque[int](),
-        )  # when: the budget's two counts
-        self.load_shedder, self.open_requests = LoadShedder(), 0
-        self.client_retries = ClientRetries()
-        self.timers: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
-        self.sequence_numbers = count()
-        self.shards_to_dispatch: dict[int, None] = {}  # shards to look at before this batch ends
-        self.actions: list[Action] = [WatchEndpoints()] if s.polls_endpoint_list else []
-        self.schedule(now + INTERVAL, self.run_control_interval)
-        self.schedule(now + KEPT, self.prune)
-
-    def schedule(self, when: float, what: Callable[..., None], *args: object) -> None:
-        heapq.heappush(self.timers, (max(int(when), self.now + 1), next(self.sequence_numbers), what, args))
-
-    def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """One batch of events, all at `now`; the actions to carry out in order."""
-        self.now = now
+        self.directory = EndpointDirectory(settings, now_us, random.Random(seed))
+        self.placements = Placements()
+        self.queues: dict[int, FairQueue] = {}
+        self.rate_limits = RateLimits(settings, now_us)
+        self.admission = AdmissionControl(settings)
+        self.retries = RetryPolicy(settings)
+        self.ordered = OrderedRequests()
+        self.load_shedder = LoadShedder()
+        self.open_request_count = 0
+        self._max_priority = self._highest_priority()
+        self._timers: list[Timer] = []
+        self._timer_due_us = 0  # of the timer that the caller was last asked for
+        self._sequence_numbers = count()
+        self._shards_to_dispatch: dict[int, None] = {}
+        self._actions: list[Action] = [WatchEndpoints()] if settings.polls_endpoint_list else []
+        self._schedule(now_us + CONTROL_INTERVAL_US, self._run_control_interval)
+        self._schedule(now_us + VOLUME_RETENTION_US, self._prune)
+
+    def _highest_priority(self) -> float:
+        highest_weight = max(cls.priority_weight for cls in self.settings.classes)
+        return highest_weight * max(plan.priority_factor for plan in self.settings.plans) or 1.0
+
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
+        """Take one batch of events, all at `now_us`; return the actions to carry out, in order."""
+        self.now_us = now_us
         for event in events:
-            if isinstance(event, Request):
-                self.admit(event)
-            elif isinstance(event, Outcome):
-                self.apply_outcome(event)
-            elif isinstance(event, EndpointList):
-                self.apply_endpoint_list(event)
-            elif isinstance(event, EndpointListFailed):
-                self.schedule(now + INTERVAL, lambda: self.actions.append(WatchEndpoints()))
-            elif isinstance(event, ClientDisconnected) and event.request_id in self.requests:
-                self.conclude(item := self.requests[event.request_id])
-                self.shards_to_dispatch[item.shard] = None  # what it stood before may go
-            elif isinstance(event, ManualDrain):
-                self.apply_manual_drain(event)
-            elif isinstance(event, ProcessShare):
-                self.rate_limits.set_process_share(now, event.share)
-            elif isinstance(event, OpenRequestLimit):
-                self.load_shedder.max_open_requests = event.max_requests
-        while self.timers and self.timers[0][0] <= now:
-            _, _, what, args = heapq.heappop(self.timers)
-            what(*args)
-        while self.shards_to_dispatch:
-            self.dispatch(self.shards_to_dispatch.popitem()[0])
-        self.shed_load()  # what could go has gone
-        if self.timers and (self.timer_due_us <= now or self.timers[0][0] < self.timer_due_us):
-            self.timer_due_us = self.timers[0][0]
-            self.actions.append(SetTimer(self.timer_due_us - now, "due"))
-        acts, self.actions = self.actions, []
-        return acts
-
-    def run_control_interval(self) -> None:
+            self._handle_event(event)
+        while self._timers and self._timers[0][0] <= now_us:
+            _, _, callback, arguments = heapq.heappop(self._timers)
+            callback(*arguments)
+        while self._shards_to_dispatch:
+            self._dispatch(self._shards_to_dispatch.popitem()[0])
+        self._shed_load()  # after what could be sent was sent
+        self._ask_for_timer()
+        actions = self._actions
+        self._actions = []
+        return actions
+
+    def _handle_event(self, event: Event) -> None:
+        if isinstance(event, Request):
+            self._admit(event)
+        elif isinstance(event, Outcome):
+            self._apply_outcome(event)
+        elif isinstance(event, EndpointList):
+            self._request_dispatch(self.directory.apply_list(event, self.now_us))
+        elif isinstance(event, EndpointListFailed):
+            retry_at_us = self.now_us + CONTROL_INTERVAL_US
+            self._schedule(retry_at_us, lambda: self._actions.append(WatchEndpoints()))
+        elif isinstance(event, ClientDisconnected):
+            self._forget_client(event.request_id)
+        elif isinstance(event, ManualDrain):
+            self._request_dispatch(self.directory.apply_manual_drain(event, self.now_us))
+        elif isinstance(event, ProcessShare):
+            self.rate_limits.set_process_share(self.now_us, event.share)
+            self.directory.process_share = event.share
+        elif isinstance(event, OpenRequestLimit):
+            self.load_shedder.max_open_requests = event.max_requests
+
+    # Timers
+
+    def _schedule(self, when_us: float, callback: Callable[..., None], *arguments: object) -> None:
+        when = max(int(when_us), self.now_us + 1)
+        heapq.heappush(self._timers, (when, next(self._sequence_numbers), callback, arguments))
+
+    def _ask_for_timer(self) -> None:
+        if self._timers and (self._timer_due_us <= self.now_us or self._timers[0][0] < self._timer_due_us):
+            self._timer_due_us = self._timers[0][0]
+            self._actions.append(SetTimer(self._timer_due_us - self.now_us, "due"))
+
+    def _run_control_interval(self) -> None:
         self.controller.step(self.latency_ratio_sums, self.latency_ratio_counts)
-        self.schedule(self.now + INTERVAL, self.run_control_interval)
-
-    def prune(self) -> None:
-        """Forget volumes whose stores are full again."""
-        self.rate_limits.forget_idle(
-            self.now, self.now - KEPT - max(c.timeout_us for c in self.settings.classes)
-        )
-        for lane in self.queues.values():
-            lane.prune(self.rate_limits)
-        self.placements = ({}, self.placements[0])
-        self.demand_by_shard = {k: units / 2 for k, units in self.demand_by_shard.items() if units > PRIOR}
-        self.schedule(self.now + KEPT, self.prune)
-
-    def apply_endpoint_list(self, news: EndpointList) -> None:
-        """A node with a new start is new, one that is gone is forgotten: where all are replaced again and
-        again the list would grow. A lane outlives its node and waits for the shard's next one."""
-        named = {n.name: n for n in news.endpoints}
-        for old in [v.endpoint for v in self.endpoints.values()] if news.complete else []:
-            named.setdefault(old.name, Endpoint(old.name, EndpointStatus.GONE, old.shard, old.started_us))
-        for name, node in named.items():
-            view = self.endpoints.get(name)
-            if node.status is EndpointStatus.GONE:
-                if view is not None:
-                    self.by_shard[view.endpoint.shard].pop(name)
-                    self.endpoints.pop(name).endpoint = node
-                self.manual_returns.pop(name, None)
-                continue
-            if name in self.manual_returns and node.started_us < self.manual_returns[name][0]:
-                node = replace(node, started_us=self.manual_returns[name][1])  # of before its restart
-            if view is not None and node.started_us <= view.endpoint.started_us:
-                view.endpoint = node
-            else:
-                self.endpoints[name] = EndpointState(node, self)
-            self.by_shard.setdefault(node.shard, {})[name] = None
-            self.shards_to_dispatch |= {node.shard: None, -1: None}
-
-    def apply_manual_drain(self, e: ManualDrain) -> None:
-        """Out, it gets nothing whatever the list says. It is restarted in that time and comes back cold,
-        which the list may tell late: until it does, it counts as started when it was put back."""
-        if e.drained:
-            self.manual_drains.setdefault(e.endpoint, e.at_us)
-        elif (since := self.manual_drains.pop(e.endpoint, None)) is not None and (
-            view := self.endpoints.get(e.endpoint)
-        ):
-            if view.endpoint.started_us < since:
-                self.manual_returns[e.endpoint] = (since, self.now)
-                info = replace(view.endpoint, started_us=self.now)
-                self.endpoints[e.endpoint] = EndpointState(info, self)
-            self.shards_to_dispatch |= {view.endpoint.shard: None, -1: None}
-
-    def traffic_share(self, shard: int) -> float:
-        """This head's part of a shard's traffic: its own share of units that go there, over the even share,
-        is the head's even part in the mean of all. Who seldom asks leaves its part to others. Each of two
-        processes of a head has its share of that."""
-        s, own, known = (
-            self.settings,
-            self.demand_by_shard.get(shard, 0.0) + PRIOR,
-            sum(self.demand_by_shard.values()),
-        )
-        share = own / (known + PRIOR * s.shard_count) * s.shard_count if s.shard_count > 0 <= shard else 1.0
-        return (
-            max(min(share, PART * s.front_count), 1.0)
-            / s.front_count
-            * (self.rate_limits.process_share or 1.0)
-        )
-
-    def select_endpoint(self, shard: int, units: float) -> tuple[float, EndpointState | None]:
-        """The shard's node that can take `units` soonest; of those, where an answer comes soonest. So new
-        objects leave what the fullest and the slowest have to reads, which can go nowhere else. Where the
-        list gives weights, new objects go by these among the nodes that can take them now."""
-        names = self.by_shard.get(shard, {}) if shard >= 0 else self.endpoints
-        views = [self.endpoints[n] for n in names if n not in self.manual_drains]
-        views = [v for v in views if shard >= 0 or v.endpoint.weight != 0]
-        now = self.now
-        ready = [
-            (
-                v.ready_at_us(now, units),
-                v.is_outlier(now),
-                v.relative_latency.read(now)
-                * (v.units_in_flight + units)
-                * v.endpoint.distance_factor
-                / available_capacity_ratio(self.settings, v.endpoint, now),
-                k,
-            )
-            for k, v in enumerate(views)
-        ]
-        given = [w for v in views if (w := v.endpoint.weight) is not None] if shard < 0 else []
-        able = [views[k] for when, _, _, k in ready if when <= now] if given else []
-        free = [v.endpoint for v in able if not v.is_outlier(now)] or [v.endpoint for v in able]
-        self.placement_weights = {n.name: 1.0 if n.weight is None else n.weight for n in free}
-        if self.placement_weights:
-            return now, self.endpoints[self.round_robin.select(self.placement_weights)]
-        when, _, _, k = min(ready, default=(NEVER, False, 0.0, -1))
-        return (when, views[k]) if when < NEVER else (NEVER, None)
-
-    def admit(self, req: Request) -> None:
-        """A new request. A client's second try has less time left than the longest seen for its class: its
-        aim is counted from where its first try must have begun. Where clients mark their repeats, any other
-        is a first try however impatient its client (ib57330); where not, impatience looks late unless those
-        that were refused are seen not to come again."""
-        now, cls = self.now, self.classes[req.class_name]
-        self.recent_requests_us.append(now)
-        patience = self.longest_timeouts_us[cls.name] = max(
-            self.longest_timeouts_us.get(cls.name, 0), req.deadline_us - now
-        )
-        again = self.client_retries.record_arrival((req.volume, req.key, req.class_name), now)
-        first = (
-            not req.is_client_retry
-            if self.settings.clients_mark_retries
-            else not again and self.client_retries.are_rare()
-        )
-        aim_at = min(
-            cls.latency_objective_us + (now if first else req.deadline_us - patience), req.deadline_us
-        )
-        item = self.requests[req.request_id] = PendingRequest(
-            req, cls, self.plan_index[req.plan], now, aim_at, next(self.sequence_numbers)
+        self._schedule(self.now_us + CONTROL_INTERVAL_US, self._run_control_interval)
+
+    def _prune(self) -> None:
+        """Forget volumes whose buckets are full again, and what was placed or asked long ago."""
+        longest_timeout_us = max(cls.timeout_us for cls in self.settings.classes)
+        self.rate_limits.forget_idle(self.now_us, self.now_us - VOLUME_RETENTION_US - longest_timeout_us)
+        for queue in self.queues.values():
+            queue.prune(self.rate_limits)
+        self.placements.rotate()
+        self.directory.decay_demand()
+        self._schedule(self.now_us + VOLUME_RETENTION_US, self._prune)
+
+    # Arrivals
+
+    def _admit(self, request: Request) -> None:
+        request_class = self.classes[request.class_name]
+        self.retries.record_request(self.now_us)
+        admission = self.admission.admit(request, request_class, self.now_us)
+        pending = PendingRequest(
+            request,
+            request_class,
+            self.plan_index[request.plan],
+            self.now_us,
+            admission.objective_at_us,
+            next(self._sequence_numbers),
         )
-        item.is_client_retry = again
-        self.rate_limits.record_request(req, self.settings.plans[item.plan_index], now)
-        if req.shard >= 0:
-            self.demand_by_shard[req.shard] = self.demand_by_shard.get(req.shard, 0.0) + req.units
-        if cls.ordered and req.key is not None:
-            self.ordered_requests.setdefault(req.key, deque()).append(item)
-            self.release_ordered(req.key)
+        pending.is_client_retry = admission.is_client_retry
+        self.requests[request.request_id] = pending
+        self.rate_limits.record_request(request, self.settings.plans[pending.plan_index], self.now_us)
+        self.directory.record_demand(request.shard, request.units)
+        if request_class.ordered and request.key is not None:
+            self.ordered.add(request.key, pending)
+            self._release_ordered(request.key)
         else:
-            self.enqueue(item)
-        self.schedule(aim_at, self.end_unserved, item)
-        self.open_requests += 1
-
-    def shed_load(self) -> None:
-        """Refuse of those that wait the least valuable, while more are open than there are places for."""
-        while (item := self.load_shedder.next_to_shed(self.open_requests)) is not None:
-            self.end_unserved(item, EndReason.OVERLOAD)
-
-    def enqueue(self, item: PendingRequest) -> None:
-        owed = self.rate_limits[item.request.volume].entitlement
-        due = not owed.wait_us(self.now, min(item.request.units, owed.capacity_units))
-        self.load_shedder.add(item, self.priority(item, due))
-        shard, volume = item.shard, item.request.volume
-        lane = self.queues.get(shard) or self.queues.setdefault(shard, FairQueue(len(self.plan_index)))
-        lane.push(item)
-        if lane.most_urgent(volume) is item:
-            self.tag_volume(shard, volume)
-
-    def tag_volume(self, shard: int, volume: str, number: int | None = None) -> None:
-        """Tag a waiting volume; by timer, if tag `number` is still its latest."""
-        lane = self.queues[shard]
-        if lane.most_urgent(volume) is not None and number in (None, lane.valid_tag_numbers.get(volume)):
-            lane.tag_volume(volume)
-            self.shards_to_dispatch[shard] = None
-
-    def release_ordered(self, key: str) -> None:
-        """The key's first request may go once the key has rested."""
-        chain, rest = self.ordered_requests.get(key), self.key_paused_until_us.get(key, 0)
-        if self.now < rest:
-            self.schedule(rest, self.release_ordered, key)
-        elif not chain:
-            self.key_paused_until_us.pop(key, None)
-            self.ordered_requests.pop(key, None)
-        elif not (chain[0].queued or chain[0].attempts_in_flight or chain[0].done):
-            self.enqueue(chain[0])
-
-    def end_unserved(self, item: PendingRequest, reason: EndReason = EndReason.OBJECTIVE_PASSED) -> None:
-        """The final answer at once: a refusal wherever it is harmless to try again, else a failure."""
-        if item.done or item.attempts_in_flight:
+            self._enqueue(pending)
+        self._schedule(pending.objective_at_us, self._end_unserved, pending)
+        self.open_request_count += 1
+
+    def _release_ordered(self, key: str) -> None:
+        """Let the key's first request wait for its turn, once the key has rested."""
+        paused_until_us = self.ordered.paused_until_us(key)
+        if self.now_us < paused_until_us:
+            self._schedule(paused_until_us, self._release_ordered, key)
             return
-        keyed_for_all = (
-            item.request_class.repeatability is Repeatability.IDEMPOTENT_BY_KEY
-            and item.request_class.deduplication_scope == "all"
-        )
-        if (
-            item.may_have_run_since_us is None
-            or keyed_for_all
-            or item.request_class.repeatability is Repeatability.IDEMPOTENT
-        ):
-            self.actions.append(Reject(item.request.request_id, self.settings.max_retry_after_us, reason))
-            if not item.is_client_retry:
-                self.client_retries.record_rejection(
-                    (item.request.volume, item.request.key, item.request.class_name), self.now
-                )
-        else:
-            self.actions.append(Fail(item.request.request_id, reason))
-        self.conclude(item)
-
-    def conclude(self, item: PendingRequest) -> None:
-        """Over for the client, and measured; forgotten, and out of its key's way, with no attempt out."""
-        if not item.done:
-            self.latency_ratio_sums[item.plan_index] += (
-                self.now - item.arrived_us
-            ) / item.request_class.latency_objective_us
-            self.latency_ratio_counts[item.plan_index] += 1
-            self.open_requests -= 1
-        item.done, item.queued = True, False
-        if item.attempts_in_flight:
+        pending = self.ordered.next_to_release(key)
+        if pending is not None:
+            self._enqueue(pending)
+
+    def _enqueue(self, pending: PendingRequest) -> None:
+        self.load_shedder.add(pending, self._priority(pending, self._is_entitled(pending)))
+        shard = pending.shard
+        volume = pending.request.volume
+        queue = self.queues.get(shard)
+        if queue is None:
+            queue = self.queues[shard] = FairQueue(len(self.plan_index))
+        queue.push(pending)
+        if queue.most_urgent(volume) is pending:
+            self._tag_volume(shard, volume)
+
+    def _tag_volume(self, shard: int, volume: str, number: int | None = None) -> None:
+        """Tag a waiting volume; by timer only if tag `number` is still its latest."""
+        queue = self.queues[shard]
+        if queue.most_urgent(volume) is None:
             return
-        self.requests.pop(item.request.request_id, None)
-        if (
-            item.request_class.ordered
-            and item.request.key in self.ordered_requests
-            and item in self.ordered_requests[item.request.key]
-        ):
-            self.ordered_requests[item.request.key].remove(item)
-            self.release_ordered(item.request.key)
-
-    def may_attempt(self, item: PendingRequest) -> bool:
-        """Whether the class, the count and the budget let this request go out once more."""
-        forgets = {
-            Repeatability.IDEMPOTENT: NEVER,
-            Repeatability.IDEMPOTENT_BY_KEY: item.request_class.deduplication_window_us,
-            Repeatability.AT_MOST_ONCE: 0,
-        }[item.request_class.repeatability]
-        known = item.may_have_run_since_us is None or self.now - item.may_have_run_since_us < forgets
-        if not known or item.attempt_count >= self.settings.max_attempts:
-            return False
-        for log in (self.recent_requests_us, self.recent_retries_us):
-            while log and log[0] <= self.now - self.settings.retry_budget_window_us:
-                log.popleft()
-        most = self.settings.retry_budget_min_retries + self.settings.retry_budget_ratio * len(
-            self.recent_requests_us
-        )
-        return (
-            item.attempt_count == 0
-            or self.settings.retry_budget_window_us <= 0
-            or len(self.recent_retries_us) + 1 <= most
-        )
+        if number is None or number == queue.valid_tag_numbers.get(volume):
+            queue.tag_volume(volume)
+            self._shards_to_dispatch[shard] = None
+
+    def _is_entitled(self, pending: PendingRequest) -> bool:
+        """Tell whether its volume is still owed the units of a request."""
+        entitlement = self.rate_limits[pending.request.volume].entitlement
+        units = min(pending.request.units, entitlement.capacity_units)
+        return not entitlement.wait_us(self.now_us, units)
+
+    def _priority(self, pending: PendingRequest, entitled: bool) -> float:
+        """Return what a unit of a request is worth, to 1; beyond its entitlement, by its plan's share."""
+        settings = self.settings
+        plan_share = self.controller.share[pending.plan_index] / self.controller.rest[pending.plan_index]
+        entitlement_factor = 1.0
+        if not entitled:
+            entitlement_factor = (
+                (settings.within_share_factor + settings.beyond_share_factor) / 2 * plan_share
+            )
+        plan_factor = settings.plans[pending.plan_index].priority_factor
+        return entitlement_factor * pending.request_class.priority_weight * plan_factor / self._max_priority
 
-    def priority(self, item: PendingRequest, due: bool) -> float:
-        """What a unit of this request earns, against the best; what is not due, by its plan's share."""
-        part = self.controller.share[item.plan_index] / self.controller.rest[item.plan_index]
-        earns = (
-            1.0 if due else (self.settings.within_share_factor + self.settings.beyond_share_factor) / 2 * part
-        )
-        return (
-            earns
-            * item.request_class.priority_weight
-            * self.settings.plans[item.plan_index].priority_factor
-            / self.max_priority
-        )
+    # Sending
 
-    def dispatch(self, shard: int) -> None:
-        """Send what may go, lowest start tag first."""
-        lane = self.queues.get(shard)
-        while lane is not None and lane.start_tags:
-            _, number, volume = lane.start_tags[0]
-            item = lane.most_urgent(volume) if lane.valid_tag_numbers.get(volume) == number else None
-            if item is None:
-                heapq.heappop(lane.start_tags)
-                continue
-            units, owed = item.request.units, self.rate_limits[volume].entitlement
-            when, view = self.select_endpoint(shard, units)
-            press = view.relative_latency.read(self.now) if view else 0.0
-            takes = (
-                press
-                * (view.target_latency_us if view else 0)
-                * max(units / self.settings.mean_request_units, SMALL)
-            )
-            hopeless = (
-                view
-                and self.now + min(takes, MOSTLY * item.request_class.latency_objective_us)
-                > item.objective_at_us
-            )
-            if hopeless or not self.may_attempt(item):
-                # A late answer would take the place of one in time.
-                self.end_unserved(
-                    item, EndReason.OBJECTIVE_UNREACHABLE if hopeless else EndReason.NO_ATTEMPT_LEFT
-                )
-                self.tag_volume(shard, volume)
-                continue
-            if view is None or when > self.now:
-                return self.schedule(when, self.shards_to_dispatch.update, {shard: None}) if view else None
-            wait = self.rate_limits.wait_us(item, self.now)
-            due = not owed.wait_us(self.now, min(units, owed.capacity_units))
-            value = self.priority(item, due)
-            early = press > CALM and self.now + PATIENT * view.target_latency_us < item.objective_at_us
-            if wait or early or value < press - 1:
-                heapq.heappop(lane.start_tags)
-                self.schedule(
-                    self.now + (wait or view.target_latency_us // 4), self.tag_volume, shard, volume, number
-                )
-                continue
-            if item.attempt_count:
-                self.recent_retries_us.append(self.now)
-            else:
-                owed.available_units -= units * due
-            self.rate_limits.charge(item)
-            lane.dequeue(item, self.controller.share[item.plan_index] * max(value, MIN_SHARE))
-            self.tag_volume(shard, volume)
-            item.attempts_in_flight[item.attempt_count] = view.record_send(self.now, units)
-            self.schedule(
-                view.overdue_at_us(self.now, units), self.write_off_overdue, item, item.attempt_count
-            )
-            if self.placement_weights:
-                self.round_robin.record_selection(view.endpoint.name, self.placement_weights)
-            item.shard = view.endpoint.shard  # a new object stays with the shard that may have taken it
-            item.attempt_count += 1
-            self.actions.append(Send(item.request.request_id, view.endpoint.name))
-
-    def redirect_to_known_shard(self, item: PendingRequest) -> bool:
-        """A client may name a shard of old. Where this head stored the object itself, it knows better."""
-        new, old = self.placements
-        key = item.request.key or ""
-        shard = new.get(key, old.get(key, item.shard))
-        known, item.shard = shard != item.shard, shard
-        return known
-
-    def write_off_overdue(self, item: PendingRequest, attempt: int) -> None:
-        """Out much longer than its node takes, while later ones came back: lost, or enormous. Its units are
-        written off, so they block nothing; with leave and time it is withdrawn, and sent again."""
-        if (tried := item.attempts_in_flight.get(attempt)) is None:
+    def _request_dispatch(self, shards: Iterable[int]) -> None:
+        for shard in shards:
+            self._shards_to_dispatch[shard] = None
+
+    def _dispatch(self, shard: int) -> None:
+        """Send what may be sent of a shard, lowest start tag first."""
+        queue = self.queues.get(shard)
+        if queue is None:
             return
-        view: EndpointState = tried.endpoint_state
-        if view.latest_served_sent_us <= tried.sent_us:
-            return self.schedule(
-                view.overdue_at_us(self.now, item.request.units), self.write_off_overdue, item, attempt
+        while (pending := queue.next_request()) is not None:
+            if not self._dispatch_request(shard, queue, pending):
+                return
+
+    def _dispatch_request(self, shard: int, queue: FairQueue, pending: PendingRequest) -> bool:
+        """Send, defer or end one request; return whether the next one may be looked at."""
+        volume = pending.request.volume
+        selection = self.directory.select(shard, pending.request.units, self.now_us)
+        state = selection.endpoint_state
+        reason = self._unservable(pending, state)
+        if reason is not None:
+            self._end_unserved(pending, reason)
+            self._tag_volume(shard, volume)
+            return True
+        if state is None:
+            return False
+        if selection.ready_at_us > self.now_us:
+            self._schedule(selection.ready_at_us, self._request_dispatch, (shard,))
+            return False
+        limited_us = self.rate_limits.wait_us(pending, self.now_us)
+        entitled = self._is_entitled(pending)
+        priority = self._priority(pending, entitled)
+        if limited_us or self._yields(pending, state, priority):
+            delay_us = limited_us or state.target_latency_us // DEFERRAL_DIVISOR_COUNT
+            self._schedule(self.now_us + delay_us, self._tag_volume, shard, volume, queue.postpone())
+            return True
+        if pending.attempt_count:
+            self.retries.record_retry(self.now_us)
+        elif entitled:
+            self.rate_limits[volume].entitlement.available_units -= pending.request.units
+        queue.dequeue(pending, self.controller.share[pending.plan_index] * max(priority, MIN_SHARE))
+        self._tag_volume(shard, volume)
+        self._send(pending, state)
+        return True
+
+    def _unservable(self, pending: PendingRequest, state: EndpointState | None) -> EndReason | None:
+        """Return why a request ends now: a late answer would take the place of one in time."""
+        if state is not None:
+            size_ratio = max(pending.request.units / self.settings.mean_request_units, MIN_SIZE_RATIO)
+            expected_us = state.relative_latency.read(self.now_us) * state.target_latency_us * size_ratio
+            objective_us = pending.request_class.latency_objective_us
+            expected_us = min(expected_us, MAX_EXPECTED_LATENCY_RATIO * objective_us)
+            if self.now_us + expected_us > pending.objective_at_us:
+                return EndReason.OBJECTIVE_UNREACHABLE
+        if not self.retries.may_attempt(pending, self.now_us):
+            return EndReason.NO_ATTEMPT_LEFT
+        return None
+
+    def _yields(self, pending: PendingRequest, state: EndpointState, priority: float) -> bool:
+        """Tell whether a request leaves a busy endpoint to others: it can wait, or is worth too little."""
+        pressure = state.relative_latency.read(self.now_us)
+        deferrable_us = DEFERRABLE_LATENCIES_COUNT * state.target_latency_us
+        can_wait = pressure > RELAXED_LATENCY_RATIO and self.now_us + deferrable_us < pending.objective_at_us
+        return can_wait or priority < pressure - 1
+
+    def _send(self, pending: PendingRequest, state: EndpointState) -> None:
+        units = pending.request.units
+        self.rate_limits.charge(pending)
+        attempt = pending.attempt_count
+        pending.attempts_in_flight[attempt] = state.record_send(self.now_us, units)
+        self._schedule(state.overdue_at_us(self.now_us, units), self._write_off_overdue, pending, attempt)
+        self.directory.record_selection(state.endpoint.name)
+        pending.shard = state.endpoint.shard  # a new object stays with the shard that may have taken it
+        pending.attempt_count += 1
+        self._actions.append(Send(pending.request.request_id, state.endpoint.name))
+
+    # Ends
+
+    def _apply_outcome(self, outcome: Outcome) -> None:
+        pending = self.requests.get(outcome.request_id)
+        attempt = None if pending is None else pending.attempts_in_flight.pop(outcome.attempt, None)
+        if pending is None or attempt is None:
+            return
+        result = outcome.result
+        if attempt.reserved_units or result is AttemptResult.OK:  # what was written off has been judged
+            queue = self.queues.get(pending.shard)
+            requests_wait = queue is not None and bool(queue.waiting)
+            attempt.endpoint_state.record_outcome(
+                self.now_us, attempt, result, outcome.elapsed_us, requests_wait
             )
-        view.units_in_flight, tried.reserved_units = (
-            max(view.units_in_flight - tried.reserved_units, 0.0),
-            0.0,
-        )
-        self.shards_to_dispatch[view.endpoint.shard] = None
-        again = (
-            item.request_class.repeatability is not Repeatability.AT_MOST_ONCE
-            and not item.done
-            and self.may_attempt(item)
-        )
-        if (
-            again
-            and self.settings.cancellation_allowed
-            and self.now + view.relative_latency.read(self.now) * view.target_latency_us
-            < item.objective_at_us
-        ):
-            self.actions.append(Cancel(item.request.request_id, attempt))
-
-    def apply_outcome(self, e: Outcome) -> None:
-        item = self.requests.get(e.request_id)
-        if item is None or (tried := item.attempts_in_flight.pop(e.attempt, None)) is None:
+        self._shards_to_dispatch[pending.shard] = None
+        self.rate_limits.record_outcome(pending, outcome)
+        self._record_effect(pending, result, attempt.sent_us)
+        if outcome.final or pending.done:
+            self._conclude(pending)
+        elif self._is_redirected(pending, outcome) and self.retries.may_attempt(pending, self.now_us):
+            self._enqueue(pending)
+        elif self.now_us >= pending.objective_at_us:
+            self._end_unserved(pending)
+        elif outcome.misdirected or not self.retries.may_attempt(pending, self.now_us):
+            self._end_unserved(pending, EndReason.NO_ATTEMPT_LEFT)
+        else:
+            self._enqueue(pending)
+
+    def _record_effect(self, pending: PendingRequest, result: AttemptResult, sent_us: int) -> None:
+        """Note what an attempt may have done: where it put a new object, and whether it may have run."""
+        key = pending.request.key
+        if result is AttemptResult.OK and pending.request.shard < 0 and key is not None:
+            self.placements.record(key, pending.shard)
+        is_uncertain = result in UNCERTAIN_RESULTS
+        if (is_uncertain or result is AttemptResult.ERROR) and pending.may_have_run_since_us is None:
+            pending.may_have_run_since_us = sent_us
+        if is_uncertain and pending.request_class.ordered and key is not None:
+            self.ordered.pause(key, self.now_us + self.settings.ordering_pause_us)
+
+    def _is_redirected(self, pending: PendingRequest, outcome: Outcome) -> bool:
+        """Move a misdirected request to the shard that this front itself put its data on."""
+        if not outcome.misdirected:
+            return False
+        named_shard = pending.shard
+        pending.shard = self.placements.shard_of(pending.request.key or "", named_shard)
+        return pending.shard != named_shard
+
+    def _write_off_overdue(self, pending: PendingRequest, attempt_number: int) -> None:
+        """Write off an attempt that is out much longer than its endpoint takes, while later ones came back.
+
+        It is lost, or enormous: its units block nothing any more. Where that is allowed and there is time, it
+        is cancelled, and the request attempted again.
+        """
+        attempt = pending.attempts_in_flight.get(attempt_number)
+        if attempt is None:
+            return
+        state = attempt.endpoint_state
+        if state.latest_served_sent_us <= attempt.sent_us:
+            overdue_at_us = state.overdue_at_us(self.now_us, pending.request.units)
+            self._schedule(overdue_at_us, self._write_off_overdue, pending, attempt_number)
+            return
+        state.units_in_flight = max(state.units_in_flight - attempt.reserved_units, 0.0)
+        attempt.reserved_units = 0.0
+        self._shards_to_dispatch[state.endpoint.shard] = None
+        if self._may_replace(pending, state):
+            self._actions.append(Cancel(pending.request.request_id, attempt_number))
+
+    def _may_replace(self, pending: PendingRequest, state: EndpointState) -> bool:
+        """Tell whether an overdue attempt may be cancelled for another one that is still in time."""
+        if pending.request_class.repeatability is Repeatability.AT_MOST_ONCE or pending.done:
+            return False
+        if not self.retries.may_attempt(pending, self.now_us) or not self.settings.cancellation_allowed:
+            return False
+        expected_us = state.relative_latency.read(self.now_us) * state.target_latency_us
+        return self.now_us + expected_us < pending.objective_at_us
+
+    def _forget_client(self, request_id: str) -> None:
+        pending = self.requests.get(request_id)
+        if pending is not None:
+            self._conclude(pending)
+            self._shards_to_dispatch[pending.shard] = None  # what waited behind it may be sent
+
+    def _shed_load(self) -> None:
+        """Reject the waiting requests of lowest priority while more are open than there are places for."""
+        while (pending := self.load_shedder.next_to_shed(self.open_request_count)) is not None:
+            self._end_unserved(pending, EndReason.OVERLOAD)
+
+    def _end_unserved(self, pending: PendingRequest, reason: EndReason = EndReason.OBJECTIVE_PASSED) -> None:
+        """Give the final answer at once: rejected wherever it is harmless to try again, else failed."""
+        if pending.done or pending.attempts_in_flight:
             return
-        view, lane = tried.endpoint_state, self.queues.get(item.shard)
-        if tried.reserved_units or e.result is AttemptResult.OK:  # what was written off has been judged
-            view.record_outcome(self.now, tried, e.result, e.elapsed_us, bool(lane and lane.waiting))
-        self.shards_to_dispatch[item.shard] = None
-        self.rate_limits.record_outcome(item, e)
-        if e.result is AttemptResult.OK and item.request.shard < 0 and item.request.key is not None:
-            self.placements[0][item.request.key] = item.shard
-        unsure = e.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
-        if (unsure or e.result is AttemptResult.ERROR) and item.may_have_run_since_us is None:
-            item.may_have_run_since_us = tried.sent_us
-        if unsure and item.request_class.ordered and item.request.key is not None:
-            self.key_paused_until_us[item.request.key] = self.now + self.settings.ordering_pause_us
-        if e.final or item.done:
-            self.conclude(item)
-        elif e.misdirected and self.redirect_to_known_shard(item) and self.may_attempt(item):
-            self.enqueue(item)
-        elif self.now >= item.objective_at_us:
-            self.end_unserved(item)
-        elif e.misdirected or not self.may_attempt(item):
-            self.end_unserved(item, EndReason.NO_ATTEMPT_LEFT)
+        request = pending.request
+        if is_harmless_to_repeat(pending):
+            self._actions.append(Reject(request.request_id, self.settings.max_retry_after_us, reason))
+            if not pending.is_client_retry:
+                self.admission.record_rejection(request, self.now_us)
         else:
-            self.enqueue(item)
+            self._actions.append(Fail(request.request_id, reason))
+        self._conclude(pending)
+
+    def _conclude(self, pending: PendingRequest) -> None:
+        """End a request for its client; with no attempt in flight, forget it and free its key."""
+        if not pending.done:
+            latency_us = self.now_us - pending.arrived_us
+            objective_us = pending.request_class.latency_objective_us
+            self.latency_ratio_sums[pending.plan_index] += latency_us / objective_us
+            self.latency_ratio_counts[pending.plan_index] += 1
+            self.open_request_count -= 1
+        pending.done = True
+        pending.queued = False
+        if pending.attempts_in_flight:
+            return
+        self.requests.pop(pending.request.request_id, None)
+        key = pending.request.key
+        if pending.request_class.ordered and key is not None and self.ordered.remove(key, pending):
+            self._release_ordered(key)
--- a/umberlead/scheduling/slow_start.py
+++ b/umberlead/scheduling/slow_start.py
@@ -1,4 +1,10 @@
-"""How much of its capacity a chunk server has after a start, and what all fronts together may ask of it."""
+"""Slow start: how much of its capacity an endpoint has after a start, and what one front may send it.
+
+Two bounds hold beside each other. Pacing charges each request for the time that its units take of the front's
+share of the capacity; being served gives most of that back. `SendWindow` bounds what is sent in a window,
+served or not: a cold endpoint falls by the sum of what all fronts send it. Where N requests of mean work are
+what the settings allow in a window, 2 root N + 2 more are put down to chance. Times are whole microseconds.
+"""
 
 import math
 from collections import deque
@@ -6,61 +12,58 @@
 from umberlead.scheduling.events import Endpoint
 from umberlead.scheduling.settings import Settings
 
-SERVED_IN_TIME_RATIO = (
-    0.6  # of what a cold node always bears: that keeps it up, this much it also serves in time
-)
-MIN_COLD_CAPACITY_RATIO = 0.02  # a cold share below that is taken for that
+SERVED_IN_TIME_RATIO = 0.6  # of what a cold endpoint always bears, what it also serves in time
+MIN_COLD_CAPACITY_RATIO = 0.02  # stands in for a smaller one in the settings
+EVEN_SHARES_RATIO = 0.85  # of the bound, that the fronts' even shares add up to: the rest is left to chance
+MAX_FRONT_SHARE = 0.2  # of the bound, for a front that asks more than others; or its even share
+MIN_WINDOW_REQUESTS = 2.0  # of mean work that any front may send; pacing spaces those of many fronts
 
 
-def available_capacity_ratio(s: Settings, node: Endpoint, now: int) -> float:
-    """The part of its capacity, to 1, that `node` is sure to have at `now` (us)."""
-    age = now - node.started_us
-    if node.started_us <= 0 or age >= s.warm_up_us or s.cold_start_units <= 0:
-        return 1.0
-    low = max(s.cold_capacity_ratio, MIN_COLD_CAPACITY_RATIO)
-    return low + (1 - low) * max(age, 0) / s.warm_up_us
+def _cold_capacity_ratio(settings: Settings) -> float:
+    return max(settings.cold_capacity_ratio, MIN_COLD_CAPACITY_RATIO)
 
 
-def capacity_growth_factor(s: Settings, node: Endpoint, now: int) -> float:
-    """The capacity that `node` is sure to have at `now` (us), over that of its start."""
-    return available_capacity_ratio(s, node, now) / max(s.cold_capacity_ratio, MIN_COLD_CAPACITY_RATIO)
+def available_capacity_ratio(settings: Settings, endpoint: Endpoint, now_us: int) -> float:
+    """Return the part of its capacity, to 1, that an endpoint is sure to have now."""
+    age_us = now_us - endpoint.started_us
+    if endpoint.started_us <= 0 or age_us >= settings.warm_up_us or settings.cold_start_units <= 0:
+        return 1.0
+    cold_ratio = _cold_capacity_ratio(settings)
+    return cold_ratio + (1 - cold_ratio) * max(age_us, 0) / settings.warm_up_us
 
 
-def pacing_delay_us(s: Settings, node: Endpoint, now: int, units: float, part: float) -> float:
-    """How long (us) `units` take of the `part` that one head has of a warming node; 0 of a warm one.
+def capacity_growth_factor(settings: Settings, endpoint: Endpoint, now_us: int) -> float:
+    """Return the capacity that an endpoint is sure to have now over that of its start."""
+    return available_capacity_ratio(settings, endpoint, now_us) / _cold_capacity_ratio(settings)
 
-    All heads may ask for what the node always bears in a window, less what it would not serve in time; that
-    grows as slowly as a node may warm up."""
-    if available_capacity_ratio(s, node, now) == 1:
-        return 0.0
-    return (
-        units
-        * s.cold_window_us
-        / (SERVED_IN_TIME_RATIO * s.cold_start_units * capacity_growth_factor(s, node, now) * part)
-    )
 
+def pacing_delay_us(
+    settings: Settings, endpoint: Endpoint, now_us: int, units: float, front_share: float
+) -> float:
+    """Return how long `units` take of a front's share, to 1, of a warming endpoint; 0 of a warm one.
 
-EVEN_SHARES_RATIO = (
-    0.85  # of the bound that the heads' even parts add up to: the rest is left to chance and busy heads
-)
-MAX_FRONT_SHARE = (
-    0.2  # of the bound, most that a head has for what it asks more than others; or its even part
-)
-MIN_WINDOW_REQUESTS = (
-    2.0  # of mean work that any head may send in a window; its rests space those of many heads
-)
+    All fronts may ask for what the endpoint always bears in a window, less what it would not serve in time;
+    that grows as slowly as an endpoint may warm up.
+    """
+    if available_capacity_ratio(settings, endpoint, now_us) == 1:
+        return 0.0
+    growth_factor = capacity_growth_factor(settings, endpoint, now_us)
+    window_units = SERVED_IN_TIME_RATIO * settings.cold_start_units * growth_factor * front_share
+    return units * settings.cold_window_us / window_units
 
 
-def max_window_units(s: Settings, node: Endpoint, now: int, part: float) -> float:
-    """Units that a head with `part` of a shard's traffic (0 to 1) may send its warming `node` in a window."""
-    n = s.cold_start_units * capacity_growth_factor(s, node, now) / s.mean_request_units
-    bound = n + 2 * math.sqrt(n) + 2
-    own = min(part, max(MAX_FRONT_SHARE, 1 / s.front_count))
-    return s.mean_request_units * max(EVEN_SHARES_RATIO * own * bound, MIN_WINDOW_REQUESTS)
+def max_window_units(settings: Settings, endpoint: Endpoint, now_us: int, front_share: float) -> float:
+    """Return the units that a front with this share of a shard's traffic may send in a window."""
+    allowed_units = settings.cold_start_units * capacity_growth_factor(settings, endpoint, now_us)
+    allowed_requests = allowed_units / settings.mean_request_units
+    bound_requests = allowed_requests + 2 * math.sqrt(allowed_requests) + 2
+    own_share = min(front_share, max(MAX_FRONT_SHARE, 1 / settings.front_count))
+    own_requests = EVEN_SHARES_RATIO * own_share * bound_requests
+    return settings.mean_request_units * max(own_requests, MIN_WINDOW_REQUESTS)
 
 
 class SendWindow:
-    """What was sent in the latest window: a rolling log of times and units."""
+    """What was sent in the latest window: a sliding log of times and units."""
 
     def __init__(self, length_us: int) -> None:
         """Begin with nothing sent; a window is `length_us` long."""
@@ -68,24 +71,26 @@
         self._log: deque[tuple[int, float]] = deque()
         self._units = 0.0
 
-    def add(self, now: int, units: float) -> None:
-        """Note that `units` were sent at `now`, in microseconds."""
-        self._forget(now)
-        self._log.append((now, units))
+    def add(self, now_us: int, units: float) -> None:
+        """Note that `units` were sent now."""
+        self._expire(now_us)
+        self._log.append((now_us, units))
         self._units += units
 
-    def free_at(self, now: int, units: float, most: float) -> int:
-        """When `units` more make no more than `most` in a window; a request that is larger goes alone."""
-        self._forget(now)
-        held, when = self._units + units, now
-        for at, sent in self._log:
-            if held <= most:
+    def free_at(self, now_us: int, units: float, max_units: float) -> int:
+        """Return when `units` more are within `max_units` of a window; a larger request goes alone."""
+        self._expire(now_us)
+        window_units = self._units + units
+        free_at_us = now_us
+        for sent_us, sent_units in self._log:
+            if window_units <= max_units:
                 break
-            held, when = held - sent, at + self.length_us
-        return when
+            window_units -= sent_units
+            free_at_us = sent_us + self.length_us
+        return free_at_us
 
-    def _forget(self, now: int) -> None:
-        while self._log and self._log[0][0] <= now - self.length_us:
+    def _expire(self, now_us: int) -> None:
+        while self._log and self._log[0][0] <= now_us - self.length_us:
             self._units -= self._log.popleft()[1]
         if not self._log:
             self._units = 0.0  # no rounding is carried over
--- a/umberlead/scheduling/weighted_round_robin.py
+++ b/umberlead/scheduling/weighted_round_robin.py
@@ -1,17 +1,25 @@
-"""Smooth weighted choice: of those that can take a request, each in proportion to its weight, well mixed."""
+"""Smooth weighted round robin: each candidate in proportion to its weight, well mixed."""
 
 
 class SmoothWeightedRoundRobin:
-    """Each candidate gains its weight, the highest goes and pays the sum; who can't take any stands still."""
+    """Each candidate gains its weight, the highest is selected and pays the sum.
+
+    A candidate that can't take a request is left out, and its credit stands still.
+    """
 
     def __init__(self) -> None:
+        """Begin with no credit."""
         self._credit: dict[str, float] = {}
 
     def select(self, weights: dict[str, float]) -> str:
-        return max(weights, key=lambda n: self._credit.get(n, 0.0) + weights[n])
+        """Return the candidate whose turn it is; `weights` are by name, one at least."""
+        return max(weights, key=lambda name: self._credit.get(name, 0.0) + weights[name])
+
+    def record_selection(self, selected: str, weights: dict[str, float]) -> None:
+        """Let the selected candidate pay.
 
-    def record_selection(self, name: str, weights: dict[str, float]) -> None:
-        """Who is no longer among `weights` loses what it had: tables don't grow, and it begins anew."""
-        kept = {n: self._credit.get(n, 0.0) + w for n, w in weights.items()}
-        kept[name] -= sum(weights.values())
-        self._credit = kept
+        One that is no longer among `weights` loses its credit: the table doesn't grow, and it begins anew.
+        """
+        credit = {name: self._credit.get(name, 0.0) + weight for name, weight in weights.items()}
+        credit[selected] -= sum(weights.values())
+        self._credit = credit
