--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 FULL := .run-venv
 CONFIG ?= deploy/watched.toml
 
-.PHONY: build test lint check demo run rehearse front planted-moments planted-soak bench-rehearsals bench-fleet bench-versions bench-rooms bench-restarts planted-lists explore-lists bench-lists bench-watch bench-long-lists planted-routes both-ways bench-virtual bench-news bench-leaving bench-cold-ramp soak clean
+.PHONY: build test lint check demo run rehearse front planted-moments planted-soak bench-rehearsals bench-fleet bench-versions bench-rooms bench-restarts planted-lists explore-lists bench-lists bench-watch bench-long-lists planted-routes both-ways both-builds bench-virtual bench-news bench-leaving bench-cold-ramp soak clean
 
 build:
 	cmp -s requirements.txt .venv/requirements.done || (rm -rf .venv && $(PYTHON) -m venv .venv && \
@@ -84,6 +84,11 @@
 bench-long-lists: $(DEV)/requirements.done
 	$(DEV)/bin/python -B -m benchmarks.long_lists --keep
 
+# An earlier build beside the present one: stored data, verdicts, hand-over and gossip; 5 minutes.
+BEFORE ?= HEAD
+both-builds: $(DEV)/requirements.done
+	$(DEV)/bin/python -B -m tests.both_builds $(BEFORE) $(CHECK)
+
 # Routing tests' speed by servers and collections, and the observer's cost; half a minute.
 bench-virtual: $(DEV)/requirements.done
 	$(DEV)/bin/python -B -m benchmarks.virtual_time --keep
