--- a/umberlead/scheduling/endpoint_directory.py
+++ b/umberlead/scheduling/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoints in force: the endpoint list, manual drains, and which endpoint a request goes to."""
+"""The endpoints of a front: the endpoint list, manual drains and the choice of endpoint for a request."""
 
 import random
 from collections.abc import Iterable
@@ -11,18 +11,18 @@
 from umberlead.scheduling.token_bucket import NEVER
 from umberlead.scheduling.weighted_round_robin import SmoothWeightedRoundRobin
 
-ANY_SHARD = -1  # of a new object, which any endpoint may take
-PRIOR_DEMAND_UNITS = 0.1  # that count as asked of every shard before any request came
-MAX_TRAFFIC_SHARE = 1 / 3  # of a shard, most that a front takes for its own
+ANY_SHARD = -1  # shard number of new objects, which any endpoint may store
+PRIOR_DEMAND_UNITS = 0.1  # demand counted for each shard in addition to its requests
+MAX_TRAFFIC_SHARE = 1 / 3  # maximum share of a shard's traffic that a front assumes for itself
 
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """Where a request goes: the endpoint, and when it may be sent there.
+    """The endpoint selected for a request, and when the request may be sent there.
 
     Attributes:
-        ready_at_us: now or later.
-        endpoint_state: None where no endpoint can take it before an event changes that.
+        ready_at_us: the present time or later.
+        endpoint_state: the endpoint; None if none can take the request until an event changes that.
     """
 
     ready_at_us: float
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ManualReturn:
-    """A manual drain that was taken back before the list told of the endpoint's restart."""
+    """A manual drain that ended before the endpoint list reported the endpoint's restart."""
 
     drained_us: int
     returned_us: int
@@ -41,19 +41,19 @@
     """The endpoints of one front.
 
     Attributes:
-        endpoints: by name.
-        by_shard: the names of a shard's endpoints, in the order they came.
-        manual_drains: endpoints that operators took out, and when.
-        demand_by_shard: units asked of each shard lately.
+        endpoints: endpoints by name.
+        by_shard: names of each shard's endpoints, in the order in which they were listed first.
+        manual_drains: endpoints that operators drained, with the time of the drain.
+        demand_by_shard: units recently requested from each shard.
     """
 
     def __init__(self, settings: Settings, now_us: int, rng: random.Random) -> None:
-        """Begin without endpoints."""
+        """Create a directory without endpoints."""
         self.endpoints: dict[str, EndpointState] = {}
         self.by_shard: dict[int, dict[str, None]] = {}
         self.manual_drains: dict[str, int] = {}
         self.demand_by_shard: dict[int, float] = {}
-        self.process_share = 0.0  # of the front, that this process has; 0: all of it
+        self.process_share = 0.0  # this process's share of its front; 0: not known, counts as 1
         self._settings = settings
         self._rng = rng
         self._manual_returns: dict[str, ManualReturn] = {}
@@ -62,10 +62,10 @@
         self._context = EndpointContext(settings, now_us, fleet_latency_average(now_us), self.traffic_share)
 
     def apply_list(self, endpoint_list: EndpointList, now_us: int) -> list[int]:
-        """Take over an endpoint list; return the shards whose endpoints it names, ANY_SHARD behind each.
+        """Apply an endpoint list; return the shards of its endpoints, each followed by ANY_SHARD.
 
-        An endpoint with a new start is a new one, and one that is gone is forgotten: where all are replaced
-        again and again the table would grow.
+        An endpoint with a later start time begins with a new state. An endpoint that is gone is dropped, so
+        that the table does not grow when endpoints are replaced.
         """
         named = {endpoint.name: endpoint for endpoint in endpoint_list.endpoints}
         if endpoint_list.complete:
@@ -89,7 +89,7 @@
         self._manual_returns.pop(endpoint.name, None)
 
     def _with_manual_return(self, endpoint: Endpoint) -> Endpoint:
-        """Count an endpoint as started when its drain ended, until the list tells of its restart."""
+        """Use the end of a manual drain as the start time until the list reports the endpoint's restart."""
         returned = self._manual_returns.get(endpoint.name)
         if returned is not None and endpoint.started_us < returned.drained_us:
             return replace(endpoint, started_us=returned.returned_us)
@@ -108,10 +108,11 @@
         self.endpoints[endpoint.name] = EndpointState(endpoint, self._context, now_us, jitter)
 
     def apply_manual_drain(self, drain: ManualDrain, now_us: int) -> list[int]:
-        """Take an endpoint out, or put it back; return the shards that have an endpoint again.
+        """Begin or end a manual drain; return the shards that have an endpoint again.
 
-        Drained, it gets nothing whatever the list says. It is restarted in that time and comes back cold,
-        which the list may tell late: until it does, it counts as started when it was put back.
+        A drained endpoint gets no requests, whatever the list says. It is restarted during the drain and is
+        cold afterwards. The list may report the restart late; until then the end of the drain counts as the
+        start.
         """
         if drain.drained:
             self.manual_drains.setdefault(drain.endpoint, drain.at_us)
@@ -126,29 +127,29 @@
         return [state.endpoint.shard, ANY_SHARD]
 
     def accepts_new_requests(self, name: str) -> bool:
-        """Tell whether the list as it stands, and operators, let anything new begin at an endpoint."""
+        """Return whether the present list and manual drains allow new requests to an endpoint."""
         state = self.endpoints.get(name)
         is_up = state is not None and state.endpoint.status is EndpointStatus.UP
         return is_up and name not in self.manual_drains
 
     def knows(self, name: str) -> bool:
-        """Tell whether an endpoint is listed or drained by hand."""
+        """Return whether an endpoint is listed or manually drained."""
         return name in self.endpoints or name in self.manual_drains
 
     def avoided_count(self, now_us: int) -> int:
-        """Return how many listed endpoints are drained by hand or ejected."""
+        """Return how many listed endpoints are manually drained or ejected."""
         return sum(
             name in self.manual_drains or state.ejected_until_us > now_us
             for name, state in self.endpoints.items()
         )
 
     def record_demand(self, shard: int, units: float) -> None:
-        """Note that `units` are asked of a shard."""
+        """Record a request of `units` to a shard."""
         if shard >= 0:
             self.demand_by_shard[shard] = self.demand_by_shard.get(shard, 0.0) + units
 
     def decay_demand(self) -> None:
-        """Halve what was asked, and forget shards of which next to nothing was."""
+        """Halve the recorded demand, and drop shards with at most `PRIOR_DEMAND_UNITS`."""
         self.demand_by_shard = {
             shard: units / 2 for shard, units in self.demand_by_shard.items() if units > PRIOR_DEMAND_UNITS
         }
@@ -156,9 +157,10 @@
     def traffic_share(self, shard: int) -> float:
         """Return this process's share, to 1, of a shard's traffic.
 
-        It is the front's own share of units that go to the shard, over the even share, times the front's even
-        part, so in the mean of all shards the front has its even part. Where it seldom asks it leaves its
-        part to others. Each of two processes of a front has its share of that.
+        The shard's part of this front's units is divided by an even part (1 / `shard_count`) and multiplied
+        by the front's even share (1 / `front_count`), so in the mean of all shards the front has its even
+        part. Where it seldom asks it leaves its part to others. Each process of a front has its share of the
+        result.
         """
         settings = self._settings
         own_units = self.demand_by_shard.get(shard, 0.0) + PRIOR_DEMAND_UNITS
@@ -171,10 +173,11 @@
         return bounded_share / settings.front_count * (self.process_share or 1.0)
 
     def select(self, shard: int, units: float, now_us: int) -> Selection:
-        """Return the shard's endpoint that can take `units` soonest; of those, where an answer comes soonest.
+        """Return the shard's endpoint that can take `units` first; among equals, the one that answers first.
 
-        So new objects leave the fullest and the slowest endpoints to reads, which can go nowhere else. Where
-        the list gives weights, new objects go by these among the endpoints that can take them now.
+        New objects thus avoid the busiest and slowest endpoints and leave them to reads, which have no other
+        endpoint. Where the list gives weights, new objects are distributed by weight over the endpoints that
+        can take them now.
         """
         states = self._candidates(shard)
         ranks = [
@@ -209,12 +212,12 @@
 
     @staticmethod
     def _weights_of(ready: list[EndpointState], now_us: int) -> dict[str, float]:
-        """Return weights of endpoints that can take a new object now; outliers only if all are."""
+        """Return the weights of `ready` endpoints without outliers, or of all if all are outliers."""
         endpoints = [state.endpoint for state in ready if not state.is_outlier(now_us)]
         endpoints = endpoints or [state.endpoint for state in ready]
         return {endpoint.name: 1.0 if endpoint.weight is None else endpoint.weight for endpoint in endpoints}
 
     def record_selection(self, endpoint_name: str) -> None:
-        """Note that the endpoint selected last is sent the request."""
+        """Record that the request is sent to the endpoint that was selected last."""
         if self._placement_weights:
             self._round_robin.record_selection(endpoint_name, self._placement_weights)
--- a/umberlead/scheduling/rate_limits.py
+++ b/umberlead/scheduling/rate_limits.py
@@ -1,15 +1,15 @@
-"""What this process may send for a volume, and what it owes it: its shares of buckets that all fronts share.
-
-The rule (the operators' protocol page): for a plan with a limit each volume has one bucket over all fronts,
-full at first, that fills at the limit's rate up to its burst. A request takes its units once, when its last
-byte has come to an endpoint for the first time; the bucket may go below nothing by the slack.
-
-Why the sum holds: a front has one share in `front_count` of rate and burst, and a process has its share of
-the front's. Shares never add up to more than one, no bucket holds more than its share of the burst, and a
-process that starts beside others starts with nothing: so all buckets together never hold more than the rule's
-one. Beyond that there is half a share of the slack at the start of a front without a sibling process, which
-can't know what was spent before. Fronts don't speak of it: how many serve a volume is known from its requests
-alone.
+"""Rate limits and entitlements of volumes: this process's shares of token buckets over all fronts.
+
+The rule, as the operators' protocol states it: if the plan has a rate limit, each volume has one bucket over
+all fronts. It is full at first and fills at the limit's rate up to the burst. A request takes its units once,
+when its last byte reaches an endpoint for the first time. The bucket may be overdrawn by the slack.
+
+The rate and burst of that bucket are divided among the fronts (1 / `front_count` each) and then among the
+processes of a front. The shares never add up to more than 1, no bucket holds more than its share of the
+burst, and a process that starts beside siblings starts with an empty bucket. So all buckets together never
+hold more than the one bucket of the rule. A front that starts without a sibling process can't know what was
+used before and starts with half of its share of the slack. Fronts do not coordinate: each request carries the
+number of fronts that serve its volume.
 """
 
 from dataclasses import dataclass
@@ -19,16 +19,16 @@
 from umberlead.scheduling.settings import Plan, Settings
 from umberlead.scheduling.token_bucket import NEVER, TokenBucket
 
-PROCESS_NOTICE_US = 100_000  # in which siblings learn of a new process; the slack bears a late one
-MAX_SHARE_CHANGES_COUNT = 8  # that are remembered; before these, a volume not yet seen has nothing
-START_SLACK_RATIO = 0.5  # of the slack, that a process without siblings starts with
-# The endpoint answered: the request had come there completely.
+PROCESS_NOTICE_US = 100_000  # until siblings notice a new process; the slack covers a late one
+MAX_SHARE_CHANGES_COUNT = 8  # kept; the bucket of a new volume counts as empty at the latest dropped one
+START_SLACK_RATIO = 0.5  # of its share of the slack, available at the start of a process without siblings
+# Results with an answer of the endpoint, which means that it had received the whole request.
 RESULTS_OF_DELIVERY = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED)
 
 
 @dataclass(frozen=True, slots=True)
 class BucketSize:
-    """How fast a bucket fills, and how much it holds."""
+    """The fill rate and the capacity of a token bucket."""
 
     units_per_second: float
     capacity_units: float
@@ -36,32 +36,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareChange:
-    """From `at_us` on, this process has `share`, to 1, of its front."""
+    """From `at_us` on, this process has `share`, up to 1, of its front."""
 
     at_us: int
     share: float
 
 
 class VolumeLimit:
-    """One volume's limit and entitlement.
+    """The rate limit and the entitlement of one volume.
 
     Attributes:
-        front_count: through how many fronts the volume works.
-        process_share: of its front, that this process has.
-        last_request_us: when the volume's last request came.
-        limit: this process's share of the volume's rate limit.
-        entitlement: this front's share of the reserve, or of what the usual rate earns; kept in the mean, on
-            credit.
+        front_count: number of fronts that serve the volume.
+        process_share: this process's share of its front.
+        last_request_us: arrival of the volume's last request.
+        limit: bucket of this process's share of the volume's rate limit.
+        entitlement: bucket of this front's share of the rate to which the volume is entitled: the reserved
+            rate, or the usual rate times `within_share_factor` if that is higher. A large request may
+            overdraw it, so the rate is kept on average.
     """
 
     def __init__(self, plan: Plan, front_count: int, settings: Settings, now_us: int) -> None:
-        """Begin with a full entitlement and no limit: `start_limit` sets that."""
+        """Create a volume with a full entitlement and no limit; `start_limit` sets the limit."""
         self.front_count = front_count
         self.process_share = 1.0
         self.last_request_us = now_us
         self._plan = plan
         self._settings = settings
-        self._lower_front_count = 0  # as requests tell lately, where it is below `front_count`
+        self._lower_front_count = 0  # from recent requests, if below `front_count`; else 0
         self._lower_since_us = now_us
         size = self._entitlement_size()
         self.entitlement = TokenBucket(
@@ -70,7 +71,7 @@
         self.limit = TokenBucket(1.0, NEVER, NEVER, now_us)
 
     def start_limit(self, since_us: int, process_share: float, slack_ratio: float) -> None:
-        """Set the limit as it was at `since_us`, with that part of the slack in it."""
+        """Start the limit's bucket at `since_us` with `slack_ratio` of this process's share of the slack."""
         self.process_share = process_share
         size = self._limit_size()
         available_units = NEVER
@@ -91,16 +92,16 @@
         return BucketSize(units_per_second, units_per_second + self._settings.mean_request_units)
 
     def set_process_share(self, now_us: int, process_share: float) -> None:
-        """Let the process have another share from now on."""
+        """Change this process's share from now on."""
         self.process_share = process_share
         size = self._limit_size()
         self.limit.resize(now_us, size.units_per_second, size.capacity_units)
 
     def set_front_count(self, now_us: int, front_count: int, hold_us: int) -> None:
-        """Take over the number of fronts that a request tells.
+        """Apply the number of fronts that a request carries.
 
-        More hold at once, fewer after `hold_us`: until then another front may still send what it took when
-        there were more.
+        A higher number applies at once, a lower one after `hold_us`. Until then, another front may still send
+        requests that it accepted under the higher number.
         """
         self.last_request_us = now_us
         if front_count < self.front_count:
@@ -118,7 +119,7 @@
         self.front_count = front_count
         size = self._limit_size()
         self.limit.refill(now_us)
-        # A front that joins may have as much in its bucket as each of the others gives up.
+        # The bucket of a front that joins may already hold what the other fronts give up here.
         if size.capacity_units < earlier_capacity_units:
             self.limit.available_units -= earlier_capacity_units - size.capacity_units
         self.limit.resize(now_us, size.units_per_second, size.capacity_units)
@@ -127,26 +128,26 @@
 
 
 class RateLimits(dict[str, VolumeLimit]):
-    """The volumes seen lately, by name.
+    """The volumes that had requests recently, by name.
 
     Attributes:
-        process_share: of its front, that this process has; 0 while it was not told.
+        process_share: this process's share of its front; 0 until it is known.
     """
 
     def __init__(self, settings: Settings, started_us: int) -> None:
-        """Begin with no volume known; `started_us` is the process's start."""
+        """Create an empty table; `started_us` is the start time of the process."""
         super().__init__()
         self.process_share = 0.0
         self._settings = settings
         self._longest_timeout_us = max(cls.timeout_us for cls in settings.classes)
-        # How the bucket of any volume started, and the changes of the share since then.
+        # The start of every volume's bucket, and the changes of the share since then.
         self._first_change = ShareChange(started_us, 1.0)
         self._slack_ratio = START_SLACK_RATIO
         self._share_changes: list[ShareChange] = []
         self._is_unused = True
 
     def set_process_share(self, now_us: int, share: float) -> None:
-        """Let this process have `share`, to 1, of what its front may send, from now on."""
+        """Set this process's share, up to 1, of what its front may send from now on."""
         if self._is_unused and (share < self.process_share or not self.process_share):
             self._start_with(now_us, share)
         else:
@@ -159,7 +160,7 @@
             volume.set_process_share(now_us, share)
 
     def _start_with(self, now_us: int, share: float) -> None:
-        """Start anew: beside siblings with empty buckets, once they know of this process."""
+        """Restart all buckets; beside siblings they start empty, once these have noticed this process."""
         self._share_changes = []
         if share < 1:
             self._first_change = ShareChange(now_us + PROCESS_NOTICE_US, share)
@@ -169,7 +170,7 @@
             self._slack_ratio = START_SLACK_RATIO
 
     def record_request(self, request: Request, plan: Plan, now_us: int) -> None:
-        """Note that a request came: its volume is known from here on, and its front count."""
+        """Record the arrival of a request: add its volume if it is new, else update its front count."""
         front_count = max(request.volume_front_count, 1)
         self._is_unused = False
         known = self.get(request.volume)
@@ -182,23 +183,24 @@
             volume.set_process_share(change.at_us, change.share)
 
     def wait_us(self, pending: PendingRequest, now_us: int) -> int:
-        """Return how long until a request may be sent as far as its volume's limit is concerned."""
+        """Return how long a request has to wait for its volume's rate limit."""
         if pending.charged_attempt is not None:
             return 0
         return self[pending.request.volume].limit.wait_us(now_us, pending.request.units)
 
     def charge(self, pending: PendingRequest) -> None:
-        """Take the units of a request whose next attempt is sent, unless an earlier one took them."""
+        """Charge a request whose next attempt is sent, unless an earlier attempt was charged."""
         if pending.charged_attempt is None:
             self[pending.request.volume].limit.available_units -= pending.request.units
             pending.charged_attempt = pending.attempt_count
 
     def record_outcome(self, pending: PendingRequest, outcome: Outcome) -> None:
-        """Settle what an attempt took.
+        """Settle the charge of an attempt that has ended.
 
-        What was never sent takes nothing. Where an endpoint answered, the request took its units, and a
-        further attempt takes none. Else that is not known, and a further one is charged as well: it comes
-        later than what was charged. A failed connection takes its units too: the simulator counts them.
+        If the attempt was never sent, its units are returned. If the endpoint answered, the request stays
+        charged and further attempts are free. Otherwise it is not known whether the request arrived, and a
+        further attempt is charged again, as it may be the first to arrive. A failed connection stays charged
+        too, because the simulator counts it.
         """
         was_delivered = outcome.result in RESULTS_OF_DELIVERY or outcome.misdirected
         if outcome.attempt != pending.charged_attempt or was_delivered:
@@ -208,7 +210,7 @@
             self[pending.request.volume].limit.give_back(pending.request.units)
 
     def forget_idle(self, now_us: int, idle_since_us: int) -> None:
-        """Forget volumes that are silent since then and whose limit is full."""
+        """Drop volumes without a request since `idle_since_us` whose limit is full."""
         idle = [
             name
             for name, volume in self.items()
--- a/umberlead/scheduling/slow_start.py
+++ b/umberlead/scheduling/slow_start.py
@@ -1,9 +1,10 @@
-"""Slow start: how much of its capacity an endpoint has after a start, and what one front may send it.
+"""Slow start: the capacity of an endpoint after its start, and how much one front may send to it.
 
-Two bounds hold beside each other. Pacing charges each request for the time that its units take of the front's
-share of the capacity; being served gives most of that back. `SendWindow` bounds what is sent in a window,
-served or not: a cold endpoint falls by the sum of what all fronts send it. Where N requests of mean work are
-what the settings allow in a window, 2 root N + 2 more are put down to chance. Times are whole microseconds.
+Two limits apply at the same time. Pacing charges each request the time for which its units use up the front's
+share of the capacity; a request that is served gets most of the charge back. `SendWindow` limits the units
+sent in a window, served or not, as a cold endpoint fails by the sum of what all fronts send. If the settings
+allow N requests of mean size in a window, the bound is N + 2 sqrt(N) + 2, as arrivals vary at random. Times
+are whole microseconds.
 """
 
 import math
@@ -13,11 +14,11 @@
 from umberlead.scheduling.settings import Settings
 from umberlead.scheduling.token_bucket import MAX_WAIT_US
 
-SERVED_IN_TIME_RATIO = 0.6  # of what a cold endpoint always bears, what it also serves in time
-MIN_INITIAL_CAPACITY_RATIO = 0.02  # stands in for a smaller one in the settings
-EVEN_SHARES_RATIO = 0.85  # of the bound, that the fronts' even shares add up to: the rest is left to chance
-MAX_FRONT_SHARE = 0.2  # of the bound, for a front that asks more than others; or its even share
-MIN_WINDOW_REQUESTS = 2.0  # of mean work that any front may send; pacing spaces those of many fronts
+SERVED_IN_TIME_RATIO = 0.6  # part of the load that a cold endpoint can take which it also serves in time
+MIN_INITIAL_CAPACITY_RATIO = 0.02  # smaller values in the settings count as this one
+EVEN_SHARES_RATIO = 0.85  # sum of the fronts' even shares over the bound; the rest allows for variation
+MAX_FRONT_SHARE = 0.2  # of the bound for a front with much traffic, unless its even share is larger
+MIN_WINDOW_REQUESTS = 2.0  # of mean size, allowed to any front; pacing keeps many fronts apart
 
 
 def _initial_capacity_ratio(settings: Settings) -> float:
@@ -25,7 +26,7 @@
 
 
 def available_capacity_ratio(settings: Settings, endpoint: Endpoint, now_us: int) -> float:
-    """Return the part of its capacity, to 1, that an endpoint is sure to have now."""
+    """Return the part of its capacity, up to 1, that an endpoint has at least now."""
     age_us = now_us - endpoint.started_us
     if endpoint.started_us <= 0 or age_us >= settings.warm_up_us or settings.slow_start_units <= 0:
         return 1.0
@@ -34,30 +35,30 @@
 
 
 def capacity_growth_factor(settings: Settings, endpoint: Endpoint, now_us: int) -> float:
-    """Return the capacity that an endpoint is sure to have now over that of its start."""
+    """Return the capacity that an endpoint has at least now, relative to that at its start."""
     return available_capacity_ratio(settings, endpoint, now_us) / _initial_capacity_ratio(settings)
 
 
 def pacing_delay_us(
     settings: Settings, endpoint: Endpoint, now_us: int, units: float, front_share: float
 ) -> float:
-    """Return how long `units` take of a front's share, to 1, of a warming endpoint; 0 of a warm one.
+    """Return how long `units` use up a front's share (up to 1) of a warming endpoint; 0 for a warm one.
 
-    All fronts may ask for what the endpoint always bears in a window, less what it would not serve in time;
-    that grows as slowly as an endpoint may warm up.
+    All fronts together may send the units per window that the endpoint can always take, reduced to the part
+    that it serves in time. That rate grows with the capacity that the endpoint has at least.
     """
     if available_capacity_ratio(settings, endpoint, now_us) == 1:
         return 0.0
     growth_factor = capacity_growth_factor(settings, endpoint, now_us)
     window_units = SERVED_IN_TIME_RATIO * settings.slow_start_units * growth_factor * front_share
     demanded_us = units * settings.slow_start_window_us
-    if window_units * MAX_WAIT_US < demanded_us:  # the share of a tiny capacity may round to 0
+    if window_units * MAX_WAIT_US < demanded_us:  # a share of a tiny capacity may round to 0
         return MAX_WAIT_US
     return demanded_us / window_units if demanded_us else 0.0
 
 
 def max_window_units(settings: Settings, endpoint: Endpoint, now_us: int, front_share: float) -> float:
-    """Return the units that a front with this share of a shard's traffic may send in a window."""
+    """Return how many units a front may send in a window, by its share of the shard's traffic."""
     allowed_units = settings.slow_start_units * capacity_growth_factor(settings, endpoint, now_us)
     allowed_requests = allowed_units / settings.mean_request_units
     bound_requests = allowed_requests + 2 * math.sqrt(allowed_requests) + 2
@@ -67,22 +68,22 @@
 
 
 class SendWindow:
-    """What was sent in the latest window: a sliding log of times and units."""
+    """A sliding window over sent units: a log of send times and units."""
 
     def __init__(self, length_us: int) -> None:
-        """Begin with nothing sent; a window is `length_us` long."""
+        """Create an empty window of `length_us`."""
         self.length_us = length_us
         self._log: deque[tuple[int, float]] = deque()
         self._units = 0.0
 
     def add(self, now_us: int, units: float) -> None:
-        """Note that `units` were sent now."""
+        """Record that `units` are sent now."""
         self._expire(now_us)
         self._log.append((now_us, units))
         self._units += units
 
     def free_at(self, now_us: int, units: float, max_units: float) -> int:
-        """Return when `units` more are within `max_units` of a window; a larger request goes alone."""
+        """Return when `units` more fit into `max_units` per window; a larger request needs an empty one."""
         self._expire(now_us)
         window_units = self._units + units
         free_at_us = now_us
@@ -97,4 +98,4 @@
         while self._log and self._log[0][0] <= now_us - self.length_us:
             self._units -= self._log.popleft()[1]
         if not self._log:
-            self._units = 0.0  # no rounding is carried over
+            self._units = 0.0  # drops rounding errors
--- a/umberlead/scheduling/token_bucket.py
+++ b/umberlead/scheduling/token_bucket.py
@@ -1,38 +1,38 @@
-"""A token bucket: rate limits and entitlements are kept in these."""
+"""A token bucket, used for rate limits and entitlements."""
 
-NEVER = float("inf")  # when only an event can change things
+NEVER = float("inf")  # for a time: not before some event; for units: no limit
 MICROSECONDS_PER_SECOND = 1e6
-MAX_WAIT_US = 1e15  # a longer wait, at a rate of next to nothing, is no whole number
+MAX_WAIT_US = 1e15  # upper bound of waits, as those at a tiny rate may be infinite
 
 
 class TokenBucket:
-    """A bucket of units that fills with time, up to its capacity.
+    """A bucket of units that fills at a constant rate up to its capacity.
 
     Attributes:
-        units_per_us: the rate at which it fills.
-        capacity_units: what it holds at most.
-        available_units: what it held at `updated_us`; below nothing it is on credit.
-        updated_us: when it was last refilled; ahead of now, it does not fill until then.
+        units_per_us: fill rate.
+        capacity_units: maximum of units in the bucket.
+        available_units: units in the bucket at `updated_us`; negative if it is overdrawn.
+        updated_us: time of the last refill. If it is in the future, the bucket does not fill until then.
     """
 
     def __init__(
         self, units_per_second: float, capacity_units: float, available_units: float, now_us: int
     ) -> None:
-        """Begin at `now_us`, which may lie ahead, with `available_units` in it."""
+        """Create a bucket that holds `available_units` at `now_us`, which may be in the future."""
         self.units_per_us = units_per_second / MICROSECONDS_PER_SECOND
         self.capacity_units = capacity_units
         self.available_units = available_units
         self.updated_us = now_us
 
     def refill(self, now_us: int) -> None:
-        """Add what came since the last refill."""
+        """Add the units for the time since the last refill."""
         if now_us > self.updated_us:
             added_units = (now_us - self.updated_us) * self.units_per_us
             self.available_units = min(self.available_units + added_units, self.capacity_units)
             self.updated_us = now_us
 
     def wait_us(self, now_us: int, units: float) -> int:
-        """Return how long until `units` are there; 0 where they are."""
+        """Return how long until `units` are available; 0 if they are now."""
         self.refill(now_us)
         if units <= self.available_units:
             return 0
@@ -41,12 +41,12 @@
         return begins_in_us + int(min(fills_in_us, MAX_WAIT_US)) + 1
 
     def resize(self, now_us: int, units_per_second: float, capacity_units: float) -> None:
-        """Fill at another rate up to another capacity from now on; what is above that is lost."""
+        """Change the fill rate and the capacity from now on; units over the new capacity are dropped."""
         self.refill(now_us)
         self.units_per_us = units_per_second / MICROSECONDS_PER_SECOND
         self.capacity_units = capacity_units
         self.available_units = min(self.available_units, capacity_units)
 
     def give_back(self, units: float) -> None:
-        """Put units back that were taken and not used."""
+        """Return units that were taken and not used."""
         self.available_units = min(self.available_units + units, self.capacity_units)
