--- a/umberlead/scheduling/admission.py
+++ b/umberlead/scheduling/admission.py
@@ -1,9 +1,9 @@
-"""When an arriving request counts as late: its latency objective runs from its client's first try.
+"""Admission: sets the end of an arriving request's latency objective, counted from the client's first try.
 
-A client's retry has less time left than the longest seen for its class, so its objective is counted from
-where its first try must have begun. Where clients mark their retries, any other request is a first try
-however impatient its client is. Where they don't, a short time left looks like a retry, unless clients that
-were rejected are seen not to come back.
+A retry keeps the deadline of its first try, so it arrives with less time left than the longest seen for its
+class. Its first try is taken to have begun that longest time before the deadline. If clients mark their
+retries, every other request is a first try, however little time it has left. If they don't, little time left
+looks like a retry, unless clients are known to retry rarely after a rejection.
 """
 
 from dataclasses import dataclass
@@ -14,17 +14,17 @@
 
 
 def identity_of(request: Request) -> RequestIdentity:
-    """Return what a client's retry has in common with its first try."""
+    """Return the properties that a client's retry shares with its first try."""
     return request.volume, request.key, request.class_name
 
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """What is found of an arriving request.
+    """The result of admitting a request.
 
     Attributes:
-        objective_at_us: when its latency objective ends, at its deadline at the latest.
-        is_client_retry: whether it was seen to be rejected before.
+        objective_at_us: end of the latency objective, at the deadline at the latest.
+        is_client_retry: whether this front rejected the request's first try.
     """
 
     objective_at_us: int
@@ -32,20 +32,20 @@
 
 
 class AdmissionControl:
-    """Tells clients' retries from first tries.
+    """Distinguishes clients' retries from first tries.
 
     Attributes:
-        longest_timeouts_us: most time that a client of a class had left on arrival, by class.
+        longest_timeouts_us: longest time from arrival to deadline seen so far, by class.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Begin with nothing seen."""
+        """Create an instance without earlier requests."""
         self.longest_timeouts_us: dict[str, int] = {}
         self._clients_mark_retries = settings.clients_mark_retries
         self._client_retries = ClientRetries()
 
     def admit(self, request: Request, request_class: RequestClass, now_us: int) -> Admission:
-        """Note a request's arrival and return what is found of it."""
+        """Record a request's arrival and return the end of its objective and whether it is a retry."""
         longest_us = max(self.longest_timeouts_us.get(request_class.name, 0), request.deadline_us - now_us)
         self.longest_timeouts_us[request_class.name] = longest_us
         was_rejected = self._client_retries.record_arrival(identity_of(request), now_us)
@@ -58,5 +58,5 @@
         return Admission(objective_at_us, was_rejected)
 
     def record_rejection(self, request: Request, now_us: int) -> None:
-        """Note that a client's first try is rejected."""
+        """Record that a client's first try is rejected."""
         self._client_retries.record_rejection(identity_of(request), now_us)
--- a/umberlead/scheduling/client_retries.py
+++ b/umberlead/scheduling/client_retries.py
@@ -1,39 +1,39 @@
-"""Whether clients that were rejected come back, learnt where they do not mark their retries.
+"""Estimates whether clients retry rejected requests, for clients that do not mark their retries.
 
-A request with little time left is either a client's retry, whose first try began long ago, or the first try
-of an impatient client. Both look alike. Where rejected requests are seen not to come back, there are no
-retries. Times are whole microseconds.
+A request with little time left is either a retry, whose first try began long ago, or the first try of a
+client with a short timeout. The request itself does not show which. If rejected requests are not seen again,
+clients do not retry. Times are whole microseconds.
 """
 
 from collections import OrderedDict
 
-RETRY_WINDOW_US = 1_500_000  # in which a rejected request has come back, if it does
-MIN_OBSERVED_REJECTIONS = 8  # before anything is concluded
-RARE_RETRY_RATIO = 0.1  # of rejections, below which retries are rare
-OBSERVATION_DECAY_FACTOR = 0.98  # of earlier observations, with each further one
+RETRY_WINDOW_US = 1_500_000  # a retry is expected within this time of the rejection
+MIN_OBSERVED_REJECTIONS = 8  # fewer allow no conclusion
+RARE_RETRY_RATIO = 0.1  # retries are rare below this part of all rejections
+OBSERVATION_DECAY_FACTOR = 0.98  # applied to the counts with each observation
 MAX_TRACKED_REQUESTS = 2000
 
-RequestIdentity = tuple[str, str | None, str]  # volume, key and class: what a retry shares with its first try
+RequestIdentity = tuple[str, str | None, str]  # volume, key, class
 
 
 class ClientRetries:
-    """Waits for each rejected request to come back, and counts."""
+    """Counts which rejected requests are retried within `RETRY_WINDOW_US`."""
 
     def __init__(self) -> None:
-        """Begin with nothing learnt: clients are thought to come back."""
+        """Create an instance without observations, which assumes that clients retry."""
         self._rejected_us: OrderedDict[RequestIdentity, int] = OrderedDict()
         self._returned_count = 0.0
         self._absent_count = 0.0
 
     def record_rejection(self, identity: RequestIdentity, now_us: int) -> None:
-        """Note that the first try of a request is rejected."""
+        """Record that the first try of a request is rejected."""
         self._expire(now_us)
         self._rejected_us[identity] = now_us
         if len(self._rejected_us) > MAX_TRACKED_REQUESTS:
             self._rejected_us.popitem(last=False)
 
     def record_arrival(self, identity: RequestIdentity, now_us: int) -> bool:
-        """Note that a request came; return whether it is the retry of one that was rejected."""
+        """Record the arrival of a request; return whether it is the retry of a rejected one."""
         self._expire(now_us)
         is_retry = self._rejected_us.pop(identity, None) is not None
         if is_retry:
@@ -41,7 +41,7 @@
         return is_retry
 
     def are_rare(self) -> bool:
-        """Tell whether rejected requests are seen not to come back."""
+        """Return whether enough rejections were observed and few of them were retried."""
         observed = self._returned_count + self._absent_count
         return observed >= MIN_OBSERVED_REJECTIONS and self._returned_count < RARE_RETRY_RATIO * observed
 
--- a/umberlead/scheduling/controller.py
+++ b/umberlead/scheduling/controller.py
@@ -1,28 +1,29 @@
-"""The plans' shares: recursive least squares estimate what each share buys, law (14) sets them anew.
+"""The controller of the plans' shares: a recursive least-squares estimator and control law (14).
 
-After "An Adaptive Optimal Controller for Non-Intrusive Performance Differentiation in Computing Services";
-the numbers in brackets are its equations. Its terms, for n plans: u, the shares (here `share`); y, each
-plan's mean latency over its objective; phi = [u, y], the regressor (2n); X = [B0 A1], the parameters (n by
-2n); W, the plans' weights (a diagonal); Q, the cost of control.
+The estimator models how the plans' latencies depend on the shares, and the law sets the shares from the
+model. Both follow "An Adaptive Optimal Controller for Non-Intrusive Performance Differentiation in Computing
+Services"; numbers in brackets are its equations. Its terms, for n plans: u, the shares (here `share`); y,
+each plan's mean latency over its objective; phi = [u, y], the regressor (2n); X = [B0 A1], the parameters
+(n by 2n); W, the plans' weights (a diagonal); Q, the cost of control.
 """
 
 from umberlead.scheduling import matrices
 from umberlead.scheduling.matrices import Matrix, Vector
 
-MIN_INTERVAL_REQUESTS = 5  # answers under which an interval goes on (Fig. 3 of the paper)
-FORGETTING_FACTOR = 0.95  # about twenty intervals of memory along an excited direction
-CONTROL_COST_WEIGHT = 1.0  # diagonal of Q, in the unit of normalised plan weights
-TARGET_LATENCY_RATIO = 1.0  # wanted y
+MIN_INTERVAL_REQUESTS = 5  # an interval with fewer answers is extended (Fig. 3 of the paper)
+FORGETTING_FACTOR = 0.95  # a memory of about twenty intervals along an excited direction
+CONTROL_COST_WEIGHT = 1.0  # diagonal of Q, on the scale of the normalised plan weights
+TARGET_LATENCY_RATIO = 1.0  # reference value of y
 INITIAL_INFORMATION_WEIGHT = 0.01  # diagonal of the initial P^-1: P(0) = 100 I
 MIN_SHARE = 0.02  # of a plan
 
 
 class Controller:
-    """Owns the plan shares: recursive least squares (4) and law (14), order one.
+    """Sets the plans' shares with the estimator (4) and law (14), for a model of order one.
 
     Attributes:
-        share: u, by plan; they add up to 1.
-        reference_shares: the shares that the plans' weights give.
+        share: u, by plan; adds up to 1.
+        reference_shares: shares in proportion to the plans' weights.
         w: the diagonal of W.
         y: each plan's mean latency over its objective, in the latest interval.
         x: X, n rows of 2n.
@@ -31,7 +32,7 @@
     """
 
     def __init__(self, weights: list[float]) -> None:
-        """Begin with the shares that the plans' weights give."""
+        """Create a controller whose shares are in proportion to the plans' weights."""
         self._plan_count = len(weights)
         normalised_weights = [weight / sum(weights) for weight in weights]
         self.w = normalised_weights
@@ -43,10 +44,10 @@
         self.phi = self.share + self.y
 
     def learn(self, y: Vector) -> None:
-        """Learn from an interval's `y` by (4), on the information matrix.
+        """Update the estimator (4) with an interval's `y`, in the form for the information matrix.
 
-        Forgetting acts along phi only and never takes information below nothing, so the covariance stays
-        finite however little the input moves.
+        Forgetting acts only along phi and never makes the information negative, so the covariance stays
+        finite even if the input hardly changes.
         """
         phi = self.phi
         gain = matrices.solve_one(self.information, phi)
@@ -60,10 +61,10 @@
         self.information = matrices.add_outer(self.information, phi, phi, max(retained, 0.0))
 
     def law(self, y: Vector) -> Vector:
-        """Return the shares, summing to one, that bring the next y nearest the goal, by (14).
+        """Return the shares, with sum 1, that minimise the cost (14) of the next y.
 
-        Effort is counted from the reference shares: from zero, the plan of most weight would start with the
-        least share.
+        The cost of control is measured from the reference shares. Measured from zero, the plan with the
+        highest weight would start with the smallest share.
         """
         b0 = [row[: self._plan_count] for row in self.x]
         a1 = [row[self._plan_count :] for row in self.x]
@@ -75,7 +76,7 @@
         return [share - excess * row_sum for share, row_sum in zip(unconstrained, row_sums, strict=True)]
 
     def _pull(self, b0: Matrix, predicted: Vector) -> Vector:
-        """Return the right-hand side of (14): towards the goal by W, towards the reference by Q."""
+        """Return the right-hand side of (14): the target weighted by W, the reference shares by Q."""
         misses = [
             weight * weight * (TARGET_LATENCY_RATIO - ratio)
             for weight, ratio in zip(self.w, predicted, strict=True)
@@ -87,11 +88,11 @@
         ]
 
     def step(self, sums: list[float], counts: list[int]) -> None:
-        """End an interval, unless it has too few answers: then it goes on.
+        """End an interval and set new shares, or extend it if it has too few answers.
 
         Args:
-            sums: of latency over objective, by plan; set to zero as the interval ends.
-            counts: of answers, by plan; likewise.
+            sums: sums of latency over objective, by plan; reset to zero when the interval ends.
+            counts: numbers of answers, by plan; reset to zero when the interval ends.
         """
         if sum(counts) >= MIN_INTERVAL_REQUESTS:
             y = [
@@ -107,7 +108,7 @@
 
     @staticmethod
     def _bounded(shares: Vector) -> Vector:
-        """Return shares lifted above nothing, at least MIN_SHARE each, that add up to 1."""
+        """Return the shares shifted to be non-negative, raised to `MIN_SHARE` and normalised to sum 1."""
         lift = min(*shares, 0.0)
         lifted = [share - lift for share in shares]
         total = sum(lifted)
--- a/umberlead/scheduling/fair_queue.py
+++ b/umberlead/scheduling/fair_queue.py
@@ -1,4 +1,4 @@
-"""Start-time fair queueing over the volumes of a shard; by priority and objective within a volume."""
+"""Start-time fair queueing between the volumes of a shard; priority queueing within each volume."""
 
 import heapq
 from collections.abc import Container
@@ -11,16 +11,16 @@
     """The requests that wait for one shard.
 
     Attributes:
-        virtual_time: start tag of the request that left last.
-        finish_tags: by volume.
+        virtual_time: start tag of the request that was dequeued last.
+        finish_tags: finish tag of each volume's last request.
         waiting: requests by volume, as heaps of (negative priority weight, objective, number, request).
         start_tags: a heap of (start tag, number, volume).
-        valid_tag_numbers: the number of each volume's valid start tag.
-        waiting_volumes_by_plan: how many volumes wait, by the plan's index.
+        valid_tag_numbers: number of each volume's valid start tag; tags with other numbers are stale.
+        waiting_volumes_by_plan: number of volumes with waiting requests, by plan index.
     """
 
     def __init__(self, plan_count: int) -> None:
-        """Begin empty."""
+        """Create an empty queue."""
         self.virtual_time = 0.0
         self.finish_tags: dict[str, float] = {}
         self.waiting: dict[str, list[tuple[float, int, int, PendingRequest]]] = {}
@@ -30,7 +30,7 @@
         self._tag_numbers = count()
 
     def push(self, pending: PendingRequest) -> None:
-        """Let a request wait."""
+        """Add a request to its volume's heap."""
         waiting = self.waiting.setdefault(pending.request.volume, [])
         self.waiting_volumes_by_plan[pending.plan_index] += not waiting
         priority = -pending.request_class.priority_weight
@@ -38,7 +38,7 @@
         pending.queued = True
 
     def most_urgent(self, volume: str) -> PendingRequest | None:
-        """Return the volume's most urgent request that waits; an emptied volume leaves the queue."""
+        """Return the volume's most urgent waiting request; a volume without one is removed from the queue."""
         waiting = self.waiting.get(volume, [])
         while waiting and not waiting[0][3].queued:
             pending = heapq.heappop(waiting)[3]
@@ -48,13 +48,13 @@
         return waiting[0][3] if waiting else None
 
     def tag_volume(self, volume: str) -> None:
-        """Give a volume a start tag, in place of an earlier one."""
+        """Give a volume a start tag, which replaces any earlier one."""
         self.valid_tag_numbers[volume] = next(self._tag_numbers)
         start = max(self.virtual_time, self.finish_tags.get(volume, 0.0))
         heapq.heappush(self.start_tags, (start, self.valid_tag_numbers[volume], volume))
 
     def next_request(self) -> PendingRequest | None:
-        """Return the request whose turn it is; tags that were replaced or wait for nothing are dropped."""
+        """Return the request with the lowest start tag; stale tags and tags of empty volumes are dropped."""
         while self.start_tags:
             _, number, volume = self.start_tags[0]
             if self.valid_tag_numbers.get(volume) == number:
@@ -65,11 +65,11 @@
         return None
 
     def postpone(self) -> int:
-        """Drop the lowest start tag, and return its number: its volume is tagged again later."""
+        """Remove the lowest start tag and return its number; the caller tags its volume again later."""
         return heapq.heappop(self.start_tags)[1]
 
     def dequeue(self, pending: PendingRequest, weight: float) -> None:
-        """Let the request of the lowest tag leave: units over `weight` advance its volume's finish tag."""
+        """Remove the request of the lowest start tag; its units over `weight` advance the finish tag."""
         start = heapq.heappop(self.start_tags)[0]
         self.virtual_time = start
         pending.queued = False
@@ -77,7 +77,7 @@
         self.finish_tags[pending.request.volume] = start + pending.request.units * volumes / weight
 
     def prune(self, known_volumes: Container[str]) -> None:
-        """Forget tags that no longer count, so that the tables don't grow with ever new volumes."""
+        """Drop tags that no longer have an effect, so that the tables don't grow with new volumes."""
         self.finish_tags = {
             volume: tag
             for volume, tag in self.finish_tags.items()
--- a/umberlead/scheduling/matrices.py
+++ b/umberlead/scheduling/matrices.py
@@ -1,7 +1,8 @@
-"""Small dense matrices as lists of rows: what the estimator needs, at the sizes it has (a few plans).
+"""Operations on small dense matrices, stored as lists of rows, for the controller of the plans' shares.
 
-numpy does the same, and the tests hold this against it; but loading it takes half of a front's start-up and a
-third of its memory, and at six by six its calls cost more than the sums.
+The tests compare them with numpy. The program does not use numpy itself: importing it takes half of a front's
+start-up time and a third of its memory, and for 6 by 6 matrices the overhead of its calls exceeds the
+arithmetic.
 """
 
 from collections.abc import Sequence
@@ -13,21 +14,21 @@
 
 
 class SingularMatrixError(UmberleadError, ArithmeticError):
-    """A matrix has no inverse within the precision of its figures; the text names the column."""
+    """A matrix is singular within floating-point precision; the message names the column."""
 
 
 def dot(a: Sequence[float], b: Sequence[float]) -> float:
-    """Return the inner product of two vectors of one length."""
+    """Return the inner product of two vectors of the same length."""
     return sum(x * y for x, y in zip(a, b, strict=True))
 
 
 def times(m: Matrix, v: Sequence[float]) -> Vector:
-    """Return the matrix times a column."""
+    """Return the product of a matrix and a column vector."""
     return [dot(row, v) for row in m]
 
 
 def transposed(m: Matrix) -> Matrix:
-    """Return the matrix with rows and columns exchanged."""
+    """Return the transposed matrix."""
     return [list(column) for column in zip(*m, strict=True)]
 
 
@@ -42,7 +43,7 @@
 
 
 def gram(m: Matrix, weights: Sequence[float], ridge: float) -> Matrix:
-    """Return transposed `m` times the squared weights times `m`, plus `ridge` on the diagonal."""
+    """Return transposed `m` times the diagonal of squared weights times `m`, plus `ridge` on the diagonal."""
     columns = transposed(m)
     squares = [w * w for w in weights]
     return [
@@ -55,16 +56,16 @@
 
 
 def solve(m: Matrix, columns: Matrix) -> Matrix:
-    """Return the matrix X with `m` X = `columns`, by elimination with row exchanges.
+    """Return the matrix X with `m` X = `columns`, by Gaussian elimination with partial pivoting.
 
     Raises:
-        SingularMatrixError: there is none.
+        SingularMatrixError: `m` is singular.
     """
     n = len(m)
     rows = [list(m[k]) + list(columns[k]) for k in range(n)]
     for k in range(n):
         best = max(range(k, n), key=lambda r: abs(rows[r][k]))
-        if not abs(rows[best][k]) > 0.0:  # a NaN too
+        if not abs(rows[best][k]) > 0.0:  # also for NaN
             raise SingularMatrixError(f"column {k} has no pivot")
         rows[k], rows[best] = rows[best], rows[k]
         pivot = rows[k] = [x / rows[k][k] for x in rows[k]]
@@ -75,10 +76,10 @@
 
 
 def solve_one(m: Matrix, v: Sequence[float]) -> Vector:
-    """Return the vector x with `m` x = `v`; raises `SingularMatrixError` if there is none."""
+    """Return the vector x with `m` x = `v`; raises `SingularMatrixError` if `m` is singular."""
     return [row[0] for row in solve(m, [[x] for x in v])]
 
 
 def inverse(m: Matrix) -> Matrix:
-    """Return the inverse; raises `SingularMatrixError` if there is none."""
+    """Return the inverse; raises `SingularMatrixError` if `m` is singular."""
     return solve(m, diagonal(len(m), 1.0))
--- a/umberlead/scheduling/ordered_requests.py
+++ b/umberlead/scheduling/ordered_requests.py
@@ -1,4 +1,4 @@
-"""Requests of ordered classes: of one key, one at a time and in the order they came."""
+"""Requests of ordered classes: those of one key run one at a time, in the order of their arrival."""
 
 from collections import deque
 
@@ -9,16 +9,16 @@
     """The requests of ordered classes, by key."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an instance without requests."""
         self._by_key: dict[str, deque[PendingRequest]] = {}
         self._paused_until_us: dict[str, int] = {}
 
     def add(self, key: str, pending: PendingRequest) -> None:
-        """Put a request behind the others of its key."""
+        """Add a request after the others of its key."""
         self._by_key.setdefault(key, deque()).append(pending)
 
     def remove(self, key: str, pending: PendingRequest) -> bool:
-        """Take a request out; return whether it was there."""
+        """Remove a request; return whether it was present."""
         requests = self._by_key.get(key)
         if requests is None or pending not in requests:
             return False
@@ -26,15 +26,15 @@
         return True
 
     def pause(self, key: str, until_us: int) -> None:
-        """Let a key rest: what ran in doubt may still end."""
+        """Hold the key's next request until `until_us`, as a request with unknown outcome may still run."""
         self._paused_until_us[key] = until_us
 
     def paused_until_us(self, key: str) -> int:
-        """Return when the key's next request may go; 0 where it does not rest."""
+        """Return when the key's pause ends; 0 if it has none."""
         return self._paused_until_us.get(key, 0)
 
     def next_to_release(self, key: str) -> PendingRequest | None:
-        """Return the key's first request if nothing became of it yet; an empty key is forgotten."""
+        """Return the key's first request unless it is queued, in flight or done; drop an empty key."""
         requests = self._by_key.get(key)
         if not requests:
             self._paused_until_us.pop(key, None)
--- a/umberlead/scheduling/pending_request.py
+++ b/umberlead/scheduling/pending_request.py
@@ -1,4 +1,4 @@
-"""The scheduler's record of a request, from its arrival to the last outcome of its attempts."""
+"""The scheduler's record of a request, from its arrival to the outcome of its last attempt."""
 
 from dataclasses import dataclass, field
 
@@ -9,22 +9,22 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that this front answers for.
+    """A request that this front has accepted.
 
     Attributes:
-        request: as it came.
-        request_class: its class.
-        plan_index: its plan's place in the settings.
-        arrived_us: when it came.
-        objective_at_us: when its latency objective ends.
-        sequence_number: by order of arrival.
-        shard: the request's; a new object's once it was sent.
-        attempts_in_flight: by number.
-        attempt_count: attempts sent so far.
-        is_client_retry: whether it was seen to be rejected before.
-        charged_attempt: the attempt that took its units from its volume's rate limit.
-        done: whether it is answered, or its client has left.
-        queued: whether it waits in a fair queue.
+        request: the request as it arrived.
+        request_class: class of the request.
+        plan_index: index of its plan in the settings.
+        arrived_us: time of arrival.
+        objective_at_us: end of the latency objective.
+        sequence_number: number in the order of arrival.
+        shard: the request's shard; for a new object, the shard that its first attempt was sent to.
+        attempts_in_flight: attempts in flight by number.
+        attempt_count: number of attempts sent so far.
+        is_client_retry: whether this front rejected the request's first try.
+        charged_attempt: number of the attempt that was charged to the volume's rate limit.
+        done: whether the request is answered or its client has disconnected.
+        queued: whether the request waits in a fair queue.
         may_have_run_since_us: when the first attempt that may have run was sent.
     """
 
@@ -44,5 +44,5 @@
     may_have_run_since_us: int | None = None
 
     def __post_init__(self) -> None:
-        """Begin on the shard that the request names."""
+        """Take the shard from the request."""
         self.shard = self.request.shard
--- a/umberlead/scheduling/priorities.py
+++ b/umberlead/scheduling/priorities.py
@@ -1,4 +1,4 @@
-"""What a waiting request is worth, whether it can be in time, and whether it yields its place to others."""
+"""Priorities of waiting requests: the priority value, expected lateness and deferral on busy endpoints."""
 
 from umberlead.scheduling.controller import Controller
 from umberlead.scheduling.endpoint_state import EndpointState
@@ -6,17 +6,17 @@
 from umberlead.scheduling.rate_limits import RateLimits
 from umberlead.scheduling.settings import Settings
 
-MIN_SIZE_RATIO = 0.5  # of a mean request's time, least that a smaller request is expected to take
-MAX_EXPECTED_LATENCY_RATIO = 0.9  # of the objective, so that on arrival every request has a chance
-RELAXED_LATENCY_RATIO = 0.5  # of the target latency, up to which an endpoint takes requests that can wait
-DEFERRABLE_LATENCIES_COUNT = 6  # target latencies before its objective, up to which a request can wait
+MIN_SIZE_RATIO = 0.5  # minimum of the expected time, over that of a request of mean size
+MAX_EXPECTED_LATENCY_RATIO = 0.9  # of the objective, so that no request counts as late on arrival
+RELAXED_LATENCY_RATIO = 0.5  # of the target latency; a slower endpoint gets no deferrable requests
+DEFERRABLE_LATENCIES_COUNT = 6  # a request is deferrable until so many target latencies before its objective
 
 
 class Priorities:
-    """Weighs requests by class, plan, entitlement and the plans' present shares."""
+    """Computes priorities from class, plan, entitlement and the plans' present shares."""
 
     def __init__(self, settings: Settings, controller: Controller, rate_limits: RateLimits) -> None:
-        """Weigh by `settings`, the shares of `controller` and the entitlements of `rate_limits`."""
+        """Use the weights of `settings`, the shares of `controller` and the entitlements of `rate_limits`."""
         self._settings = settings
         self._controller = controller
         self._rate_limits = rate_limits
@@ -25,13 +25,13 @@
         self._max_priority = highest_weight * highest_factor or 1.0
 
     def is_entitled(self, pending: PendingRequest, now_us: int) -> bool:
-        """Tell whether its volume is still owed the units of a request."""
+        """Return whether the volume's entitlement covers the units of a request."""
         entitlement = self._rate_limits[pending.request.volume].entitlement
         units = min(pending.request.units, entitlement.capacity_units)
         return not entitlement.wait_us(now_us, units)
 
     def priority(self, pending: PendingRequest, entitled: bool) -> float:
-        """Return what a unit of a request is worth, to 1; beyond its entitlement, by its plan's share."""
+        """Return a request's priority, up to 1; beyond the entitlement, it depends on the plan's share."""
         settings = self._settings
         entitlement_factor = 1.0
         if not entitled:
@@ -43,7 +43,7 @@
         return entitlement_factor * pending.request_class.priority_weight * plan_factor / self._max_priority
 
     def is_late(self, pending: PendingRequest, state: EndpointState, now_us: int) -> bool:
-        """Tell whether a request sent to an endpoint now is expected to miss its objective."""
+        """Return whether a request that is sent to an endpoint now is expected to miss its objective."""
         size_ratio = max(pending.request.units / self._settings.mean_request_units, MIN_SIZE_RATIO)
         expected_us = state.relative_latency.read(now_us) * state.target_latency_us * size_ratio
         objective_us = pending.request_class.latency_objective_us
@@ -52,7 +52,7 @@
 
     @staticmethod
     def yields(pending: PendingRequest, state: EndpointState, priority: float, now_us: int) -> bool:
-        """Tell whether a request leaves a busy endpoint to others: it can wait, or is worth too little."""
+        """Return whether to defer a request at a busy endpoint: it can wait, or its priority is too low."""
         pressure = state.relative_latency.read(now_us)
         deferrable_us = DEFERRABLE_LATENCIES_COUNT * state.target_latency_us
         can_wait = pressure > RELAXED_LATENCY_RATIO and now_us + deferrable_us < pending.objective_at_us
--- a/umberlead/scheduling/retries.py
+++ b/umberlead/scheduling/retries.py
@@ -1,4 +1,4 @@
-"""Whether a request may be attempted once more: its class, the count of its attempts, the retry budget."""
+"""Decides whether a request may be attempted, by its class, its number of attempts and a retry budget."""
 
 from collections import deque
 
@@ -8,7 +8,7 @@
 
 
 def repeat_window_us(request_class: RequestClass) -> float:
-    """Return how long after an attempt that may have run another one is harmless; NEVER ends it."""
+    """Return how long after an attempt that may have run the request can be sent again; NEVER: no limit."""
     if request_class.repeatability is Repeatability.IDEMPOTENT:
         return NEVER
     if request_class.repeatability is Repeatability.IDEMPOTENT_BY_KEY:
@@ -17,7 +17,7 @@
 
 
 def is_harmless_to_repeat(pending: PendingRequest) -> bool:
-    """Tell whether the client may send a request again, whatever became of its attempts."""
+    """Return whether the client can safely retry a request, whatever the outcome of its attempts."""
     request_class = pending.request_class
     if pending.may_have_run_since_us is None or request_class.repeatability is Repeatability.IDEMPOTENT:
         return True
@@ -26,24 +26,24 @@
 
 
 class RetryPolicy:
-    """Applies the classes' rules, `max_attempts`, and a budget of retries over a sliding window."""
+    """Applies the rules of the classes, `max_attempts` and a retry budget over a sliding window."""
 
     def __init__(self, settings: Settings) -> None:
-        """Begin with nothing sent."""
+        """Create a policy without earlier requests."""
         self._settings = settings
         self._requests_us: deque[int] = deque()
         self._retries_us: deque[int] = deque()
 
     def record_request(self, now_us: int) -> None:
-        """Note that a request came: it earns its part of the budget."""
+        """Record the arrival of a request, which adds to the retry budget."""
         self._requests_us.append(now_us)
 
     def record_retry(self, now_us: int) -> None:
-        """Note that a request is attempted again."""
+        """Record a retry."""
         self._retries_us.append(now_us)
 
     def may_attempt(self, pending: PendingRequest, now_us: int) -> bool:
-        """Tell whether `pending` may be attempted now, for the first time or again."""
+        """Return whether `pending` may be attempted now, for the first time or again."""
         ran_us = pending.may_have_run_since_us
         repeatable = ran_us is None or now_us - ran_us < repeat_window_us(pending.request_class)
         if not repeatable or pending.attempt_count >= self._settings.max_attempts:
