--- a/benchmarks/planted_routes.py
+++ b/benchmarks/planted_routes.py
@@ -84,8 +84,8 @@
     ("a warming node gets nothing", "umberlead/scheduling/slow_start.py", "    return units * settings.slow_start_window_us / window_units", "    return 1e6 * units * settings.slow_start_window_us / window_units", set()),
     ("new objects go to the first node alone", DIRECTORY, "            for index, state in enumerate(states)\n", "            for index, state in enumerate(states[:1])\n", {"share", "served"}),
     ("all requests count as refused", SCHEDULER, "if state is not None and self.priorities.is_late(pending, state, self.now_us):", "if state is not None:", {"served"}),
-    ("volumes are held for ever", PRIORITIES, "return can_wait or priority < pressure - 1", "return can_wait or priority < pressure + 9", {"served"}),
-    ("who can wait never goes", PRIORITIES, "can_wait = pressure > RELAXED_LATENCY_RATIO and ", "can_wait = pressure > -1 or ", {"served"}),
+    ("volumes are held for ever", PRIORITIES, "return can_wait or priority < latency_ratio - 1", "return can_wait or priority < latency_ratio + 9", {"served"}),
+    ("who can wait never goes", PRIORITIES, "can_wait = latency_ratio > RELAXED_LATENCY_RATIO and ", "can_wait = latency_ratio > -1 or ", {"served"}),
     ("who is sick is offered alone", DIRECTORY, "if not state.is_outlier(now_us)]", "if state.is_outlier(now_us)]", set()),
 )  # fmt: skip
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -42,15 +42,15 @@
 def test_a_window_holds_what_was_sent_in_it_and_says_when_there_is_room() -> None:
     window = SendWindow(100)
     for at, units in ((0, 2.0), (10, 3.0), (20, 1.0)):
-        assert window.free_at(at, units, 6.0) == at
+        assert window.available_at(at, units, 6.0) == at
         window.add(at, units)
-    assert window.free_at(30, 2.0, 6.0) == 100
-    assert window.free_at(30, 2.5, 6.0) == 110
-    assert window.free_at(30, 6.0, 6.0) == 120
-    assert window.free_at(30, 60.0, 6.0) == 120  # larger than all of it: alone
-    assert window.free_at(99, 2.0, 6.0) == 100
-    assert window.free_at(100, 2.0, 6.0) == 100
-    assert window.free_at(500, 60.0, 6.0) == 500
+    assert window.available_at(30, 2.0, 6.0) == 100
+    assert window.available_at(30, 2.5, 6.0) == 110
+    assert window.available_at(30, 6.0, 6.0) == 120
+    assert window.available_at(30, 60.0, 6.0) == 120  # larger than all of it: alone
+    assert window.available_at(99, 2.0, 6.0) == 100
+    assert window.available_at(100, 2.0, 6.0) == 100
+    assert window.available_at(500, 60.0, 6.0) == 500
 
 
 @pytest.mark.parametrize("age", [0, 4_000_000, 15_000_000])
--- a/umberlead/scheduling/client_retries.py
+++ b/umberlead/scheduling/client_retries.py
@@ -22,8 +22,8 @@
     def __init__(self) -> None:
         """Create an instance without observations, which assumes that clients retry."""
         self._rejected_us: OrderedDict[RequestIdentity, int] = OrderedDict()
-        self._returned_count = 0.0
-        self._absent_count = 0.0
+        self._retried_count = 0.0
+        self._not_retried_count = 0.0
 
     def record_rejection(self, identity: RequestIdentity, now_us: int) -> None:
         """Record that the first try of a request is rejected."""
@@ -37,13 +37,13 @@
         self._expire(now_us)
         is_retry = self._rejected_us.pop(identity, None) is not None
         if is_retry:
-            self._learn(1.0, 0.0)
+            self._observe(1.0, 0.0)
         return is_retry
 
     def are_rare(self) -> bool:
         """Return whether enough rejections were observed and few of them were retried."""
-        observed = self._returned_count + self._absent_count
-        return observed >= MIN_OBSERVED_REJECTIONS and self._returned_count < RARE_RETRY_RATIO * observed
+        observed = self._retried_count + self._not_retried_count
+        return observed >= MIN_OBSERVED_REJECTIONS and self._retried_count < RARE_RETRY_RATIO * observed
 
     def _expire(self, now_us: int) -> None:
         while self._rejected_us:
@@ -51,8 +51,8 @@
             if rejected_us + RETRY_WINDOW_US > now_us:
                 break
             del self._rejected_us[identity]
-            self._learn(0.0, 1.0)
+            self._observe(0.0, 1.0)
 
-    def _learn(self, returned: float, absent: float) -> None:
-        self._returned_count = OBSERVATION_DECAY_FACTOR * self._returned_count + returned
-        self._absent_count = OBSERVATION_DECAY_FACTOR * self._absent_count + absent
+    def _observe(self, retried: float, not_retried: float) -> None:
+        self._retried_count = OBSERVATION_DECAY_FACTOR * self._retried_count + retried
+        self._not_retried_count = OBSERVATION_DECAY_FACTOR * self._not_retried_count + not_retried
--- a/umberlead/scheduling/controller.py
+++ b/umberlead/scheduling/controller.py
@@ -69,22 +69,22 @@
         b0 = [row[: self._plan_count] for row in self.x]
         a1 = [row[self._plan_count :] for row in self.x]
         inverse = matrices.inverse(matrices.gram(b0, self.w, CONTROL_COST_WEIGHT**2))
-        pull = self._pull(b0, matrices.times(a1, y))
-        unconstrained = matrices.times(inverse, pull)
+        right_hand_side = self._right_hand_side(b0, matrices.times(a1, y))
+        unconstrained = matrices.times(inverse, right_hand_side)
         row_sums = [sum(row) for row in inverse]
         excess = (sum(unconstrained) - 1) / sum(row_sums)
         return [share - excess * row_sum for share, row_sum in zip(unconstrained, row_sums, strict=True)]
 
-    def _pull(self, b0: Matrix, predicted: Vector) -> Vector:
+    def _right_hand_side(self, b0: Matrix, predicted: Vector) -> Vector:
         """Return the right-hand side of (14): the target weighted by W, the reference shares by Q."""
-        misses = [
+        weighted_errors = [
             weight * weight * (TARGET_LATENCY_RATIO - ratio)
             for weight, ratio in zip(self.w, predicted, strict=True)
         ]
-        towards_goal = matrices.times(matrices.transposed(b0), misses)
+        towards_target = matrices.times(matrices.transposed(b0), weighted_errors)
         return [
-            goal + CONTROL_COST_WEIGHT**2 * reference
-            for goal, reference in zip(towards_goal, self.reference_shares, strict=True)
+            target + CONTROL_COST_WEIGHT**2 * reference
+            for target, reference in zip(towards_target, self.reference_shares, strict=True)
         ]
 
     def step(self, sums: list[float], counts: list[int]) -> None:
@@ -109,9 +109,9 @@
     @staticmethod
     def _bounded(shares: Vector) -> Vector:
         """Return the shares shifted to be non-negative, raised to `MIN_SHARE` and normalised to sum 1."""
-        lift = min(*shares, 0.0)
-        lifted = [share - lift for share in shares]
-        total = sum(lifted)
-        bounded = [max(share / total, MIN_SHARE) for share in lifted]
+        shift = min(*shares, 0.0)
+        shifted = [share - shift for share in shares]
+        total = sum(shifted)
+        bounded = [max(share / total, MIN_SHARE) for share in shifted]
         total = sum(bounded)
         return [share / total for share in bounded]
--- a/umberlead/scheduling/endpoint_directory.py
+++ b/umberlead/scheduling/endpoint_directory.py
@@ -30,11 +30,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ManualReturn:
+class EndedManualDrain:
     """A manual drain that ended before the endpoint list reported the endpoint's restart."""
 
     drained_us: int
-    returned_us: int
+    ended_us: int
 
 
 class EndpointDirectory:
@@ -56,7 +56,7 @@
         self.process_share = 0.0  # this process's share of its front; 0: not known, counts as 1
         self._settings = settings
         self._rng = rng
-        self._manual_returns: dict[str, ManualReturn] = {}
+        self._ended_manual_drains: dict[str, EndedManualDrain] = {}
         self._round_robin = SmoothWeightedRoundRobin()
         self._placement_weights: dict[str, float] = {}
         self._context = EndpointContext(settings, now_us, fleet_latency_average(now_us), self.traffic_share)
@@ -77,7 +77,7 @@
             if endpoint.status is EndpointStatus.GONE:
                 self._remove(endpoint)
                 continue
-            self._update(self._with_manual_return(endpoint), now_us)
+            self._update(self._with_drain_end_as_start(endpoint), now_us)
             changed_shards += (endpoint.shard, ANY_SHARD)
         return changed_shards
 
@@ -86,13 +86,13 @@
         if state is not None:
             self.by_shard[state.endpoint.shard].pop(endpoint.name)
             state.endpoint = endpoint
-        self._manual_returns.pop(endpoint.name, None)
+        self._ended_manual_drains.pop(endpoint.name, None)
 
-    def _with_manual_return(self, endpoint: Endpoint) -> Endpoint:
+    def _with_drain_end_as_start(self, endpoint: Endpoint) -> Endpoint:
         """Use the end of a manual drain as the start time until the list reports the endpoint's restart."""
-        returned = self._manual_returns.get(endpoint.name)
-        if returned is not None and endpoint.started_us < returned.drained_us:
-            return replace(endpoint, started_us=returned.returned_us)
+        ended_drain = self._ended_manual_drains.get(endpoint.name)
+        if ended_drain is not None and endpoint.started_us < ended_drain.drained_us:
+            return replace(endpoint, started_us=ended_drain.ended_us)
         return endpoint
 
     def _update(self, endpoint: Endpoint, now_us: int) -> None:
@@ -122,7 +122,7 @@
         if drained_us is None or state is None:
             return []
         if state.endpoint.started_us < drained_us:
-            self._manual_returns[drain.endpoint] = ManualReturn(drained_us, now_us)
+            self._ended_manual_drains[drain.endpoint] = EndedManualDrain(drained_us, now_us)
             self._add(replace(state.endpoint, started_us=now_us), now_us)
         return [state.endpoint.shard, ANY_SHARD]
 
@@ -195,7 +195,7 @@
         self._placement_weights = {}
         if shard < 0 and any(state.endpoint.weight is not None for state in states):
             ready = [states[index] for ready_at_us, _, _, index in ranks if ready_at_us <= now_us]
-            self._placement_weights = self._weights_of(ready, now_us)
+            self._placement_weights = self._placement_weights_of(ready, now_us)
         if self._placement_weights:
             return Selection(now_us, self.endpoints[self._round_robin.select(self._placement_weights)])
         ready_at_us, _, _, index = min(ranks, default=(NEVER, False, 0.0, -1))
@@ -211,7 +211,7 @@
         return [state for state in states if state.endpoint.weight != 0]
 
     @staticmethod
-    def _weights_of(ready: list[EndpointState], now_us: int) -> dict[str, float]:
+    def _placement_weights_of(ready: list[EndpointState], now_us: int) -> dict[str, float]:
         """Return the weights of `ready` endpoints without outliers, or of all if all are outliers."""
         endpoints = [state.endpoint for state in ready if not state.is_outlier(now_us)]
         endpoints = endpoints or [state.endpoint for state in ready]
--- a/umberlead/scheduling/endpoint_state.py
+++ b/umberlead/scheduling/endpoint_state.py
@@ -141,8 +141,8 @@
         first_delay_us = self.first_send_jitter * max(cost_us - self.settings.slow_start_window_us, 0.0)
         share = self.traffic_share(self.endpoint.shard)
         max_units = max_window_units(self.settings, self.endpoint, now_us, share)
-        window_free_us = self.send_window.free_at(now_us, units, max_units)
-        slow_start_ready_us = max(self.paced_until_us + first_delay_us, window_free_us)
+        window_available_us = self.send_window.available_at(now_us, units, max_units)
+        slow_start_ready_us = max(self.paced_until_us + first_delay_us, window_available_us)
         return max(self.ejected_until_us, min(slow_start_ready_us, self.warm_at_us()))
 
     def warm_at_us(self) -> int:
--- a/umberlead/scheduling/matrices.py
+++ b/umberlead/scheduling/matrices.py
@@ -37,9 +37,9 @@
     return [[value if i == j else 0.0 for j in range(n)] for i in range(n)]
 
 
-def add_outer(m: Matrix, a: Sequence[float], b: Sequence[float], by: float = 1.0) -> Matrix:
-    """Return `m` plus `by` times the outer product of `a` and `b`."""
-    return [[x + by * p * q for x, q in zip(row, b, strict=True)] for row, p in zip(m, a, strict=True)]
+def add_outer(m: Matrix, a: Sequence[float], b: Sequence[float], scale: float = 1.0) -> Matrix:
+    """Return `m` plus `scale` times the outer product of `a` and `b`."""
+    return [[x + scale * p * q for x, q in zip(row, b, strict=True)] for row, p in zip(m, a, strict=True)]
 
 
 def gram(m: Matrix, weights: Sequence[float], ridge: float) -> Matrix:
--- a/umberlead/scheduling/priorities.py
+++ b/umberlead/scheduling/priorities.py
@@ -51,9 +51,9 @@
         return now_us + expected_us > pending.objective_at_us
 
     @staticmethod
-    def yields(pending: PendingRequest, state: EndpointState, priority: float, now_us: int) -> bool:
+    def should_defer(pending: PendingRequest, state: EndpointState, priority: float, now_us: int) -> bool:
         """Return whether to defer a request at a busy endpoint: it can wait, or its priority is too low."""
-        pressure = state.relative_latency.read(now_us)
+        latency_ratio = state.relative_latency.read(now_us)
         deferrable_us = DEFERRABLE_LATENCIES_COUNT * state.target_latency_us
-        can_wait = pressure > RELAXED_LATENCY_RATIO and now_us + deferrable_us < pending.objective_at_us
-        return can_wait or priority < pressure - 1
+        can_wait = latency_ratio > RELAXED_LATENCY_RATIO and now_us + deferrable_us < pending.objective_at_us
+        return can_wait or priority < latency_ratio - 1
--- a/umberlead/scheduling/rate_limits.py
+++ b/umberlead/scheduling/rate_limits.py
@@ -19,7 +19,7 @@
 from umberlead.scheduling.settings import Plan, Settings
 from umberlead.scheduling.token_bucket import NEVER, TokenBucket
 
-PROCESS_NOTICE_US = 100_000  # until siblings notice a new process; the slack covers a late one
+SIBLING_DISCOVERY_US = 100_000  # until siblings notice a new process; the slack covers a late one
 MAX_SHARE_CHANGES_COUNT = 8  # kept; the bucket of a new volume counts as empty at the latest dropped one
 START_SLACK_RATIO = 0.5  # of its share of the slack, available at the start of a process without siblings
 # Results with an answer of the endpoint, which means that it had received the whole request.
@@ -97,17 +97,17 @@
         size = self._limit_size()
         self.limit.resize(now_us, size.units_per_second, size.capacity_units)
 
-    def set_front_count(self, now_us: int, front_count: int, hold_us: int) -> None:
+    def set_front_count(self, now_us: int, front_count: int, decrease_delay_us: int) -> None:
         """Apply the number of fronts that a request carries.
 
-        A higher number applies at once, a lower one after `hold_us`. Until then, another front may still send
-        requests that it accepted under the higher number.
+        A higher number applies at once, a lower one after `decrease_delay_us`. Until then, another front may
+        still send requests that it accepted under the higher number.
         """
         self.last_request_us = now_us
         if front_count < self.front_count:
             self._lower_since_us = self._lower_since_us if self._lower_front_count else now_us
             self._lower_front_count = max(self._lower_front_count, front_count)
-            if now_us - self._lower_since_us < hold_us:
+            if now_us - self._lower_since_us < decrease_delay_us:
                 return
             front_count = self._lower_front_count
         self._lower_front_count = 0
@@ -144,11 +144,11 @@
         self._first_change = ShareChange(started_us, 1.0)
         self._slack_ratio = START_SLACK_RATIO
         self._share_changes: list[ShareChange] = []
-        self._is_unused = True
+        self._has_no_requests = True
 
     def set_process_share(self, now_us: int, share: float) -> None:
         """Set this process's share, up to 1, of what its front may send from now on."""
-        if self._is_unused and (share < self.process_share or not self.process_share):
+        if self._has_no_requests and (share < self.process_share or not self.process_share):
             self._start_with(now_us, share)
         else:
             self._share_changes.append(ShareChange(now_us, share))
@@ -163,7 +163,7 @@
         """Restart all buckets; beside siblings they start empty, once these have noticed this process."""
         self._share_changes = []
         if share < 1:
-            self._first_change = ShareChange(now_us + PROCESS_NOTICE_US, share)
+            self._first_change = ShareChange(now_us + SIBLING_DISCOVERY_US, share)
             self._slack_ratio = 0.0
         else:
             self._first_change = ShareChange(now_us, share)
@@ -172,7 +172,7 @@
     def record_request(self, request: Request, plan: Plan, now_us: int) -> None:
         """Record the arrival of a request: add its volume if it is new, else update its front count."""
         front_count = max(request.volume_front_count, 1)
-        self._is_unused = False
+        self._has_no_requests = False
         known = self.get(request.volume)
         if known is not None:
             known.set_front_count(now_us, front_count, self._longest_timeout_us)
@@ -207,7 +207,7 @@
             return
         pending.charged_attempt = None
         if outcome.result is AttemptResult.NOT_SENT and pending.request.volume in self:
-            self[pending.request.volume].limit.give_back(pending.request.units)
+            self[pending.request.volume].limit.return_units(pending.request.units)
 
     def forget_idle(self, now_us: int, idle_since_us: int) -> None:
         """Drop volumes without a request since `idle_since_us` whose limit is full."""
--- a/umberlead/scheduling/scheduler.py
+++ b/umberlead/scheduling/scheduler.py
@@ -49,7 +49,7 @@
 
 CONTROL_INTERVAL_US = 500_000  # the interval that the paper behind `controller.py` uses for its file server
 VOLUME_RETENTION_US = 10_000_000  # of a volume without requests; longer than its entitlement takes to fill
-DEFERRAL_DIVISOR_COUNT = 4  # a deferred request is tried again after this part of the target latency
+DEFERRALS_PER_TARGET_LATENCY_COUNT = 4  # times that a deferred request is tried per target latency
 UNCERTAIN_RESULTS = (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
 
 Timer = tuple[int, int, Callable[..., None], tuple[object, ...]]  # when, number, callback, arguments
@@ -126,7 +126,7 @@
             retry_at_us = self.now_us + CONTROL_INTERVAL_US
             self._schedule(retry_at_us, lambda: self._actions.append(WatchEndpoints()))
         elif isinstance(event, ClientDisconnected):
-            self._forget_client(event.request_id)
+            self._handle_disconnect(event.request_id)
         elif isinstance(event, ManualDrain):
             self._request_dispatch(self.directory.apply_manual_drain(event, self.now_us))
         elif isinstance(event, ProcessShare):
@@ -242,7 +242,7 @@
         volume = pending.request.volume
         selection = self.directory.select(shard, pending.request.units, self.now_us)
         state = selection.endpoint_state
-        reason = self._unservable(pending, state)
+        reason = self._unservable_reason(pending, state)
         if reason is not None:
             self._end_unserved(pending, reason)
             self._tag_volume(shard, volume)
@@ -252,11 +252,11 @@
         if selection.ready_at_us > self.now_us:
             self._schedule(selection.ready_at_us, self._request_dispatch, (shard,))
             return False
-        limited_us = self.rate_limits.wait_us(pending, self.now_us)
+        rate_limit_wait_us = self.rate_limits.wait_us(pending, self.now_us)
         entitled = self.priorities.is_entitled(pending, self.now_us)
         priority = self.priorities.priority(pending, entitled)
-        if limited_us or self.priorities.yields(pending, state, priority, self.now_us):
-            delay_us = limited_us or state.target_latency_us // DEFERRAL_DIVISOR_COUNT
+        if rate_limit_wait_us or self.priorities.should_defer(pending, state, priority, self.now_us):
+            delay_us = rate_limit_wait_us or state.target_latency_us // DEFERRALS_PER_TARGET_LATENCY_COUNT
             self._schedule(self.now_us + delay_us, self._tag_volume, shard, volume, queue.postpone())
             return True
         if pending.attempt_count:
@@ -268,7 +268,7 @@
         self._send(pending, state)
         return True
 
-    def _unservable(self, pending: PendingRequest, state: EndpointState | None) -> EndReason | None:
+    def _unservable_reason(self, pending: PendingRequest, state: EndpointState | None) -> EndReason | None:
         """Return why a request can't be served and ends now; None if it goes on.
 
         A request that would miss its latency objective is not sent, because it would delay requests that can
@@ -376,7 +376,7 @@
         expected_us = state.relative_latency.read(self.now_us) * state.target_latency_us
         return self.now_us + expected_us < pending.objective_at_us
 
-    def _forget_client(self, request_id: str) -> None:
+    def _handle_disconnect(self, request_id: str) -> None:
         pending = self.requests.get(request_id)
         if pending is not None:
             self._conclude(pending)
--- a/umberlead/scheduling/settings.py
+++ b/umberlead/scheduling/settings.py
@@ -151,11 +151,11 @@
     if settings.front_count < 1 or settings.max_attempts < 1:
         raise InvalidSettingsError("front_count and max_attempts must be at least 1")
     sizes = settings.mean_request_units, settings.max_request_units
-    if not _are_figures(*sizes) or not all(sizes):
+    if not _are_valid_amounts(*sizes) or not all(sizes):
         raise InvalidSettingsError("mean_request_units and max_request_units must be above 0")
 
 
-def _are_figures(*values: float) -> bool:
+def _are_valid_amounts(*values: float) -> bool:
     return all(0 <= value < math.inf for value in values)
 
 
@@ -167,14 +167,14 @@
 def _check_class(cls: RequestClass) -> None:
     if cls.latency_objective_us <= 0 or cls.timeout_us <= 0:
         raise InvalidSettingsError(f"class {cls.name}: aim and deadline must be above 0")
-    if not _are_figures(cls.priority_weight, cls.late_priority_weight, cls.deduplication_window_us):
+    if not _are_valid_amounts(cls.priority_weight, cls.late_priority_weight, cls.deduplication_window_us):
         raise InvalidSettingsError(f"class {cls.name}: worth and memory must not be negative")
 
 
 def _check_plan(plan: Plan) -> None:
-    if not _are_figures(plan.weight) or not plan.weight:
+    if not _are_valid_amounts(plan.weight) or not plan.weight:
         raise InvalidSettingsError(f"plan {plan.name}: weight must be above 0")
     rates = plan.usual_units_per_second, plan.reserved_units_per_second, plan.priority_factor
     limit = plan.limit_units_per_second, plan.limit_burst_units, plan.limit_slack_units
-    if not _are_figures(*rates, *limit):
+    if not _are_valid_amounts(*rates, *limit):
         raise InvalidSettingsError(f"plan {plan.name}: rates must not be negative")
--- a/umberlead/scheduling/slow_start.py
+++ b/umberlead/scheduling/slow_start.py
@@ -82,17 +82,17 @@
         self._log.append((now_us, units))
         self._units += units
 
-    def free_at(self, now_us: int, units: float, max_units: float) -> int:
+    def available_at(self, now_us: int, units: float, max_units: float) -> int:
         """Return when `units` more fit into `max_units` per window; a larger request needs an empty one."""
         self._expire(now_us)
         window_units = self._units + units
-        free_at_us = now_us
+        available_at_us = now_us
         for sent_us, sent_units in self._log:
             if window_units <= max_units:
                 break
             window_units -= sent_units
-            free_at_us = sent_us + self.length_us
-        return free_at_us
+            available_at_us = sent_us + self.length_us
+        return available_at_us
 
     def _expire(self, now_us: int) -> None:
         while self._log and self._log[0][0] <= now_us - self.length_us:
--- a/umberlead/scheduling/token_bucket.py
+++ b/umberlead/scheduling/token_bucket.py
@@ -47,6 +47,6 @@
         self.capacity_units = capacity_units
         self.available_units = min(self.available_units, capacity_units)
 
-    def give_back(self, units: float) -> None:
+    def return_units(self, units: float) -> None:
         """Return units that were taken and not used."""
         self.available_units = min(self.available_units + units, self.capacity_units)
