--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The mechanism's maths against values worked out apart from the module."""
+"""The controller, its matrices and the fair queue, compared with results computed independently."""
 
 import numpy as np
 import pytest
@@ -102,7 +102,8 @@
 
 
 def test_an_interval_goes_on_until_it_has_enough_answers() -> None:
-    """A head of a large fleet sees a few answers in half a second: they add up, and then shares move."""
+    """A front of a large fleet gets only a few answers in one control interval. Answers are added up over
+    several intervals until there are enough, and only then the shares change."""
     h = head(T0, up(), front_count=100)
     before = list(h.controller.share)
     for k in range(3):
@@ -116,8 +117,9 @@
 
 
 def test_tags_follow_a_hand_worked_example() -> None:
-    """Plan shares 0.5 each; plan 0 has volume a, plan 1 has b and c; all requests of 2 units. Finish tags:
-    a: 2/0.5 = 4 a request; b, c: 2/(0.5/2) = 8. So a(0) b(0) c(0) a(4) a(8)-b(8)-c(8) by order of tagging."""
+    """Each plan has a share of 0.5. Plan 0 has volume a, plan 1 has volumes b and c, and all requests have 2
+    units. A request advances the finish tag of a by 2 / 0.5 = 4, and that of b or c by 2 / (0.5 / 2) = 8. So
+    the order of start tags is a(0) b(0) c(0) a(4), then a(8), b(8) and c(8) in the order of tagging."""
     lane = FairQueue(2)
     for k, (volume, plan) in enumerate(
         [("a", 0), ("b", 1), ("c", 1), ("a", 0), ("a", 0), ("b", 1), ("c", 1)]
@@ -142,7 +144,8 @@
 
 
 def test_a_nodes_mean_time_counts_a_large_answer_by_its_size() -> None:
-    """A large read is no sign of a slow node: taken for one, calm days refused a sixth of their requests."""
+    """The latency of an answer is divided by the size of its request. Otherwise large reads make an endpoint
+    look slow: a sixth of the requests were rejected although the load was low."""
     means = []
     for units, elapsed in ((2.0, 120_000), (6.0, 360_000)):
         h = head()
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,7 @@
-"""The engine keeps the rules whatever the module says: one that says wrong things, a carrier of lists."""
+"""The request lifecycle enforces its rules even if the scheduler returns wrong actions.
+
+The scheduler's `handle` is replaced by a function that returns the actions that the test gives.
+"""
 
 import unittest
 from typing import Any
@@ -59,7 +62,7 @@
         return says
 
     def turn(self, *says: Action) -> None:
-        """The module says so at its next batch."""
+        """Return `says` from the scheduler's next batch, and run the batch."""
         self.says = list(says)
         if not self.calls:
             self.engine._post(TimerExpired("x"))
@@ -117,7 +120,7 @@
         self.turn(Send(t.id, "n"))
         self.clock.run(5_000_000)
         self.assertEqual([why for _, why in self.stopped], [AttemptResult.TIMEOUT])
-        self.assertEqual(self.answers.pop().kind, AnswerKind.FAILED)  # its attempt is still out
+        self.assertEqual(self.answers.pop().kind, AnswerKind.FAILED)  # its attempt is still in flight
         self.engine.attempt_ended(self.sent[0], AttemptResult.TIMEOUT)
         self.assertEqual(len(self.engine.open_requests), 0)
 
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -1,4 +1,4 @@
-"""Means over news that come as they come."""
+"""The moving average with frequent, rare and missing samples."""
 
 import pytest
 
@@ -13,8 +13,9 @@
 
 @pytest.mark.parametrize(("every", "learnt"), [(20_000, 0.95), (500_000, 0.75), (2_000_000, 0.7)])
 def test_a_slow_server_is_learnt_however_seldom_it_is_seen(every: int, learnt: float) -> None:
-    """zone+vast: one of 40 fronts sees a returning server once in some seconds. With a fixed weight it read
-    1.7 targets where each answer took ten (counted as 3), and kept sending."""
+    """One of 40 fronts sees a restarted endpoint once in a few seconds (scenario zone+vast). With a fixed
+    weight, the mean was 1.7 target latencies where each answer took ten (which count as 3), and the front
+    went on sending."""
     level, now = _level(), 0
     for _ in range(30):
         now += every
@@ -53,7 +54,8 @@
 
 
 def test_with_a_fixed_weight_it_would_not_be_learnt() -> None:
-    """What the test above would have seen before: 1.5 of 3 at one answer in two seconds."""
+    """With a fixed weight of samples, the first test would fail: at one answer in two seconds, the mean
+    reaches less than 0.4 of the maximum."""
     mean = 0.0
     for _ in range(30):
         mean = mean * 0.37 + SMOOTH * (MOST - mean * 0.37)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""More requests than places for their clients: which are refused, and how impatience is told apart."""
+"""Overload: which requests are rejected, and how retries are distinguished from short timeouts."""
 
 from typing import Any
 
@@ -29,7 +29,8 @@
 
 
 def test_what_can_go_at_once_is_never_refused_for_want_of_places() -> None:
-    """All that is open is out at a server: the next one goes to another, however low the bound is."""
+    """All open requests are in flight at one endpoint. A request for another endpoint is sent although the
+    limit of open requests is exceeded."""
     h = head(T0, up("n0", 0), up("n1", 1))
     acts = feed(h, T0, OpenRequestLimit(1), ask("a"))
     assert sends(acts) == ["a"]
@@ -82,7 +83,8 @@
 
 
 def play_impatient(again: bool) -> tuple[list[str], list[str]]:
-    """Many requests of little time, each refused; then one more: what was sent, and what refused of that."""
+    """Have many requests with a short timeout rejected, then send one more; return which of that were sent
+    and which were rejected."""
     h = head(T0, up("n0", 0))
     long_: dict[str, Any] = {"deadline_us": T0 + 2_000_000, "volume": "w", "key": "x"}
     feed(h, T0, ask("long", **long_))
@@ -101,6 +103,6 @@
 
 
 def test_an_impatient_client_s_first_try_is_served_where_nobody_comes_again() -> None:
-    """It looked like a further try that was late already, and was refused as it came."""
+    """A first try with a short timeout looked like a late retry and was rejected on arrival."""
     assert play_impatient(again=False)[0] == ["last"]
     assert play_impatient(again=True) == ([], ["last"])
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -1,5 +1,5 @@
-"""Several heads through legal event sequences drawn at random, judged by a checker apart from the module.
-No speeds of servers are modelled: outcomes and delays are drawn."""
+"""Several schedulers under random valid event sequences, checked by an independent implementation of the
+rules. The speed of endpoints is not modelled: outcomes and delays are random."""
 
 import heapq
 import random
@@ -65,7 +65,7 @@
 
 
 class Checker:
-    """The seven rules over what was told and what was done."""
+    """Checks the scheduler's rules over its events and actions."""
 
     def __init__(self) -> None:
         self.req: dict[str, tuple[int, Request]] = {}
@@ -131,7 +131,7 @@
             log = self.cold[a.endpoint]
             log.append((now, req.units))
             grown = 1 + 4 * (now - node.started_us) / 8_000_000
-            # a served unit is proof of capacity, but here all is drawn: the whole multiple is the bound
+            # Outcomes are random, so serving proves no capacity: the bound is the whole overload factor.
             assert sum(u for t, u in log if t > now - 1_000_000) <= 3 * 40.0 * grown, "cold node pushed"
         tries.append({"at": now, "end": None})
 
@@ -210,7 +210,7 @@
             continue
         events: list[Event] = []
         if what in ("start", "restart"):
-            if what == "restart":  # what it held is the client's to retry
+            if what == "restart":  # clients retry the requests that the old process held
                 for name in [r for r, (g, _) in check.req.items() if g == h]:
                     check.answer.setdefault(name, now)
                 queue = [q for q in queue if q[2] != h or isinstance(q[3], Request | EndpointList)]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules, each kept by one head alone, at their boundaries; and each failure found so far."""
+"""The scheduler's rules at their boundaries, for one front alone, and regression tests."""
 
 from typing import Any
 
@@ -82,7 +82,7 @@
     assert sends(feed(h, T0 + 1, ask("r"))) == []
     acts = feed(h, T0 + 1000, nodes(up("n1"), whole=False))
     assert [a.endpoint for a in acts if isinstance(a, Send)] == ["n1"]
-    feed(h, T0 + 2000, nodes(up("n9", shard=3)))  # a whole list without n1: it is gone
+    feed(h, T0 + 2000, nodes(up("n9", shard=3)))  # a complete list without n1, which is gone
     assert sends(feed(h, T0 + 2001, ask("s"))) == []
 
 
@@ -97,12 +97,12 @@
 
 
 def test_a_rejected_send_costs_its_part_of_a_cold_node() -> None:
-    """Half of 16 units in 1.5 s, and twice the cost while not served (multiple 2): 4 units rest 1.5 s
-    of what the node bears, and longer of what it serves in time."""
+    """Half of 16 units in 1.5 s, at twice the cost while not served (overload factor 2): by the load that the
+    endpoint can take, 4 units pause sending for 1.5 s, and for longer by the load that it serves in time."""
     now = T0 + 3_000_000
     h = cold(now)
     assert sends(feed(h, now, ask("a", now, units=4.0))) == ["a"]
-    feed(h, now + 1000, end("a", AttemptResult.REJECTED))  # rejected, and still counted
+    feed(h, now + 1000, end("a", AttemptResult.REJECTED))  # rejected requests stay charged
     for k in range(6):
         assert sends(feed(h, now + 400_000 + k, ask(f"b{k}", now + 400_000, units=2.0))) == []
     late = now + int(1_500_000 / SERVED_IN_TIME_RATIO)
@@ -112,8 +112,8 @@
 
 @pytest.mark.parametrize("served", [True, False])
 def test_many_heads_with_parts_below_a_request_keep_a_cold_node(served: bool) -> None:
-    """lodz-later rough-1, i0c7fc3: 75 heads with a fifth of a unit each sent a new node nothing for most of
-    its warming. All ask at once, all the time: together they use the part and do not pass it."""
+    """75 fronts with a share of a fifth of a unit each sent a new endpoint nothing for most of its warm-up.
+    Here all of them have requests at all times. Together they use the allowed load and don't exceed it."""
     began, window, sent = T0 + 3_000_000, 1_500_000, list[int]()
     heads = [
         Scheduler(
@@ -135,7 +135,7 @@
     for at in range(began, began + 6_000_000, 100_000):
         for k, h in enumerate(heads):
             out = sends(feed(h, at, ask(f"{k}-{at}", at, deadline_us=at + 300_000)))
-            while out:  # what an answer lets go counts too
+            while out:  # requests that an answer makes room for count too
                 sent.append(at)
                 out += sends(
                     feed(h, at + 1000, end(out.pop(), AttemptResult.OK if served else AttemptResult.REJECTED))
@@ -147,8 +147,9 @@
 
 
 def test_served_units_leave_the_cold_rest_and_stay_in_its_window() -> None:
-    """One of two heads, N = 8 requests of 2 units: the rests alone allow 4 units without service. With it all
-    18 went in 0.15 s, more than half of what both may send (31.3 in 1.5 s): it falls by the sum."""
+    """One of two fronts, with N = 8 requests of 2 units. Pacing alone allows 4 units if none is served. When
+    requests were served, all 18 units went out in 0.15 s, more than half of what both fronts may send (31.3
+    units in 1.5 s). A cold endpoint fails by the sum of both."""
     now, sent = T0 + 3_000_000, list[tuple[int, float]]()
     h = cold(now)
     for k in range(6):
@@ -214,11 +215,11 @@
     assert finals(acts) == []
 
 
-# Failures found on the bench
+# Regression tests for failures under load
 
 
 def test_hopeless_request_is_refused_rather_than_sent_late() -> None:
-    """Standard days of all sites: a fifth of the answers came late."""
+    """When requests that could no longer be in time were sent, a fifth of all answers came late."""
     h = head()
     for k in range(12):
         feed(h, T0 + k, ask(f"w{k}", T0 + k))
@@ -231,7 +232,7 @@
 
 
 def test_many_heads_start_with_their_part_of_the_bound() -> None:
-    """if54f7d, i759b35: every head began with eight mean requests at each node."""
+    """Every front started with the full limit of eight requests of mean size at each endpoint."""
     h = head(T0, up(), front_count=8)
     assert len(sends(feed(h, T0, *[ask(f"r{k}") for k in range(10)]))) == 1
     h = head(T0, up(), front_count=1)
@@ -248,7 +249,7 @@
 
 
 def crowd(h: Scheduler, late: int, **more: Any) -> int:
-    """Answers twice over the wanted time of 120 ms from `n0`; when the last came."""
+    """Feed `late` answers of 240 ms, twice the target latency, from `n0`; return the time of the last."""
     at = T0
     for k in range(late):
         feed(h, at, ask(f"l{k}", at, volume=f"l{k}", **more))
@@ -258,8 +259,9 @@
 
 
 def test_late_answers_hold_back_what_earns_little() -> None:
-    """i3a9db3: each of 165 heads had one request out at a node, all were late, and none was told apart by
-    what it earned. Spare units and low classes wait while answers are late, what is due does not."""
+    """165 fronts had one request each in flight at an endpoint, all were late, and none was deferred by its
+    priority. While answers are late, units beyond the entitlement and low classes wait. Units within the
+    entitlement do not."""
     h = head(T0, up(), front_count=100, beyond_share_factor=0.08, **BUSY)
     at = crowd(h, 5)
     assert sends(feed(h, at, ask("due", at))) == ["due"]
@@ -271,7 +273,8 @@
 
 @pytest.mark.parametrize("marked", [True, False])
 def test_an_impatient_first_try_is_not_taken_for_a_repeat(marked: bool) -> None:
-    """ib57330: clients of a plan gave up a try within the aim and a calm fleet refused 70%."""
+    """Clients of a plan had timeouts shorter than the latency objective, so their first tries were taken for
+    retries. A fleet with little load rejected 70% of them."""
     h = head(T0, up(), clients_mark_retries=marked)
     feed(h, T0, ask("patient"), end("patient"))
     assert sends(feed(h, T0 + 1, ask("hasty", deadline_us=T0 + 150_000))) == (["hasty"] if marked else [])
@@ -280,7 +283,7 @@
 
 
 def test_silence_does_not_freeze_a_head() -> None:
-    """With nothing sent nothing is learnt: what was late long ago no longer counts."""
+    """While nothing is sent, there are no new latency samples, so old late answers must stop counting."""
     h = head(T0, up(), front_count=100, beyond_share_factor=0.08, **BUSY)
     at = crowd(h, 5)
     feed(h, at, ask("due", at))
@@ -302,8 +305,8 @@
 
 
 def test_limit_fills_from_the_heads_birth_with_half_its_slack() -> None:
-    """suva-main-later, quiet day: the store of each volume began empty at the volume's first request, so
-    the first of every volume at every head waited past its aim."""
+    """The bucket of each volume started empty at the volume's first request. So the first request of every
+    volume at every front waited past its objective."""
     plans = (
         Plan("gold", 2.0),
         Plan("plain", 1.0, limit_units_per_second=4.0, limit_burst_units=40.0, limit_slack_units=8.0),
@@ -314,12 +317,13 @@
         ask(n, late, plan="plain", volume=n, units=u, volume_front_count=2)
         for n, u in (("a", 4.0), ("b", 4.1))
     ]
-    assert sends(feed(h, late, *asked)) == ["a"]  # 2 a second and half of 4
+    # The bucket holds 2 units for the second since the start, and half of this front's slack of 4.
+    assert sends(feed(h, late, *asked)) == ["a"]
 
 
 def test_many_heads_keep_a_limit_through_a_restart_of_all() -> None:
-    """The argument for the limit: a head's stores never hold more than its parts, and a birth adds half a
-    part of the slack. Forty heads spend the full store, are all born again twice, and spend on."""
+    """A front's buckets never hold more than its share of the burst, and a restart adds half of its share of
+    the slack. Forty fronts use up the full bucket, restart twice and go on sending."""
     plans = (
         Plan("gold", 2.0),
         Plan("plain", 1.0, limit_units_per_second=20.0, limit_burst_units=640.0, limit_slack_units=64.0),
@@ -331,12 +335,13 @@
                 asked = ask(f"r{k}", spends, plan="plain", units=0.5, volume_front_count=40)
                 store -= 0.5 * len(sends(feed(h, spends, asked, end(f"r{k}"))))
                 feed(h, spends, end(f"r{k}"))
-        assert store <= 0.0, "the first heads spend the whole store"
+        assert store <= 0.0, "the first fronts use up the whole bucket"
         assert store >= -64.0
 
 
 def test_lost_attempt_is_written_off_and_resent() -> None:
-    """ieb8fdb: one answer in six never came and its units filled every bound for seconds."""
+    """One answer in six never came, and the units of those requests filled every concurrency limit for
+    seconds."""
     h = head()
     feed(h, T0, ask("lost"), ask("b"))
     feed(h, T0 + 5_000, end("b"))
@@ -349,7 +354,7 @@
 
 
 def test_overdue_attempt_is_not_withdrawn_without_budget_to_resend() -> None:
-    """lodz big-1: writes withdrawn with the budget spent ended failed."""
+    """Writes that were cancelled when the retry budget was used up ended as failed."""
     h = head(T0, up(), retry_budget_window_us=5_000_000)
     feed(h, T0, ask("lost"), ask("b"))
     feed(h, T0 + 5_000, end("b"))
@@ -367,7 +372,7 @@
 
 
 def test_reserve_goes_before_a_surge() -> None:
-    """i7de616: a surging volume's reserve waited behind its own spare units."""
+    """Requests within the reserved rate waited behind requests beyond it."""
     plans = (Plan("gold", 2.0, reserved_units_per_second=4.0), Plan("plain", 1.0))
     h = head(T0, up(), plans=plans, front_count=8)
     feed(h, T0, ask("first", volume="x", plan="plain"))
@@ -406,9 +411,9 @@
 
 @pytest.mark.parametrize("shard", [0, -1])
 def test_a_node_that_fails_fast_does_not_draw_the_traffic(shard: int) -> None:
-    """zone+vast, seed 861618780334: seven bad chunk servers answered 500 in 3 ms where others served in 100,
-    and each front sent them more for it: 1,419 errors, 535 of them uploads that can't go again. An error
-    must count as no service at all, for reads of a shard and for new objects that go by weight."""
+    """Seven faulty endpoints answered 500 in 3 ms where others served in 100 ms, so each front sent them more
+    requests: 1,419 errors, 535 of them uploads that can't be retried (scenario zone+vast, seed 861618780334).
+    An error must not count as fast service, neither for reads of a shard nor for new objects by weight."""
     h = head(
         T0,
         Endpoint("n0", EndpointStatus.UP, 0, 0, weight=1.0),
@@ -429,9 +434,10 @@
 
 
 def test_a_read_that_only_a_failing_node_can_serve_is_tried_again_at_once() -> None:
-    """Four in five answers of a bad server were errors, in 3 ms: three tries served half of the reads. Rested
-    after each error, it was asked once and the reads were refused (1,255 of 2,327 refusals on zone+vast were
-    for want of time, 444 of them at servers that said they were idle)."""
+    """Four in five answers of a faulty endpoint were errors after 3 ms, and three attempts served half of the
+    reads. When the endpoint was ejected after each error, there was one attempt and the reads were rejected.
+    In scenario zone+vast, 1,255 of 2,327 rejections were for lack of time, 444 of them at endpoints that
+    reported to be idle."""
     h = head(T0, Endpoint("n0", EndpointStatus.UP, 0, 0))
     acts = feed(h, T0 + 1000, ask("r", T0 + 1000, shard=0))
     assert sent_to(acts) == ["n0"]
@@ -465,15 +471,16 @@
 
 
 def test_who_can_wait_leaves_a_busy_node_to_who_can_not_but_not_for_ever() -> None:
-    """A bulk read with 20 targets of time went out beside reads that have three, and made them late: on
-    join+vast bulk reads got 1.09 of what was due to them, image reads 0.70."""
+    """Bulk reads with an objective of 20 target latencies were sent along with reads that have three, and
+    made these late. In scenario join+vast, bulk reads got 1.09 times the service due to them, image reads
+    0.70 times."""
     quick = RequestClass("quick", 300_000, 2_000_000)
     bulk = RequestClass("bulk", 3_000_000, 6_000_000)
     now = T0
     h = Scheduler(settings(classes=(quick, bulk)), 1, now)
     feed(h, now, nodes(up()))
     target = h.directory.endpoints["n0"].target_latency_us
-    for k in range(30):  # the node takes 0.8 of the target
+    for k in range(30):  # the endpoint answers in 0.8 of the target latency
         now += target
         feed(h, now, ask(f"w{k}", now, cls="quick", shard=0))
         feed(h, now + target * 4 // 5, end(f"w{k}", AttemptResult.OK, 0, "n0", target * 4 // 5))
@@ -492,11 +499,11 @@
                 if at - came == target // 2
                 else TimerExpired("due"),
             )
-        if (at - came) % target == 0:  # it stays as busy
+        if (at - came) % target == 0:  # the endpoint stays as busy as before
             feed(h, at, ask(f"x{at}", at, cls="quick", shard=0, volume="v3"))
             feed(h, at, end(f"x{at}", AttemptResult.OK, 0, "n0", target * 4 // 5))
         went = any(isinstance(a, Send) and a.request_id == "b" for a in feed(h, at, TimerExpired("due")))
-    assert went and at - came < 3_000_000 - 3 * target  # in good time all the same
+    assert went and at - came < 3_000_000 - 3 * target  # well before its objective
     h2 = Scheduler(settings(classes=(quick, bulk)), 1, T0)
     feed(h2, T0, nodes(up()))
     acts = feed(h2, T0, ask("b", T0, cls="bulk", shard=0, deadline_us=T0 + 6_000_000))
--- a/tests/test_settings_extremes.py
+++ b/tests/test_settings_extremes.py
@@ -1,7 +1,7 @@
-"""Every numeric setting at its least and greatest accepted value, alone and with those it is a factor beside.
+"""Every numeric setting at its smallest and largest accepted value, alone and in products with others.
 
-A value is refused with an error that names its key, or a second of requests is served under it: without an
-exception, and without a figure that is no number or infinite.
+A value is either rejected with an error that names its key, or requests are served under it for one second
+without an exception and without NaN or infinite values.
 """
 
 import dataclasses
@@ -25,7 +25,7 @@
 SMALLEST = 5e-324  # a float above 0 can't be smaller
 CANDIDATES = (0, SMALLEST, 1e-9, 1, 1000, 1e18, 1 << 62)
 LONGEST_BUDGET_US = 500_000
-MOST_UNITS = 999_999.0  # that the header field has digits for
+MOST_UNITS = 999_999.0  # the most that the header field has digits for
 LEAST_UNITS = 1e-9
 PLAYED_US = SECOND
 # A plan without a limit has a bucket that never empties.
@@ -109,7 +109,7 @@
 ]
 
 
-# The last words of settings that are multiplied with each other, or divided by each other.
+# The last words of the paths of settings that are multiplied or divided by each other.
 FACTORS = (
     "instances meanUnits coldUnits coldShare fallMultiple overloadFor warmUp nShards aim",
     "fairWorth idleWorth credit valueFactor weight usualRate reservation",
@@ -126,7 +126,7 @@
 
 
 def refused_key(values: dict[str, Any]) -> str | None:
-    """The key that the error names; None where the values are accepted."""
+    """Return the key that the error names; None if the values are accepted."""
     try:
         load(configured(values))
     except configuration.ConfigError as error:
@@ -135,14 +135,14 @@
 
 
 def extremes(path: str) -> list[Any]:
-    """The least and the greatest accepted value, and the smallest above 0."""
+    """Return the smallest and the largest accepted value, and the smallest one above 0."""
     accepted = [value for value in CANDIDATES if refused_key({path: value}) is None]
     smallest = next(value for value in accepted if value)
     return list(dict.fromkeys((accepted[0], smallest, accepted[-1])))
 
 
 class Second(Day):
-    """One second under a configuration, watched for figures that are none."""
+    """One second of requests under a configuration, checked for NaN and infinite values."""
 
     def __init__(self, made: configuration.Config) -> None:
         super().__init__(made, seed=1)
@@ -181,7 +181,7 @@
         assert not wrong, wrong[:5]
 
     def looks_behind_all_that_waits(self) -> list[int]:
-        """The times of timers that look at what waits, behind the time of all that waits."""
+        """Return the times of dispatch timers that are later than the deadline of every waiting request."""
         scheduler = self.engine.scheduler
         looks = (scheduler._request_dispatch, scheduler._tag_volume)
         last_look_us = self.loop.now + LONGEST_BUDGET_US
@@ -197,7 +197,7 @@
 
 
 def unusable_figures(value: Any, path: str, seen: set[int] | None = None) -> Iterator[str]:
-    """Paths below `value` to floats that are no number, or infinite without meaning "no limit"."""
+    """Yield the paths below `value` to floats that are NaN, or infinite without meaning "no limit"."""
     seen = set() if seen is None else seen
     if isinstance(value, float):
         if not math.isfinite(value) and not path.endswith(UNBOUNDED_FIELDS):
@@ -235,7 +235,7 @@
     for values in cases:
         try:
             serve(values)
-        except Exception as fault:  # noqa: BLE001 (whatever it is, it is named with its values)
+        except Exception as fault:  # noqa: BLE001 (any exception is reported with its values)
             found.append(f"{values}: {type(fault).__name__}: {str(fault)[:300]}")
     return found
 
@@ -259,7 +259,7 @@
 
 
 def test_no_timer_looks_at_what_waits_behind_its_time() -> None:
-    """One is left for each request that waits for a limit or a cold server of next to nothing."""
+    """A request that waits for a tiny rate limit or a tiny cold endpoint leaves a timer far in the future."""
     found = []
     for path in PATHS:
         for value in extremes(path):
@@ -284,7 +284,7 @@
 
 @pytest.mark.parametrize("max_retry_after", extremes("settings.bounds.maxRetryAfter"))
 def test_a_rejection_s_retry_after_is_a_decimal_figure(max_retry_after: float) -> None:
-    """From a million seconds on it was written with an exponent, which no client reads."""
+    """Values from a million seconds on were written with an exponent, which clients don't parse."""
     made = load(configured({"settings.bounds.maxRetryAfter": max_retry_after}))
     day = Second(made)
     frontend = PlatformFrontend(day.engine, made.retry_after_us, MARGIN)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,5 @@
-"""The most that one head sends a warming server in a window, served or not, and what all heads do by it."""
+"""The units that one front may send to a warming endpoint in a window, served or not, and their sum over
+all fronts."""
 
 import math
 from dataclasses import replace
@@ -47,7 +48,7 @@
     assert window.available_at(30, 2.0, 6.0) == 100
     assert window.available_at(30, 2.5, 6.0) == 110
     assert window.available_at(30, 6.0, 6.0) == 120
-    assert window.available_at(30, 60.0, 6.0) == 120  # larger than all of it: alone
+    assert window.available_at(30, 60.0, 6.0) == 120  # larger than the window: sent when the window is empty
     assert window.available_at(99, 2.0, 6.0) == 100
     assert window.available_at(100, 2.0, 6.0) == 100
     assert window.available_at(500, 60.0, 6.0) == 500
@@ -72,7 +73,7 @@
 
 
 def _windows(heads: int, cold_units: float, result: AttemptResult) -> list[tuple[float, float]]:
-    """What all heads, each asked without end, sent in the window that ends with an arrival, and the bound."""
+    """Run all fronts under constant load; return the units in the window before each send, and its bound."""
     s = settings(slow_start_units=cold_units, front_count=heads, **COLD)
     began = T0 + WINDOW_US
     made = [
@@ -97,7 +98,8 @@
 def test_windows_of_heads_that_are_asked_without_end_hold(
     heads: int, cold_units: float, result: AttemptResult
 ) -> None:
-    """A quick server, or one that turns all away: what all send stays below the bound at every arrival."""
+    """The endpoint serves quickly or rejects every request. In both cases, the units that all fronts send
+    stay below the bound in the window before every send."""
     windows = _windows(heads, cold_units, result)
     assert windows
     assert all(got <= bound for got, bound in windows), max(got / bound for got, bound in windows)
@@ -106,13 +108,14 @@
 
 
 def test_an_allowance_of_next_to_nothing_is_paced_without_an_error() -> None:
-    """`extra.coldUnits` may be as small as a float can be; a share of it rounds to nothing."""
+    """`extra.coldUnits` may be the smallest float above 0; a front's share of it rounds to 0."""
     tiny = settings(slow_start_units=5e-324, **COLD)
     assert pacing_delay_us(tiny, _node(), START, 1.0, 0.1) > 0
 
 
 def test_a_request_that_outlasts_the_warm_up_is_sent_as_the_endpoint_is_warm() -> None:
-    """It waited for its paced turn, of many seconds later, and was rejected at its objective."""
+    """Pacing would send the request many seconds later, and it would be rejected at its objective. So pacing
+    ends when the endpoint is warm."""
     now, warm_at = START, START + 1_000_000
     class_ = replace(READ, latency_objective_us=5_000_000, timeout_us=5_000_000)
     cold = {**COLD, "slow_start_units": 1.0, "front_count": 200}
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -1,5 +1,5 @@
-"""Processes that are killed behind an accept, and what a whole fleet opens when chunk servers join: what the
-renewed standing test asks of several processes."""
+"""Processes that are killed while connections wait to be accepted, and the connections that a whole fleet
+opens when endpoints join."""
 
 import asyncio
 import os
@@ -33,8 +33,9 @@
 
 
 def test_a_process_that_takes_over_from_a_killed_one_serves_what_comes_again(tmp_path: Path) -> None:
-    """The old one is killed behind the system's accept, with requests unread, the new one beside it: its
-    clients see their connections end, come again, and the new process has the front's whole part."""
+    """The old process is killed after the kernel has accepted connections whose requests are not read, while
+    a new process runs beside it. The clients see their connections close and retry, and the new process gets
+    the front's whole share."""
 
     async def test() -> None:
         servers, loop = FakeServers(), asyncio.get_running_loop()
@@ -47,7 +48,7 @@
                 await old.until("limits")
                 address = old.address("listening")
                 await call_served(address, *read_request("before"))
-                os.kill(old.child.pid, signal.SIGSTOP)  # from here on the system alone accepts
+                os.kill(old.child.pid, signal.SIGSTOP)  # from here on only the kernel accepts connections
                 clients = [socket.create_connection(address) for _ in range(5)]
                 for n, sock in enumerate(clients):
                     sock.setblocking(False)
@@ -79,7 +80,7 @@
 
 
 class Fleet:
-    """Fronts' engines and pools over dials that wait, on one clock that moves by hand."""
+    """Request lifecycles and endpoint pools of all fronts over pending dials, with one manual clock."""
 
     def __init__(self) -> None:
         self.dials = Dials(False)
@@ -117,7 +118,7 @@
         )
 
     def up(self) -> int:
-        """Connections that wait come up, and what is written on them is answered; how many there were."""
+        """Complete all pending connections; return their number."""
         made = 0
         for conn in self.dials.conns:
             if conn.transport is None and not conn.closed:
@@ -132,8 +133,8 @@
 
 
 def test_servers_that_join_are_neither_probed_nor_dialled_ahead_by_any_front() -> None:
-    """Over the whole fleet a join costs one connection for each request that finds none, and the next burst
-    none: what each front does alone adds up."""
+    """When endpoints join, the whole fleet opens one connection for each request that finds none, and the
+    next burst opens none. Connections that each front opens alone would add up."""
 
     async def test() -> None:
         fleet = Fleet()
--- a/tests/test_volumes.py
+++ b/tests/test_volumes.py
@@ -1,5 +1,5 @@
-"""Limits of volumes: the rule's one store, apart from the module, against what all processes of all fronts
-send. Times are virtual; the folder by which processes see each other is a real one."""
+"""Rate limits of volumes: what all processes of all fronts send is checked against one token bucket that is
+computed independently. The time is virtual; the state folder in which processes see each other is real."""
 
 import random
 import tempfile
@@ -29,7 +29,7 @@
 
 
 class Rule:
-    """The one store of BENCH's fifth rule: full at first, taken from when a request first comes whole."""
+    """The one bucket over all fronts: full at first, charged once per request on its first full arrival."""
 
     def __init__(self, now: int) -> None:
         self.have, self.at, self.lowest, self.charged = BURST, now, BURST, list[tuple[int, float]]()
@@ -40,7 +40,8 @@
 
 
 class Process:
-    """One process of a front: it looks for others every 0.1 s, at times later, and sends all it may."""
+    """A process of a front: looks for siblings every 0.1 s, sometimes later, and sends all that its limit
+    allows."""
 
     def __init__(self, root: Path, rng: random.Random, born: int) -> None:
         self.volumes, self.shared, self.rng = RateLimits(SET, born), SharedState(root), rng
@@ -56,7 +57,8 @@
         self.serves, self.looks = True, now + LOOK + self.rng.choice([0, 0, 50_000])
 
     def turn(self, now: int, writers: int, surge: bool, rule: Rule, unit: float) -> None:
-        """What comes, if `writers`, then all that may go; some attempts fail, of some nothing is known."""
+        """Accept new requests if there are `writers`, then send what the limit allows. Some attempts fail,
+        and of some the outcome is not known."""
         if now >= self.looks:
             self.look(now)
         if not self.serves:
@@ -95,7 +97,7 @@
             if (
                 fate in RESULTS_OF_DELIVERY or fate is AttemptResult.RESET and self.rng.random() < 0.5
             ) and not item.done:
-                item.done = True  # it has come once
+                item.done = True  # the request has reached an endpoint
                 rule.came(now, item.request.units)
             if fate is not AttemptResult.OK:
                 self.out.append((now + self.rng.randrange(1, 250_000), item, fate))
@@ -108,14 +110,15 @@
 )
 
 
-@runs(max_examples=100, deadline=None, phases=(Phase.generate, Phase.target))  # smaller ones say no more
+@runs(max_examples=100, deadline=None, phases=(Phase.generate, Phase.target))  # shrinking shows no more
 @given(st.lists(CHANGE, max_size=14), st.integers(1, 3), st.integers(1, 5), st.integers(0, 999))
 def test_all_processes_of_all_fronts_together_keep_a_limit(
     changes: list[tuple[str, int, int]], fronts: int, unit: int, seed: int
 ) -> None:
-    """Processes are replaced, the old one leaving after a moment and ending up to 3.6 s later, or killed and
-    back 0.2 s later; new fronts join a volume and others leave it, which each is told with its next request;
-    load comes and goes. No window passes the limit by more than the slack; in the end nothing is withheld."""
+    """Processes are replaced, where the old one announces that it leaves and ends up to 3.6 s later, or are
+    killed and restarted 0.2 s later. Fronts start and stop serving the volume, which the others learn from
+    their next request, and the load varies. The limit is never exceeded by more than the slack, and in the
+    end the whole rate is used."""
     rng, now, surge = random.Random(seed), T0, True
     with tempfile.TemporaryDirectory() as folder:
         roots = [Path(folder) / str(f) for f in range(fronts)]
@@ -133,7 +136,7 @@
                 if kind in ("surge", "quiet"):
                     surge = kind == "surge"
                 elif kind == "join" and front not in works and now > parted + 2_100_000:
-                    works.add(front)  # a new one; one for one would be seen by none
+                    works.add(front)  # not in exchange for another front: the number would stay the same
                     for gone in alive[front]:
                         gone.shared.deregister()
                     alive[front] = [Process(roots[front], rng, now)]
@@ -191,7 +194,7 @@
 def test_a_further_attempt_is_charged_unless_an_earlier_one_took_the_units(
     result: AttemptResult, astray: bool, spent: float
 ) -> None:
-    """A node that turned a request away as astray had it whole: nothing is given back."""
+    """An endpoint that rejects a misdirected request has received it, so its units are not returned."""
     slow = Plan("gold", limit_units_per_second=1e-9, limit_burst_units=16.0, limit_slack_units=16.0)
     patient = RequestClass("read", 1_900_000, 2_000_000)
     h = head(T0, up(), plans=(slow,), classes=(patient,))
@@ -212,14 +215,14 @@
     for k in range(1, 5):
         feed(h, late + k * VOLUME_RETENTION_US)
         seen.append("v" in h.rate_limits)
-    assert seen == [True, True, True, False]  # silent for long enough after 20 s, and full after 32 s
+    assert seen == [True, True, True, False]  # idle for long enough after 20 s, and full after 32 s
     feed(h, late + 5 * VOLUME_RETENTION_US, ask("b", late + 5 * VOLUME_RETENTION_US))
     assert h.rate_limits["v"].limit.available_units == 14.0
 
 
 def test_a_part_follows_the_count_of_fronts() -> None:
-    """More at once, and what those who join may have is given up, spent or not; fewer once nobody sends what
-    it took before."""
+    """A higher number of fronts applies at once, and the share of those that join is deducted, used or not. A
+    lower number applies once no front sends requests that it accepted under the higher number."""
     volumes, now = RateLimits(SET, T0), T0 + 10_000_000
     shares = []
     told = ((0, 1), (1, 2), (2, 1), (1_999_999, 2), (3_000_000, 1), (4_999_999, 1), (5_000_000, 1))
@@ -241,7 +244,7 @@
     old.announce_leaving()
     assert (old.share(), new.share()) == (LEAVING_PROCESS_SHARE / (1 + LEAVING_PROCESS_SHARE), 0.5)
     assert (new.count_siblings(), new.share()) == (1, 1 / (1 + LEAVING_PROCESS_SHARE))
-    with mock.patch("builtins.open", side_effect=OSError(24, "")):  # no descriptor is free
+    with mock.patch("builtins.open", side_effect=OSError(24, "")):  # no free file descriptor
         assert (new.count_siblings(), new.share()) == (1, 1 / (1 + LEAVING_PROCESS_SHARE))
     old.deregister()
     assert (new.count_siblings(), new.share()) == (0, 1.0)
@@ -249,7 +252,7 @@
 
 
 def test_a_front_that_another_process_stands_beside_sends_half() -> None:
-    """On sockets: a store of 8 is halved, and then fills half as fast."""
+    """Over sockets: a bucket of 8 units is halved and then fills at half the rate."""
     block = "& block b{0} / PUT /write / 000000000000000{0} / {1}\n"
     Exchange(
         "set settings.plans.0.neverOver 0.5\nset settings.plans.0.mostAtOnce 8.0\n"
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -1,4 +1,4 @@
-"""A chunk server after its start: what it has, and what all fronts together ask of it."""
+"""An endpoint during slow start: its capacity, and the load from all fronts together."""
 
 import pytest
 
@@ -31,8 +31,8 @@
     )
     assert available_capacity_ratio(S, _node(), START - 5_000_000) == pytest.approx(
         0.17
-    )  # the lists' clock may be ahead
-    assert available_capacity_ratio(settings(), _node(), START) == 1.0  # where nothing is told of cold nodes
+    )  # the clock of the list may be ahead
+    assert available_capacity_ratio(settings(), _node(), START) == 1.0  # no slow start in the settings
 
 
 @pytest.mark.parametrize("age", [0, 4_000_000, 12_000_000])
@@ -40,8 +40,9 @@
 def test_all_heads_together_ask_for_less_than_it_bears_and_no_more_than_it_serves(
     age: int, parts: list[float]
 ) -> None:
-    """A node of 18 units a second at full power, as on zone+vast: at each age the heads' sum is at most nine
-    tenths of what it can do, where the whole of what it bears would be one and a half times that."""
+    """An endpoint serves 18 units per second at full capacity (as in scenario zone+vast). At each age, the
+    load from all fronts is at most nine tenths of the capacity at that time. The whole load that a cold
+    endpoint can take would be one and a half times that capacity."""
     now, full = START + age, 18.0
     rate = sum(1 / (pacing_delay_us(S, _node(), now, 1.0, part) / 1e6) for part in parts)
     bears = 14.0 / 3 * available_capacity_ratio(S, _node(), now) / 0.17
@@ -59,8 +60,9 @@
 
 
 def test_cold_servers_hold_under_the_sum_of_all_processes() -> None:
-    """Real heads over emulated servers, as benchmarks/cold_ramp.py has them: two days of ten processes, on
-    which 5 of 20 servers were sent more than the budget and chance, as serving gave all of it back."""
+    """The real schedulers of ten processes over 20 emulated endpoint starts, from benchmarks/cold_ramp.py. On
+    the same two days, 5 of 20 endpoints were sent more than the bound when a served request got all of its
+    pacing charge back."""
     got = play(10, 20)
     assert got.fell[1] == 0, got
     assert got.in_time > 0.4 * got.bearable, got
