--- a/tests/test_volumes.py
+++ b/tests/test_volumes.py
@@ -10,7 +10,7 @@
 
 import pytest
 from hypothesis import Phase, given, target
-from hypothesis import settings as runs
+from hypothesis import settings as run_settings
 from hypothesis import strategies as st
 
 from tests.exchange import Exchange
@@ -23,64 +23,80 @@
 from umberlead.scheduling.scheduler import VOLUME_RETENTION_US
 from umberlead.scheduling.settings import Plan, RequestClass
 
-RATE, BURST, SLACK, LOOK, TICK = 20.0, 40.0, 6.0, 100_000, 10_000
+RATE, BURST, SLACK, LOOK_INTERVAL_US, TICK_US = 20.0, 40.0, 6.0, 100_000, 10_000
 GOLD = Plan("gold", limit_units_per_second=RATE, limit_burst_units=BURST, limit_slack_units=SLACK)
-SET = settings(plans=(GOLD,), max_request_units=6.0)
+SETTINGS = settings(plans=(GOLD,), max_request_units=6.0)
 
 
-class Rule:
+class ReferenceBucket:
     """The one bucket over all fronts: full at first, charged once per request on its first full arrival."""
 
-    def __init__(self, now: int) -> None:
-        self.have, self.at, self.lowest, self.charged = BURST, now, BURST, list[tuple[int, float]]()
+    def __init__(self, now_us: int) -> None:
+        self.available_units, self.updated_us, self.lowest_units, self.first_sends = (
+            BURST,
+            now_us,
+            BURST,
+            list[tuple[int, float]](),
+        )
 
-    def came(self, now: int, units: float) -> None:
-        self.have = min(self.have + (now - self.at) * RATE / 1e6, BURST) - units
-        self.at, self.lowest = now, min(self.lowest, self.have)
+    def record_arrival(self, now_us: int, units: float) -> None:
+        self.available_units = (
+            min(self.available_units + (now_us - self.updated_us) * RATE / 1e6, BURST) - units
+        )
+        self.updated_us, self.lowest_units = now_us, min(self.lowest_units, self.available_units)
 
 
 class Process:
     """A process of a front: looks for siblings every 0.1 s, sometimes later, and sends all that its limit
     allows."""
 
-    def __init__(self, root: Path, rng: random.Random, born: int) -> None:
-        self.volumes, self.shared, self.rng = RateLimits(SET, born), SharedState(root), rng
-        self.part, self.looks = 0.0, born + rng.randrange(TICK, LOOK)
-        self.serves = False
-        self.queue, self.out = deque[PendingRequest](), list[tuple[int, PendingRequest, AttemptResult]]()
+    def __init__(self, folder: Path, rng: random.Random, started_us: int) -> None:
+        self.rate_limits, self.shared, self.rng = RateLimits(SETTINGS, started_us), SharedState(folder), rng
+        self.process_share, self.next_look_us = 0.0, started_us + rng.randrange(TICK_US, LOOK_INTERVAL_US)
+        self.is_serving = False
+        self.queue, self.pending_outcomes = (
+            deque[PendingRequest](),
+            list[tuple[int, PendingRequest, AttemptResult]](),
+        )
 
-    def look(self, now: int) -> None:
+    def update_share(self, now_us: int) -> None:
         self.shared.count_siblings()
-        if (part := self.shared.share()) != self.part:
-            self.part = part
-            self.volumes.set_process_share(now, part)
-        self.serves, self.looks = True, now + LOOK + self.rng.choice([0, 0, 50_000])
+        if (process_share := self.shared.share()) != self.process_share:
+            self.process_share = process_share
+            self.rate_limits.set_process_share(now_us, process_share)
+        self.is_serving, self.next_look_us = True, now_us + LOOK_INTERVAL_US + self.rng.choice([0, 0, 50_000])
 
-    def turn(self, now: int, writers: int, surge: bool, rule: Rule, unit: float) -> None:
+    def step(
+        self, now_us: int, front_count: int, surge: bool, reference: ReferenceBucket, min_units: float
+    ) -> None:
         """Accept new requests if there are `writers`, then send what the limit allows. Some attempts fail,
         and of some the outcome is not known."""
-        if now >= self.looks:
-            self.look(now)
-        if not self.serves:
+        if now_us >= self.next_look_us:
+            self.update_share(now_us)
+        if not self.is_serving:
             return
-        for due, item, result in [o for o in self.out if o[0] <= now]:
-            self.out.remove((due, item, result))
-            self.volumes.record_outcome(item, Outcome("", "", item.attempt_count - 1, result, 0, False))
-            self.queue.appendleft(item)
-        while self.queue and self.queue[0].request.deadline_us < now:
+        for due_us, pending, result in [entry for entry in self.pending_outcomes if entry[0] <= now_us]:
+            self.pending_outcomes.remove((due_us, pending, result))
+            self.rate_limits.record_outcome(
+                pending, Outcome("", "", pending.attempt_count - 1, result, 0, False)
+            )
+            self.queue.appendleft(pending)
+        while self.queue and self.queue[0].request.deadline_us < now_us:
             self.queue.popleft()
-        for _ in range(30 if surge and writers and len(self.queue) < 30 else bool(writers)):
-            req = ask("r", now, units=min(unit + self.rng.randrange(3), 6.0), volume_front_count=writers)
-            self.volumes.record_request(req, GOLD, now)
+        for _ in range(30 if surge and front_count and len(self.queue) < 30 else bool(front_count)):
+            incoming = ask(
+                "r", now_us, units=min(min_units + self.rng.randrange(3), 6.0), volume_front_count=front_count
+            )
+            self.rate_limits.record_request(incoming, GOLD, now_us)
             if surge:
-                self.queue.append(PendingRequest(req, READ, 0, now, now, 0))
-        while self.queue and not self.volumes.wait_us(self.queue[0], now):
-            item = self.queue.popleft()
-            if item.charged_attempt is None:
-                rule.charged.append((now, item.request.units))
-            self.volumes.charge(item)
-            item.attempt_count += 1
-            fate = (
+                self.queue.append(PendingRequest(incoming, READ, 0, now_us, now_us, 0))
+        while self.queue and not self.rate_limits.wait_us(self.queue[0], now_us):
+            pending = self.queue.popleft()
+            if pending.charged_attempt is None:
+                reference.first_sends.append((now_us, pending.request.units))
+            self.rate_limits.charge(pending)
+            pending.attempt_count += 1
+            outcome_result = (
                 self.rng.choices(
                     [
                         AttemptResult.OK,
@@ -91,16 +107,20 @@
                     ],
                     [80, 3, 3, 3, 3],
                 )[0]
-                if item.attempt_count < 3
+                if pending.attempt_count < 3
                 else AttemptResult.OK
             )
             if (
-                fate in RESULTS_OF_DELIVERY or fate is AttemptResult.RESET and self.rng.random() < 0.5
-            ) and not item.done:
-                item.done = True  # the request has reached an endpoint
-                rule.came(now, item.request.units)
-            if fate is not AttemptResult.OK:
-                self.out.append((now + self.rng.randrange(1, 250_000), item, fate))
+                outcome_result in RESULTS_OF_DELIVERY
+                or outcome_result is AttemptResult.RESET
+                and self.rng.random() < 0.5
+            ) and not pending.done:
+                pending.done = True  # the request has reached an endpoint
+                reference.record_arrival(now_us, pending.request.units)
+            if outcome_result is not AttemptResult.OK:
+                self.pending_outcomes.append(
+                    (now_us + self.rng.randrange(1, 250_000), pending, outcome_result)
+                )
 
 
 CHANGE = st.tuples(
@@ -110,75 +130,82 @@
 )
 
 
-@runs(max_examples=100, deadline=None, phases=(Phase.generate, Phase.target))  # shrinking shows no more
+# Shrinking is left out: smaller examples show no more.
+@run_settings(max_examples=100, deadline=None, phases=(Phase.generate, Phase.target))
 @given(st.lists(CHANGE, max_size=14), st.integers(1, 3), st.integers(1, 5), st.integers(0, 999))
-def test_all_processes_of_all_fronts_together_keep_a_limit(
+def test_all_processes_of_all_fronts_together_respect_the_limit(
     changes: list[tuple[str, int, int]], fronts: int, unit: int, seed: int
 ) -> None:
     """Processes are replaced, where the old one announces that it leaves and ends up to 3.6 s later, or are
     killed and restarted 0.2 s later. Fronts start and stop serving the volume, which the others learn from
     their next request, and the load varies. The limit is never exceeded by more than the slack, and in the
     end the whole rate is used."""
-    rng, now, surge = random.Random(seed), T0, True
+    rng, now_us, surge = random.Random(seed), T0, True
     with tempfile.TemporaryDirectory() as folder:
-        roots = [Path(folder) / str(f) for f in range(fronts)]
-        alive: list[list[Process]] = [[Process(root, rng, now)] for root in roots]
-        works, parted, rule = set(range(fronts)), 0, Rule(now)
-        plan: list[tuple[int, int, str, int, Process | None]] = []
+        roots = [Path(folder) / str(index) for index in range(fronts)]
+        processes: list[list[Process]] = [[Process(root, rng, now_us)] for root in roots]
+        serving_fronts, last_left_us, reference = set(range(fronts)), 0, ReferenceBucket(now_us)
+        schedule: list[tuple[int, int, str, int, Process | None]] = []
         for kind, front, ticks in changes:
-            plan.append((now := now + ticks * TICK, len(plan), kind, front % fronts, None))
-        over, now = now + 8_000_000, T0
-        while now < over:
-            now += TICK
-            for event in sorted((e for e in plan if e[0] <= now), key=lambda e: e[:2]):
-                plan.remove(event)
-                _, _, kind, front, of = event
+            schedule.append((now_us := now_us + ticks * TICK_US, len(schedule), kind, front % fronts, None))
+        end_us, now_us = now_us + 8_000_000, T0
+        while now_us < end_us:
+            now_us += TICK_US
+            for entry in sorted(
+                (scheduled for scheduled in schedule if scheduled[0] <= now_us),
+                key=lambda scheduled: scheduled[:2],
+            ):
+                schedule.remove(entry)
+                _, _, kind, front, leaving = entry
                 if kind in ("surge", "quiet"):
                     surge = kind == "surge"
-                elif kind == "join" and front not in works and now > parted + 2_100_000:
-                    works.add(front)  # not in exchange for another front: the number would stay the same
-                    for gone in alive[front]:
-                        gone.shared.deregister()
-                    alive[front] = [Process(roots[front], rng, now)]
-                elif kind == "part" and len(works) > 1:
-                    works.discard(front)
-                    parted = now
-                elif kind == "upgrade" and len(alive[front]) < 3:
-                    new = Process(roots[front], rng, now)
-                    for old in alive[front]:
-                        leaves = now + rng.randrange(100_000, 600_000)
-                        plan += [
-                            (leaves, 0, "leaves", front, old),
-                            (leaves + rng.randrange(3_600_000), 1, "ends", front, old),
+                elif kind == "join" and front not in serving_fronts and now_us > last_left_us + 2_100_000:
+                    # A front does not join just as another leaves, as the number would stay the same.
+                    serving_fronts.add(front)
+                    for ended in processes[front]:
+                        ended.shared.deregister()
+                    processes[front] = [Process(roots[front], rng, now_us)]
+                elif kind == "part" and len(serving_fronts) > 1:
+                    serving_fronts.discard(front)
+                    last_left_us = now_us
+                elif kind == "upgrade" and len(processes[front]) < 3:
+                    new_process = Process(roots[front], rng, now_us)
+                    for old_process in processes[front]:
+                        leaves_us = now_us + rng.randrange(100_000, 600_000)
+                        schedule += [
+                            (leaves_us, 0, "leaves", front, old_process),
+                            (leaves_us + rng.randrange(3_600_000), 1, "ends", front, old_process),
                         ]
-                    alive[front].append(new)
+                    processes[front].append(new_process)
                 elif kind == "born":
-                    alive[front].append(Process(roots[front], rng, now))
-                elif kind == "leaves" and of in alive[front]:
-                    of.shared.announce_leaving()
-                    of.look(now)
-                elif kind == "ends" and of in alive[front] or kind == "kill":
-                    for gone in [of] if of else alive[front][:]:
-                        alive[front].remove(gone)
-                        gone.shared.deregister()
+                    processes[front].append(Process(roots[front], rng, now_us))
+                elif kind == "leaves" and leaving in processes[front]:
+                    leaving.shared.announce_leaving()
+                    leaving.update_share(now_us)
+                elif kind == "ends" and leaving in processes[front] or kind == "kill":
+                    for ended in [leaving] if leaving else processes[front][:]:
+                        processes[front].remove(ended)
+                        ended.shared.deregister()
                     if kind == "kill":
-                        plan.append((now + 200_000, 0, "born", front, None))
-            if not plan and now > over - 3_500_000:
+                        schedule.append((now_us + 200_000, 0, "born", front, None))
+            if not schedule and now_us > end_us - 3_500_000:
                 surge = True
             for front in range(fronts):
-                for process in alive[front]:
-                    process.turn(now, len(works) if front in works else 0, surge, rule, unit)
-        for process in [p for each in alive for p in each]:
+                for process in processes[front]:
+                    process.step(
+                        now_us, len(serving_fronts) if front in serving_fronts else 0, surge, reference, unit
+                    )
+        for process in [sibling for siblings in processes for sibling in siblings]:
             process.shared.deregister()
-    target(-rule.lowest)
-    draw = f"changes={changes}, fronts={fronts}, unit={unit}, seed={seed}"
-    assert rule.lowest >= -SLACK, f"passed by {-SLACK - rule.lowest:.3f}: {draw}"
-    late_units = sum(u for t, u in rule.charged if t > over - 3_000_000)
-    assert late_units >= 3 * RATE - 6.0 * fronts - 1.0, f"withheld, {late_units:.1f} sent: {draw}"
+    target(-reference.lowest_units)
+    case = f"changes={changes}, fronts={fronts}, unit={unit}, seed={seed}"
+    assert reference.lowest_units >= -SLACK, f"passed by {-SLACK - reference.lowest_units:.3f}: {case}"
+    late_units = sum(sent for sent_us, sent in reference.first_sends if sent_us > end_us - 3_000_000)
+    assert late_units >= 3 * RATE - 6.0 * fronts - 1.0, f"withheld, {late_units:.1f} sent: {case}"
 
 
 @pytest.mark.parametrize(
-    ("result", "astray", "spent"),
+    ("result", "is_misdirected", "charged_units"),
     [(r, False, 2.0) for r in (AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.NOT_SENT)]
     + [
         (r, False, 4.0)
@@ -191,54 +218,54 @@
     ]
     + [(AttemptResult.NOT_SENT, True, 2.0)],
 )
-def test_a_further_attempt_is_charged_unless_an_earlier_one_took_the_units(
-    result: AttemptResult, astray: bool, spent: float
+def test_retry_is_charged_unless_an_earlier_attempt_was(
+    result: AttemptResult, is_misdirected: bool, charged_units: float
 ) -> None:
     """An endpoint that rejects a misdirected request has received it, so its units are not returned."""
     slow = Plan("gold", limit_units_per_second=1e-9, limit_burst_units=16.0, limit_slack_units=16.0)
-    patient = RequestClass("read", 1_900_000, 2_000_000)
-    h = head(T0, up(), plans=(slow,), classes=(patient,))
-    feed(h, T0, ask("a"))
-    feed(h, T0 + 1000, replace(end("a", result), misdirected=astray))
-    feed(h, T0 + 600_000)
-    assert h.rate_limits["v"].limit.available_units == pytest.approx(8.0 - spent, abs=1e-6)
-    assert not h.requests if astray else h.requests["a"].attempt_count == 2
+    long_class = RequestClass("read", 1_900_000, 2_000_000)
+    scheduler = head(T0, up(), plans=(slow,), classes=(long_class,))
+    feed(scheduler, T0, ask("a"))
+    feed(scheduler, T0 + 1000, replace(end("a", result), misdirected=is_misdirected))
+    feed(scheduler, T0 + 600_000)
+    assert scheduler.rate_limits["v"].limit.available_units == pytest.approx(8.0 - charged_units, abs=1e-6)
+    assert not scheduler.requests if is_misdirected else scheduler.requests["a"].attempt_count == 2
 
 
-def test_a_volume_is_forgotten_once_its_store_is_full_and_comes_back_with_no_more() -> None:
+def test_idle_volume_is_dropped_once_its_bucket_is_full_and_gains_no_units() -> None:
     slow = Plan("gold", limit_units_per_second=0.25, limit_burst_units=16.0, limit_slack_units=4.0)
-    h = head(T0, up(), plans=(slow,))
-    late = T0 + 80_000_000
-    feed(h, late, ask("a", late, units=8.0))
-    feed(h, late, replace(end("a"), final=True))
-    seen = []
+    scheduler = head(T0, up(), plans=(slow,))
+    late_us = T0 + 80_000_000
+    feed(scheduler, late_us, ask("a", late_us, units=8.0))
+    feed(scheduler, late_us, replace(end("a"), final=True))
+    known = []
     for k in range(1, 5):
-        feed(h, late + k * VOLUME_RETENTION_US)
-        seen.append("v" in h.rate_limits)
-    assert seen == [True, True, True, False]  # idle for long enough after 20 s, and full after 32 s
-    feed(h, late + 5 * VOLUME_RETENTION_US, ask("b", late + 5 * VOLUME_RETENTION_US))
-    assert h.rate_limits["v"].limit.available_units == 14.0
+        feed(scheduler, late_us + k * VOLUME_RETENTION_US)
+        known.append("v" in scheduler.rate_limits)
+    assert known == [True, True, True, False]  # idle for long enough after 20 s, and full after 32 s
+    feed(scheduler, late_us + 5 * VOLUME_RETENTION_US, ask("b", late_us + 5 * VOLUME_RETENTION_US))
+    assert scheduler.rate_limits["v"].limit.available_units == 14.0
 
 
-def test_a_part_follows_the_count_of_fronts() -> None:
+def test_share_of_the_limit_follows_the_front_count() -> None:
     """A higher number of fronts applies at once, and the share of those that join is deducted, used or not. A
     lower number applies once no front sends requests that it accepted under the higher number."""
-    volumes, now = RateLimits(SET, T0), T0 + 10_000_000
+    rate_limits, start_us = RateLimits(SETTINGS, T0), T0 + 10_000_000
     shares = []
-    told = ((0, 1), (1, 2), (2, 1), (1_999_999, 2), (3_000_000, 1), (4_999_999, 1), (5_000_000, 1))
-    for at, writers in told:
-        volumes.record_request(ask("r", volume_front_count=writers), GOLD, now + at)
-        limit = volumes["v"].limit
-        limit.refill(now + at)
+    steps = ((0, 1), (1, 2), (2, 1), (1_999_999, 2), (3_000_000, 1), (4_999_999, 1), (5_000_000, 1))
+    for elapsed_us, front_count in steps:
+        rate_limits.record_request(ask("r", volume_front_count=front_count), GOLD, start_us + elapsed_us)
+        limit = rate_limits["v"].limit
+        limit.refill(start_us + elapsed_us)
         shares.append((limit.capacity_units, limit.available_units == limit.capacity_units))
-    half, whole = (BURST / 2, True), (BURST, False)
-    assert shares == [(BURST, True), half, half, half, half, half, whole]
+    half, not_full = (BURST / 2, True), (BURST, False)
+    assert shares == [(BURST, True), half, half, half, half, half, not_full]
     limit.available_units = 1.0
-    volumes.record_request(ask("r", volume_front_count=4), GOLD, now + at)
+    rate_limits.record_request(ask("r", volume_front_count=4), GOLD, start_us + elapsed_us)
     assert limit.available_units == 1.0 - BURST * 3 / 4
 
 
-def test_parts_of_processes_never_add_up_to_more_than_one(tmp_path: Path) -> None:
+def test_shares_of_processes_never_add_up_to_more_than_one(tmp_path: Path) -> None:
     old, new = SharedState(tmp_path), SharedState(tmp_path)
     assert [(s.count_siblings(), s.share()) for s in (old, new)] == [(1, 0.5), (1, 0.5)]
     old.announce_leaving()
@@ -251,7 +278,7 @@
     new.deregister()
 
 
-def test_a_front_that_another_process_stands_beside_sends_half() -> None:
+def test_process_with_a_sibling_sends_half() -> None:
     """Over sockets: a bucket of 8 units is halved and then fills at half the rate."""
     block = "& block b{0} / PUT /write / 000000000000000{0} / {1}\n"
     Exchange(
