--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -24,7 +24,7 @@
 def sent_units(
     scheduler: Scheduler, begin_us: int, until_us: int, units: float, front_count: int, prefix: str
 ) -> float:
-    """Request `units` in each step for a volume that `fronts` fronts serve; return the units sent."""
+    """Request `units` in each step for a volume that `front_count` fronts serve; return the units sent."""
     total = 0.0
     for number, now_us in enumerate(range(begin_us, until_us, STEP_US)):
         request = ask(
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -41,11 +41,11 @@
     Plan("a", 1.0, limit_units_per_second=30.0, limit_burst_units=48.0, limit_slack_units=8.0),
     Plan("b", 2.0, reserved_units_per_second=10.0),
 )
-HEADS, REST, GRACE = 3, 50_000, 100_000
-SET = Settings(
+FRONT_COUNT, ORDERING_PAUSE_US, GRACE_US = 3, 50_000, 100_000
+SETTINGS = Settings(
     classes=CLASSES,
     plans=PLANS,
-    front_count=HEADS,
+    front_count=FRONT_COUNT,
     mean_request_units=2.0,
     max_request_units=8.0,
     max_attempts=3,
@@ -56,219 +56,258 @@
     slow_start_overload_factor=3.0,
     slow_start_window_us=1_000_000,
     warm_up_us=8_000_000,
-    ordering_pause_us=REST,
+    ordering_pause_us=ORDERING_PAUSE_US,
     retry_budget_window_us=2_000_000,
     retry_budget_min_retries=2,
     retry_budget_ratio=0.1,
 )
-UNRUN = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
+RESULTS_WITHOUT_RUN = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 
 
 class Checker:
     """Checks the scheduler's rules over its events and actions."""
 
     def __init__(self) -> None:
-        self.req: dict[str, tuple[int, Request]] = {}
-        self.answer: dict[str, int] = {}
-        self.tries: dict[str, list[dict[str, Any]]] = defaultdict(list)
-        self.state: dict[tuple[int, str], Endpoint] = {}
-        self.spent: dict[str, list[float]] = {}
-        self.resent: dict[int, list[int]] = defaultdict(list)
-        self.taken: dict[int, list[int]] = defaultdict(list)
-        self.keys: dict[tuple[int, str], list[str]] = defaultdict(list)
-        self.rest: dict[tuple[int, str], int] = {}
-        self.cold: dict[str, list[tuple[int, float]]] = defaultdict(list)
+        self.requests: dict[str, tuple[int, Request]] = {}
+        self.answers_us: dict[str, int] = {}
+        self.attempts: dict[str, list[dict[str, Any]]] = defaultdict(list)
+        self.listed_endpoints: dict[tuple[int, str], Endpoint] = {}
+        self.buckets: dict[str, list[float]] = {}
+        self.retries_us: dict[int, list[int]] = defaultdict(list)
+        self.arrivals_us: dict[int, list[int]] = defaultdict(list)
+        self.ordered_ids: dict[tuple[int, str], list[str]] = defaultdict(list)
+        self.paused_until_us: dict[tuple[int, str], int] = {}
+        self.cold_sends: dict[str, list[tuple[int, float]]] = defaultdict(list)
 
-    def action(self, h: int, now: int, a: Action) -> None:
-        if isinstance(a, Reject | Fail):
-            at, req = self.req[a.request_id]
-            assert a.request_id not in self.answer and now <= req.deadline_us, "answered twice or late"
-            self.answer[a.request_id] = now
-            ran = [t for t in self.tries[a.request_id] if t["end"] not in UNRUN]
-            effect = next(c.repeatability for c in CLASSES if c.name == req.class_name)
+    def check_action(self, front: int, now_us: int, action: Action) -> None:
+        if isinstance(action, Reject | Fail):
+            _arrived_us, request = self.requests[action.request_id]
+            assert (
+                action.request_id not in self.answers_us and now_us <= request.deadline_us
+            ), "answered twice or late"
+            self.answers_us[action.request_id] = now_us
+            ran_attempts = [
+                attempt
+                for attempt in self.attempts[action.request_id]
+                if attempt["end"] not in RESULTS_WITHOUT_RUN
+            ]
+            class_repeatability = next(
+                request_class.repeatability
+                for request_class in CLASSES
+                if request_class.name == request.class_name
+            )
             assert not (
-                isinstance(a, Reject) and ran and effect is not Repeatability.IDEMPOTENT
-            ), "refused what may have run"
-        if isinstance(a, Send):
-            self.send(h, now, a)
+                isinstance(action, Reject)
+                and ran_attempts
+                and class_repeatability is not Repeatability.IDEMPOTENT
+            ), "rejected a request that may have run"
+        if isinstance(action, Send):
+            self.check_send(front, now_us, action)
 
-    def send(self, h: int, now: int, a: Send) -> None:
-        _, req = self.req[a.request_id]
-        cls = next(c for c in CLASSES if c.name == req.class_name)
-        tries, node = self.tries[a.request_id], self.state[h, a.endpoint]
-        assert a.request_id not in self.answer, "sent after the end"
+    def check_send(self, front: int, now_us: int, action: Send) -> None:
+        _, request = self.requests[action.request_id]
+        request_class = next(candidate for candidate in CLASSES if candidate.name == request.class_name)
+        attempts, target = self.attempts[action.request_id], self.listed_endpoints[front, action.endpoint]
+        assert action.request_id not in self.answers_us, "sent after its answer"
+        assert (
+            target.status is EndpointStatus.UP and target.shard == request.shard
+        ), "sent to a draining or wrong endpoint"
         assert (
-            node.status is EndpointStatus.UP and node.shard == req.shard
-        ), "sent to a draining or wrong node"
-        assert all(t["end"] for t in tries) and len(tries) < 3, "two at once, or too many"
-        ran = [t["at"] for t in tries if t["end"] not in UNRUN]
-        if ran:
-            assert cls.repeatability is not Repeatability.AT_MOST_ONCE
+            all(attempt["end"] for attempt in attempts) and len(attempts) < 3
+        ), "two attempts at once, or too many"
+        ran_us = [attempt["at"] for attempt in attempts if attempt["end"] not in RESULTS_WITHOUT_RUN]
+        if ran_us:
+            assert request_class.repeatability is not Repeatability.AT_MOST_ONCE
             assert (
-                cls.repeatability is Repeatability.IDEMPOTENT or now - ran[0] < cls.deduplication_window_us
-            ), "after the memory"
-        if tries:
-            mine = [t for t in self.resent[h] if t > now - 2_000_000] + [now]
-            took = [t for t in self.taken[h] if t > now - 2_000_000]
-            assert len(mine) <= 2 + 0.1 * len(took), "over the budget"
-            self.resent[h].append(now)
-        elif req.plan == "a":
-            store = self.spent.setdefault(req.volume, [48.0, 0.0])
-            store[0] = min(48.0, store[0] + 30.0 * (now - store[1]) / 1e6) - req.units
-            store[1] = now
-            assert store[0] >= -8.0, "over the limit"
-        if cls.ordered and req.key:
-            line = self.keys[h, req.key]
-            before = line[: line.index(a.request_id)]
-            busy = [r for r in before if r not in self.answer or any(not t["end"] for t in self.tries[r])]
-            assert not busy, "out of turn"
-            again = any(
-                t["end"] in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
-                for t in tries
+                request_class.repeatability is Repeatability.IDEMPOTENT
+                or now_us - ran_us[0] < request_class.deduplication_window_us
+            ), "after the deduplication window"
+        if attempts:
+            recent_retries_us = [
+                sent_us for sent_us in self.retries_us[front] if sent_us > now_us - 2_000_000
+            ] + [now_us]
+            recent_arrivals_us = [
+                arrived_us for arrived_us in self.arrivals_us[front] if arrived_us > now_us - 2_000_000
+            ]
+            assert len(recent_retries_us) <= 2 + 0.1 * len(recent_arrivals_us), "over the retry budget"
+            self.retries_us[front].append(now_us)
+        elif request.plan == "a":
+            bucket = self.buckets.setdefault(request.volume, [48.0, 0.0])
+            bucket[0] = min(48.0, bucket[0] + 30.0 * (now_us - bucket[1]) / 1e6) - request.units
+            bucket[1] = now_us
+            assert bucket[0] >= -8.0, "over the rate limit"
+        if request_class.ordered and request.key:
+            key_ids = self.ordered_ids[front, request.key]
+            earlier_ids = key_ids[: key_ids.index(action.request_id)]
+            unfinished_ids = [
+                earlier_id
+                for earlier_id in earlier_ids
+                if earlier_id not in self.answers_us
+                or any(not attempt["end"] for attempt in self.attempts[earlier_id])
+            ]
+            assert not unfinished_ids, "out of order"
+            is_uncertain_retry = any(
+                attempt["end"] in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
+                for attempt in attempts
             )
-            assert again or now >= self.rest.get((h, req.key), 0), "the key had to rest"
-        if node.started_us and now - node.started_us < 8_000_000:
-            log = self.cold[a.endpoint]
-            log.append((now, req.units))
-            grown = 1 + 4 * (now - node.started_us) / 8_000_000
+            assert is_uncertain_retry or now_us >= self.paused_until_us.get(
+                (front, request.key), 0
+            ), "the key is paused"
+        if target.started_us and now_us - target.started_us < 8_000_000:
+            cold_log = self.cold_sends[action.endpoint]
+            cold_log.append((now_us, request.units))
+            growth = 1 + 4 * (now_us - target.started_us) / 8_000_000
             # Outcomes are random, so serving proves no capacity: the bound is the whole overload factor.
-            assert sum(u for t, u in log if t > now - 1_000_000) <= 3 * 40.0 * grown, "cold node pushed"
-        tries.append({"at": now, "end": None})
+            assert (
+                sum(sent_units for sent_us, sent_units in cold_log if sent_us > now_us - 1_000_000)
+                <= 3 * 40.0 * growth
+            ), "cold endpoint overloaded"
+        attempts.append({"at": now_us, "end": None})
 
-    def ended(self, h: int, now: int, e: Outcome) -> None:
-        self.tries[e.request_id][e.attempt]["end"] = e.result
-        if e.final:
-            self.answer.setdefault(e.request_id, now)
-        _, req = self.req[e.request_id]
+    def record_outcome(self, front: int, now_us: int, outcome: Outcome) -> None:
+        self.attempts[outcome.request_id][outcome.attempt]["end"] = outcome.result
+        if outcome.final:
+            self.answers_us.setdefault(outcome.request_id, now_us)
+        _, request = self.requests[outcome.request_id]
         if (
-            req.key
-            and req.class_name == "turn"
-            and e.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
+            request.key
+            and request.class_name == "turn"
+            and outcome.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
         ):
-            self.rest[h, req.key] = now + REST
+            self.paused_until_us[front, request.key] = now_us + ORDERING_PAUSE_US
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_through_random_days(seed: int) -> None:
-    rng, check = random.Random(seed), Checker()
-    now, serial = 1_000_000, 0
-    heads: dict[int, Scheduler] = {}
-    queue: list[tuple[int, int, int, Any]] = []
+def test_rules_hold_for_random_event_sequences(seed: int) -> None:
+    rng, checker = random.Random(seed), Checker()
+    now_us, sequence_number = 1_000_000, 0
+    schedulers: dict[int, Scheduler] = {}
+    event_queue: list[tuple[int, int, int, Any]] = []
     sent: dict[str, list[int]] = defaultdict(list)
-    cancels: set[tuple[str, int]] = set()
+    cancelled: set[tuple[str, int]] = set()
     fleet = {f"n{k}": Endpoint(f"n{k}", EndpointStatus.UP, k) for k in range(3)}
 
-    def put(when: int, h: int, what: Any) -> None:
-        nonlocal serial
-        serial += 1
-        heapq.heappush(queue, (when, serial, h, what))
+    def schedule(when_us: int, front: int, item: Any) -> None:
+        nonlocal sequence_number
+        sequence_number += 1
+        heapq.heappush(event_queue, (when_us, sequence_number, front, item))
 
-    def start(h: int) -> list[Event]:
-        heads[h] = Scheduler(SET, rng.randrange(2**40), now)
-        check.taken[h], check.resent[h] = [], []
-        for key in [k for k in check.keys if k[0] == h]:
-            del check.keys[key]
-        check.rest = {k: v for k, v in check.rest.items() if k[0] != h}
-        for n in fleet.values():
-            check.state[h, n.name] = n
+    def start_front(front: int) -> list[Event]:
+        schedulers[front] = Scheduler(SETTINGS, rng.randrange(2**40), now_us)
+        checker.arrivals_us[front], checker.retries_us[front] = [], []
+        for key in [k for k in checker.ordered_ids if k[0] == front]:
+            del checker.ordered_ids[key]
+        checker.paused_until_us = {k: v for k, v in checker.paused_until_us.items() if k[0] != front}
+        for listed in fleet.values():
+            checker.listed_endpoints[front, listed.name] = listed
         return [EndpointList(True, tuple(fleet.values()))]
 
-    for h in range(HEADS):
-        put(now, h, "start")
+    for front in range(FRONT_COUNT):
+        schedule(now_us, front, "start")
     for k in range(900):
-        at, h = now + rng.randrange(6_000_000), rng.randrange(HEADS)
+        due_us, front = now_us + rng.randrange(6_000_000), rng.randrange(FRONT_COUNT)
         volume = f"v{rng.randrange(4)}"
-        cls = rng.choice(CLASSES)
-        left = rng.choice([cls.timeout_us, cls.timeout_us, cls.timeout_us // 2, 1])
+        request_class = rng.choice(CLASSES)
+        time_left_us = rng.choice(
+            [request_class.timeout_us, request_class.timeout_us, request_class.timeout_us // 2, 1]
+        )
         key = rng.choice([None, "k1", "k2"])
         plan = "a" if volume in ("v0", "v1") else "b"
-        put(
-            at,
-            h,
+        schedule(
+            due_us,
+            front,
             Request(
                 f"r{k}",
                 key,
                 volume,
-                at + left,
+                due_us + time_left_us,
                 rng.randrange(4),
                 rng.choice([1, 2, 2, 8]),
-                cls.name,
+                request_class.name,
                 plan,
-                HEADS,
+                FRONT_COUNT,
             ),
         )
-    for at in (2_000_000, 4_000_000):
-        put(at, rng.randrange(HEADS), "restart")
-        put(at + 300_000, -1, Endpoint("n0", EndpointStatus.DRAINING, 0))
-        put(at + 700_000, -1, Endpoint(f"m{at}", EndpointStatus.UP, 0, at + 600_000))
-    while queue:
-        now, _, h, what = heapq.heappop(queue)
-        if h < 0:
-            fleet[what.name] = what
-            for other in range(HEADS):
-                put(now + rng.randrange(200_000), other, EndpointList(False, (what,)))
+    for due_us in (2_000_000, 4_000_000):
+        schedule(due_us, rng.randrange(FRONT_COUNT), "restart")
+        schedule(due_us + 300_000, -1, Endpoint("n0", EndpointStatus.DRAINING, 0))
+        schedule(due_us + 700_000, -1, Endpoint(f"m{due_us}", EndpointStatus.UP, 0, due_us + 600_000))
+    while event_queue:
+        now_us, _, front, item = heapq.heappop(event_queue)
+        if front < 0:
+            fleet[item.name] = item
+            for other_front in range(FRONT_COUNT):
+                schedule(now_us + rng.randrange(200_000), other_front, EndpointList(False, (item,)))
             continue
         events: list[Event] = []
-        if what in ("start", "restart"):
-            if what == "restart":  # clients retry the requests that the old process held
-                for name in [r for r, (g, _) in check.req.items() if g == h]:
-                    check.answer.setdefault(name, now)
-                queue = [q for q in queue if q[2] != h or isinstance(q[3], Request | EndpointList)]
-                heapq.heapify(queue)
-            events = start(h)
-        elif isinstance(what, Outcome):
-            tried = check.tries[what.request_id][what.attempt]
-            if tried["end"]:
+        if item in ("start", "restart"):
+            if item == "restart":  # clients retry the requests that the old process held
+                for name in [id_ for id_, (owner, _) in checker.requests.items() if owner == front]:
+                    checker.answers_us.setdefault(name, now_us)
+                event_queue = [
+                    entry
+                    for entry in event_queue
+                    if entry[2] != front or isinstance(entry[3], Request | EndpointList)
+                ]
+                heapq.heapify(event_queue)
+            events = start_front(front)
+        elif isinstance(item, Outcome):
+            attempt_record = checker.attempts[item.request_id][item.attempt]
+            if attempt_record["end"]:
                 continue
-            over = what.request_id in check.answer
-            what = Outcome(
-                what.request_id,
-                what.endpoint,
-                what.attempt,
-                what.result,
-                what.elapsed_us,
-                over or what.result is AttemptResult.OK,
+            is_answered = item.request_id in checker.answers_us
+            item = Outcome(
+                item.request_id,
+                item.endpoint,
+                item.attempt,
+                item.result,
+                item.elapsed_us,
+                is_answered or item.result is AttemptResult.OK,
             )
-            check.ended(h, now, what)
-            events = [what]
-            if rng.random() < 0.05 and what.final:
-                events.append(ClientDisconnected(what.request_id))
+            checker.record_outcome(front, now_us, item)
+            events = [item]
+            if rng.random() < 0.05 and item.final:
+                events.append(ClientDisconnected(item.request_id))
         else:
-            events = [what]
-            if isinstance(what, Request):
-                check.req[what.request_id] = (h, what)
-                check.taken[h].append(now)
-                if what.class_name == "turn" and what.key:
-                    check.keys[h, what.key].append(what.request_id)
-            if isinstance(what, EndpointList):
-                for n in what.endpoints:
-                    check.state[h, n.name] = n
-        for a in heads[h].handle(now, events):
-            check.action(h, now, a)
-            if isinstance(a, SetTimer):
-                put(now + a.delay_us, h, TimerExpired(a.label))
-            elif isinstance(a, Send):
-                number = len(sent[a.request_id])
-                sent[a.request_id].append(now)
-                limit = check.req[a.request_id][1].deadline_us
+            events = [item]
+            if isinstance(item, Request):
+                checker.requests[item.request_id] = (front, item)
+                checker.arrivals_us[front].append(now_us)
+                if item.class_name == "turn" and item.key:
+                    checker.ordered_ids[front, item.key].append(item.request_id)
+            if isinstance(item, EndpointList):
+                for listed in item.endpoints:
+                    checker.listed_endpoints[front, listed.name] = listed
+        for action in schedulers[front].handle(now_us, events):
+            checker.check_action(front, now_us, action)
+            if isinstance(action, SetTimer):
+                schedule(now_us + action.delay_us, front, TimerExpired(action.label))
+            elif isinstance(action, Send):
+                number = len(sent[action.request_id])
+                sent[action.request_id].append(now_us)
+                limit_us = checker.requests[action.request_id][1].deadline_us
                 result = rng.choices(list(AttemptResult), weights=[70, 5, 5, 6, 4, 5, 0, 2], k=1)[0]
-                done = min(now + int(rng.expovariate(1 / 60_000)) + 1, limit)
-                put(
-                    done if result is not AttemptResult.TIMEOUT else limit,
-                    h,
+                ended_us = min(now_us + int(rng.expovariate(1 / 60_000)) + 1, limit_us)
+                schedule(
+                    ended_us if result is not AttemptResult.TIMEOUT else limit_us,
+                    front,
                     Outcome(
-                        a.request_id,
-                        a.endpoint,
+                        action.request_id,
+                        action.endpoint,
                         number,
-                        result if done < limit else AttemptResult.TIMEOUT,
-                        done - now,
+                        result if ended_us < limit_us else AttemptResult.TIMEOUT,
+                        ended_us - now_us,
                         False,
                     ),
                 )
-            elif isinstance(a, Cancel) and (a.request_id, a.attempt) not in cancels:
-                cancels.add((a.request_id, a.attempt))
-                put(now, h, Outcome(a.request_id, "", a.attempt, AttemptResult.CANCELLED, 0, False))
-        if now > 12_000_000:
+            elif isinstance(action, Cancel) and (action.request_id, action.attempt) not in cancelled:
+                cancelled.add((action.request_id, action.attempt))
+                schedule(
+                    now_us,
+                    front,
+                    Outcome(action.request_id, "", action.attempt, AttemptResult.CANCELLED, 0, False),
+                )
+        if now_us > 12_000_000:
             break
-    assert set(check.req) == set(check.answer)
-    assert sum(len(t) for t in check.tries.values()) > 150
+    assert set(checker.requests) == set(checker.answers_us)
+    assert sum(len(request_attempts) for request_attempts in checker.attempts.values()) > 150
--- a/tests/test_settings_extremes.py
+++ b/tests/test_settings_extremes.py
@@ -24,15 +24,15 @@
 
 SMALLEST = 5e-324  # a float above 0 can't be smaller
 CANDIDATES = (0, SMALLEST, 1e-9, 1, 1000, 1e18, 1 << 62)
-LONGEST_BUDGET_US = 500_000
-MOST_UNITS = 999_999.0  # the most that the header field has digits for
-LEAST_UNITS = 1e-9
+MAX_BUDGET_US = 500_000
+MAX_UNITS = 999_999.0  # the most that the header field has digits for
+MIN_UNITS = 1e-9
 PLAYED_US = SECOND
 # A plan without a limit has a bucket that never empties.
 UNBOUNDED_FIELDS = ("limit.capacity_units", "limit.available_units")
 
 
-def base() -> dict[str, Any]:
+def base_configuration() -> dict[str, Any]:
     """A configuration under which requests are served: two classes, a plan with a limit and one without."""
     return {
         "listen": "127.0.0.1:8080",
@@ -110,7 +110,7 @@
 
 
 # The last words of the paths of settings that are multiplied or divided by each other.
-FACTORS = (
+MULTIPLIED_SETTINGS = (
     "instances meanUnits coldUnits coldShare fallMultiple overloadFor warmUp nShards aim",
     "fairWorth idleWorth credit valueFactor weight usualRate reservation",
     "instances meanUnits maxUnits neverOver mostAtOnce capSlack",
@@ -119,13 +119,13 @@
 
 
 def configured(values: dict[str, Any]) -> dict[str, Any]:
-    conf = base()
+    document = base_configuration()
     for path, value in values.items():
-        put(conf, [int(part) if part.isdigit() else part for part in path.split(".")], value)
-    return conf
+        put(document, [int(part) if part.isdigit() else part for part in path.split(".")], value)
+    return document
 
 
-def refused_key(values: dict[str, Any]) -> str | None:
+def rejected_key(values: dict[str, Any]) -> str | None:
     """Return the key that the error names; None if the values are accepted."""
     try:
         load(configured(values))
@@ -136,16 +136,16 @@
 
 def extremes(path: str) -> list[Any]:
     """Return the smallest and the largest accepted value, and the smallest one above 0."""
-    accepted = [value for value in CANDIDATES if refused_key({path: value}) is None]
+    accepted = [value for value in CANDIDATES if rejected_key({path: value}) is None]
     smallest = next(value for value in accepted if value)
     return list(dict.fromkeys((accepted[0], smallest, accepted[-1])))
 
 
-class Second(Day):
+class OneSecond(Day):
     """One second of requests under a configuration, checked for NaN and infinite values."""
 
-    def __init__(self, made: configuration.Config) -> None:
-        super().__init__(made, seed=1)
+    def __init__(self, config: configuration.Config) -> None:
+        super().__init__(config, seed=1)
         self.engine.decision_loop.action_observer = self.check_actions
 
     def check_actions(self, now_us: int, actions: list[Action]) -> None:
@@ -164,8 +164,8 @@
             Endpoint("ahead", EndpointStatus.UP, 2, now + 50_000),
             whole=True,
         )
-        kinds = itertools.product(self.s.classes, self.s.plans, (0, 1, -1, 2))
-        for number, (cls, plan, shard) in enumerate(itertools.islice(kinds, 16)):
+        combinations = itertools.product(self.s.classes, self.s.plans, (0, 1, -1, 2))
+        for number, (cls, plan, shard) in enumerate(itertools.islice(combinations, 16)):
             self.loop.at(
                 now + number * 20_000,
                 lambda cls=cls, plan=plan, shard=shard, number=number: self.ask_one(  # type: ignore[misc]
@@ -177,22 +177,24 @@
         assert self.engine.counters["module_errors"] == 0
         assert self.engine.counters["answered_for_module"] == 0
         assert len(self.answers) == len(self.asked)
-        wrong = [*unusable_figures(self.engine.scheduler, "")]
-        assert not wrong, wrong[:5]
+        unusable = [*unusable_figures(self.engine.scheduler, "")]
+        assert not unusable, unusable[:5]
 
-    def looks_behind_all_that_waits(self) -> list[int]:
+    def late_dispatch_timers(self) -> list[int]:
         """Return the times of dispatch timers that are later than the deadline of every waiting request."""
         scheduler = self.engine.scheduler
-        looks = (scheduler._request_dispatch, scheduler._tag_volume)
-        last_look_us = self.loop.now + LONGEST_BUDGET_US
-        return [row[0] for row in scheduler._timers if row[0] > last_look_us and row[2] in looks]
+        dispatch_callbacks = (scheduler._request_dispatch, scheduler._tag_volume)
+        last_deadline_us = self.loop.now + MAX_BUDGET_US
+        return [
+            row[0] for row in scheduler._timers if row[0] > last_deadline_us and row[2] in dispatch_callbacks
+        ]
 
     def ask_one(self, class_name: str, plan: str, shard: int, number: int) -> None:
         timeout_us = self.engine.classes[class_name].timeout_us
-        most = min(max(self.s.max_request_units, 1), MOST_UNITS)
-        mean = max(self.s.mean_request_units, LEAST_UNITS)
-        units = min((2.0, MOST_UNITS if number > 8 else 8.0, mean, LEAST_UNITS)[number % 4], most)
-        budget = min(timeout_us, LONGEST_BUDGET_US) / SECOND
+        max_units = min(max(self.s.max_request_units, 1), MAX_UNITS)
+        mean = max(self.s.mean_request_units, MIN_UNITS)
+        units = min((2.0, MAX_UNITS if number > 8 else 8.0, mean, MIN_UNITS)[number % 4], max_units)
+        budget = min(timeout_us, MAX_BUDGET_US) / SECOND
         self.ask_for(class_name, plan, shard, False, budget, f"{units:.9f}")
 
 
@@ -221,56 +223,60 @@
     yield from getattr(value, "__dict__", ())
     if dataclasses.is_dataclass(value):
         yield from (field.name for field in dataclasses.fields(value))
-    for cls in type(value).__mro__:
-        slots = getattr(cls, "__slots__", ())
+    for base_class in type(value).__mro__:
+        slots = getattr(base_class, "__slots__", ())
         yield from (slots,) if isinstance(slots, str) else slots
 
 
 def serve(values: dict[str, Any]) -> None:
-    Second(load(configured(values))).play()
+    OneSecond(load(configured(values))).play()
 
 
 def failures(cases: Iterator[dict[str, Any]]) -> list[str]:
-    found = []
+    failed_cases = []
     for values in cases:
         try:
             serve(values)
-        except Exception as fault:  # noqa: BLE001 (any exception is reported with its values)
-            found.append(f"{values}: {type(fault).__name__}: {str(fault)[:300]}")
-    return found
+        except Exception as error:  # noqa: BLE001 (any exception is reported with its values)
+            failed_cases.append(f"{values}: {type(error).__name__}: {str(error)[:300]}")
+    return failed_cases
 
 
-def test_a_usual_configuration_sends_half_of_the_second_s_requests_at_least() -> None:
-    second = Second(load(base()))
+def test_usual_configuration_sends_at_least_half_of_the_requests() -> None:
+    second = OneSecond(load(base_configuration()))
     second.play()
     assert sum(len(tries) > 0 for tries in second.tries.values()) >= len(second.asked) / 2
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_a_value_that_is_not_accepted_is_refused_by_its_key(path: str) -> None:
-    refused = [refused_key({path: value}) for value in CANDIDATES]
-    assert {key for key in refused if key is not None} <= {path}
-    assert None in refused
+def test_rejected_value_is_reported_by_its_key(path: str) -> None:
+    rejected = [rejected_key({path: value}) for value in CANDIDATES]
+    assert {key for key in rejected if key is not None} <= {path}
+    assert None in rejected
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_an_extreme_setting_is_served_alone(path: str) -> None:
+def test_requests_are_served_under_one_extreme_setting(path: str) -> None:
     assert not failures({path: value} for value in extremes(path))
 
 
-def test_no_timer_looks_at_what_waits_behind_its_time() -> None:
+def test_no_dispatch_timer_is_later_than_all_deadlines() -> None:
     """A request that waits for a tiny rate limit or a tiny cold endpoint leaves a timer far in the future."""
     found = []
     for path in PATHS:
         for value in extremes(path):
-            second = Second(load(configured({path: value})))
+            second = OneSecond(load(configured({path: value})))
             second.play()
-            found += [f"{path} = {value}: {far[0]}" for far in [second.looks_behind_all_that_waits()] if far]
+            found += [
+                f"{path} = {value}: {late_timers_us[0]}"
+                for late_timers_us in [second.late_dispatch_timers()]
+                if late_timers_us
+            ]
     assert not found, f"{len(found)}: " + "\n".join(found[:10])
 
 
-@pytest.mark.parametrize("names", FACTORS)
-def test_extreme_settings_that_meet_in_a_product_are_served_together(names: str) -> None:
+@pytest.mark.parametrize("names", MULTIPLIED_SETTINGS)
+def test_requests_are_served_under_two_extreme_settings_that_are_multiplied(names: str) -> None:
     paths = [path for path in PATHS if path.rpartition(".")[2] in names.split()]
     assert len(paths) == len(names.split())
     found = failures(
@@ -283,14 +289,14 @@
 
 
 @pytest.mark.parametrize("max_retry_after", extremes("settings.bounds.maxRetryAfter"))
-def test_a_rejection_s_retry_after_is_a_decimal_figure(max_retry_after: float) -> None:
+def test_retry_after_header_is_a_decimal_number(max_retry_after: float) -> None:
     """Values from a million seconds on were written with an exponent, which clients don't parse."""
-    made = load(configured({"settings.bounds.maxRetryAfter": max_retry_after}))
-    day = Second(made)
-    frontend = PlatformFrontend(day.engine, made.retry_after_us, MARGIN)
-    conn = mock.Mock()
-    for retry_after_us in (0, made.settings.max_retry_after_us, 1, 999, 1_234_567_890):
-        frontend.reply_rejected(conn, retry_after_us, "busy")
-        status, headers, _ = conn.send_response.call_args.args
+    config = load(configured({"settings.bounds.maxRetryAfter": max_retry_after}))
+    second = OneSecond(config)
+    frontend = PlatformFrontend(second.engine, config.retry_after_us, MARGIN)
+    connection = mock.Mock()
+    for retry_after_us in (0, config.settings.max_retry_after_us, 1, 999, 1_234_567_890):
+        frontend.reply_rejected(connection, retry_after_us, "busy")
+        status, headers, _ = connection.send_response.call_args.args
         assert status == 503
         assert [re.fullmatch(rb"Retry-After: [0-9]+(\.[0-9]{1,3})?", header) for header in headers] != [None]
--- a/tests/test_volumes.py
+++ b/tests/test_volumes.py
@@ -69,7 +69,7 @@
     def step(
         self, now_us: int, front_count: int, surge: bool, reference: ReferenceBucket, min_units: float
     ) -> None:
-        """Accept new requests if there are `writers`, then send what the limit allows. Some attempts fail,
+        """Accept new requests if `front_count` is not 0, then send what the limit allows. Some attempts fail,
         and of some the outcome is not known."""
         if now_us >= self.next_look_us:
             self.update_share(now_us)
