--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -4,7 +4,7 @@
 import pytest
 
 from tests.helpers import READ, T0, ask, end, feed, head, up
-from umberlead.scheduling import matrices as linear
+from umberlead.scheduling import matrices
 from umberlead.scheduling.controller import (
     CONTROL_COST_WEIGHT,
     FORGETTING_FACTOR,
@@ -35,16 +35,18 @@
     for n in (1, 2, 3, 6, 10):
         m, b, v = rng.normal(size=(n, n)), rng.normal(size=(n, 3)), rng.normal(size=n)
         w = rng.uniform(0.1, 2, size=n)
-        assert np.allclose(linear.solve(m.tolist(), b.tolist()), np.linalg.solve(m, b))
-        assert np.allclose(linear.inverse(m.tolist()), np.linalg.inv(m))
-        assert np.allclose(linear.solve_one(m.tolist(), v.tolist()), np.linalg.solve(m, v))
-        assert np.allclose(linear.times(m.tolist(), v.tolist()), m @ v)
+        assert np.allclose(matrices.solve(m.tolist(), b.tolist()), np.linalg.solve(m, b))
+        assert np.allclose(matrices.inverse(m.tolist()), np.linalg.inv(m))
+        assert np.allclose(matrices.solve_vector(m.tolist(), v.tolist()), np.linalg.solve(m, v))
+        assert np.allclose(matrices.multiply(m.tolist(), v.tolist()), m @ v)
         expected_gram = (np.diag(w) @ m).T @ (np.diag(w) @ m) + 0.5 * np.eye(n)
-        assert np.allclose(linear.gram(m.tolist(), w.tolist(), 0.5), expected_gram)
-        assert np.allclose(linear.add_outer(m.tolist(), v.tolist(), w.tolist(), 3.0), m + 3 * np.outer(v, w))
+        assert np.allclose(matrices.gram(m.tolist(), w.tolist(), 0.5), expected_gram)
+        assert np.allclose(
+            matrices.add_outer_product(m.tolist(), v.tolist(), w.tolist(), 3.0), m + 3 * np.outer(v, w)
+        )
     for singular in ([[1.0, 2.0], [2.0, 4.0]], [[float("nan")]]):
-        with pytest.raises(linear.SingularMatrixError):
-            linear.solve(singular, [[1.0]] * len(singular))
+        with pytest.raises(matrices.SingularMatrixError):
+            matrices.solve(singular, [[1.0]] * len(singular))
 
 
 def test_law_returns_shares_of_sum_one_that_minimise_the_cost() -> None:
--- a/umberlead/scheduling/controller.py
+++ b/umberlead/scheduling/controller.py
@@ -50,15 +50,15 @@
         finite even if the input hardly changes.
         """
         phi = self.phi
-        gain = matrices.solve_one(self.information, phi)
+        gain = matrices.solve_vector(self.information, phi)
         scale = 1 / (FORGETTING_FACTOR + matrices.dot(phi, gain))
         errors = [
-            actual - predicted for actual, predicted in zip(y, matrices.times(self.x, phi), strict=True)
+            actual - predicted for actual, predicted in zip(y, matrices.multiply(self.x, phi), strict=True)
         ]
-        self.x = matrices.add_outer(self.x, errors, gain, scale)
-        information_along_phi = matrices.dot(phi, matrices.times(self.information, phi))
+        self.x = matrices.add_outer_product(self.x, errors, gain, scale)
+        information_along_phi = matrices.dot(phi, matrices.multiply(self.information, phi))
         retained = 1 + (FORGETTING_FACTOR - 1) * information_along_phi / matrices.dot(phi, phi) ** 2
-        self.information = matrices.add_outer(self.information, phi, phi, max(retained, 0.0))
+        self.information = matrices.add_outer_product(self.information, phi, phi, max(retained, 0.0))
 
     def law(self, y: Vector) -> Vector:
         """Return the shares, with sum 1, that minimise the cost (14) of the next y.
@@ -69,8 +69,8 @@
         b0 = [row[: self._plan_count] for row in self.x]
         a1 = [row[self._plan_count :] for row in self.x]
         inverse = matrices.inverse(matrices.gram(b0, self.w, CONTROL_COST_WEIGHT**2))
-        right_hand_side = self._right_hand_side(b0, matrices.times(a1, y))
-        unconstrained = matrices.times(inverse, right_hand_side)
+        right_hand_side = self._right_hand_side(b0, matrices.multiply(a1, y))
+        unconstrained = matrices.multiply(inverse, right_hand_side)
         row_sums = [sum(row) for row in inverse]
         excess = (sum(unconstrained) - 1) / sum(row_sums)
         return [share - excess * row_sum for share, row_sum in zip(unconstrained, row_sums, strict=True)]
@@ -81,7 +81,7 @@
             weight * weight * (TARGET_LATENCY_RATIO - ratio)
             for weight, ratio in zip(self.w, predicted, strict=True)
         ]
-        towards_target = matrices.times(matrices.transposed(b0), weighted_errors)
+        towards_target = matrices.multiply(matrices.transposed(b0), weighted_errors)
         return [
             target + CONTROL_COST_WEIGHT**2 * reference
             for target, reference in zip(towards_target, self.reference_shares, strict=True)
--- a/umberlead/scheduling/matrices.py
+++ b/umberlead/scheduling/matrices.py
@@ -22,7 +22,7 @@
     return sum(x * y for x, y in zip(a, b, strict=True))
 
 
-def times(m: Matrix, v: Sequence[float]) -> Vector:
+def multiply(m: Matrix, v: Sequence[float]) -> Vector:
     """Return the product of a matrix and a column vector."""
     return [dot(row, v) for row in m]
 
@@ -37,7 +37,7 @@
     return [[value if i == j else 0.0 for j in range(n)] for i in range(n)]
 
 
-def add_outer(m: Matrix, a: Sequence[float], b: Sequence[float], scale: float = 1.0) -> Matrix:
+def add_outer_product(m: Matrix, a: Sequence[float], b: Sequence[float], scale: float = 1.0) -> Matrix:
     """Return `m` plus `scale` times the outer product of `a` and `b`."""
     return [[x + scale * p * q for x, q in zip(row, b, strict=True)] for row, p in zip(m, a, strict=True)]
 
@@ -75,7 +75,7 @@
     return [row[n:] for row in rows]
 
 
-def solve_one(m: Matrix, v: Sequence[float]) -> Vector:
+def solve_vector(m: Matrix, v: Sequence[float]) -> Vector:
     """Return the vector x with `m` x = `v`; raises `SingularMatrixError` if `m` is singular."""
     return [row[0] for row in solve(m, [[x] for x in v])]
 
