--- a/umberlead/requests/__init__.py
+++ b/umberlead/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a request in a front, from its acceptance to its one final answer. Free of I/O."""
+"""The life cycle of a request in a front, from its acceptance to its one final answer. No I/O."""
--- a/umberlead/requests/bulk.py
+++ b/umberlead/requests/bulk.py
@@ -13,10 +13,12 @@
     reason: str,
     retry_after_us: int,
 ) -> int:
-    """Reject what waits with no attempt in flight and may be repeated, now instead of at its objective.
+    """Reject requests at once that would otherwise wait until their latency objective.
+
+    Requests with an attempt in flight, and those that must not be repeated, are left open.
 
     Returns:
-        How many requests met the `condition` and were rejected.
+        The number of requests that met the `condition` and were rejected.
     """
     rejected_count = 0
     for request in list(lifecycle.open_requests):
@@ -29,10 +31,10 @@
 
 
 def cancel_attempts(lifecycle: RequestLifecycle, condition: Callable[[Attempt], bool]) -> int:
-    """Cancel attempts of idempotent requests: the scheduler may try elsewhere.
+    """Cancel attempts of idempotent requests, so that the scheduler may retry them at other endpoints.
 
     Returns:
-        How many attempts met the `condition` and were cancelled.
+        The number of attempts that met the `condition` and were cancelled.
     """
     cancelled_count = 0
     for request in list(lifecycle.open_requests):
--- a/umberlead/requests/call_ids.py
+++ b/umberlead/requests/call_ids.py
@@ -1,22 +1,25 @@
-"""Which call ids are taken: endpoints know a request by its id alone, so a repeat would be a second copy."""
+"""The call ids of open and recent requests.
+
+Endpoints identify a request by its call id alone, so a second request with the same id would count as a copy.
+"""
 
 from collections.abc import Callable
 
 from umberlead.requests.errors import DuplicateRequestError
 
-RETENTION_US = 10_000_000  # at least that an id stays taken after its request came
+RETENTION_US = 10_000_000  # minimum time that a call id stays reserved after its request was received
 DEFAULT_MAX_REMEMBERED_COUNT = 20_000
 
 
 class RecentCallIds:
-    """The ids of requests that came lately, in two spans, so that old ones go.
+    """The call ids of recent requests, in two time spans, of which the older one is dropped as a whole.
 
     Attributes:
-        max_remembered: ids of a span, beyond which the next one begins early.
+        max_remembered: number of ids in a span beyond which the next span begins early.
     """
 
     def __init__(self, clock: Callable[[], int]) -> None:
-        """Begin with none taken; `clock` tells microseconds."""
+        """Start without reserved ids; `clock` returns microseconds."""
         self.max_remembered = DEFAULT_MAX_REMEMBERED_COUNT
         self._clock = clock
         self._current: set[bytes] = set()
@@ -24,14 +27,14 @@
         self._span_began_us = clock()
 
     def take(self, call_id: bytes, is_open: bool) -> None:
-        """Note that a request came by this id.
+        """Reserve the call id of a request that was just received.
 
         Args:
-            call_id: its client's name for it.
-            is_open: whether a request by this id is open, however long it has been.
+            call_id: the id that the client gave the request.
+            is_open: whether a request with this id is open, however long ago it was received.
 
         Raises:
-            DuplicateRequestError: the id is another's.
+            DuplicateRequestError: another request that is open or recent has this id.
         """
         now_us = self._clock()
         if now_us - self._span_began_us >= RETENTION_US or len(self._current) > self.max_remembered:
--- a/umberlead/requests/decision_loop.py
+++ b/umberlead/requests/decision_loop.py
@@ -1,4 +1,4 @@
-"""Hands events to the scheduler batch by batch, and its actions on requests to who carries them out."""
+"""Passes events to the scheduler in batches, and carries out the actions that it returns."""
 
 import traceback
 from collections.abc import Callable
@@ -16,10 +16,10 @@
 
 
 class DecisionLoop:
-    """Events of one turn of the event loop make one batch.
+    """Passes all events of one turn of the event loop to the scheduler as one batch.
 
     Attributes:
-        action_observer: is called with the time and actions of each decision.
+        action_observer: called with the time and the actions of each decision.
     """
 
     def __init__(
@@ -33,17 +33,17 @@
         counters: Counters,
         log: Callable[..., None],
     ) -> None:
-        """Begin without events.
+        """Start without events.
 
         Args:
-            scheduler: decides.
-            open_requests: those that actions name.
+            scheduler: takes the events and returns actions.
+            open_requests: the requests that actions refer to.
             carry_out: carries out an action on an open request.
-            clock: tells microseconds.
+            clock: returns microseconds.
             wheel: holds the scheduler's timers.
-            call_soon: calls back in the next turn of the event loop.
-            counters: of the process.
-            log: takes an event's name and its fields.
+            call_soon: calls a function in the next turn of the event loop.
+            counters: the counters of the process.
+            log: logs an event by its name and its fields.
         """
         self.action_observer: Callable[[int, list[Action]], None] | None = None
         self._scheduler = scheduler
@@ -57,7 +57,7 @@
         self._events: list[Event] = []
 
     def post(self, event: Event) -> None:
-        """Let the scheduler take an event in the next turn."""
+        """Add an event to the batch that the scheduler gets in the next turn of the event loop."""
         if not self._events:
             self._call_soon(self._decide)
         self._events.append(event)
@@ -74,8 +74,8 @@
             return
         if self.action_observer is not None:
             self.action_observer(now_us, actions)
-        # All requests are found before any action is carried out: at one of them its client may turn out to
-        # have left, with other requests of its own, and each Send is owed an outcome.
+        # All requests are looked up before any action is carried out. An action may reveal that its client
+        # has disconnected, which closes the client's other requests, but each Send must get an outcome.
         for action, request in [(action, self._request_of(action)) for action in actions]:
             if isinstance(action, SetTimer):
                 self._wheel.call_at(now_us + action.delay_us, self.post, TimerExpired(action.label))
--- a/umberlead/requests/errors.py
+++ b/umberlead/requests/errors.py
@@ -4,12 +4,12 @@
 
 
 class DuplicateRequestError(UmberleadError, ValueError):
-    """The call id of a request that is open, or was a moment ago."""
+    """The call id of a new request is that of another request that is open or recent."""
 
 
 class UnknownClassOrPlanError(UmberleadError, ValueError):
-    """A request of a class or plan that the settings don't have; the text names both."""
+    """The class or plan of a request is not defined in the settings; the message names both."""
 
 
 class SecondOutcomeError(UmberleadError, RuntimeError):
-    """An attempt ended twice; the text names it."""
+    """A second outcome was reported for an attempt; the message names the attempt."""
--- a/umberlead/requests/invariants.py
+++ b/umberlead/requests/invariants.py
@@ -1,8 +1,8 @@
-"""Run-time checks of what must hold whoever decides: violations are counted by name and logged.
+"""Run-time checks of invariants that hold whatever the scheduler decides.
 
-The checks keep records of their own, taken where bytes leave and connections end, and share no state with the
-guards they check: a guard that is bypassed or wrong shows as a violation. All times are whole microseconds of
-one monotonic clock.
+Violations are counted by name and logged. The checks keep records of their own, made where bytes are written
+and connections are closed, and share no state with the guards that they check: a guard that is bypassed or
+wrong shows as a violation. All times are whole microseconds of one monotonic clock.
 """
 
 import math
@@ -18,18 +18,22 @@
 from umberlead.scheduling.settings import Repeatability, Settings
 from umberlead.scheduling.slow_start import capacity_growth_factor
 
-CLIENT_LEFT_GRACE_US = 100_000  # after a client left, in which an attempt may still begin
-ENDPOINT_CHANGE_GRACE_US = 1_000_000  # after a change of the list, in which an attempt may still begin
-TIME_BUDGET_SLACK_US = 150_000  # that the time sent to an endpoint may exceed what the client has left
-SMALL_ALLOWANCE_REQUESTS = 30.0  # requests; below it chance weighs more, and the bound is wider
-SMALL_ALLOWANCE_DEVIATIONS_COUNT = 3.0  # of the allowance's root, and as many requests beside
-DEVIATIONS_COUNT = 2.0  # the same from SMALL_ALLOWANCE_REQUESTS on
-ENDPOINT_MEMORY_US = 60_000_000  # that a removed endpoint is remembered
-MAX_LOGGED_COUNT = 100  # violations that are logged, line by line; all are counted
+CLIENT_LEFT_GRACE_US = 100_000  # time after a client disconnected in which an attempt may still begin
+# Time after an endpoint was drained or removed in which an attempt may still begin there.
+ENDPOINT_CHANGE_GRACE_US = 1_000_000
+# Allowed excess of the time budget sent to an endpoint over the time until the request's deadline.
+TIME_BUDGET_SLACK_US = 150_000
+# Random variation weighs more in smaller allowances, so their bound is wider.
+SMALL_ALLOWANCE_REQUESTS = 30.0
+# For small allowances: the bound exceeds the allowance by so many times its square root, plus this number.
+SMALL_ALLOWANCE_DEVIATIONS_COUNT = 3.0
+DEVIATIONS_COUNT = 2.0  # the same for allowances from SMALL_ALLOWANCE_REQUESTS on
+ENDPOINT_MEMORY_US = 60_000_000  # time for which a removed endpoint is remembered
+MAX_LOGGED_COUNT = 100  # violations that are logged, one line each; all are counted
 
 
 class Invariant(Enum):
-    """What must hold."""
+    """The invariants; the values are their names in counters and log lines."""
 
     ONE_ANSWER = "one_answer"
     ONE_IN_FLIGHT = "one_in_flight"
@@ -45,7 +49,11 @@
 
 
 def slow_start_bound(allowance: float) -> float:
-    """Return how many mean requests a cold endpoint may get in a window in which it bears `allowance`."""
+    """Return how many requests of mean size a cold endpoint may get in a slow-start window.
+
+    Args:
+        allowance: the number that slow start allows it in the window, without a margin for random variation.
+    """
     is_small = allowance < SMALL_ALLOWANCE_REQUESTS
     deviations = SMALL_ALLOWANCE_DEVIATIONS_COUNT if is_small else DEVIATIONS_COUNT
     return allowance + deviations * math.sqrt(allowance) + deviations
@@ -53,18 +61,18 @@
 
 @dataclass(slots=True)
 class _EndpointRecord:
-    """What is known of an endpoint: since when it takes no requests, and what a cold one was sent."""
+    """Since when an endpoint takes no new requests, and the requests that it got during slow start."""
 
-    out_since_us: int | None = None  # by the list
-    drained_since_us: int | None = None  # by hand
+    out_since_us: int | None = None  # according to the endpoint list
+    drained_since_us: int | None = None  # by an operator
     started_us: int = 0
-    sent: deque[tuple[int, float]] = field(default_factory=deque)  # times and units
+    sent: deque[tuple[int, float]] = field(default_factory=deque)  # times and units of recent requests
     sent_units: float = 0.0
 
 
 @dataclass(slots=True)
 class _RequestRecord:
-    """The attempts of a request that were written."""
+    """The attempts of a request that were written to endpoints."""
 
     written_count: int = 0
     in_flight: Attempt | None = None
@@ -72,12 +80,19 @@
 
 
 class InvariantChecker:
-    """Counts violations as `invariant_violations` and `invariant_violations_NAME`."""
+    """Checks invariants; violations are counted as `invariant_violations` and `invariant_violations_NAME`."""
 
     def __init__(
         self, settings: Settings, clock: Callable[[], int], counters: Counters, log: Callable[..., Any]
     ) -> None:
-        """Check what `settings` allow; `log` takes an event's name and its fields."""
+        """Start without records.
+
+        Args:
+            settings: the limits that are checked.
+            clock: returns microseconds.
+            counters: the counters of the process.
+            log: logs an event by its name and its fields.
+        """
         self._settings = settings
         self._clock = clock
         self._counters = counters
@@ -89,7 +104,7 @@
         self._logged_count = 0
 
     def check(self, holds: bool, invariant: Invariant, **details: Any) -> None:
-        """Count a violation of `invariant` unless it `holds`."""
+        """Count and log a violation of `invariant` unless it `holds`."""
         if holds:
             return
         self._counters.add("invariant_violations")
@@ -101,7 +116,7 @@
     # Endpoints
 
     def record_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Take note of an endpoint list, or of a change of it, as it came."""
+        """Record an endpoint list or a change of it, as it was received."""
         named = {endpoint.name for endpoint in endpoint_list.endpoints}
         for endpoint in endpoint_list.endpoints:
             record = self._endpoints.setdefault(endpoint.name, _EndpointRecord())
@@ -118,18 +133,18 @@
         self._forget_removed()
 
     def record_manual_drain(self, endpoint: str, drained: bool) -> None:
-        """Take note that an operator took an endpoint out, or put it back."""
+        """Record that an operator drained an endpoint, or ended its drain."""
         record = self._endpoints.setdefault(endpoint, _EndpointRecord())
         record.drained_since_us = self._since(record.drained_since_us, drained)
 
     def _since(self, before_us: int | None, is_out: bool) -> int | None:
-        """Return since when an endpoint is out that was so since `before_us`."""
+        """Return since when an endpoint is out of service, or None; `before_us` is the value so far."""
         if not is_out:
             return None
         return self._clock() if before_us is None else before_us
 
     def _forget_removed(self) -> None:
-        """Forget endpoints long gone: where all are replaced again and again they add up."""
+        """Forget endpoints that were removed long ago: records add up where endpoints are often replaced."""
         now_us = self._clock()
         if now_us < self._forget_at_us:
             return
@@ -146,7 +161,7 @@
     # Attempts
 
     def written(self, attempt: Attempt, budget_us: int) -> None:
-        """Check an attempt whose first byte is written now, and which is told to take `budget_us`."""
+        """Check an attempt whose first byte is written now; `budget_us` is the time budget sent with it."""
         request = attempt.request
         now_us = self._clock()
         record = self._requests.setdefault(request.id, _RequestRecord())
@@ -196,7 +211,7 @@
         self.check(is_within, Invariant.SLOW_START, units=round(record.sent_units, 1), **about)
 
     def record_outcome(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Take note of an attempt's outcome."""
+        """Record an attempt's outcome."""
         record = self._requests.get(attempt.request.id)
         if record is not None and record.in_flight is attempt:
             record.in_flight = None
@@ -213,11 +228,11 @@
         self._requests.pop(request.id, None)
 
     def closed(self, owed: bool, reason: str, calls: str) -> None:
-        """Check that a client's connection ends from here only where no request read on it is owed an answer.
+        """Check that the front closes a client's connection only after answering every request read on it.
 
         Args:
-            owed: whether one is.
-            reason: why the connection ends.
+            owed: whether a request on it is still owed an answer.
+            reason: why the connection is closed.
             calls: the call ids of the requests on it.
         """
         self.check(not owed, Invariant.ANSWERED_BEFORE_CLOSE, reason=reason, calls=calls)
@@ -228,5 +243,5 @@
 
 
 def _names_of(request: InFlightRequest) -> dict[str, str]:
-    """Return what a log line names a request by: its id here, and its client's own."""
+    """Return the log fields that identify a request: the id that this front gave it, and its call id."""
     return {"request": request.id, "call": request.incoming.call_id.decode("latin-1")}
--- a/umberlead/requests/lifecycle.py
+++ b/umberlead/requests/lifecycle.py
@@ -1,8 +1,8 @@
 """The life of a request: accepted from a frontend, scheduled, attempted, and answered once.
 
-A frontend hands in an `IncomingRequest` and is called back once with its `Answer`. The scheduler's actions
-are carried out as they come; what the rules forbid (`send_guard.py`) is not sent whoever asks for it. No wire
-is known here.
+A frontend passes in an `IncomingRequest` and gets its `Answer` in exactly one callback. The scheduler's
+actions are carried out as they are returned, but an attempt that the rules of `send_guard.py` forbid is not
+sent. No wire protocol is known here.
 """
 
 from collections.abc import Callable
@@ -41,26 +41,26 @@
 from umberlead.scheduling.scheduler import Scheduler
 from umberlead.scheduling.settings import Repeatability, Settings
 
-DECISION_GRACE_US = 10_000  # after a request's deadline, by which it is answered in the scheduler's place
+DECISION_GRACE_US = 10_000  # time after its deadline at which a request that has no decision is answered
 
 
 class RequestLifecycle:
     """Owns the open requests, from their acceptance to their one final answer.
 
     Attributes:
-        settings: the scheduler's.
-        classes: the settings' classes, by name.
-        scheduler: decides who is sent where and when.
-        open_requests: those that are not answered or have an attempt in flight.
-        transport: carries attempts; set before the first request.
-        hooks: see requests, outcomes and answers.
-        decision_observer: sees endpoint lists and attempts, and may change the former.
-        decision_loop: hands events to the scheduler.
-        trace_log: takes a line for each attempt.
-        unanswered_count: requests accepted and not answered.
-        answer_counts: answers, by kind and class.
-        stopping: whether the process ends: nothing new is begun.
-        guard: asked before each attempt.
+        settings: the scheduler's settings.
+        classes: the request classes by name.
+        scheduler: decides when and to which endpoint each request is sent.
+        open_requests: requests that are not answered or have an attempt in flight.
+        transport: sends attempts to endpoints; set before the first request.
+        hooks: called with requests, outcomes and answers.
+        decision_observer: called with endpoint lists and attempts; may change the lists.
+        decision_loop: passes events to the scheduler.
+        trace_log: logs a line for each attempt.
+        unanswered_count: number of requests accepted and not yet answered.
+        answer_counts: number of answers by kind and class.
+        stopping: whether the process is shutting down, so that new requests are rejected.
+        guard: checks each attempt before it is sent.
         invariants: run-time checks.
     """
 
@@ -75,17 +75,17 @@
         log: Callable[..., None],
         hooks: RequestHooks | None = None,
     ) -> None:
-        """Begin without requests.
+        """Start without requests.
 
         Args:
-            settings: checked by the scheduler.
-            seed: of the scheduler's random choices.
-            clock: tells microseconds that only move forward.
-            wheel: holds deadlines.
-            soon: calls back in the next turn of the loop.
-            counters: of the process.
-            log: takes an event's name and its fields.
-            hooks: see requests, outcomes and answers.
+            settings: the scheduler's settings, which the scheduler validates.
+            seed: the seed of the scheduler's random choices.
+            clock: returns microseconds and never goes back.
+            wheel: holds the timers of deadlines.
+            soon: calls a function in the next turn of the event loop.
+            counters: the counters of the process.
+            log: logs an event by its name and its fields.
+            hooks: called with requests, outcomes and answers.
         """
         self.settings = settings
         self.clock = clock
@@ -116,11 +116,11 @@
     # From the frontends
 
     def accept(self, incoming: IncomingRequest, on_answer: Callable[[Answer], None]) -> InFlightRequest:
-        """Owe `incoming` one answer, which may come within this call.
+        """Accept a request, for which `on_answer` is called once, possibly within this call.
 
         Raises:
-            UnknownClassOrPlanError: the settings don't have its class or plan.
-            DuplicateRequestError: its call id is another's.
+            UnknownClassOrPlanError: the settings do not define its class or plan.
+            DuplicateRequestError: another request that is open or recent has its call id.
         """
         if incoming.class_name not in self.classes or incoming.plan not in self.plans:
             raise UnknownClassOrPlanError(f"unknown class or plan: {incoming.class_name}, {incoming.plan}")
@@ -143,7 +143,7 @@
         return request
 
     def _rejection_of(self, request: InFlightRequest) -> Rejection | None:
-        """Return why a request is rejected as it comes; None where it is not."""
+        """Return why a new request is rejected at once, or None if it is passed to the scheduler."""
         reason = self.hooks.on_request(request) if self.hooks else None
         if self.stopping:
             reason = "the front stops"
@@ -152,10 +152,10 @@
         return reason if isinstance(reason, Rejection) else Rejection(reason or "no time left")
 
     def client_left(self, request: InFlightRequest) -> None:
-        """Take note that a request's client left: nothing is owed.
+        """Record that a request's client disconnected, so that no answer is owed.
 
-        An attempt in flight runs on: no cancel stops the endpoint's work, and its outcome tells something.
-        One that still waits for its connection is not sent any more.
+        An attempt in flight continues: a cancel would not stop the endpoint's work, and the scheduler learns
+        from the outcome. An attempt that still waits for its connection is not sent.
         """
         if request.answered:
             return
@@ -169,24 +169,24 @@
         self._release(request)
 
     def client_waits(self, request: InFlightRequest) -> bool:
-        """Tell whether a request's client still waits, looked for at this moment.
+        """Check whether a request's client is connected at this moment, and handle its disconnect if not.
 
-        Where a front is busy or stood still, the event that it left comes behind the turn that begins an
-        attempt. If it left, that is acted on here.
+        Where a front is busy or was paused, the event loop reports the disconnect only after the turn in
+        which an attempt begins.
         """
         if request.answered or request.abandoned:
             return False
         client_has_left = request.incoming.client_has_left
         if client_has_left is None or not client_has_left():
             return True
-        if not request.abandoned:  # by its frontend, in that look
+        if not request.abandoned:  # by the frontend, within `client_has_left`
             self.client_left(request)
         return False
 
     def abandon(self, request: InFlightRequest) -> None:
-        """Begin no attempt any more: its client left, and its frontend keeps account of what ran.
+        """Begin no further attempt: the client disconnected, but the frontend needs to know what ran.
 
-        The answer comes as soon as it is known what became of an attempt in flight.
+        The request is answered as soon as an attempt in flight has its outcome.
         """
         if request.answered or request.abandoned:
             return
@@ -204,73 +204,78 @@
         self._answer(request, Answer(kind, None, 0, request.may_have_run, "its client left"))
 
     def count_unread_rejection(self, class_name: str) -> None:
-        """Count a request that a frontend rejected before it came here: a rejection like any other."""
+        """Count the rejection of a request that a frontend rejected without passing it to `accept`."""
         if class_name in self.classes:
             self.answer_counts[AnswerKind.REJECTED, class_name] += 1
 
     def stream_ended(self, class_name: str, complete: bool | None) -> None:
-        """Count a streamed answer that is out, or broke off; None where the client left."""
+        """Count a streamed answer at its end.
+
+        Args:
+            class_name: the request's class.
+            complete: whether the whole answer was forwarded; None if the client disconnected.
+        """
         if complete is None:
             self.unanswered_count -= 1
         else:
             self._count(AnswerKind.SERVED if complete else AnswerKind.FAILED, class_name)
 
-    # From lists, operators and limits
+    # From endpoint lists, operators and limits
 
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Take over an endpoint list, by way of the observer where there is one."""
+        """Pass an endpoint list to the scheduler, as the decision observer changed it if there is one."""
         self.invariants.record_endpoint_list(endpoint_list)
         if self.decision_observer is not None:
             endpoint_list = self.decision_observer.on_endpoint_list(endpoint_list)
         self._post(endpoint_list)
 
     def notify_scheduler(self, endpoint_list: EndpointList) -> None:
-        """Hand a list to the scheduler as it is, past the observer whose word it is."""
+        """Pass an endpoint list that comes from the decision observer to the scheduler, unchanged."""
         self._post(endpoint_list)
 
     def set_manual_drain(self, endpoint: str, drained: bool, at_us: int) -> None:
-        """Take an endpoint out by hand, as of `at_us`, or put it back."""
+        """Drain an endpoint for an operator as of `at_us`, or end its drain."""
         self.invariants.record_manual_drain(endpoint, drained)
         self._post(ManualDrain(endpoint, drained, at_us))
 
     def set_process_share(self, share: float) -> None:
-        """Let this process have `share`, to 1, of the volumes' limits that its front has."""
+        """Set the share, at most 1, that this process has in its front's part of the volumes' limits."""
         self._post(ProcessShare(share))
 
     def set_open_limit(self, max_requests: int) -> None:
-        """Let so many requests be open; beyond that the lowest priority is rejected. 0: any number."""
+        """Limit the number of open requests, beyond which the lowest priority is rejected; 0: no limit."""
         self._post(OpenRequestLimit(max_requests))
 
     def reject(self, request: InFlightRequest, reason: str, retry_after_us: int) -> None:
-        """Reject an open request without an attempt in flight, now instead of at its objective."""
+        """Reject an open request without an attempt in flight before its latency objective has passed."""
         self._answer(request, Answer(AnswerKind.REJECTED, None, retry_after_us, request.may_have_run, reason))
         self._post(ClientDisconnected(request.id))
 
     def is_idempotent(self, request: InFlightRequest) -> bool:
-        """Tell whether a request's class may be repeated whatever ran."""
+        """Return whether a request's class may be repeated even after an attempt has run."""
         repeatability = self.classes[request.incoming.class_name].repeatability
         return repeatability is Repeatability.IDEMPOTENT
 
     def accepts_new_requests(self, endpoint: str) -> bool:
-        """Tell whether the list as it stands, and operators, let anything new begin at an endpoint."""
+        """Return whether the current endpoint list and operators let an endpoint get new requests."""
         return self.scheduler.directory.accepts_new_requests(endpoint)
 
     def endpoint_summary(self) -> tuple[int, int]:
-        """Return how many endpoints are listed, and how many of them are drained by hand or ejected."""
+        """Return the number of listed endpoints, and of those that are manually drained or ejected."""
         directory = self.scheduler.directory
         return len(directory.endpoints), directory.avoided_count(self.scheduler.now_us)
 
     def knows_endpoint(self, endpoint: str) -> bool:
-        """Tell whether an endpoint is listed or drained by hand."""
+        """Return whether an endpoint is listed or manually drained."""
         return self.scheduler.directory.knows(endpoint)
 
     # From the transport
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult, reply: Reply | None = None) -> None:
-        """Take the attempt's one outcome.
+        """Process the outcome of an attempt, which the transport reports once.
 
         Raises:
-            SecondOutcomeError: it had one.
+            SecondOutcomeError: the attempt already had an outcome.
         """
         request = attempt.request
         reply = reply or Reply()
@@ -307,7 +312,10 @@
             self.transport.stop(attempt, AttemptResult.CANCELLED)
 
     def _end(self, request: InFlightRequest, action: Reject | Fail) -> None:
-        """Answer what the scheduler gives up; a rejection that is not harmless is a failure."""
+        """Answer a request that the scheduler rejects or fails.
+
+        A rejection invites the client to retry, so it is a failure where a repeat would do harm.
+        """
         is_rejection = isinstance(action, Reject) and self.guard.may_repeat(request)
         kind = AnswerKind.REJECTED if is_rejection else AnswerKind.FAILED
         retry_after_us = action.retry_after_us if isinstance(action, Reject) else 0
@@ -342,19 +350,22 @@
 
     @staticmethod
     def _log_fields(request: InFlightRequest) -> dict[str, str]:
-        """Return what a log line names a request by: its id here, and its client's own."""
+        """Return the log fields that identify a request: the id that this front gave it, and its call id."""
         return {"request": request.id, "call": request.incoming.call_id.decode("latin-1")}
 
-    # Ends
+    # Deadlines, answers and shutdown
 
     def finish(self) -> None:
-        """End: what is open is answered with what is known of it, what comes is rejected."""
+        """Shut down: answer all open requests by what is known of them, and reject new ones."""
         self.stopping = True
         for request in self.open_requests:
             self._answer_undecided(request)
 
     def _on_deadline(self, request: InFlightRequest) -> None:
-        """End the time of a request and of its attempt in flight, also where its client has left."""
+        """Stop the attempt in flight at the request's deadline, even if the client has disconnected.
+
+        A request that is still unanswered is answered after a grace period for the scheduler's decision.
+        """
         request.timer = None
         if request.attempt is not None and self.transport:
             self.transport.stop(request.attempt, AttemptResult.TIMEOUT)
@@ -362,7 +373,7 @@
             self.wheel.call_after(DECISION_GRACE_US, self._answer_undecided, request)
 
     def _answer_undecided(self, request: InFlightRequest) -> None:
-        """Answer what the scheduler left open, for each accepted request is owed one answer."""
+        """Answer a request that the scheduler has left open: each accepted request is owed one answer."""
         if request.answered:
             return
         self.counters.add("answered_for_module")
--- a/umberlead/requests/open_requests.py
+++ b/umberlead/requests/open_requests.py
@@ -1,4 +1,4 @@
-"""The open requests of a front: by slot, by the scheduler's id, and by their clients' call id."""
+"""The open requests of a front, found by slot, by the id that the scheduler uses, or by call id."""
 
 from collections.abc import Callable, Iterator
 
@@ -11,11 +11,11 @@
     """Requests that are not answered or have an attempt in flight.
 
     Attributes:
-        call_ids: the ids of requests that came lately.
+        call_ids: the call ids of recent requests.
     """
 
     def __init__(self, clock: Callable[[], int]) -> None:
-        """Begin without requests; `clock` tells microseconds."""
+        """Start without requests; `clock` returns microseconds."""
         self.call_ids = RecentCallIds(clock)
         self._clock = clock
         self._slots: SlotTable[InFlightRequest] = SlotTable()
@@ -26,7 +26,7 @@
         """Open a request.
 
         Raises:
-            DuplicateRequestError: its call id is another's.
+            DuplicateRequestError: another request that is open or recent has its call id.
         """
         call_id = incoming.call_id
         if call_id:
@@ -40,12 +40,12 @@
         return request
 
     def find(self, request_id: str) -> InFlightRequest | None:
-        """Return the open request by an id; None where it is not open any longer."""
+        """Return the open request with this id, or None if it is no longer open."""
         request = self._slots.get(int(request_id.partition(".")[0]))
         return request if request is not None and request.id == request_id else None
 
     def is_open(self, request: InFlightRequest) -> bool:
-        """Tell whether a request is open."""
+        """Return whether a request is open."""
         return self._slots.get(request.slot) is request
 
     def remove(self, request: InFlightRequest) -> None:
@@ -54,9 +54,9 @@
         self._slots.free(request.slot)
 
     def __len__(self) -> int:
-        """Return how many are open."""
+        """Return the number of open requests."""
         return len(self._slots)
 
     def __iter__(self) -> Iterator[InFlightRequest]:
-        """Iterate over those that are open now; closing one on the way is allowed."""
+        """Iterate over the open requests; a request may be removed during the iteration."""
         return iter(self._slots)
--- a/umberlead/requests/send_guard.py
+++ b/umberlead/requests/send_guard.py
@@ -1,8 +1,9 @@
-"""The one guard that every attempt passes, before it is begun and again before its first byte is written.
+"""The guard that checks every attempt, before it is begun and again before its first byte is written.
 
-It holds the rules that bind whoever decides: one attempt at a time, none past the request's end or its
-client's, no repeat of what must not run twice, nothing new to an endpoint that drains or is gone. Free of
-I/O: what it needs to know of clients is asked through a call.
+It enforces the rules that hold whatever the scheduler decides: a request has one attempt at a time, and none
+after its answer, its deadline or its client's disconnect. A request that must run at most once is not
+repeated after an attempt that may have run. An endpoint that is draining or gone gets nothing new. No I/O:
+the state of clients comes from a callback.
 """
 
 from collections.abc import Callable
@@ -26,7 +27,7 @@
 
 
 class SendGuard:
-    """Tells whether an attempt may be sent, and why not."""
+    """Decides whether an attempt may be sent, and gives the reason if not."""
 
     def __init__(
         self,
@@ -36,14 +37,16 @@
         accepts_new_requests: Callable[[str], bool],
         client_waits: Callable[[InFlightRequest], bool],
     ) -> None:
-        """Guard requests of `classes`.
+        """Set up the rules.
 
         Args:
-            classes: by name; what a class's repeatability forbids is not repeated.
-            max_attempts: of one request.
-            clock: tells microseconds.
-            accepts_new_requests: whether the list as it stands lets anything new begin at an endpoint.
-            client_waits: looks for the client at this very moment; asked last, as it costs a system call.
+            classes: the request classes by name; their repeatability is enforced.
+            max_attempts: the limit of attempts per request.
+            clock: returns microseconds.
+            accepts_new_requests: returns whether an endpoint accepts new requests according to the current
+                endpoint list and to operators.
+            client_waits: checks whether the client is connected at this moment; called last, as it costs a
+                system call.
         """
         self._classes = classes
         self._max_attempts = max_attempts
@@ -52,14 +55,14 @@
         self._client_waits = client_waits
 
     def may_repeat(self, request: InFlightRequest) -> bool:
-        """Tell whether running it again does no harm: nothing ran, or its class is safe to repeat."""
+        """Return whether a repeat does no harm: no attempt may have run, or the class is idempotent."""
         return (
             not request.may_have_run
             or self._classes[request.incoming.class_name].repeatability is Repeatability.IDEMPOTENT
         )
 
     def may_begin(self, request: InFlightRequest) -> Denial | None:
-        """Return why the next attempt of `request` may not begin now; None lets it."""
+        """Return why the next attempt of `request` may not begin now, or None if it may."""
         unsafe = self._classes[request.incoming.class_name].repeatability is Repeatability.AT_MOST_ONCE
         if request.attempt is not None:
             return Denial.IN_FLIGHT
@@ -70,7 +73,7 @@
         return self._denied_client(request)
 
     def may_write(self, attempt: Attempt) -> Denial | None:
-        """Return why an attempt whose connection is up may not be written now; None lets it."""
+        """Return why an attempt whose connection is established may not be written now, or None if it may."""
         if not self._accepts_new_requests(attempt.endpoint):
             return Denial.ENDPOINT_OUT_OF_SERVICE
         return self._denied_client(attempt.request)
--- a/umberlead/requests/types.py
+++ b/umberlead/requests/types.py
@@ -1,6 +1,6 @@
-"""Requests, attempts and answers, as frontends, the request lifecycle and the transport share them.
+"""Requests, attempts and answers, which frontends, the request lifecycle and the transport share.
 
-Plain records and the protocols between them: nothing is decided here. All times are whole microseconds of the
+Plain records, and the protocols between these parts; no decisions. All times are whole microseconds of the
 lifecycle's clock.
 """
 
@@ -17,7 +17,7 @@
 
 
 class AnswerKind(Enum):
-    """What a final answer tells its client."""
+    """The kinds of final answers."""
 
     SERVED = "served"
     REJECTED = "refused"  # a retry is harmless
@@ -29,19 +29,19 @@
     """A request as a frontend received it.
 
     Attributes:
-        class_name: its class, by the name in the settings.
-        plan: its volume's plan, by the name in the settings.
+        class_name: the name of its request class in the settings.
+        plan: the name of its volume's plan in the settings.
         volume: the volume that it belongs to.
-        key: the piece of data; None where it names none.
+        key: the data that it reads or writes; None if it names none.
         shard: the shard that holds the data; -1 for a new object.
-        units: its size.
+        units: its size in units of work.
         deadline_us: when its client gives up.
-        payload: for the transport alone.
-        volume_front_count: through how many fronts its volume works.
+        payload: content for the transport only.
+        volume_front_count: the number of fronts that serve its volume.
         is_client_retry: whether its client marked it as a retry.
-        call_id: the client's own name for it; one request at a time may bear it.
-        accepts_stream: whether the frontend can forward a long answer as it comes.
-        client_has_left: looks whether its client has left; the frontend acts on it at once.
+        call_id: the id that its client gave it; only one request at a time may have it.
+        accepts_stream: whether the frontend can forward a long answer while it is being received.
+        client_has_left: checks whether its client has disconnected; the frontend handles that at once.
     """
 
     class_name: str
@@ -59,7 +59,7 @@
     client_has_left: Callable[[], bool] | None = None
 
     def to_event(self, request_id: str) -> Request:
-        """Return the scheduler's event for it."""
+        """Return the scheduler's event for this request."""
         return Request(
             request_id,
             self.key,
@@ -76,17 +76,18 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What the transport brought back for one attempt.
+    """An endpoint's reply to one attempt.
 
     Attributes:
-        status: the transport's own status of it.
-        body: the body, or its first bytes.
-        load_report: the endpoint's figures.
+        status: the status of the reply, as the transport defines it.
+        body: the body, or its first bytes if there is a `stream`.
+        load_report: the values of the endpoint's load report, by name.
         used_rate_percent: 1 + percent of the plan's rate served for the volume in an earlier period; 0:
-        unknown. units_elsewhere: units served there for the volume through other fronts.
-        stream: the transport's own, where more of the body comes; the frontend calls
-            `RequestLifecycle.stream_ended` at its end.
-        body_length: of the complete body in bytes, where that is known.
+            unknown.
+        units_elsewhere: units that the endpoint served for the volume through other fronts.
+        stream: the transport's object from which the rest of the body is read; None without one. The frontend
+            calls `RequestLifecycle.stream_ended` at its end.
+        body_length: the length of the complete body in bytes; None if unknown.
     """
 
     status: int = 0
@@ -103,9 +104,9 @@
     """The final answer to a request.
 
     Attributes:
-        kind: what it tells the client.
-        reply: of the endpoint that served it.
-        retry_after_us: when to come back; 0 gives no advice.
+        kind: whether the request was served, rejected or failed.
+        reply: the reply of the endpoint that served it.
+        retry_after_us: the delay after which the client should retry; 0 gives no advice.
         may_have_run: whether the request may have taken effect.
         reason: why it was rejected, for the client and the log.
     """
@@ -122,20 +123,21 @@
     """An open request, from its acceptance to its answer and the end of its last attempt.
 
     Attributes:
-        request: as the frontend received it.
-        on_answer: is called once, with the answer.
-        slot: its place among the open requests.
-        id: its name between the lifecycle and the scheduler.
-        attempt_count: attempts begun.
-        attempt: the attempt in flight.
+        incoming: the request as the frontend received it.
+        on_answer: called once, with the answer.
+        slot: its index in the table of open requests.
+        id: the id that the lifecycle and the scheduler use for it.
+        attempt_count: the number of attempts begun.
+        attempt: the attempt in flight, if any.
         may_have_run: whether an attempt may have run.
-        last_result: how its latest attempt ended.
-        answered: whether nothing is owed any longer.
-        annotations: what plug-ins noted.
-        abandoned: its client left, and its frontend keeps account of what ran: no further attempt.
-        client_left_us: when its client was seen to have left; 0 while it waits.
+        last_result: the result of its latest attempt.
+        answered: whether no answer is owed any longer.
+        annotations: the annotations of plug-ins, by name.
+        abandoned: whether its client disconnected while its frontend needs to know what ran; no further
+            attempt is begun.
+        client_left_us: when its client was found to have disconnected; 0 before that.
         accepted_us: when it was accepted.
-        timer: its deadline's.
+        timer: the timer of its deadline.
     """
 
     incoming: IncomingRequest
@@ -160,14 +162,14 @@
 
     Attributes:
         request: the request.
-        number: from 0.
-        endpoint: where it is sent.
-        started_us: when it was begun.
-        deadline_us: until when it may take.
-        must_not_repeat: whether it can't be attempted again once it may have run.
-        reconnected: its connection broke before it was written, and another was tried.
-        misdirected: the endpoint had no use for it, now or later.
-        transport_state: the transport's own.
+        number: the number of the attempt, from 0.
+        endpoint: the name of the endpoint that it is sent to.
+        started_us: when it began.
+        deadline_us: when it times out.
+        must_not_repeat: whether the request can't be attempted again once this attempt may have run.
+        reconnected: whether its connection broke before the request was written, and another was opened.
+        misdirected: whether the endpoint rejected it for a reason that a retry there would not change.
+        transport_state: the transport's state of the attempt.
     """
 
     request: InFlightRequest
@@ -181,7 +183,7 @@
     transport_state: Any = None
 
     def to_outcome(self, result: AttemptResult, elapsed_us: int, reply: Reply) -> Outcome:
-        """Return the scheduler's event for its end."""
+        """Return the scheduler's event for the end of this attempt."""
         return Outcome(
             self.request.id,
             self.endpoint,
@@ -197,28 +199,30 @@
 
 
 class Transport(Protocol):
-    """Carries attempts to endpoints."""
+    """Sends attempts to endpoints and reports their outcomes."""
 
     def start(self, attempt: Attempt) -> None:
-        """Send it; `RequestLifecycle.attempt_ended` is owed once."""
+        """Send an attempt, and call `RequestLifecycle.attempt_ended` once at its end."""
 
     def stop(self, attempt: Attempt, why: AttemptResult) -> None:
-        """Give it up; `RequestLifecycle.attempt_ended` is owed all the same."""
+        """Stop an attempt with the result `why`; `RequestLifecycle.attempt_ended` must still be called."""
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
-        """Keep an attempt that nobody waits for from being sent.
+        """Cancel an attempt whose result is no longer needed, unless the whole request was already written.
 
-        Unless all of it is on its way to the endpoint it ends as NOT_SENT, and that is True.
+        Returns:
+            True if it was cancelled: it ends as NOT_SENT. False if the whole request is on its way to the
+            endpoint.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request is rejected as it comes.
+    """A request is rejected at once, before the scheduler gets it.
 
     Attributes:
-        reason: for the client and the log.
-        retry_after_us: when to come back; 0 gives no advice.
+        reason: the text for the client and the log.
+        retry_after_us: the delay after which the client should retry; 0 gives no advice.
     """
 
     reason: str
@@ -226,25 +230,25 @@
 
 
 class RequestHooks(Protocol):
-    """Sees requests, outcomes and answers."""
+    """Callbacks for requests, outcomes and answers."""
 
     def on_request(self, request: InFlightRequest) -> "str | Rejection | None":
-        """Return a reason to reject it, or None."""
+        """Return a reason to reject a new request, or None to accept it."""
 
     def on_outcome(
         self, request: InFlightRequest, endpoint: str, result: AttemptResult, elapsed_us: int
     ) -> None:
-        """Take note of an attempt's end."""
+        """Handle the end of an attempt."""
 
     def on_answer(self, request: InFlightRequest, answer: Answer) -> None:
-        """Take note of the final answer."""
+        """Handle the final answer to a request."""
 
 
 class DecisionObserver(Protocol):
-    """Sees more than hooks do, and may change what the scheduler is told of the endpoint list."""
+    """Callbacks for endpoint lists and attempts; may change the endpoint lists that the scheduler gets."""
 
     def on_endpoint_list(self, endpoint_list: EndpointList) -> EndpointList:
-        """Return the list that the scheduler gets in its place."""
+        """Return the list that the scheduler gets instead of `endpoint_list`."""
 
     def on_attempt(self, request: InFlightRequest, endpoint: str) -> None:
-        """Take note of an attempt that begins."""
+        """Handle an attempt that begins."""
