--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -49,7 +49,7 @@
     ("client gone: blocks that were not begun are begun", BLOCKS, "        if request.client_has_left:\n", "        if False:\n"),
     ("client gone: a block that waits is sent", OBJECTS, "                self.lifecycle.abandon(in_flight)\n", "                pass\n"),
     ("client gone: not looked for as an attempt is decided", GUARD, "return None if self._client_waits(request) else Denial.CLIENT_LEFT", "return None"),
-    ("client gone: not looked for as its connection is up", GUARD, "        return self._denied_client(attempt.request)\n", "        return None\n"),
+    ("client gone: not looked for as its connection is up", GUARD, "        return self._request_denial(attempt.request)\n", "        return None\n"),
     ("client gone: the rest of a request follows in that turn", NODE, "if self.write_paused and not self.written and self.is_open():", "if False:"),
     ("client gone: what was decided with it has no outcome", "umberlead/requests/decision_loop.py", "for action, request in [(action, self._request_of(action)) for action in actions]:", "for action, request in ((action, self._request_of(action)) for action in actions):"),
     ("client gone: what it stood before waits on", SCHEDULER, "            self._shards_to_dispatch[pending.shard] = None  # what waited behind it may be sent\n", ""),
--- a/umberlead/requests/call_ids.py
+++ b/umberlead/requests/call_ids.py
@@ -26,7 +26,7 @@
         self._previous: set[bytes] = set()
         self._span_began_us = clock()
 
-    def take(self, call_id: bytes, is_open: bool) -> None:
+    def reserve(self, call_id: bytes, is_open: bool) -> None:
         """Reserve the call id of a request that was just received.
 
         Args:
--- a/umberlead/requests/invariants.py
+++ b/umberlead/requests/invariants.py
@@ -63,7 +63,7 @@
 class _EndpointRecord:
     """Since when an endpoint takes no new requests, and the requests that it got during slow start."""
 
-    out_since_us: int | None = None  # according to the endpoint list
+    out_of_service_since_us: int | None = None  # according to the endpoint list
     drained_since_us: int | None = None  # by an operator
     started_us: int = 0
     sent: deque[tuple[int, float]] = field(default_factory=deque)  # times and units of recent requests
@@ -120,8 +120,10 @@
         named = {endpoint.name for endpoint in endpoint_list.endpoints}
         for endpoint in endpoint_list.endpoints:
             record = self._endpoints.setdefault(endpoint.name, _EndpointRecord())
-            is_out = endpoint.status is not EndpointStatus.UP
-            record.out_since_us = self._since(record.out_since_us, is_out)
+            is_out_of_service = endpoint.status is not EndpointStatus.UP
+            record.out_of_service_since_us = self._out_of_service_since(
+                record.out_of_service_since_us, is_out_of_service
+            )
             if endpoint.started_us != record.started_us:
                 record.started_us = endpoint.started_us
                 record.sent_units = 0.0
@@ -129,17 +131,19 @@
         if endpoint_list.complete:
             for name in self._endpoints.keys() - named:
                 record = self._endpoints[name]
-                record.out_since_us = self._since(record.out_since_us, True)
+                record.out_of_service_since_us = self._out_of_service_since(
+                    record.out_of_service_since_us, True
+                )
         self._forget_removed()
 
     def record_manual_drain(self, endpoint: str, drained: bool) -> None:
         """Record that an operator drained an endpoint, or ended its drain."""
         record = self._endpoints.setdefault(endpoint, _EndpointRecord())
-        record.drained_since_us = self._since(record.drained_since_us, drained)
+        record.drained_since_us = self._out_of_service_since(record.drained_since_us, drained)
 
-    def _since(self, before_us: int | None, is_out: bool) -> int | None:
+    def _out_of_service_since(self, before_us: int | None, is_out_of_service: bool) -> int | None:
         """Return since when an endpoint is out of service, or None; `before_us` is the value so far."""
-        if not is_out:
+        if not is_out_of_service:
             return None
         return self._clock() if before_us is None else before_us
 
@@ -153,7 +157,7 @@
         removed = [
             name
             for name, record in self._endpoints.items()
-            if record.out_since_us is not None and record.out_since_us < oldest_us
+            if record.out_of_service_since_us is not None and record.out_of_service_since_us < oldest_us
         ]
         for name in removed:
             del self._endpoints[name]
@@ -165,36 +169,38 @@
         request = attempt.request
         now_us = self._clock()
         record = self._requests.setdefault(request.id, _RequestRecord())
-        about = {**_names_of(request), "node": attempt.endpoint}
-        self._check_repetition(attempt, record, about)
+        log_fields = {**_log_fields_of(request), "node": attempt.endpoint}
+        self._check_repetition(attempt, record, log_fields)
         left_for_us = now_us - request.client_left_us if request.client_left_us else 0
         is_in_grace = left_for_us <= CLIENT_LEFT_GRACE_US
-        self.check(is_in_grace, Invariant.CLIENT_WAITS, late_us=left_for_us, **about)
-        self.check(now_us < request.incoming.deadline_us, Invariant.IN_TIME, **about)
+        self.check(is_in_grace, Invariant.CLIENT_WAITS, late_us=left_for_us, **log_fields)
+        self.check(now_us < request.incoming.deadline_us, Invariant.IN_TIME, **log_fields)
         over_us = budget_us - max(request.incoming.deadline_us - now_us, 0)
-        self.check(over_us <= TIME_BUDGET_SLACK_US, Invariant.TIME_BUDGET_SENT, over_us=over_us, **about)
+        self.check(over_us <= TIME_BUDGET_SLACK_US, Invariant.TIME_BUDGET_SENT, over_us=over_us, **log_fields)
         record.in_flight = attempt
-        self._check_in_service(attempt.endpoint, now_us, about)
-        self._check_slow_start(attempt.endpoint, request.incoming.units, now_us, about)
+        self._check_in_service(attempt.endpoint, now_us, log_fields)
+        self._check_slow_start(attempt.endpoint, request.incoming.units, now_us, log_fields)
 
-    def _check_repetition(self, attempt: Attempt, record: _RequestRecord, about: dict[str, str]) -> None:
+    def _check_repetition(self, attempt: Attempt, record: _RequestRecord, log_fields: dict[str, str]) -> None:
         is_redialled = record.in_flight is attempt  # its connection broke before all of it was written
-        self.check(is_redialled or record.in_flight is None, Invariant.ONE_IN_FLIGHT, **about)
+        self.check(is_redialled or record.in_flight is None, Invariant.ONE_IN_FLIGHT, **log_fields)
         record.written_count += not is_redialled
         is_bounded = record.written_count <= self._settings.max_attempts
-        self.check(is_bounded, Invariant.ATTEMPTS_BOUNDED, **about)
+        self.check(is_bounded, Invariant.ATTEMPTS_BOUNDED, **log_fields)
         repeatability = self._repeatability[attempt.request.incoming.class_name]
         is_repeated = record.may_have_run and repeatability is Repeatability.AT_MOST_ONCE
-        self.check(not is_repeated, Invariant.NEVER_TWICE, **about)
+        self.check(not is_repeated, Invariant.NEVER_TWICE, **log_fields)
 
-    def _check_in_service(self, endpoint: str, now_us: int, about: dict[str, str]) -> None:
+    def _check_in_service(self, endpoint: str, now_us: int, log_fields: dict[str, str]) -> None:
         record = self._endpoints.setdefault(endpoint, _EndpointRecord())
-        since_us = [at_us for at_us in (record.out_since_us, record.drained_since_us) if at_us is not None]
+        since_us = [
+            at_us for at_us in (record.out_of_service_since_us, record.drained_since_us) if at_us is not None
+        ]
         out_for_us = now_us - min(since_us, default=now_us)
         is_in_grace = out_for_us <= ENDPOINT_CHANGE_GRACE_US
-        self.check(is_in_grace, Invariant.ENDPOINT_IN_SERVICE, late_us=out_for_us, **about)
+        self.check(is_in_grace, Invariant.ENDPOINT_IN_SERVICE, late_us=out_for_us, **log_fields)
 
-    def _check_slow_start(self, name: str, units: float, now_us: int, about: dict[str, str]) -> None:
+    def _check_slow_start(self, name: str, units: float, now_us: int, log_fields: dict[str, str]) -> None:
         record = self._endpoints[name]
         settings = self._settings
         is_warm = now_us >= record.started_us + settings.warm_up_us
@@ -208,7 +214,7 @@
         allowed_units = settings.slow_start_units * capacity_growth_factor(settings, endpoint, now_us)
         allowance = allowed_units / settings.mean_request_units
         is_within = record.sent_units / settings.mean_request_units <= slow_start_bound(allowance)
-        self.check(is_within, Invariant.SLOW_START, units=round(record.sent_units, 1), **about)
+        self.check(is_within, Invariant.SLOW_START, units=round(record.sent_units, 1), **log_fields)
 
     def record_outcome(self, attempt: Attempt, result: AttemptResult) -> None:
         """Record an attempt's outcome."""
@@ -221,7 +227,7 @@
 
     def record_answer(self, request: InFlightRequest) -> None:
         """Check that a request gets its first answer."""
-        self.check(not request.answered, Invariant.ONE_ANSWER, **_names_of(request))
+        self.check(not request.answered, Invariant.ONE_ANSWER, **_log_fields_of(request))
 
     def forget_request(self, request: InFlightRequest) -> None:
         """Forget a request that is answered and has no attempt in flight."""
@@ -242,6 +248,6 @@
         self.check(ready, Invariant.READY_BEFORE_LISTENING)
 
 
-def _names_of(request: InFlightRequest) -> dict[str, str]:
+def _log_fields_of(request: InFlightRequest) -> dict[str, str]:
     """Return the log fields that identify a request: the id that this front gave it, and its call id."""
     return {"request": request.id, "call": request.incoming.call_id.decode("latin-1")}
--- a/umberlead/requests/lifecycle.py
+++ b/umberlead/requests/lifecycle.py
@@ -218,7 +218,7 @@
         if complete is None:
             self.unanswered_count -= 1
         else:
-            self._count(AnswerKind.SERVED if complete else AnswerKind.FAILED, class_name)
+            self._count_answer(AnswerKind.SERVED if complete else AnswerKind.FAILED, class_name)
 
     # From endpoint lists, operators and limits
 
@@ -304,14 +304,14 @@
         elif isinstance(action, Cancel):
             self._cancel(request, action.attempt)
         elif not request.answered:
-            self._end(request, action)
+            self._reject_or_fail(request, action)
 
     def _cancel(self, request: InFlightRequest, attempt_number: int) -> None:
         attempt = request.attempt
         if attempt is not None and attempt.number == attempt_number and self.transport:
             self.transport.stop(attempt, AttemptResult.CANCELLED)
 
-    def _end(self, request: InFlightRequest, action: Reject | Fail) -> None:
+    def _reject_or_fail(self, request: InFlightRequest, action: Reject | Fail) -> None:
         """Answer a request that the scheduler rejects or fails.
 
         A rejection invites the client to retry, so it is a failure where a repeat would do harm.
@@ -388,14 +388,14 @@
         self.invariants.record_answer(request)
         request.answered = True
         if answer.reply is None or answer.reply.stream is None:
-            self._count(answer.kind, request.incoming.class_name)
+            self._count_answer(answer.kind, request.incoming.class_name)
         self.counters.add(f"requests_{answer.kind.value}")
         if self.hooks:
             self.hooks.on_answer(request, answer)
         request.on_answer(answer)
         self._release(request)
 
-    def _count(self, kind: AnswerKind, class_name: str) -> None:
+    def _count_answer(self, kind: AnswerKind, class_name: str) -> None:
         self.unanswered_count -= 1
         self.answer_counts[kind, class_name] += 1
 
--- a/umberlead/requests/open_requests.py
+++ b/umberlead/requests/open_requests.py
@@ -30,7 +30,7 @@
         """
         call_id = incoming.call_id
         if call_id:
-            self.call_ids.take(call_id, call_id in self._by_call_id)
+            self.call_ids.reserve(call_id, call_id in self._by_call_id)
         request = InFlightRequest(incoming, on_answer, accepted_us=self._clock())
         if call_id:
             self._by_call_id[call_id] = request
--- a/umberlead/requests/send_guard.py
+++ b/umberlead/requests/send_guard.py
@@ -70,15 +70,15 @@
             return Denial.ATTEMPTS_USED
         if request.may_have_run and unsafe:
             return Denial.MAY_HAVE_RUN
-        return self._denied_client(request)
+        return self._request_denial(request)
 
     def may_write(self, attempt: Attempt) -> Denial | None:
         """Return why an attempt whose connection is established may not be written now, or None if it may."""
         if not self._accepts_new_requests(attempt.endpoint):
             return Denial.ENDPOINT_OUT_OF_SERVICE
-        return self._denied_client(attempt.request)
+        return self._request_denial(attempt.request)
 
-    def _denied_client(self, request: InFlightRequest) -> Denial | None:
+    def _request_denial(self, request: InFlightRequest) -> Denial | None:
         if request.answered:
             return Denial.ANSWERED
         if request.abandoned:
