--- a/umberlead/recovery/__init__.py
+++ b/umberlead/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Pacing of the way back to a service after a failure, and the time that endpoints started. No I/O."""
+"""Backoff and pacing of calls to discovery, and the start times of endpoints. No I/O."""
--- a/umberlead/recovery/backoff.py
+++ b/umberlead/recovery/backoff.py
@@ -1,30 +1,32 @@
-"""Backoff between calls of a service that a whole fleet calls, after a break or a rejection. No I/O.
+"""Backoff between calls to a service that a whole fleet calls, after a break or a rejection. No I/O.
 
 A single front does no harm if it calls again after 0.1 s. If a whole fleet does, a service that answers in
 turn and rejects calls that queued for too long never recovers: its queue is full of calls that it will
-reject, and each of them returns. So each front reckons with the whole fleet. Each member has its own slot in
-every window, drawn once: in any window the fleet calls once per member, evenly spread, and no faster when
-windows follow one another.
+reject, and each of them is repeated. So each front takes the size of the whole fleet into account. Each
+member has its own slot in every window, drawn at random once: in any window the fleet makes one call per
+member, evenly spread, and no more than that when windows follow one another.
 
 A window is bounded, so that watch events arrive in time however large the fleet is. Only a call that was
-rejected after it queued shows that the service gets more calls than it answers. A fleet that it can't answer
-within the bound then waits until the queue is worked off, and calls again no faster than the service answers.
+rejected after it queued shows that the service gets more calls than it answers. If the service can't answer
+the fleet within the bound, the members then wait until the queue is worked off, and call again no faster than
+the service answers.
 """
 
 import random
 
 MAX_NOTIFICATION_DELAY_US = 6_000_000  # from a change that discovery can deliver until a front must know it
-SERVICE_QUEUE_TIMEOUT_US = 2_000_000  # that a call queues at the service before it is rejected
+SERVICE_QUEUE_TIMEOUT_US = 2_000_000  # time that a call queues at the service before it is rejected
 SCHEDULING_MARGIN_US = 150_000  # for the network, timer ticks and a busy machine
 # From the last activity of a call to the next call, whose own time in the queue isn't counted.
 MAX_CALL_GAP_US = MAX_NOTIFICATION_DELAY_US - SERVICE_QUEUE_TIMEOUT_US - SCHEDULING_MARGIN_US
-FIRST_WINDOW_US = 100_000  # of a front that is alone
+FIRST_WINDOW_US = 100_000  # first window of a fleet of one
 LAST_WINDOW_US = 2_000_000
 MIN_GAP_US = FIRST_WINDOW_US // 2  # from a failure to the next call
-BURST_CALLS_PER_SECOND = 10  # of the whole fleet after a break: the service's queue holds these for a moment
-SERVICE_CALLS_PER_SECOND = 5  # that a service is assumed to answer at least
-IMMEDIATE_BURST_US = 500_000  # a new process calls at once where the fleet's burst is over within this time
-MAX_BACKLOG_US = 60_000_000  # that a service is assumed to be behind, however large the fleet
+# Rate of the whole fleet's first calls after a break, which the service's queue holds for a short time.
+BURST_CALLS_PER_SECOND = 10
+SERVICE_CALLS_PER_SECOND = 5  # rate that a service is assumed to answer at least
+IMMEDIATE_BURST_US = 500_000  # a new process calls at once if the fleet's burst ends within this time
+MAX_BACKLOG_US = 60_000_000  # most that a service is assumed to be behind, however large the fleet
 MAX_WINDOW_DOUBLINGS_COUNT = 16
 MAX_BACKLOG_DOUBLINGS_COUNT = 8
 SECOND_US = 1_000_000
@@ -36,13 +38,13 @@
     Attributes:
         fleet_size: members of the fleet, this one included.
         rng: source of the slot and of jitter.
-        slot_in_window: this member's place in each window, from 0 to 1.
-        failures_in_a_row: calls in a row that brought no list.
-        rejections_after_queueing: of these, those that were rejected after they had queued.
+        slot_in_window: the position of this member's slot in each window, from 0 to 1.
+        failures_in_a_row: number of calls in a row that returned no list.
+        rejections_after_queueing: number of these calls that were rejected after they had queued.
     """
 
     def __init__(self, fleet_size: int = 1, rng: random.Random | None = None) -> None:
-        """Draw a slot; without `rng` from a seed of the system."""
+        """Draw this member's slot; without `rng` the random numbers are seeded by the system."""
         self.fleet_size = max(fleet_size, 1)
         self.rng = rng or random.Random()
         self.slot_in_window = self.rng.random()
@@ -50,9 +52,9 @@
         self.rejections_after_queueing = 0
 
     def window_us(self) -> int:
-        """Return the window within which the next call falls.
+        """Return the length of the window within which the next call is made.
 
-        It starts as a burst that the service's queue can take, and doubles with each failure.
+        It is at first the length of a burst that the service's queue can take, and doubles with each failure.
         """
         steady_us = self.fleet_size * SECOND_US // SERVICE_CALLS_PER_SECOND
         doublings = min(self.failures_in_a_row, MAX_WINDOW_DOUBLINGS_COUNT)
@@ -72,7 +74,7 @@
 
         Args:
             now: the time in microseconds.
-            remaining_us: what is left of MAX_CALL_GAP_US, as the time that a call hung is part of it.
+            remaining_us: the rest of MAX_CALL_GAP_US, of which the time that the call hung is a part.
             retry_after_us: the service's Retry-After, respected as far as `remaining_us` allows.
             waited_in_queue: whether the call was rejected after it had queued.
         """
@@ -82,7 +84,7 @@
         is_repeated = self.failures_in_a_row > 0
         self.failures_in_a_row += 1
         if self.rejections_after_queueing and (backlog_us := self._backlog_us()):
-            return self._slot_delay_us(now, backlog_us, 2 * backlog_us)  # the queue's calls go first
+            return self._slot_delay_us(now, backlog_us, 2 * backlog_us)  # after the calls in the queue
         grows = window_us < MAX_CALL_GAP_US and (is_repeated or self.fleet_size == 1)
         delay_us = self._slot_delay_us(now, window_us // 2 if grows else MIN_GAP_US, window_us)
         if delay_us > remaining_us:  # the slot comes too late: take one within the time that is left
@@ -90,7 +92,10 @@
         return max(delay_us, min(retry_after_us, remaining_us))
 
     def _slot_delay_us(self, now: int, min_us: int, max_us: int) -> int:
-        """Return the delay until this member's slot, among all that wait from `min_us` to below `max_us`."""
+        """Return the delay, at least `min_us` and below `max_us`, until this member's slot.
+
+        Slots recur with a period of `max_us - min_us`, over which those of the fleet are spread.
+        """
         period_us = max_us - min_us
         return min_us + (int(self.slot_in_window * period_us) - now - min_us) % period_us
 
@@ -124,10 +129,10 @@
         return min(max(burst_us, FIRST_WINDOW_US), MAX_CALL_GAP_US)
 
     def queue_emptied(self) -> None:
-        """Note that nothing listens at the service any more, so that its queue is gone."""
+        """Record that no connection to the service could be opened, so that its queue is gone."""
         self.rejections_after_queueing = 0
 
     def record_success(self) -> None:
-        """Note that a list came; an answer without one is no success."""
+        """Record that a list was received; an answer without a list is no success."""
         self.failures_in_a_row = 0
         self.rejections_after_queueing = 0
--- a/umberlead/recovery/discovery_pacing.py
+++ b/umberlead/recovery/discovery_pacing.py
@@ -1,14 +1,14 @@
-"""Pacing of the watch on discovery: how long a call is waited for, and when the next one is made. No I/O.
+"""Pacing of the watch on discovery: the timeout of a call, and the delay until the next one. No I/O.
 
-Lists come in one of two ways. An agent on the front's own machine answers at once and at no cost, and says
-nothing while discovery is down. A front must know at once what the agent has, so it calls again at once. Or
-one service answers the whole fleet in turn, and rejects (503) calls that queued for about 2 s. A front must
-know what the service has within 6 s after it could be reached, whatever call failed. Which of the two it is
-shows in how it answers.
+Endpoint lists come from one of two kinds of servers. An agent on the front's own machine answers at once and
+at no cost, and sends nothing while discovery is down. A front must get the agent's list at once, so it calls
+again without backoff. A service answers the calls of the whole fleet in turn, and rejects (503) calls that
+queued for about 2 s. A front must get the service's list within 6 s after the service can be reached,
+whichever call failed. Which of the two a front calls is learned from the answers.
 
 With a service, the time that a call hung and the delay after it are counted together from the call's last
-activity, MAX_CALL_GAP_US at most (`recovery/backoff.py`); the remainder is for the next call's time in the
-queue. Times are microseconds of one monotonic clock.
+activity, MAX_CALL_GAP_US at most (`recovery/backoff.py`); the rest of the 6 s is for the next call's time in
+the queue. Times are microseconds of one monotonic clock.
 """
 
 import random
@@ -16,37 +16,38 @@
 
 from umberlead.recovery.backoff import FIRST_WINDOW_US, MAX_CALL_GAP_US, SERVICE_QUEUE_TIMEOUT_US, Backoff
 
-SILENCE_TIMEOUT_US = 3_000_000  # without even an empty line, of which one comes every 2 s
+SILENCE_TIMEOUT_US = 3_000_000  # without a byte on an open watch, which gets an empty line every 2 s
 STALL_TIMEOUT_US = 1_500_000  # without a byte in the middle of a list, or of a response's head
-# For the first byte from an agent on this machine: with the delay it is less than the second within which a
-# drain must be known that was announced as discovery came back.
+# For the first byte from an agent on this machine. With the delay until the next call it is less than 1 s,
+# the time within which a front must know of a drain that was announced while discovery recovered.
 AGENT_RESPONSE_TIMEOUT_US = 600_000
-# The same where it may be a service, which answers in its turn or rejects the call after 2 s.
+# For the first byte where a service may be called, which answers calls in turn or rejects them after 2 s.
 UNKNOWN_RESPONSE_TIMEOUT_US = 2_500_000
 CONNECT_TIMEOUT_US = 2_000_000  # for a connection to a service
-# For the first byte from a service; a rejection that comes later is still read.
+# For the first byte from a service. A rejection that comes later is still read.
 SERVICE_RESPONSE_TIMEOUT_US = MAX_CALL_GAP_US - 3 * FIRST_WINDOW_US
-AGENT_RESPONSE_US = 60_000  # within which only an agent answers: a service has others in its queue
-QUEUED_RESPONSE_US = SERVICE_QUEUE_TIMEOUT_US // 2  # a rejection that comes later means that the call queued
-# A service can answer two calls of each of so many members within UNKNOWN_RESPONSE_TIMEOUT_US.
+AGENT_RESPONSE_US = 60_000  # only an agent answers within this time: a service has other calls in its queue
+QUEUED_RESPONSE_US = SERVICE_QUEUE_TIMEOUT_US // 2  # a rejection after this time means that the call queued
+# A fleet of this size is so small that a service can answer two calls of each member within
+# UNKNOWN_RESPONSE_TIMEOUT_US.
 SMALL_FLEET_SIZE = 8
 STATUS_OK = 200
 
 
 @dataclass(slots=True, eq=False)
 class WatchCall:
-    """One call, from its dial to the end of the watch that it opens.
+    """One call to discovery, from its dial to the end of the watch that it opens.
 
     Attributes:
         started_us: when it was made.
-        last_activity_us: when a byte last came.
+        last_activity_us: when the last byte was received; `started_us` before the first one.
         connected_us: when its connection was established; None until then.
-        answered: whether a byte came.
+        answered: whether a byte was received.
         answered_quickly: whether the first byte came as fast as only an agent answers.
-        status: the HTTP status of the response; 0 until it came.
-        retry_after_us: of the response's Retry-After; 0 without one.
-        partial: whether it stands in the middle of a list, or of the response's head.
-        list_received: whether a list came.
+        status: the HTTP status of the response; 0 until it is received.
+        retry_after_us: the Retry-After of the response; 0 without one.
+        partial: whether a list, or the head of the response, has been received only in part.
+        list_received: whether a list was received.
     """
 
     started_us: int
@@ -66,7 +67,7 @@
     Attributes:
         backoff: the delays between calls.
         expects_agent: whether lists are pushed, so that an agent should answer. A service for the whole fleet
-            may push lists too, so what answers is learned.
+            may push lists too, so which of the two answers is learned.
         is_agent: whether an agent answers; None while that is not known.
     """
 
@@ -82,8 +83,8 @@
         Args:
             fleet_size: fronts that call the same service.
             expects_agent: whether an agent should answer.
-            is_agent: what an earlier process of the front learned; None where it didn't.
-            rng: for the delays.
+            is_agent: whether an agent answers, if an earlier process of the front learned it; else None.
+            rng: source of random numbers for the delays.
         """
         self.backoff = Backoff(fleet_size, rng)
         self.expects_agent = expects_agent
@@ -98,7 +99,7 @@
         return WatchCall(now, now)
 
     def record_activity(self, call: WatchCall, now: int) -> None:
-        """Note that bytes came: any end the silence, while only a list resets the backoff."""
+        """Record that bytes were received, which restart the timeout; only a list resets the backoff."""
         call.last_activity_us = now
         if not call.answered:
             call.answered = True
@@ -106,7 +107,10 @@
             call.answered_quickly = connected_us is not None and now - connected_us <= AGENT_RESPONSE_US
 
     def record_status(self, call: WatchCall, status: int) -> None:
-        """Note the response's status: an agent rejects no call, and a service has a queue to answer first."""
+        """Record the response's status, and learn from it whether an agent answers.
+
+        An agent rejects no call. A service does not answer quickly, as it has other calls in its queue.
+        """
         call.status = status
         if status != STATUS_OK:
             self.is_agent = False
@@ -114,12 +118,12 @@
             self.is_agent = True
 
     def record_list(self, call: WatchCall) -> None:
-        """Note that a whole list came."""
+        """Record that a whole list was received."""
         call.list_received = True
         self.backoff.record_success()
 
     def address_changed(self) -> None:
-        """Note that calls go to another address, for which earlier rejections say nothing."""
+        """Record that calls go to another address, to which earlier rejections do not apply."""
         self.backoff.record_success()
 
     def gives_up_at_us(self, call: WatchCall) -> int:
@@ -129,8 +133,9 @@
     def _timeout_us(self, call: WatchCall) -> int:
         """Return how long `call` may be silent.
 
-        An agent is silent while discovery is down, and must be called again soon after it is back: a call
-        that hangs must not delay the next one. At a service with more calls than it answers, calls queue.
+        An agent sends nothing while discovery is down, and must be called again soon after discovery is back:
+        a call that hangs must not delay the next one. At a service that gets more calls than it answers, a
+        call is silent because it queues.
         """
         if call.answered:
             return STALL_TIMEOUT_US if call.partial else SILENCE_TIMEOUT_US
@@ -142,16 +147,19 @@
         return AGENT_RESPONSE_TIMEOUT_US
 
     def keeps_listening(self, call: WatchCall, now: int) -> bool:
-        """Tell whether a call that timed out is still read beside the next one.
+        """Return whether a call that timed out is still read while the next one is made.
 
-        A service that was taken for an agent answers in its turn, or rejects the call, only then.
+        If the server is a service, it answers the call, or rejects it, only after the timeout for an agent.
         """
         is_waiting = call.connected_us is not None and not call.answered
         may_be_service = self.is_agent is not False
         return is_waiting and may_be_service and now < call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US
 
     def record_no_response(self, call: WatchCall) -> None:
-        """Note that UNKNOWN_RESPONSE_TIMEOUT_US went by: a service would have rejected the call."""
+        """Record that no byte came within UNKNOWN_RESPONSE_TIMEOUT_US.
+
+        A service would have rejected the call by then, so an agent is assumed.
+        """
         if self.is_agent is None and not call.answered:
             self.is_agent = True
 
@@ -159,9 +167,9 @@
         """Return the delay until the next call.
 
         Args:
-            call: the call before it.
+            call: the previous call.
             now: the time in microseconds.
-            silent: whether `call` timed out, and did not end by itself.
+            silent: whether `call` timed out, instead of ending by itself.
         """
         hung = silent and not call.answered
         if hung and not self.keeps_listening(call, now):
--- a/umberlead/recovery/start_times.py
+++ b/umberlead/recovery/start_times.py
@@ -1,31 +1,32 @@
-"""When endpoints started, by this process's own clock: lists report it by a wall clock that may step.
+"""Start times of endpoints by this process's own clock; lists report them by a wall clock that may step.
 
-A start is reported in Unix time. The process's clock is set by that once and runs on evenly, so after a step
-of the wall clock the two differ by it, and an endpoint that has just started seems an hour old, or to start
-in an hour. By which offset a start was reported is not known. Of those that were seen, the one that makes the
-endpoint youngest counts: an endpoint that is warming up and gets too much load fails, while one that gets too
-little only serves less. No I/O; all times are whole microseconds.
+Lists report starts in Unix time. This process's clock is set to Unix time once and then runs evenly, so a
+step of the wall clock makes the two differ: after a step of an hour, an endpoint that has just started seems
+to be an hour old, or to start in an hour. Which offset between the clocks applies to a reported start is not
+known. Of the offsets seen so far, the one that makes the endpoint youngest is used: an endpoint that is
+warming up fails under too much load, while one that gets too little load only serves less. No I/O; all times
+are whole microseconds.
 """
 
 from collections.abc import Sequence
 
-STEP_US = 250_000  # by which two offsets must differ for a step; less is the wall clock's slewing
-MAX_STEPS_COUNT = 16  # that are remembered; the oldest is dropped first
-MAX_REPORT_DELAY_US = 60_000_000  # a start that a list reports for the first time is no older than that
+STEP_US = 250_000  # smallest change of the offset that counts as a step; a smaller one is the clock's slewing
+MAX_STEPS_COUNT = 16  # offsets that are remembered; the oldest is dropped first
+MAX_REPORT_DELAY_US = 60_000_000  # a start that a list reports for the first time is at most this old
 MAX_REMEMBERED_STARTS_COUNT = 50_000
 
 
 class StartTimes:
-    """Converts starts from Unix time to the clock of this process; a repeated report changes nothing."""
+    """Converts start times from Unix time to this process's clock; a repeated report gives the same time."""
 
     def __init__(self, ahead_us: Sequence[int] = ()) -> None:
         """Start with a clock that agrees with the wall clock.
 
         Args:
-            ahead_us: by how much the wall clock was ahead of this clock, as earlier processes saw it, the
-                oldest first.
+            ahead_us: by how much the wall clock was ahead of this process's clock, as recorded by earlier
+                processes, the oldest first.
         """
-        self._ahead_us = [*ahead_us, 0]  # wall clock less this clock, the latest last
+        self._ahead_us = [*ahead_us, 0]  # wall clock minus this clock, the latest last
         self._known: dict[tuple[str, int], int] = {}
         self._has_list = False
 
@@ -40,11 +41,11 @@
         return True
 
     def to_local_clock(self, name: str, reported_us: int, now_us: int) -> int:
-        """Return when an endpoint started by this process's clock; 0 where it is reported as long ago.
+        """Return when an endpoint started by this process's clock; 0 if it started long ago.
 
         Args:
-            name: the endpoint's.
-            reported_us: its start as reported, in Unix time.
+            name: the endpoint's name.
+            reported_us: its start as reported, in Unix time; 0 if it started long ago.
             now_us: the time by this process's clock.
         """
         if reported_us <= 0:
@@ -53,7 +54,7 @@
         at_us = self._known.pop(key, None)
         if at_us is None:
             at_us = self._youngest(reported_us, now_us)
-        self._known[key] = at_us  # the latest reported last
+        self._known[key] = at_us  # in the order of the latest report
         if len(self._known) > MAX_REMEMBERED_STARTS_COUNT:
             del self._known[next(iter(self._known))]
         return at_us
@@ -66,5 +67,5 @@
         return now_us if is_too_old else max(latest_us, 1)
 
     def record_list(self) -> None:
-        """Note that a list came: starts that later ones report for the first time are recent."""
+        """Record that a list was received: starts that later lists report for the first time are recent."""
         self._has_list = True
