--- a/umberlead/recovery/backoff.py
+++ b/umberlead/recovery/backoff.py
@@ -62,7 +62,7 @@
 
     def next_delay_us(
         self,
-        now: int,
+        now_us: int,
         remaining_us: int = MAX_CALL_GAP_US,
         retry_after_us: int = 0,
         waited_in_queue: bool = False,
@@ -73,7 +73,7 @@
         at least half of it, so that the mean rate falls with the window.
 
         Args:
-            now: the time in microseconds.
+            now_us: the time in microseconds.
             remaining_us: the rest of MAX_CALL_GAP_US, of which the time that the call hung is a part.
             retry_after_us: the service's Retry-After, respected as far as `remaining_us` allows.
             waited_in_queue: whether the call was rejected after it had queued.
@@ -84,20 +84,20 @@
         is_repeated = self.failures_in_a_row > 0
         self.failures_in_a_row += 1
         if self.rejections_after_queueing and (backlog_us := self._backlog_us()):
-            return self._slot_delay_us(now, backlog_us, 2 * backlog_us)  # after the calls in the queue
-        grows = window_us < MAX_CALL_GAP_US and (is_repeated or self.fleet_size == 1)
-        delay_us = self._slot_delay_us(now, window_us // 2 if grows else MIN_GAP_US, window_us)
+            return self._slot_delay_us(now_us, backlog_us, 2 * backlog_us)  # after the calls in the queue
+        is_growing = window_us < MAX_CALL_GAP_US and (is_repeated or self.fleet_size == 1)
+        delay_us = self._slot_delay_us(now_us, window_us // 2 if is_growing else MIN_GAP_US, window_us)
         if delay_us > remaining_us:  # the slot comes too late: take one within the time that is left
-            delay_us = self._slot_delay_us(now, MIN_GAP_US, remaining_us)
+            delay_us = self._slot_delay_us(now_us, MIN_GAP_US, remaining_us)
         return max(delay_us, min(retry_after_us, remaining_us))
 
-    def _slot_delay_us(self, now: int, min_us: int, max_us: int) -> int:
+    def _slot_delay_us(self, now_us: int, min_us: int, max_us: int) -> int:
         """Return the delay, at least `min_us` and below `max_us`, until this member's slot.
 
         Slots recur with a period of `max_us - min_us`, over which those of the fleet are spread.
         """
         period_us = max_us - min_us
-        return min_us + (int(self.slot_in_window * period_us) - now - min_us) % period_us
+        return min_us + (int(self.slot_in_window * period_us) - now_us - min_us) % period_us
 
     def _backlog_us(self) -> int:
         """Return how far the service is behind with the fleet's calls.
--- a/umberlead/recovery/discovery_pacing.py
+++ b/umberlead/recovery/discovery_pacing.py
@@ -94,17 +94,17 @@
         """Return the delay until a new process's first call."""
         return 0 if self.expects_agent else self.backoff.first_delay_us()
 
-    def start_call(self, now: int) -> WatchCall:
+    def start_call(self, now_us: int) -> WatchCall:
         """Return the record of a call that is made now."""
-        return WatchCall(now, now)
+        return WatchCall(now_us, now_us)
 
-    def record_activity(self, call: WatchCall, now: int) -> None:
+    def record_activity(self, call: WatchCall, now_us: int) -> None:
         """Record that bytes were received, which restart the timeout; only a list resets the backoff."""
-        call.last_activity_us = now
+        call.last_activity_us = now_us
         if not call.answered:
             call.answered = True
             connected_us = call.connected_us
-            call.answered_quickly = connected_us is not None and now - connected_us <= AGENT_RESPONSE_US
+            call.answered_quickly = connected_us is not None and now_us - connected_us <= AGENT_RESPONSE_US
 
     def record_status(self, call: WatchCall, status: int) -> None:
         """Record the response's status, and learn from it whether an agent answers.
@@ -146,14 +146,14 @@
             return UNKNOWN_RESPONSE_TIMEOUT_US  # a service that is up accepts the connection
         return AGENT_RESPONSE_TIMEOUT_US
 
-    def keeps_listening(self, call: WatchCall, now: int) -> bool:
+    def keeps_listening(self, call: WatchCall, now_us: int) -> bool:
         """Return whether a call that timed out is still read while the next one is made.
 
         If the server is a service, it answers the call, or rejects it, only after the timeout for an agent.
         """
         is_waiting = call.connected_us is not None and not call.answered
         may_be_service = self.is_agent is not False
-        return is_waiting and may_be_service and now < call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US
+        return is_waiting and may_be_service and now_us < call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US
 
     def record_no_response(self, call: WatchCall) -> None:
         """Record that no byte came within UNKNOWN_RESPONSE_TIMEOUT_US.
@@ -163,23 +163,23 @@
         if self.is_agent is None and not call.answered:
             self.is_agent = True
 
-    def next_call_delay_us(self, call: WatchCall, now: int, silent: bool) -> int:
+    def next_call_delay_us(self, call: WatchCall, now_us: int, silent: bool) -> int:
         """Return the delay until the next call.
 
         Args:
             call: the previous call.
-            now: the time in microseconds.
+            now_us: the time in microseconds.
             silent: whether `call` timed out, instead of ending by itself.
         """
         hung = silent and not call.answered
-        if hung and not self.keeps_listening(call, now):
+        if hung and not self.keeps_listening(call, now_us):
             self.record_no_response(call)
         if self.is_agent or (self.is_agent is None and hung):
             return self.backoff.agent_delay_us()
         if call.connected_us is None and not silent:
             self.backoff.queue_emptied()
-        since_us = call.last_activity_us if silent else now if call.list_received else call.started_us
-        remaining_us = since_us + MAX_CALL_GAP_US - now
+        since_us = call.last_activity_us if silent else now_us if call.list_received else call.started_us
+        remaining_us = since_us + MAX_CALL_GAP_US - now_us
         was_rejected = call.answered and call.status not in (0, STATUS_OK)
-        waited_in_queue = was_rejected and now - call.started_us >= QUEUED_RESPONSE_US
-        return self.backoff.next_delay_us(now, remaining_us, call.retry_after_us, waited_in_queue)
+        waited_in_queue = was_rejected and now_us - call.started_us >= QUEUED_RESPONSE_US
+        return self.backoff.next_delay_us(now_us, remaining_us, call.retry_after_us, waited_in_queue)
--- a/umberlead/recovery/start_times.py
+++ b/umberlead/recovery/start_times.py
@@ -27,7 +27,7 @@
                 processes, the oldest first.
         """
         self._ahead_us = [*ahead_us, 0]  # wall clock minus this clock, the latest last
-        self._known: dict[tuple[str, int], int] = {}
+        self._start_by_report: dict[tuple[str, int], int] = {}
         self._has_list = False
 
     def observe(self, now_us: int, wall_us: int) -> bool:
@@ -51,18 +51,18 @@
         if reported_us <= 0:
             return 0
         key = name, reported_us
-        at_us = self._known.pop(key, None)
+        at_us = self._start_by_report.pop(key, None)
         if at_us is None:
-            at_us = self._youngest(reported_us, now_us)
-        self._known[key] = at_us  # in the order of the latest report
-        if len(self._known) > MAX_REMEMBERED_STARTS_COUNT:
-            del self._known[next(iter(self._known))]
+            at_us = self._youngest_start_us(reported_us, now_us)
+        self._start_by_report[key] = at_us  # in the order of the latest report
+        if len(self._start_by_report) > MAX_REMEMBERED_STARTS_COUNT:
+            del self._start_by_report[next(iter(self._start_by_report))]
         return at_us
 
-    def _youngest(self, reported_us: int, now_us: int) -> int:
-        possible = [reported_us - ahead_us for ahead_us in self._ahead_us]
-        past = [at_us for at_us in possible if at_us <= now_us]
-        latest_us = max(past, default=now_us)
+    def _youngest_start_us(self, reported_us: int, now_us: int) -> int:
+        candidates_us = [reported_us - ahead_us for ahead_us in self._ahead_us]
+        past_us = [at_us for at_us in candidates_us if at_us <= now_us]
+        latest_us = max(past_us, default=now_us)
         is_too_old = self._has_list and latest_us < now_us - MAX_REPORT_DELAY_US
         return now_us if is_too_old else max(latest_us, 1)
 
