--- a/umberlead/zones/__init__.py
+++ b/umberlead/zones/__init__.py
@@ -1,5 +1,5 @@
-"""Zones (failure domains): which are down, what spills over to others, and how they come back.
+"""Zones (failure domains): detection of failed zones, spillover to other zones, and recovery.
 
-Decisions are free of I/O; off unless an operator's file has a `[rooms]` table. A zone is a `room` in
-settings, endpoint lists, the admin API and counters, whose names are fixed.
+Decisions are free of I/O. The package is unused unless the operator's file has a `[rooms]` table. In
+settings, endpoint lists, the admin API and counters a zone is called `room`; these names are fixed.
 """
--- a/umberlead/zones/evidence.py
+++ b/umberlead/zones/evidence.py
@@ -1,9 +1,9 @@
-"""What a front's own attempts say about the endpoints of a zone. Passive: no health checks are sent for it.
+"""Evidence from a front's own attempts that a zone is down or degraded. No health checks are sent for it.
 
-An endpoint is down in this front's eyes after broken attempts, or after silence with attempts in flight, that
-no answer has followed. The odds of a zone being down multiply the likelihood ratios of its endpoints, each
-bounded by how often an endpoint is down on its own: one broken connection, or one dead endpoint, never marks
-a zone as down. Times are in us.
+For this front an endpoint is down after broken attempts, or after silence with attempts in flight, that no
+answer has followed. The odds that a zone is down are the product of its prior odds and one likelihood ratio
+per endpoint. Each ratio is bounded by how often an endpoint is down on its own, so that one broken
+connection, or one dead endpoint, never marks a zone as down. Times are in us.
 """
 
 import math
@@ -14,12 +14,12 @@
 
 from umberlead.zones.model import Contact, Reachability, ZoneSettings
 
-# The likelihood of one request left unanswered where the zone is down, against that of a mere pause.
+# How much more likely an unanswered request is if the zone is down than if the endpoint only pauses.
 SILENT_LIKELIHOOD_RATIO = 15.0
 MAX_UNANSWERED_COUNT = 16  # cancelled attempts that are remembered for each endpoint
 BREAKS_TO_DOWN_COUNT = 2  # broken attempts in a row that mark an endpoint as down
 SLICES_PER_WINDOW_COUNT = 8
-# Failures and attempts that are added to those of other zones: 1 in 20 fails where there is nothing to
+# Added to the failures and attempts of other zones: 1 in 20 is assumed to fail where there is nothing to
 # compare with.
 ASSUMED_FAILURE_COUNT = 1
 ASSUMED_ATTEMPT_COUNT = 20
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class SlidingStatistics:
-    """Attempts, failures and latencies over a sliding window, in slices: no attempt is stored on its own.
+    """Sums of attempts, failures and latencies over a sliding window, kept per slice instead of per attempt.
 
     Attributes:
         window_us: The length of the window.
@@ -85,16 +85,16 @@
 
 @dataclass(slots=True)
 class ContactRecord:
-    """What is known of one endpoint from the attempts that were sent to it.
+    """What the attempts sent to one endpoint have shown about it.
 
     Attributes:
-        answered_us: When it answered last, -1 if never.
-        broke_us: When an attempt broke, or the endpoint was found silent, last; -1 if never.
-        breaks: Broken attempts since it answered.
-        in_flight: When each attempt in flight was sent, by its request's id.
-        unanswered_us: When those attempts were sent that were cancelled before any answer.
+        answered_us: When it last answered; -1 if never.
+        broke_us: When an attempt last broke, or the endpoint was last found silent; -1 if never.
+        breaks: The number of broken attempts since it last answered.
+        in_flight: When each attempt in flight was sent, by the id of its request.
+        unanswered_us: When each attempt was sent that was cancelled, with no answer from the endpoint since.
         silent: Whether it has been found silent, and has not answered since.
-        statistics: Its attempts over the evidence window.
+        statistics: Statistics of its attempts over the evidence window.
     """
 
     answered_us: int = -1
@@ -106,11 +106,11 @@
     statistics: SlidingStatistics = field(default_factory=lambda: SlidingStatistics(0))
 
     def record_attempt(self, now_us: int, request: str) -> None:
-        """Note an attempt that is sent now."""
+        """Record an attempt that is sent now."""
         self.in_flight[request] = now_us
 
     def record_outcome(self, now_us: int, request: str, contact: Contact) -> None:
-        """Note the end of an attempt."""
+        """Record the end of an attempt."""
         started_us = self.in_flight.pop(request, None)
         if contact is Contact.ANSWERED:
             self.answered_us = now_us
@@ -121,19 +121,19 @@
             self.broke_us = now_us
             self.breaks += 1
         elif started_us is not None and started_us > self.answered_us:
-            # Cancelled by this front itself: the silence before that still counts.
+            # This front cancelled it: the endpoint's silence before that still counts.
             if len(self.unanswered_us) < MAX_UNANSWERED_COUNT:
                 self.unanswered_us.append(started_us)
 
     def detect_silence(self, now_us: int, silence_timeout_us: int) -> bool:
-        """Return whether it has just been found silent: of attempts in flight none was answered for long."""
+        """Return whether the endpoint is newly found silent: two attempts are unanswered for too long."""
         silent_since_us = now_us - silence_timeout_us
         if self.silent or self.answered_us >= silent_since_us:
             return False
         if len(self.in_flight) + len(self.unanswered_us) < BREAKS_TO_DOWN_COUNT:
             return False
-        # One request without an answer may be a fault of that request; two, with nothing received since, are
-        # not.
+        # One request without an answer may be the fault of that request. Two, with nothing received since
+        # they were sent, are the fault of the endpoint.
         unanswered_count = sum(
             self.answered_us < started_us < silent_since_us
             for started_us in (*self.in_flight.values(), *self.unanswered_us)
@@ -145,7 +145,7 @@
         return self.silent
 
     def reachability(self, now_us: int, window_us: int, silence_timeout_us: int) -> Reachability:
-        """Return what the attempts within the window say about the endpoint."""
+        """Return the reachability of the endpoint by its attempts within the window."""
         if self.breaks >= BREAKS_TO_DOWN_COUNT or self.silent:
             return Reachability.DOWN if now_us - self.broke_us <= window_us else Reachability.UNKNOWN
         since_us = max(self.answered_us, now_us - window_us)
@@ -158,7 +158,7 @@
 
 
 def log_odds_down(reachabilities: Sequence[str], settings: ZoneSettings) -> float:
-    """Return the log odds of a zone being down: the prior, and one bounded likelihood ratio an endpoint."""
+    """Return the log odds that a zone is down: the prior, and one bounded likelihood ratio per endpoint."""
     down_probability = settings.endpoint_down_probability
     log_odds = math.log(settings.prior_probability / (1 - settings.prior_probability))
     for reachability in reachabilities:
@@ -172,9 +172,10 @@
 
 
 def is_zone_down(reachabilities: Sequence[str], settings: ZoneSettings) -> bool:
-    """Return whether the odds of a zone being down have reached the threshold.
+    """Return whether the odds that a zone is down have reached the threshold.
 
-    A zone of few endpoints can't reach it: there all of them must be down, and at least two.
+    A zone of few endpoints can't reach the threshold: it is down if it has at least two endpoints and all of
+    them are down.
     """
     threshold = math.log(settings.down_odds_threshold)
     if log_odds_down(reachabilities, settings) >= threshold:
@@ -199,7 +200,7 @@
 
 
 def without_worst_quarter(statistics: Sequence[SlidingStatistics], now_us: int) -> list[SlidingStatistics]:
-    """Return all but the worst quarter of endpoints, rounded up: one or two outliers don't make a zone."""
+    """Return all but the worst quarter of endpoints, rounded up: few outliers do not degrade a zone."""
     totals = {id(item): item.sums(now_us) for item in statistics}
     from_best = sorted(
         statistics, key=lambda item: (totals[id(item)].failures, totals[id(item)].latency_sum_us)
@@ -213,13 +214,14 @@
     now_us: int,
     settings: ZoneSettings,
 ) -> str | None:
-    """Return why a zone is degraded when compared with others, None where it is not.
+    """Return why a zone is degraded in comparison with other zones, or None if it is not.
 
-    It is where more attempts fail than chance explains (three sigma), or where answers take far longer.
+    It is degraded if more attempts fail than random variation explains (three sigma), or if answers take far
+    longer.
 
     Args:
         own: The statistics of the zone's endpoints.
-        others: Those of the endpoints of the other zones.
+        others: The statistics of the endpoints of the other zones.
         now_us: The time.
         settings: The thresholds.
     """
--- a/umberlead/zones/integration.py
+++ b/umberlead/zones/integration.py
@@ -1,6 +1,6 @@
-"""A zone router beside a request lifecycle: its hooks, its decision observer, and the status for operators.
+"""Connects a zone router to a request lifecycle, and reports the status of zones to operators.
 
-No I/O; the clock, and a tick every `TICK_US`, are the owner's.
+No I/O; the owner provides the clock and calls `tick` every `TICK_US`.
 """
 
 import random
@@ -20,11 +20,11 @@
 
 TICK_US = 100_000
 RETRY_BUDGET_WINDOW_US = 10_000_000
-MIN_RETRIES_COUNT = 10  # in that window, whatever the retry budget's ratio
+MIN_RETRIES_COUNT = 10  # retries that are allowed within the window whatever the retry budget's ratio
 
 
 def zone_settings(zone_config: configuration.ZoneConfig) -> ZoneSettings:
-    """Return the settings of zones that an operator's file describes."""
+    """Return the zone settings for the zones of an operator's file."""
     return ZoneSettings(
         own_zone=zone_config.own_zone,
         tier_by_zone={name: tier for tier, name in enumerate(zone_config.nearby_zones, 1)},
@@ -44,7 +44,7 @@
 def with_retry_budget(settings: Settings, retry_budget_ratio: float) -> Settings:
     """Return settings with a retry budget over all zones together, unless they have one.
 
-    Without it the requests of a zone that is down load what is left of the others twice.
+    Without it, requests of a zone that is down and their retries would load the remaining zones twice.
     """
     if not retry_budget_ratio or settings.retry_budget_window_us:
         return settings
@@ -61,10 +61,10 @@
 
 
 class ZoneIntegration:
-    """The hooks and the decision observer of a request lifecycle.
+    """The hooks and the decision observer of a request lifecycle that apply zones to it.
 
     Attributes:
-        router: The zones and what they decide.
+        router: Decides on requests and endpoints by zone.
         on_transition: Called with each change of a zone's state.
     """
 
@@ -77,11 +77,11 @@
         inner_hooks: RequestHooks | None,
         log: Callable[..., Any],
     ) -> None:
-        """Take the place of the lifecycle's hooks and observer.
+        """Set this object as the lifecycle's hooks and decision observer.
 
         Args:
             settings: The settings of zones.
-            lifecycle: The requests to decide on.
+            lifecycle: The lifecycle of the requests to decide on.
             seed: The seed of the process's random numbers.
             clock: Returns the time.
             inner_hooks: Hooks that were set before, which are called first.
@@ -94,7 +94,7 @@
         self.router = ZoneRouter(settings, lifecycle.settings, seed, clock())
         self.router.on_transition = self._on_transition
         self.rng = random.Random(f"{seed}/joined")
-        self._zones_just_down: set[str] = set()  # those whose attempts are still in flight
+        self._zones_just_down: set[str] = set()  # zones whose attempts in flight are to be cancelled
         self.on_transition: Callable[[ZoneTransition], None] = _ignore_transition
         lifecycle.hooks = self
         lifecycle.decision_observer = self
@@ -102,19 +102,19 @@
     # The decision observer
 
     def on_endpoint_list(self, endpoint_list: EndpointList) -> EndpointList:
-        """Return what the scheduler is told in place of a list."""
+        """Return the endpoint list that the scheduler gets instead of `endpoint_list`."""
         return self.router.apply_endpoint_list(self.clock(), endpoint_list)
 
     def on_attempt(self, request: InFlightRequest, endpoint: str) -> None:
-        """Note an attempt that is sent, and close its endpoint again if it is a trial."""
+        """Record an attempt that is sent, and close its endpoint again if it is a trial."""
         if self.router.record_attempt(self.clock(), request.id, endpoint):
-            # Not within this call: the transport does not have the attempt yet.
+            # Not within this call, as the transport does not have the attempt yet.
             self.lifecycle.call_soon(self._notify_scheduler)
 
     # The hooks
 
     def on_request(self, in_flight: InFlightRequest) -> str | Rejection | None:
-        """Decide on a new request; return why it is rejected, if it is."""
+        """Decide on a new request, and return why it is rejected, or None to accept it."""
         reason = self.inner_hooks.on_request(in_flight) if self.inner_hooks else None
         if reason is not None:
             return reason
@@ -132,14 +132,14 @@
     def on_outcome(
         self, request: InFlightRequest, endpoint: str, result: AttemptResult, elapsed_us: int
     ) -> None:
-        """Note the end of an attempt."""
+        """Record the end of an attempt."""
         if self.inner_hooks:
             self.inner_hooks.on_outcome(request, endpoint, result, elapsed_us)
         self.router.record_outcome(self.clock(), request.id, endpoint, result, elapsed_us)
         self._notify_scheduler()
 
     def on_answer(self, request: InFlightRequest, answer: Answer) -> None:
-        """Note a request's final answer."""
+        """Record a request's final answer."""
         if self.inner_hooks:
             self.inner_hooks.on_answer(request, answer)
         self.router.record_answer(
@@ -153,7 +153,7 @@
     # Time and transitions
 
     def tick(self) -> None:
-        """Let time pass; to be called at least every `TICK_US`."""
+        """Update what depends on time; to be called at least every `TICK_US`."""
         self.router.tick(self.clock())
         self._notify_scheduler()
 
@@ -169,9 +169,9 @@
             self._leave_endpoints({name for name, endpoint in listed.items() if endpoint.zone in zones})
 
     def _leave_endpoints(self, left_endpoints: set[str]) -> None:
-        """Let idempotent requests that are in flight there retry elsewhere, and reject those that can't.
+        """Cancel idempotent attempts at these endpoints that can be retried elsewhere.
 
-        Requests that wait for a shard without any endpoint left are rejected now.
+        Requests that wait for a shard whose endpoints are all in zones that are down are rejected.
         """
         router = self.router
         shards = {router.listed_endpoints[name].shard for name in left_endpoints}
@@ -216,7 +216,7 @@
         return changed
 
     def status(self) -> dict[str, Any]:
-        """Return all that is known of zones as the admin API's JSON; times in seconds."""
+        """Return the state of all zones as JSON for the admin API; times are in seconds."""
         router = self.router
         budget = router.spillover_budget
         zones = sorted(router.zone_health.zones.items())
@@ -262,7 +262,7 @@
         return reachability is Reachability.DOWN
 
     def _recovery_progress(self, now_us: int, member: ZoneMember) -> float | None:
-        """Return how far an endpoint's recovery is, from 0 to 1; None where none is going on."""
+        """Return the progress of an endpoint's recovery from 0 to 1, or None if it is not recovering."""
         recovered_at_us = self.router.zone_health.recovered_at_us.get(member.name)
         recovery_us = self.router.zone_settings.recovery_us
         if recovered_at_us is None or now_us - recovered_at_us >= recovery_us:
@@ -277,5 +277,5 @@
     clock: Callable[[], int],
     log: Callable[..., Any],
 ) -> ZoneIntegration:
-    """Set up zones for a lifecycle by an operator's configuration; its hooks so far are called first."""
+    """Set up zones for a lifecycle by an operator's configuration; its existing hooks are called first."""
     return ZoneIntegration(zone_settings(zone_config), lifecycle, seed, clock, lifecycle.hooks, log)
--- a/umberlead/zones/router.py
+++ b/umberlead/zones/router.py
@@ -1,8 +1,8 @@
-"""Which endpoints the scheduler may use by the states of their zones, and which requests zones admit.
+"""Routing by zone: how the scheduler sees each endpoint, and which requests are admitted.
 
-Pure; times are in us. The scheduler knows nothing of zones: endpoints of a zone that is down stand there as
-draining, those of a degraded zone and of further tiers as costlier in each choice, and recovered ones as just
-started, so that slow start applies.
+No I/O; times are in us. The scheduler knows nothing of zones. It gets the endpoints of a zone that is down as
+draining, those of a degraded zone or a further tier with a higher cost, and recovered ones as just started,
+so that slow start applies.
 """
 
 import random
@@ -24,12 +24,12 @@
 from umberlead.zones.spillover import SpilloverBudget
 from umberlead.zones.zone_health import EVACUATE, FORBID_SPILLOVER, ZoneHealth
 
-# How often the connect timeout must fit into the latency objective of a request that is a trial at once.
+# A request may be a trial as soon as one is due if its latency objective is so many connect timeouts.
 TRIAL_CONNECT_TIMEOUTS_COUNT = 3
 DEFAULT_CONNECT_TIMEOUT_US = 250_000
-DEFAULT_USUAL_UNITS_PER_SECOND_RATE = 20.0  # of all plans together, where none has one
-TRIAL_DISTANCE_FACTOR = 1e-6  # the cost of an endpoint that is open for a trial: any choice falls on it
-DEGRADED_DISTANCE_FACTOR = 4.0  # the cost of an answer from a degraded zone
+DEFAULT_USUAL_UNITS_PER_SECOND_RATE = 20.0  # of all plans together, if none has a usual rate
+TRIAL_DISTANCE_FACTOR = 1e-6  # cost of an endpoint that is open for a trial, so low that it is always chosen
+DEGRADED_DISTANCE_FACTOR = 4.0  # factor by which an answer from a degraded zone costs more
 CONTACT_BY_RESULT = {
     AttemptResult.OK: Contact.ANSWERED,
     AttemptResult.ERROR: Contact.ANSWERED,
@@ -47,8 +47,8 @@
     """A request is to be rejected at once.
 
     Attributes:
-        reason: The text that its client and the log get.
-        retry_after_us: When the client should retry.
+        reason: The text for the client and the log.
+        retry_after_us: The delay after which the client should retry.
     """
 
     reason: str
@@ -57,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneAdmission:
-    """A request goes on to the scheduler.
+    """A request is passed to the scheduler.
 
     Attributes:
         is_spillover: Whether it counts against the spillover budget.
-        trial_endpoint: The endpoint of a zone that is down which it tries, if it does.
+        trial_endpoint: The endpoint of a zone that is down which the request is a trial of; None if of none.
     """
 
     is_spillover: bool = False
@@ -73,22 +73,22 @@
 
 
 class ZoneRouter:
-    """One front's zones, its spillover and its trials.
+    """Routing by zone, spillover and trials of one front.
 
     Attributes:
         zone_health: The states of the zones.
-        spillover_budget: What may go to further zones.
-        listed_endpoints: The endpoints as the endpoint list has them.
-        scheduler_endpoints: The endpoints as the scheduler has them.
+        spillover_budget: The budget of requests that go to further zones.
+        listed_endpoints: The endpoints as the endpoint list has them, by name.
+        scheduler_endpoints: The endpoints as the scheduler has them, by name.
         by_shard: The names of the endpoints of each shard.
-        open_for_trial: Endpoints of zones that are down which are open for one trial.
+        open_for_trial: Endpoints of zones that are down, each open for one trial.
         spillover_requests: The ids of requests that count against the spillover budget.
-        orphaned_shards: Shards whose last endpoint left the list while its zone was down, and that zone.
+        orphaned_shards: The zone of each shard whose last endpoint left the list while the zone was down.
         on_transition: Called with each change of a zone's state.
     """
 
     def __init__(self, zone_settings: ZoneSettings, settings: Settings, seed: int, now_us: int) -> None:
-        """Begin without any endpoint; `seed` is that of the process's random numbers."""
+        """Start without endpoints; `seed` is the seed of the process's random numbers."""
         self.zone_settings = zone_settings
         self.settings = settings
         self.rng = random.Random(f"{seed}/director")
@@ -112,9 +112,10 @@
     # The endpoint list
 
     def apply_endpoint_list(self, now_us: int, endpoint_list: EndpointList) -> EndpointList:
-        """Take over a list or a change of it; return what the scheduler is told in its place.
+        """Apply an endpoint list or a change of it, and return what the scheduler gets instead.
 
-        All that changes with it comes along: a zone's state may be another one with other endpoints in it.
+        The result also has the endpoints that change as a consequence: other endpoints in a zone may change
+        the state of the zone.
         """
         if endpoint_list.complete:
             names = {endpoint.name for endpoint in endpoint_list.endpoints}
@@ -157,7 +158,7 @@
         self.open_for_trial.discard(name)
 
     def _update_scheduler_endpoints(self, now_us: int) -> tuple[Endpoint, ...]:
-        """Bring `scheduler_endpoints` up to date; return those that have changed."""
+        """Update `scheduler_endpoints`, and return those that have changed."""
         previous = self.scheduler_endpoints
         self.scheduler_endpoints = {
             name: self._endpoint_for_scheduler(now_us, endpoint)
@@ -168,7 +169,7 @@
         )
 
     def _endpoint_for_scheduler(self, now_us: int, endpoint: Endpoint) -> Endpoint:
-        """Return an endpoint as the scheduler is to see it."""
+        """Return an endpoint with the status, cost and start time that the scheduler is to use."""
         settings = self.zone_settings
         member = self.zone_health.members.get(endpoint.name)
         if member is None:
@@ -197,7 +198,7 @@
             return replace(
                 endpoint, status=EndpointStatus.DRAINING, weight=0.0, distance_factor=distance_factor
             )
-        # The next request goes to it, whoever else has capacity, and no further one does.
+        # The next request goes to it, whichever other endpoint has capacity, and no further request does.
         return replace(
             endpoint,
             weight=0.0,
@@ -206,7 +207,7 @@
         )
 
     def changed_endpoints(self, now_us: int) -> EndpointList | None:
-        """Report the transitions since the last call; return what the scheduler must be told, if anything."""
+        """Report transitions since the last call, and return changed endpoints for the scheduler, if any."""
         for transition in self.zone_health.take_transitions():
             self.on_transition(transition)
         changed = self._update_scheduler_endpoints(now_us)
@@ -215,14 +216,14 @@
     # Requests
 
     def admit(self, now_us: int, request_id: str, request: IncomingRequest) -> ZoneRejection | ZoneAdmission:
-        """Decide on a request before the scheduler has it."""
+        """Decide on a request before the scheduler gets it."""
         shard = request.shard
         names = self.by_shard.get(shard, set()) if shard >= 0 else set(self.listed_endpoints)
         up_names = self._up_names(sorted(names))
-        if not up_names and shard in self.orphaned_shards:  # the shard is back once its zone is
+        if not up_names and shard in self.orphaned_shards:  # its endpoints may return with their zone
             return self._reject(self.orphaned_shards[shard], self.zone_settings.retry_after_us)
         if not up_names:
-            return ZoneAdmission()  # that is the list's doing, not a zone's
+            return ZoneAdmission()  # the endpoint list itself has no endpoint that is up
         available_names = [name for name in up_names if self._is_available(name)]
         if not available_names:
             return self._admit_to_down_zone(now_us, up_names, request.class_name)
@@ -258,7 +259,7 @@
     ) -> ZoneRejection | ZoneAdmission:
         """Decide on a request whose endpoints are all in zones that are down.
 
-        It may be the trial that finds one of them back, if it is idempotent; else it is rejected at once.
+        An idempotent request may be a trial of one of them; otherwise the request is rejected at once.
         """
         trial_endpoint = self._start_trial(now_us, names, class_name)
         if trial_endpoint is not None:
@@ -276,8 +277,8 @@
         request_class = self.classes[class_name]
         if request_class.repeatability is not Repeatability.IDEMPOTENT:
             return None
-        # A failed trial costs the time of a connect: requests that have it go first, others two intervals
-        # later.
+        # A failed trial costs a connect timeout. Requests with enough time for that are used as trials first,
+        # others once a trial has been due for two intervals.
         connect_timeout_us = self.settings.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US
         has_time = request_class.latency_objective_us >= TRIAL_CONNECT_TIMEOUTS_COUNT * connect_timeout_us
         min_overdue_us = 0 if has_time else 2 * self.zone_settings.trial_interval_us
@@ -291,7 +292,7 @@
         return None
 
     def _is_spillover(self, up_names: list[str], available_names: list[str]) -> bool:
-        """Return whether a nearer tier would have taken the request if it were up."""
+        """Return whether the request goes to a further tier because the nearest one is down."""
         tier_by_name = {
             name: tier_of_zone(self.zone_settings, self.zone_health.members[name].zone) for name in up_names
         }
@@ -302,7 +303,7 @@
         return nearest_is_down and all(tier_by_name[name] > nearest_tier for name in available_names)
 
     def record_attempt(self, now_us: int, request: str, endpoint: str) -> bool:
-        """Note an attempt that is sent; return whether it is a trial, which closes the endpoint again."""
+        """Record an attempt that is sent; return whether it is a trial, which closes the endpoint again."""
         self.zone_health.record_attempt(now_us, endpoint, request)
         is_trial = endpoint in self.open_for_trial
         self.open_for_trial.discard(endpoint)
@@ -311,13 +312,13 @@
     def record_outcome(
         self, now_us: int, request: str, endpoint: str, result: AttemptResult, elapsed_us: int
     ) -> None:
-        """Note the end of an attempt."""
+        """Record the end of an attempt."""
         self.zone_health.record_outcome(now_us, endpoint, request, CONTACT_BY_RESULT[result], elapsed_us)
 
     def record_answer(
         self, now_us: int, request: str, accepted_us: int, was_served: bool, class_name: str
     ) -> None:
-        """Note the final answer of a request that was accepted at `accepted_us`."""
+        """Record the final answer to a request that was accepted at `accepted_us`."""
         if request not in self.spillover_requests:
             return
         self.spillover_requests.discard(request)
@@ -326,14 +327,14 @@
         self.spillover_budget.record_answer(now_us, was_served and now_us - accepted_us <= in_time_us)
 
     def tick(self, now_us: int) -> None:
-        """Let time pass; to be called at least every 100 ms."""
+        """Update what depends on time; to be called at least every 100 ms."""
         self.zone_health.tick(now_us)
         self.spillover_budget.adjust(now_us)
-        if now_us % MICROSECONDS_PER_S < 100_000:  # an endpoint whose trial no request took is closed again
+        if now_us % MICROSECONDS_PER_S < 100_000:  # closes endpoints that were opened but got no trial
             self.open_for_trial.clear()
 
     def is_shard_down(self, shard: int) -> bool:
-        """Return whether all endpoints of a shard are in zones that are down: waiting is of no use."""
+        """Return whether all endpoints of a shard are in zones that are down, so that waiting is useless."""
         up_names = self._up_names(self.by_shard.get(shard, ()))
         return bool(up_names) and not any(
             self.scheduler_endpoints[name].status is EndpointStatus.UP for name in up_names
--- a/umberlead/zones/spillover.py
+++ b/umberlead/zones/spillover.py
@@ -1,11 +1,12 @@
-"""How much of the work that could stay nearer goes to further zones, and whose goes first.
-
-Pure; times are in us. Work that may go elsewhere (new objects, reads of data that several endpoints hold) and
-whose nearer zones are down is spillover. A budget of units a second bounds it, learnt from how much of the
-spillover is answered in time: reserves take what they are due, shares only while a third of the budget is
-available, and the rest only while two thirds are. What is not admitted is rejected at once. Each front learns
-its own budget: together they find what the remaining zones can take without exchanging a message, as senders
-on a shared link do.
+"""The budget of requests that spill over to further zones, and which requests have priority in it.
+
+No I/O; times are in us. Spillover is work that other endpoints can do (new objects, reads of data that
+several endpoints hold) and whose nearer zones are down. A budget in units per second bounds it, and is
+learned from how much of the spillover is answered in time. Units that a plan reserves may take all of the
+budget, units within the share of a plan only what exceeds a third of it, and other units only what exceeds
+two thirds. Requests that are not admitted are rejected at once. Each front learns its own budget. Without
+exchanging messages, the fronts together find the load that the remaining zones can bear, as senders on a
+shared link find their rates.
 """
 
 from dataclasses import dataclass, field
@@ -15,17 +16,18 @@
 
 ADJUSTMENT_INTERVAL_US = MICROSECONDS_PER_S // 2
 MIN_ANSWERS_TO_ADJUST_COUNT = 4
-GROW_IN_TIME_RATIO = 0.8  # of the spillover answered in time, from which the budget grows
-SHRINK_IN_TIME_RATIO = 0.5  # below which it shrinks
+GROW_IN_TIME_RATIO = 0.8  # part of the answers that must be in time for the budget to grow
+SHRINK_IN_TIME_RATIO = 0.5  # the budget shrinks if a smaller part of the answers is in time
 GROWTH_FACTOR = 1.1
 SHRINK_FACTOR = 0.75
-MIN_DEMAND_RATIO = 0.7  # of the budget that must have been requested for it to grow
-MIN_UNITS_PER_SECOND_RATE = 1.0  # with less, nothing would be learnt any more
-BURST_SECONDS = 1.0  # of its rate that a budget saves up
-IDLE_TIMEOUT_US = 60 * MICROSECONDS_PER_S  # after which a volume's bucket may be dropped
-MAX_VOLUME_BUCKETS_COUNT = 1000  # beyond which idle ones are dropped
-# The ratio of the budget that must remain once a request of each tier is admitted. A reserve may overdraw by
-# a second of the rate instead: what it is due is worth three times the next.
+MIN_DEMAND_RATIO = 0.7  # part of the budget that must have been requested for it to grow
+MIN_UNITS_PER_SECOND_RATE = 1.0  # at a lower rate too few answers would come to learn from
+BURST_SECONDS = 1.0  # seconds of its rate that a budget can save up
+IDLE_TIMEOUT_US = 60 * MICROSECONDS_PER_S  # idle time after which a volume's bucket may be dropped
+MAX_VOLUME_BUCKETS_COUNT = 1000  # number of buckets beyond which idle ones are dropped
+# Part of the bucket's capacity that must remain after a request of each tier is admitted. A reservation may
+# instead overdraw the bucket by a second's rate, as reserved units are worth three times those of the next
+# tier.
 REMAINING_RATIO_BY_TIER = {"reserve": -1.0, "share": 1 / 3, "spare": 2 / 3}
 
 
@@ -35,9 +37,9 @@
 
     Attributes:
         units_per_second: The rate at which it fills.
-        capacity_units: Where that ends.
-        available_units: What it had at `updated_us`; below 0 where it is overdrawn.
-        updated_us: When that was computed.
+        capacity_units: The most units that it holds.
+        available_units: The units that it held at `updated_us`; below 0 if it is overdrawn.
+        updated_us: When `available_units` was computed.
     """
 
     units_per_second: float
@@ -55,14 +57,14 @@
 
 @dataclass(slots=True)
 class SpilloverBudget:
-    """What one front may send to further zones.
+    """The budget of one front for requests that go to further zones.
 
     Attributes:
         settings: The settings with the plans.
-        initial_units_per_second: The budget to begin with.
+        initial_units_per_second: The rate of the budget at first.
         created_us: The time of its creation.
-        units_per_second: The budget now.
-        bucket: The budget's units.
+        units_per_second: The current rate of the budget.
+        bucket: The token bucket of the budget.
         admitted_count: Requests that were admitted.
         rejected_count: Requests that were rejected.
     """
@@ -83,7 +85,7 @@
     _plans: dict[str, tuple[float, float]] = field(default_factory=dict)  # reserved and usual units a second
 
     def __post_init__(self) -> None:
-        """Fill the bucket."""
+        """Start with a full bucket."""
         self.units_per_second = max(
             self.units_per_second or self.initial_units_per_second, MIN_UNITS_PER_SECOND_RATE
         )
@@ -96,9 +98,10 @@
         self._adjusted_us = self.created_us
 
     def tier_of(self, now_us: int, volume: str, plan: str, volume_front_count: int, units: float) -> str:
-        """Take units of a volume from the first tier that has them: `reserve`, `share` or `spare`.
+        """Take a request's units from the first tier of its volume that has them, and return that tier.
 
-        A front's part of the plan's figures is an even one among the fronts of the volume.
+        The tiers are `reserve` (the plan's reserved rate), `share` (twice its usual rate) and `spare` (no
+        limit). The rates of the plan are split evenly among the fronts of the volume.
         """
         reserved_units_per_second, usual_units_per_second = self._plans.get(plan, (0.0, 0.0))
         front_count = max(volume_front_count, 1)
@@ -109,7 +112,7 @@
         return "spare"
 
     def _take(self, now_us: int, key: str, units_per_second: float, units: float) -> bool:
-        """Take units from a bucket of one volume; return whether it had them."""
+        """Take units from a bucket of one volume, and return whether it had them."""
         if units_per_second <= 0:
             return False
         bucket = self._volume_buckets.get(key)
@@ -123,7 +126,7 @@
         return True
 
     def try_admit(self, now_us: int, volume: str, plan: str, volume_front_count: int, units: float) -> bool:
-        """Take a request's units from the budget; return whether it may go to a further zone."""
+        """Take a request's units from the budget, and return whether it may go to a further zone."""
         self.adjust(now_us)
         available_units = self.bucket.refill(now_us)
         tier = self.tier_of(now_us, volume, plan, volume_front_count, units)
@@ -136,15 +139,16 @@
         return True
 
     def record_answer(self, now_us: int, in_time: bool) -> None:
-        """Note the final answer of a request that was admitted."""
+        """Record the final answer to a request that was admitted."""
         self._answered_count += 1
         self._in_time_count += in_time
         self.adjust(now_us)
 
     def adjust(self, now_us: int) -> None:
-        """Learn from the last interval, if that is over.
+        """Adjust the budget to the answers of the last interval, if that has ended.
 
-        The budget grows only where it was requested, and shrinks after the first interval that was too slow.
+        The budget grows only if most of it was requested. It shrinks after a single interval in which too few
+        answers were in time.
         """
         interval_us = now_us - self._adjusted_us
         if interval_us < ADJUSTMENT_INTERVAL_US:
--- a/umberlead/zones/zone_health.py
+++ b/umberlead/zones/zone_health.py
@@ -1,9 +1,9 @@
-"""The state of each zone, from evidence, time, operators and gossip. Pure; times are in us.
+"""The state of each zone, by evidence, elapsed time, operators and gossip. No I/O; times are in us.
 
-Failures are detected by `evidence`. A zone that is down gets a trial now and then: an idempotent request, at
-a random time of each front's own. Endpoints that answer trials recover one by one, counted as started when
-they did, so that the scheduler's slow start applies. Each failure soon after a recovery doubles the time
-without trials.
+Failures are detected by `evidence.py`. A zone that is down gets occasional trials: idempotent requests, at
+random times that differ between fronts. Endpoints that answer trials recover one by one. They count as
+started at that time, so that the scheduler's slow start applies. Each failure soon after a recovery doubles
+the time without trials.
 """
 
 import math
@@ -30,27 +30,27 @@
 
 # An operator's overrides, by their names in the admin API.
 NO_OVERRIDE = ""  # the state follows from the evidence
-EVACUATE = "evacuate"  # nothing is sent there
-FORBID_SPILLOVER = "forbid"  # nothing spills over to it from other zones
+EVACUATE = "evacuate"  # nothing is sent to the zone
+FORBID_SPILLOVER = "forbid"  # nothing spills over to the zone from other zones
 OVERRIDES = (EVACUATE, FORBID_SPILLOVER, NO_OVERRIDE)
-MAX_FAILURES_COUNT = 16  # that are remembered
-MAX_PEER_VOTES_COUNT = 2  # endpoints down that agreeing peers may stand for
-MAX_LOG_ODDS_LIMIT = 50.0  # of the odds in a log line
+MAX_FAILURES_COUNT = 16  # failures of a zone that are remembered
+MAX_PEER_VOTES_COUNT = 2  # agreeing peers that count, each as one more endpoint that is down
+MAX_LOG_ODDS_LIMIT = 50.0  # largest log odds shown in a log line
 
 
 @dataclass(slots=True)
 class ZoneRecord:
-    """One zone.
+    """The state of one zone.
 
     Attributes:
-        name: Its name, as the endpoint list has it.
+        name: Its name in the endpoint list.
         state: Its state by evidence.
-        since_us: When that began.
+        since_us: When that state began.
         failures: How often it went down, as far as that is not forgotten.
         down_until_us: When trials may begin.
         next_trial_us: When the next trial is due.
         override: The operator's override.
-        peer_states: What each peer said of it, and when.
+        peer_states: The state that each peer last reported, and when.
     """
 
     name: str
@@ -68,15 +68,16 @@
 
     Attributes:
         members: The endpoints of the list, by name.
-        contact_records: What is known of each endpoint.
+        contact_records: What attempts have shown about each endpoint, by name.
         zones: The zones, by name.
         recovered_at_us: When each endpoint that answered its trials recovered.
-        answered_trials: Trials that each endpoint answered in a row.
-        isolated: Whether no endpoint of any zone answers: the fault is this front's own.
+        answered_trials: The number of trials in a row that each endpoint answered.
+        isolated: Whether no endpoint of any zone answers, so that the fault is on this front's side.
+        transitions: Changes of zones' states since the last call of `take_transitions`.
     """
 
     def __init__(self, settings: ZoneSettings, seed: int, now_us: int) -> None:
-        """Begin without any zone; `seed` is that of the process's random numbers."""
+        """Start without zones; `seed` is the seed of the process's random numbers."""
         self.settings = settings
         self.rng = random.Random(f"{seed}/rooms")
         self.now_us = now_us
@@ -91,7 +92,7 @@
     # Events
 
     def apply_endpoint_list(self, now_us: int, members: Iterable[ZoneMember]) -> None:
-        """Take over the complete endpoint list in force."""
+        """Apply the current endpoint list, which is complete."""
         self.now_us = now_us
         self.members = {member.name: member for member in members}
         for member in self.members.values():
@@ -104,20 +105,20 @@
             for name in [name for name in state_by_member if name not in self.members]:
                 del state_by_member[name]
         listed_zones = {member.zone for member in self.members.values()}
-        # A zone whose endpoints left the list in the meantime keeps its failures for when they are back.
+        # A zone without endpoints in the list is kept while it has failures, as its endpoints may return.
         for name, zone in list(self.zones.items()):
             if name not in listed_zones and not zone.failures:
                 del self.zones[name]
 
     def record_attempt(self, now_us: int, endpoint: str, request: str) -> None:
-        """Note an attempt that is sent now."""
+        """Record an attempt that is sent now."""
         if endpoint in self.contact_records:
             self.contact_records[endpoint].record_attempt(now_us, request)
 
     def record_outcome(
         self, now_us: int, endpoint: str, request: str, contact: Contact, latency_us: int = 0
     ) -> None:
-        """Note the end of an attempt, and the latency of one that was answered."""
+        """Record the end of an attempt, and its latency if it was answered."""
         contact_record = self.contact_records.get(endpoint)
         member = self.members.get(endpoint)
         if contact_record is None or member is None:
@@ -135,7 +136,7 @@
             self.evaluate(now_us, zone)
 
     def tick(self, now_us: int) -> None:
-        """Detect silence, which makes no event, and evaluate all zones; call it at least every 100 ms."""
+        """Detect silence, which causes no event, and evaluate all zones; call it at least every 100 ms."""
         self.now_us = now_us
         for contact_record in self.contact_records.values():
             if contact_record.detect_silence(now_us, self.settings.silence_timeout_us):
@@ -153,9 +154,9 @@
         return True
 
     def record_peer_state(self, now_us: int, name: str, zone: str, state: ZoneState) -> None:
-        """Note what a peer says of a zone.
+        """Record the state of a zone that a peer reports.
 
-        That lowers the evidence that is needed here to take a zone for down, and never decides alone.
+        Reports of peers lower the evidence that this front needs to mark a zone as down, but never suffice.
         """
         if zone in self.zones:
             self.zones[zone].peer_states[name] = (state, now_us)
@@ -163,7 +164,7 @@
     # Evaluation
 
     def reachabilities(self, now_us: int, zone: str) -> list[Reachability]:
-        """Return the reachability of a zone's endpoints, without those that the list has as not up."""
+        """Return the reachability of a zone's endpoints, leaving out those that are not UP in the list."""
         settings = self.settings
         return [
             self.contact_records[member.name].reachability(
@@ -174,7 +175,7 @@
         ]
 
     def evaluate(self, now_us: int, zone: ZoneRecord, is_tick: bool = False) -> None:
-        """Make the transitions of one zone that are due; degradation is looked at on ticks only."""
+        """Make the transitions of one zone that are due; degradation is evaluated on ticks only."""
         self.now_us = now_us
         settings = self.settings
         if zone.state is not ZoneState.DOWN:
@@ -186,7 +187,9 @@
             self._evaluate_degradation(now_us, zone)
         state_us = now_us - zone.since_us
         if zone.state is ZoneState.RECOVERING and state_us >= settings.recovery_us:
-            self._transition(now_us, zone, ZoneState.HEALTHY, f"back for {settings.recovery_us / 1e6:g} s")
+            self._transition(
+                now_us, zone, ZoneState.HEALTHY, f"no fault for {settings.recovery_us / 1e6:g} s"
+            )
             state_us = 0
         if zone.state is ZoneState.HEALTHY and zone.failures and state_us >= settings.failure_memory_us:
             zone.failures = 0
@@ -205,12 +208,12 @@
             if evidence:
                 self._transition(now_us, zone, ZoneState.DEGRADED, evidence)
         elif not evidence and now_us - zone.since_us >= self.settings.evidence_window_us:
-            self._transition(now_us, zone, ZoneState.HEALTHY, "like the others again")
+            self._transition(now_us, zone, ZoneState.HEALTHY, "no worse than other rooms any more")
 
     def _is_down(self, now_us: int, zone: ZoneRecord, reachabilities: list[Reachability]) -> bool:
         if is_zone_down(reachabilities, self.settings):
             return True
-        # Agreeing peers count as one more endpoint down each, beside evidence of this front's own.
+        # Each agreeing peer counts as one more endpoint that is down, if this front found one down itself.
         peer_votes = min(self._agreeing_peers(now_us, zone), MAX_PEER_VOTES_COUNT)
         if not peer_votes or Reachability.DOWN not in reachabilities:
             return False
@@ -224,11 +227,11 @@
             f"{reachabilities.count(Reachability.UP)} up, odds {odds:.3g}"
         )
         if agreeing_peers := self._agreeing_peers(now_us, zone):
-            evidence += f", {agreeing_peers} peers say so"
+            evidence += f", {agreeing_peers} peers agree"
         return evidence
 
     def _agreeing_peers(self, now_us: int, zone: ZoneRecord) -> int:
-        """Return how many peers have the zone as down, 0 unless they are most of those heard of lately."""
+        """Return how many peers report the zone as down; 0 unless they are a majority of recent reports."""
         recent_states = [
             state
             for state, received_us in zone.peer_states.values()
@@ -264,7 +267,7 @@
         self.transitions.append(ZoneTransition(now_us, zone.name, state, evidence))
 
     def _record_trial(self, now_us: int, zone: ZoneRecord, member: ZoneMember, contact: Contact) -> None:
-        """Note the outcome of a trial, or of an attempt that was in flight when the zone went down."""
+        """Record the outcome of a trial, or of an attempt that was in flight when the zone went down."""
         if contact is Contact.BROKEN:
             self.answered_trials.pop(member.name, None)
         if contact is not Contact.ANSWERED or now_us < zone.down_until_us:
@@ -277,17 +280,17 @@
         up_names = [other.name for other in self._members_of(zone) if other.status is EndpointStatus.UP]
         if 2 * sum(name in self.recovered_at_us for name in up_names) < len(up_names):
             return
-        # The others recover with them: an endpoint that is still down shows as an outlier of its own.
+        # The other endpoints recover with them: one that is still down is ejected as an outlier.
         for name in up_names:
             self.recovered_at_us.setdefault(name, now_us)
         evidence = f"{len(up_names)} servers, after trials that were answered"
         self._transition(now_us, zone, ZoneState.RECOVERING, evidence)
 
     def _update_isolation(self, now_us: int) -> None:
-        """Find out whether no endpoint of any zone answers.
+        """Detect whether no endpoint of any zone answers.
 
-        Then nothing is known of zones, as the fault is nearer, and zones that were marked as down in that
-        time are healthy again.
+        In that case the fault is on this front's side and nothing is known about the zones, so those that
+        were marked as down are healthy again.
         """
         by_zone = [found for name in self.zones if (found := self.reachabilities(now_us, name))]
         unreachable_count = sum(
@@ -299,14 +302,14 @@
             for zone in self.zones.values():
                 if zone.state is ZoneState.DOWN:
                     zone.failures = max(zone.failures - 1, 0)
-                    evidence = "no room answers at all: this front is cut off itself"
+                    evidence = "no room answers: this front is isolated"
                     self._transition(now_us, zone, ZoneState.HEALTHY, evidence)
         self.isolated = is_isolated
 
     # Queries
 
     def state(self, zone: str) -> ZoneState:
-        """Return the state that routing goes by: an evacuated zone is down whatever the evidence."""
+        """Return the state that routing uses: an evacuated zone is down whatever the evidence."""
         record = self.zones.get(zone)
         if record is None:
             return ZoneState.HEALTHY
@@ -315,7 +318,7 @@
     def try_start_trial(self, now_us: int, endpoint: str, min_overdue_us: int = 0) -> bool:
         """Return whether an idempotent request may go to an endpoint of a zone that is down, as a trial.
 
-        After a True the next trial is due a while later, at a random time of this front's own.
+        If so, the next trial of the zone is due about one trial interval later, at a random time.
 
         Args:
             now_us: The time.
