--- a/umberlead/zones/evidence.py
+++ b/umberlead/zones/evidence.py
@@ -57,7 +57,7 @@
     window_us: int
     slices: deque[StatisticsSlice] = field(default_factory=deque)
 
-    def add(self, now_us: int, broke: bool, latency_us: float = 0.0) -> None:
+    def add(self, now_us: int, is_broken: bool, latency_us: float = 0.0) -> None:
         """Count an attempt that ended now; its latency matters only where it did not break."""
         slice_us = max(self.window_us // SLICES_PER_WINDOW_COUNT, 1)
         start_us = now_us - now_us % slice_us
@@ -65,7 +65,7 @@
             self.slices.append(StatisticsSlice(start_us))
         current = self.slices[-1]
         current.attempts += 1
-        if broke:
+        if is_broken:
             current.failures += 1
         else:
             current.answers += 1
@@ -88,21 +88,21 @@
     """What the attempts sent to one endpoint have shown about it.
 
     Attributes:
-        answered_us: When it last answered; -1 if never.
-        broke_us: When an attempt last broke, or the endpoint was last found silent; -1 if never.
-        breaks: The number of broken attempts since it last answered.
+        last_answered_us: When it last answered; -1 if never.
+        last_broken_us: When an attempt last broke, or the endpoint was last found silent; -1 if never.
+        broken_count: The number of broken attempts since it last answered.
         in_flight: When each attempt in flight was sent, by the id of its request.
         unanswered_us: When each attempt was sent that was cancelled, with no answer from the endpoint since.
-        silent: Whether it has been found silent, and has not answered since.
+        is_silent: Whether it has been found silent, and has not answered since.
         statistics: Statistics of its attempts over the evidence window.
     """
 
-    answered_us: int = -1
-    broke_us: int = -1
-    breaks: int = 0
+    last_answered_us: int = -1
+    last_broken_us: int = -1
+    broken_count: int = 0
     in_flight: dict[str, int] = field(default_factory=dict)
     unanswered_us: list[int] = field(default_factory=list)
-    silent: bool = False
+    is_silent: bool = False
     statistics: SlidingStatistics = field(default_factory=lambda: SlidingStatistics(0))
 
     def record_attempt(self, now_us: int, request: str) -> None:
@@ -113,14 +113,14 @@
         """Record the end of an attempt."""
         started_us = self.in_flight.pop(request, None)
         if contact is Contact.ANSWERED:
-            self.answered_us = now_us
-            self.breaks = 0
-            self.silent = False
+            self.last_answered_us = now_us
+            self.broken_count = 0
+            self.is_silent = False
             self.unanswered_us.clear()
         elif contact is Contact.BROKEN:
-            self.broke_us = now_us
-            self.breaks += 1
-        elif started_us is not None and started_us > self.answered_us:
+            self.last_broken_us = now_us
+            self.broken_count += 1
+        elif started_us is not None and started_us > self.last_answered_us:
             # This front cancelled it: the endpoint's silence before that still counts.
             if len(self.unanswered_us) < MAX_UNANSWERED_COUNT:
                 self.unanswered_us.append(started_us)
@@ -128,31 +128,31 @@
     def detect_silence(self, now_us: int, silence_timeout_us: int) -> bool:
         """Return whether the endpoint is newly found silent: two attempts are unanswered for too long."""
         silent_since_us = now_us - silence_timeout_us
-        if self.silent or self.answered_us >= silent_since_us:
+        if self.is_silent or self.last_answered_us >= silent_since_us:
             return False
         if len(self.in_flight) + len(self.unanswered_us) < BREAKS_TO_DOWN_COUNT:
             return False
         # One request without an answer may be the fault of that request. Two, with nothing received since
         # they were sent, are the fault of the endpoint.
         unanswered_count = sum(
-            self.answered_us < started_us < silent_since_us
+            self.last_answered_us < started_us < silent_since_us
             for started_us in (*self.in_flight.values(), *self.unanswered_us)
         )
-        self.silent = unanswered_count >= BREAKS_TO_DOWN_COUNT
-        if self.silent:
-            self.broke_us = now_us
-            self.breaks += 1
-        return self.silent
+        self.is_silent = unanswered_count >= BREAKS_TO_DOWN_COUNT
+        if self.is_silent:
+            self.last_broken_us = now_us
+            self.broken_count += 1
+        return self.is_silent
 
     def reachability(self, now_us: int, window_us: int, silence_timeout_us: int) -> Reachability:
         """Return the reachability of the endpoint by its attempts within the window."""
-        if self.breaks >= BREAKS_TO_DOWN_COUNT or self.silent:
-            return Reachability.DOWN if now_us - self.broke_us <= window_us else Reachability.UNKNOWN
-        since_us = max(self.answered_us, now_us - window_us)
+        if self.broken_count >= BREAKS_TO_DOWN_COUNT or self.is_silent:
+            return Reachability.DOWN if now_us - self.last_broken_us <= window_us else Reachability.UNKNOWN
+        since_us = max(self.last_answered_us, now_us - window_us)
         until_us = now_us - silence_timeout_us
         if any(since_us < started_us < until_us for started_us in self.in_flight.values()):
             return Reachability.SILENT
-        if self.answered_us >= 0 and now_us - self.answered_us <= window_us:
+        if self.last_answered_us >= 0 and now_us - self.last_answered_us <= window_us:
             return Reachability.UP
         return Reachability.UNKNOWN
 
@@ -202,10 +202,10 @@
 def without_worst_quarter(statistics: Sequence[SlidingStatistics], now_us: int) -> list[SlidingStatistics]:
     """Return all but the worst quarter of endpoints, rounded up: few outliers do not degrade a zone."""
     totals = {id(item): item.sums(now_us) for item in statistics}
-    from_best = sorted(
+    best_first = sorted(
         statistics, key=lambda item: (totals[id(item)].failures, totals[id(item)].latency_sum_us)
     )
-    return from_best[: len(from_best) - math.ceil(len(from_best) / 4)]
+    return best_first[: len(best_first) - math.ceil(len(best_first) / 4)]
 
 
 def why_degraded(
@@ -229,18 +229,20 @@
     if zone.attempts < settings.degraded_min_attempts:
         return None
     other = sum_statistics(others, now_us)
-    usual_ratio = (other.failures + ASSUMED_FAILURE_COUNT) / (other.attempts + ASSUMED_ATTEMPT_COUNT)
-    sigma = math.sqrt(max(usual_ratio * (1 - usual_ratio), 1e-9) / zone.attempts)
+    other_failure_ratio = (other.failures + ASSUMED_FAILURE_COUNT) / (other.attempts + ASSUMED_ATTEMPT_COUNT)
+    sigma = math.sqrt(max(other_failure_ratio * (1 - other_failure_ratio), 1e-9) / zone.attempts)
     failure_ratio = zone.failures / zone.attempts
     if (
-        failure_ratio >= usual_ratio + settings.degraded_failure_ratio
-        and failure_ratio > usual_ratio + 3 * sigma
+        failure_ratio >= other_failure_ratio + settings.degraded_failure_ratio
+        and failure_ratio > other_failure_ratio + 3 * sigma
     ):
-        return f"{zone.failures:.0f} of {zone.attempts:.0f} attempts broke, elsewhere {usual_ratio:.1%}"
+        return (
+            f"{zone.failures:.0f} of {zone.attempts:.0f} attempts broke, elsewhere {other_failure_ratio:.1%}"
+        )
     if min(zone.answers, other.answers) < settings.degraded_min_attempts:
         return None
     mean_us = zone.latency_sum_us / zone.answers
-    usual_us = other.latency_sum_us / other.answers
-    if mean_us > settings.degraded_latency_factor * usual_us:
-        return f"answers take {mean_us / 1000:.0f} ms, elsewhere {usual_us / 1000:.0f} ms"
+    other_mean_us = other.latency_sum_us / other.answers
+    if mean_us > settings.degraded_latency_factor * other_mean_us:
+        return f"answers take {mean_us / 1000:.0f} ms, elsewhere {other_mean_us / 1000:.0f} ms"
     return None
--- a/umberlead/zones/integration.py
+++ b/umberlead/zones/integration.py
@@ -166,15 +166,15 @@
         self._zones_just_down = set()
         if zones:
             listed = self.router.listed_endpoints
-            self._leave_endpoints({name for name, endpoint in listed.items() if endpoint.zone in zones})
+            self._evacuate_endpoints({name for name, endpoint in listed.items() if endpoint.zone in zones})
 
-    def _leave_endpoints(self, left_endpoints: set[str]) -> None:
+    def _evacuate_endpoints(self, evacuated_endpoints: set[str]) -> None:
         """Cancel idempotent attempts at these endpoints that can be retried elsewhere.
 
         Requests that wait for a shard whose endpoints are all in zones that are down are rejected.
         """
         router = self.router
-        shards = {router.listed_endpoints[name].shard for name in left_endpoints}
+        shards = {router.listed_endpoints[name].shard for name in evacuated_endpoints}
         unreachable_shards = {shard for shard in shards if router.is_shard_down(shard)}
 
         def is_unreachable(request: InFlightRequest) -> bool:
@@ -182,7 +182,7 @@
 
         def can_be_served_elsewhere(attempt: Attempt) -> bool:
             return (
-                attempt.endpoint in left_endpoints
+                attempt.endpoint in evacuated_endpoints
                 and attempt.request.incoming.shard not in unreachable_shards
             )
 
--- a/umberlead/zones/spillover.py
+++ b/umberlead/zones/spillover.py
@@ -97,7 +97,9 @@
         }
         self._adjusted_us = self.created_us
 
-    def tier_of(self, now_us: int, volume: str, plan: str, volume_front_count: int, units: float) -> str:
+    def take_from_tier(
+        self, now_us: int, volume: str, plan: str, volume_front_count: int, units: float
+    ) -> str:
         """Take a request's units from the first tier of its volume that has them, and return that tier.
 
         The tiers are `reserve` (the plan's reserved rate), `share` (twice its usual rate) and `spare` (no
@@ -105,13 +107,13 @@
         """
         reserved_units_per_second, usual_units_per_second = self._plans.get(plan, (0.0, 0.0))
         front_count = max(volume_front_count, 1)
-        if self._take(now_us, f"reserve {volume}", reserved_units_per_second / front_count, units):
+        if self._take_units(now_us, f"reserve {volume}", reserved_units_per_second / front_count, units):
             return "reserve"
-        if self._take(now_us, f"share {volume}", 2 * usual_units_per_second / front_count, units):
+        if self._take_units(now_us, f"share {volume}", 2 * usual_units_per_second / front_count, units):
             return "share"
         return "spare"
 
-    def _take(self, now_us: int, key: str, units_per_second: float, units: float) -> bool:
+    def _take_units(self, now_us: int, key: str, units_per_second: float, units: float) -> bool:
         """Take units from a bucket of one volume, and return whether it had them."""
         if units_per_second <= 0:
             return False
@@ -129,7 +131,7 @@
         """Take a request's units from the budget, and return whether it may go to a further zone."""
         self.adjust(now_us)
         available_units = self.bucket.refill(now_us)
-        tier = self.tier_of(now_us, volume, plan, volume_front_count, units)
+        tier = self.take_from_tier(now_us, volume, plan, volume_front_count, units)
         self._requested_units += units
         if available_units - units < REMAINING_RATIO_BY_TIER[tier] * self.bucket.capacity_units:
             self.rejected_count += 1
--- a/umberlead/zones/zone_health.py
+++ b/umberlead/zones/zone_health.py
@@ -123,16 +123,16 @@
         member = self.members.get(endpoint)
         if contact_record is None or member is None:
             return
-        broke = contact is Contact.BROKEN
-        was_silent = contact_record.silent
+        is_broken = contact is Contact.BROKEN
+        was_silent = contact_record.is_silent
         contact_record.record_outcome(now_us, request, contact)
         zone = self.zones[member.zone]
         # A broken attempt at a silent endpoint was counted when the silence was detected.
-        if contact is not Contact.INCONCLUSIVE and not (was_silent and broke):
-            contact_record.statistics.add(now_us, broke, float(latency_us))
+        if contact is not Contact.INCONCLUSIVE and not (was_silent and is_broken):
+            contact_record.statistics.add(now_us, is_broken, float(latency_us))
         if zone.state is ZoneState.DOWN:
             self._record_trial(now_us, zone, member, contact)
-        if broke:
+        if is_broken:
             self.evaluate(now_us, zone)
 
     def tick(self, now_us: int) -> None:
@@ -292,12 +292,17 @@
         In that case the fault is on this front's side and nothing is known about the zones, so those that
         were marked as down are healthy again.
         """
-        by_zone = [found for name in self.zones if (found := self.reachabilities(now_us, name))]
+        reachabilities_by_zone = [
+            zone_reachabilities
+            for name in self.zones
+            if (zone_reachabilities := self.reachabilities(now_us, name))
+        ]
         unreachable_count = sum(
-            Reachability.UP not in found and (Reachability.DOWN in found or Reachability.SILENT in found)
-            for found in by_zone
+            Reachability.UP not in zone_reachabilities
+            and (Reachability.DOWN in zone_reachabilities or Reachability.SILENT in zone_reachabilities)
+            for zone_reachabilities in reachabilities_by_zone
         )
-        is_isolated = len(by_zone) > 1 and unreachable_count == len(by_zone)
+        is_isolated = len(reachabilities_by_zone) > 1 and unreachable_count == len(reachabilities_by_zone)
         if is_isolated and not self.isolated:
             for zone in self.zones.values():
                 if zone.state is ZoneState.DOWN:
