--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The guard that attempts pass, and the run-time checks beside it: what each denies, and what each counts."""
+"""The denials of the send guard, and the violations that the run-time invariant checks count."""
 
 from typing import Any
 
