--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -22,23 +22,29 @@
         return self.now
 
 
-def request(class_name: str = "read", **changed: Any) -> InFlightRequest:
-    ask = IncomingRequest(class_name, "gold", "v", None, 0, 2.0, T0 + SECOND, None, call_id=b"call")
-    made = InFlightRequest(ask, lambda answer: None, id="0.1")
-    for name, value in changed.items():
-        setattr(made, name, value)
-    return made
+def request(class_name: str = "read", **attributes: Any) -> InFlightRequest:
+    incoming = IncomingRequest(class_name, "gold", "v", None, 0, 2.0, T0 + SECOND, None, call_id=b"call")
+    in_flight = InFlightRequest(incoming, lambda answer: None, id="0.1")
+    for name, value in attributes.items():
+        setattr(in_flight, name, value)
+    return in_flight
 
 
 class TestGuard:
-    def guard(self, ready: bool = True, waits: bool = True) -> SendGuard:
+    def guard(self, endpoint_ready: bool = True, client_waits: bool = True) -> SendGuard:
         self.clock = Clock()
-        made = settings()
-        classes = {c.name: c for c in made.classes}
-        return SendGuard(classes, made.max_attempts, self.clock, lambda node: ready, lambda of: waits)
+        limits = settings()
+        classes = {request_class.name: request_class for request_class in limits.classes}
+        return SendGuard(
+            classes,
+            limits.max_attempts,
+            self.clock,
+            lambda endpoint: endpoint_ready,
+            lambda in_flight: client_waits,
+        )
 
     @pytest.mark.parametrize(
-        ("changed", "denial"),
+        ("attributes", "denial"),
         [
             ({}, None),
             ({"answered": True}, Denial.ANSWERED),
@@ -48,27 +54,27 @@
             ({"may_have_run": True}, None),
         ],
     )
-    def test_an_attempt_begins_only_where_the_request_allows_it(
-        self, changed: dict[str, Any], denial: Denial | None
+    def test_request_state_decides_whether_an_attempt_may_begin(
+        self, attributes: dict[str, Any], denial: Denial | None
     ) -> None:
-        assert self.guard().may_begin(request(**changed)) is denial
+        assert self.guard().may_begin(request(**attributes)) is denial
 
-    def test_an_attempt_begins_neither_beside_another_nor_without_its_client_nor_past_its_time(self) -> None:
-        open_ = request()
-        open_.attempt = Attempt(open_, 0, "n0", T0, T0 + SECOND)
-        assert self.guard().may_begin(open_) is Denial.IN_FLIGHT
-        assert self.guard(waits=False).may_begin(request()) is Denial.CLIENT_LEFT
+    def test_no_attempt_beside_another_after_disconnect_or_after_deadline(self) -> None:
+        in_flight = request()
+        in_flight.attempt = Attempt(in_flight, 0, "n0", T0, T0 + SECOND)
+        assert self.guard().may_begin(in_flight) is Denial.IN_FLIGHT
+        assert self.guard(client_waits=False).may_begin(request()) is Denial.CLIENT_LEFT
         guard = self.guard()
         self.clock.now = T0 + SECOND
         assert guard.may_begin(request()) is Denial.OUT_OF_TIME
 
-    def test_what_was_begun_is_not_written_once_node_client_or_time_is_gone(
+    def test_no_write_to_drained_endpoint_after_disconnect_or_after_deadline(
         self,
     ) -> None:
         attempt = Attempt(request(), 0, "n0", T0, T0 + SECOND)
         assert self.guard().may_write(attempt) is None
-        assert self.guard(ready=False).may_write(attempt) is Denial.ENDPOINT_OUT_OF_SERVICE
-        assert self.guard(waits=False).may_write(attempt) is Denial.CLIENT_LEFT
+        assert self.guard(endpoint_ready=False).may_write(attempt) is Denial.ENDPOINT_OUT_OF_SERVICE
+        assert self.guard(client_waits=False).may_write(attempt) is Denial.CLIENT_LEFT
         guard = self.guard()
         self.clock.now = T0 + SECOND
         assert guard.may_write(attempt) is Denial.OUT_OF_TIME
@@ -76,7 +82,7 @@
 
 class TestChecker:
     def setup_method(self) -> None:
-        self.clock, self.counters, self.lines = Clock(), Counters(), list[dict[str, Any]]()
+        self.clock, self.counters, self.log_lines = Clock(), Counters(), list[dict[str, Any]]()
         self.settings = settings(
             slow_start_units=20.0,
             initial_capacity_ratio=0.2,
@@ -84,105 +90,109 @@
             warm_up_us=10 * SECOND,
         )
         self.checker = InvariantChecker(
-            self.settings, self.clock, self.counters, lambda event, **details: self.lines.append(details)
+            self.settings, self.clock, self.counters, lambda event, **details: self.log_lines.append(details)
         )
         self.checker.record_endpoint_list(EndpointList(True, (up("n0"), up("n1"))))
 
-    def written(self, of: InFlightRequest, node: str = "n0", budget: int = SECOND) -> Attempt:
-        attempt = Attempt(of, of.attempt_count, node, self.clock.now, of.incoming.deadline_us)
-        self.checker.written(attempt, budget)
+    def write_attempt(
+        self, in_flight: InFlightRequest, endpoint: str = "n0", budget_us: int = SECOND
+    ) -> Attempt:
+        attempt = Attempt(
+            in_flight, in_flight.attempt_count, endpoint, self.clock.now, in_flight.incoming.deadline_us
+        )
+        self.checker.written(attempt, budget_us)
         return attempt
 
-    def broken(self) -> set[str]:
+    def violated_invariants(self) -> set[str]:
         prefix = "invariant_violations_"
         return {name.removeprefix(prefix) for name in self.counters if name.startswith(prefix)}
 
-    def test_what_keeps_all_rules_is_not_counted(self) -> None:
-        of = request()
+    def test_no_violation_while_all_invariants_hold(self) -> None:
+        in_flight = request()
         for result in (AttemptResult.REJECTED, AttemptResult.RESET):
-            self.checker.record_outcome(self.written(of), result)
-        self.written(of, "n1")
-        self.checker.record_answer(of)
+            self.checker.record_outcome(self.write_attempt(in_flight), result)
+        self.write_attempt(in_flight, "n1")
+        self.checker.record_answer(in_flight)
         self.checker.closed(False, "announced", "")
         self.checker.listening(True)
-        assert self.broken() == set() and not self.lines
-
-    def test_attempts_that_break_a_rule_are_counted_by_its_name_and_logged_with_their_call(self) -> None:
-        of = request("once")
-        first = self.written(of)
-        self.written(of)
-        assert self.broken() == {"one_in_flight"}
-        assert self.lines[0]["call"] == "call" and self.lines[0]["invariant"] == "one_in_flight"
+        assert self.violated_invariants() == set() and not self.log_lines
+
+    def test_violations_are_counted_by_name_and_logged_with_the_call_id(self) -> None:
+        in_flight = request("once")
+        first = self.write_attempt(in_flight)
+        self.write_attempt(in_flight)
+        assert self.violated_invariants() == {"one_in_flight"}
+        assert self.log_lines[0]["call"] == "call" and self.log_lines[0]["invariant"] == "one_in_flight"
         del first
         self.counters.clear()
         other = request("once", id="0.2")
-        self.checker.record_outcome(self.written(other), AttemptResult.RESET)
-        self.written(other)
-        assert self.broken() == {"never_twice"}
+        self.checker.record_outcome(self.write_attempt(other), AttemptResult.RESET)
+        self.write_attempt(other)
+        assert self.violated_invariants() == {"never_twice"}
 
-    def test_an_attempt_that_is_dialled_again_is_no_second_one(self) -> None:
-        of = request("once")
-        attempt = self.written(of)
+    def test_reconnected_attempt_is_no_second_attempt(self) -> None:
+        in_flight = request("once")
+        attempt = self.write_attempt(in_flight)
         self.checker.written(attempt, 0)
-        assert self.broken() == set()
+        assert self.violated_invariants() == set()
         self.checker.record_outcome(attempt, AttemptResult.RESET)
         self.checker.written(attempt, 0)
-        assert self.broken() == {"never_twice"}
+        assert self.violated_invariants() == {"never_twice"}
 
-    def test_one_attempt_too_many_is_counted(self) -> None:
-        of = request()
+    def test_attempt_beyond_the_limit_is_a_violation(self) -> None:
+        in_flight = request()
         for _ in range(self.settings.max_attempts):
-            self.checker.record_outcome(self.written(of), AttemptResult.REJECTED)
-        assert self.broken() == set()
-        self.written(of)
-        assert self.broken() == {"attempts_bounded"}
+            self.checker.record_outcome(self.write_attempt(in_flight), AttemptResult.REJECTED)
+        assert self.violated_invariants() == set()
+        self.write_attempt(in_flight)
+        assert self.violated_invariants() == {"attempts_bounded"}
 
-    def test_an_attempt_behind_the_client_the_time_or_the_budget_is_counted(self) -> None:
+    def test_attempt_after_disconnect_after_deadline_or_over_budget_is_a_violation(self) -> None:
         self.clock.now = T0 + 200_000
-        self.written(request(client_left_us=T0 + 50_000), budget=0)
-        assert self.broken() == {"client_waits"}
+        self.write_attempt(request(client_left_us=T0 + 50_000), budget_us=0)
+        assert self.violated_invariants() == {"client_waits"}
         self.counters.clear()
-        self.written(request(id="0.2"), budget=SECOND - 200_000 + 150_001)
-        assert self.broken() == {"budget_told"}
+        self.write_attempt(request(id="0.2"), budget_us=SECOND - 200_000 + 150_001)
+        assert self.violated_invariants() == {"budget_told"}
         self.counters.clear()
         self.clock.now = T0 + SECOND
-        self.written(request(id="0.3"), budget=0)
-        assert self.broken() == {"in_time"}
+        self.write_attempt(request(id="0.3"), budget_us=0)
+        assert self.violated_invariants() == {"in_time"}
 
-    def test_an_attempt_at_a_node_that_is_out_for_long_is_counted(self) -> None:
+    def test_attempt_at_an_endpoint_out_of_service_is_a_violation(self) -> None:
         self.checker.record_endpoint_list(
             EndpointList(False, (up("n0").__class__("n0", EndpointStatus.DRAINING, 0),))
         )
         self.checker.record_manual_drain("n1", True)
         self.clock.now = T0 + 900_000
-        self.written(request(), budget=0)
-        assert self.broken() == set()
+        self.write_attempt(request(), budget_us=0)
+        assert self.violated_invariants() == set()
         late = request(id="0.2")
         late.incoming.deadline_us = T0 + 9 * SECOND
         self.clock.now = T0 + 1_000_001
-        for node in ("n0", "n1"):
-            self.checker.record_outcome(self.written(late, node), AttemptResult.REJECTED)
-        assert self.broken() == {"node_in_service"} and len(self.lines) == 2
+        for endpoint in ("n0", "n1"):
+            self.checker.record_outcome(self.write_attempt(late, endpoint), AttemptResult.REJECTED)
+        assert self.violated_invariants() == {"node_in_service"} and len(self.log_lines) == 2
         self.counters.clear()
         self.checker.record_manual_drain("n1", False)
-        self.written(late, "n1")
-        assert self.broken() == set()
+        self.write_attempt(late, "n1")
+        assert self.violated_invariants() == set()
 
-    def test_a_cold_node_that_one_process_alone_sends_too_much_is_counted(self) -> None:
+    def test_too_many_requests_to_a_cold_endpoint_are_a_violation(self) -> None:
         self.checker.record_endpoint_list(EndpointList(False, (up("n0", started=T0),)))
-        most = int(slow_start_bound(20.0 / self.settings.mean_request_units))
-        for number in range(most + 1):
-            self.written(request(id=f"0.{number}"))
-        assert self.broken() == {"slow_start"} and self.counters["invariant_violations"] == 1
+        max_count = int(slow_start_bound(20.0 / self.settings.mean_request_units))
+        for number in range(max_count + 1):
+            self.write_attempt(request(id=f"0.{number}"))
+        assert self.violated_invariants() == {"slow_start"} and self.counters["invariant_violations"] == 1
 
-    def test_a_second_answer_a_close_on_a_request_and_a_start_without_places_are_counted(self) -> None:
+    def test_second_answer_early_close_and_early_listening_are_violations(self) -> None:
         self.checker.record_answer(request(answered=True))
         self.checker.closed(True, "evicted", "call")
         self.checker.listening(False)
-        names = {i.value for i in (Invariant.ONE_ANSWER, Invariant.ANSWERED_BEFORE_CLOSE)}
-        assert self.broken() == names | {"ready_before_listening"}
+        names = {invariant.value for invariant in (Invariant.ONE_ANSWER, Invariant.ANSWERED_BEFORE_CLOSE)}
+        assert self.violated_invariants() == names | {"ready_before_listening"}
 
 
-def test_small_allowances_are_given_more_to_chance() -> None:
+def test_slow_start_bound_is_wider_for_small_allowances() -> None:
     assert slow_start_bound(16.0) == 16 + 3 * 4 + 3
     assert slow_start_bound(36.0) == 36 + 2 * 6 + 2
