--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff between calls of a service that a whole fleet calls, against a model of an overloaded one."""
+"""Backoff between calls to a service that a whole fleet calls, with a model of an overloaded service."""
 
 import heapq
 import random
@@ -22,8 +22,11 @@
 
 
 def overloaded_service(delays: list[Callable[[int], int]], starts: list[int], until: int) -> list[int | None]:
-    """When each caller gets its list. The service works on calls in turn; one that waited for longer than its
-    time-out is rejected, but only in its turn and at the full cost, and calls again after its delay."""
+    """Return when each caller gets its list, or None for one that gets none.
+
+    The service works on calls in turn. A caller whose call queued for longer than the timeout is rejected and
+    calls again after its delay, but the service still works through the rejected call at the full cost.
+    """
     calls = [(at, k) for k, at in enumerate(starts)]
     heapq.heapify(calls)
     free, got = 0, [None] * len(starts)  # type: tuple[int, list[int | None]]
@@ -33,13 +36,13 @@
         free = begun + int(1_000_000 / RATE)
         if begun - at <= QUEUE_TIMEOUT_US:
             got[k] = free
-        else:  # it is rejected at its time-out, and the service still works through it
+        else:  # the call is rejected at its timeout, and the service still works through it
             heapq.heappush(calls, (at + QUEUE_TIMEOUT_US + delays[k](at + QUEUE_TIMEOUT_US), k))
     return got
 
 
 def doubling(rng: random.Random) -> Callable[[int], int]:
-    """Doubling delays from 0.1 s to 2 s, whatever the fleet's size."""
+    """Return a function whose delays double from 0.1 s to 2 s, whatever the fleet's size."""
     delay = FIRST_WINDOW_US
 
     def next_(_: int) -> int:
@@ -53,8 +56,8 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_fleet_whose_watches_broke_at_once_gets_its_lists_from_a_slow_service(seed: int) -> None:
-    """28 of 40 fronts restart at once while the others' watches break. With doubling delays rejected calls
-    return faster than the service works."""
+    """28 of 40 fronts restart at once while the watches of the others break. With delays that only double,
+    rejected calls are repeated faster than the service works them off."""
     fronts = [Backoff(40, random.Random(f"{seed}/{k}")) for k in range(40)]
     delays: list[Callable[[int], int]] = [
         partial(
@@ -72,7 +75,7 @@
 
 @pytest.mark.parametrize("fleet", [1, 4, 40, 200, 100_000])
 def test_windows_grow_with_the_fleet_and_with_each_failure_and_are_bounded(fleet: int) -> None:
-    """Past the bound only where a call was rejected after it queued, and then by what the fleet calls."""
+    """Delays exceed the bound only after a queued call was rejected, and then grow with the fleet's size."""
     one = Backoff(fleet, random.Random(1))
     windows = []
     for k in range(30):
@@ -110,7 +113,7 @@
 
 
 def test_a_fleet_that_fails_together_calls_evenly_and_once_a_window() -> None:
-    """In a window no member calls twice, and calls are spread evenly over it."""
+    """No member calls twice in a window, and the calls are evenly spread over the window."""
     fronts, calls = [Backoff(200, random.Random(k)) for k in range(200)], list[int]()
     for one in fronts:
         now = 0
@@ -120,7 +123,7 @@
     for begin in range(0, 9 * MAX_CALL_GAP_US, MAX_CALL_GAP_US):
         inside = [t for t in calls if begin <= t < begin + MAX_CALL_GAP_US]
         assert len(inside) <= 210
-        assert max(sum(t // 500_000 == s for t in inside) for s in range(100)) <= 45  # 26 in the mean
+        assert max(sum(t // 500_000 == s for t in inside) for s in range(100)) <= 45  # 26 on average
 
 
 def test_a_new_process_of_a_small_fleet_calls_at_once_and_one_of_a_large_fleet_somewhere_in_the_burst() -> (
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -1,4 +1,4 @@
-"""The bound on the delay of watch events over whole fleets, by the simulation of benchmarks/news.py."""
+"""The bound on the delay of watch events in whole fleets, by the simulation in `benchmarks/news.py`."""
 
 import random
 
@@ -17,7 +17,7 @@
 def test_all_fronts_know_a_service_s_changes_in_6_s_where_it_can_answer_their_calls(
     fronts: int, failing: str
 ) -> None:
-    """Of the 6 s a silent watch leaves 3, and each of the fleet's calls needs an answer."""
+    """The detection of a silent watch takes 3 of the 6 s; in the rest the service must answer every front."""
     left = (
         MAX_NOTIFICATION_DELAY_US - SILENCE_TIMEOUT_US
         if failing in ("silent", "half a list")
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("failing", ["hung", "silent", "reset"])
 @pytest.mark.parametrize("fronts", FLEETS)
 def test_an_agent_s_changes_are_known_within_a_second(fronts: int, failing: str) -> None:
-    """Also by processes that start meanwhile, which learn of the agent from their predecessors."""
+    """This includes processes that start meanwhile, which know of the agent from their predecessors."""
     world = World(fronts, failing=failing, restarted=0.5, known=True, until=20 * SECOND)
     for seed in range(3):
         told = Fleet(world, seed=seed).told()
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_a_service_that_answers_few_calls_recovers(pushed: bool) -> None:
-    """200 fronts and 7 calls per second: 28.6 s at the least. All fronts get a list, one after the other."""
+    """At 7 calls per second 200 fronts need 28.6 s at least. All of them get a list, one after the other."""
     for seed in range(3):
         world = World(200, RATE, pushed, "refused", restarted=0.7 if pushed else 0.0)
         play = Fleet(world, seed=seed)
@@ -59,7 +59,10 @@
 
 
 def test_a_service_taken_for_an_agent_is_recognized_by_its_rejection() -> None:
-    """It answers one call within 60 ms, and 200 only in turn: without rejections they would never stop."""
+    """It answers one call within 60 ms, so it is taken for an agent, but it answers 200 calls only in turn.
+
+    If rejections did not show that it is a service, the fronts would go on to call it without backoff.
+    """
     for seed in range(3):
         world = World(200, 20.0, True, "hung dial", restarted=0.7)
         assert Fleet(world, seed=seed).told()[-1] < world.until
@@ -68,7 +71,7 @@
 
 @pytest.mark.parametrize("fleet", FLEETS)
 def test_whatever_fails_the_next_call_follows_the_last_activity_in_time(fleet: int) -> None:
-    """Any order of failures of calls that were not rejected after they queued."""
+    """Calls fail in any order and manner, except for a rejection after they queued."""
     rng = random.Random(fleet)
     pacing, now = WatchPacing(fleet, rng=rng), 10 * SECOND
     for _ in range(2_000):
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""The age of an endpoint while the wall clock steps, and what two processes of a front send it."""
+"""The age of an endpoint when the wall clock steps, and the load that two processes of a front send it."""
 
 from pathlib import Path
 from unittest import mock
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("step", [-HOUR, -30 * SECOND, 30 * SECOND, HOUR])
 def test_a_start_after_a_step_has_its_true_age(step: int) -> None:
-    """By the stepped clock it would seem an hour old, or to stay in slow start for an hour."""
+    """By the stepped clock the endpoint would seem an hour old, or would stay in slow start for an hour."""
     times = StartTimes()
     assert times.observe(NOW, NOW + step)
     wall = NOW + step
@@ -47,7 +47,7 @@
         now = NOW + (number + 1) * SECOND
         assert times.observe(now, now + HOUR * (-1) ** number)
         assert times.to_local_clock("a", NOW - 5 * SECOND, now) == first
-    assert times.to_local_clock("a", NOW + HOUR, NOW + 60 * SECOND) != first  # started anew
+    assert times.to_local_clock("a", NOW + HOUR, NOW + 60 * SECOND) != first  # the endpoint restarted
 
 
 def test_a_start_ahead_of_all_clocks_is_now() -> None:
@@ -55,7 +55,7 @@
 
 
 def test_a_first_report_of_an_old_start_is_by_a_clock_that_stepped() -> None:
-    """A process that began behind the step knows only the one anchor."""
+    """A process that started after the step knows only the offset after the step."""
     times = StartTimes()
     old = NOW - HOUR
     assert times.to_local_clock("a", old, NOW) == old  # the first list has endpoints of any age
@@ -67,13 +67,13 @@
 
 @pytest.mark.parametrize("step", [-HOUR, -30 * SECOND, 30 * SECOND, HOUR])
 def test_a_process_that_starts_after_a_step_knows_its_predecessors_anchors(tmp_path: Path, step: int) -> None:
-    """A start that is reported by the unstepped clock would seem older by the step, and the endpoint warm."""
+    """Otherwise a start reported by the clock before its step would seem older, and the endpoint warm."""
     first = ClockAnchors(tmp_path / "clock")
     assert first.read() == []
     first.add(5 * SECOND)
     own = 5 * SECOND + step
     times = StartTimes([anchor - own for anchor in ClockAnchors(tmp_path / "clock").read()])
-    now = NOW + step  # by its own clock, which is anchored to the stepped one
+    now = NOW + step  # by the process's own clock, which was set by the stepped wall clock
     assert times.to_local_clock("a", NOW - 2 * SECOND, now) == now - 2 * SECOND
 
 
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("front_count", [1, 5, 40])
 def test_two_processes_of_a_front_send_an_endpoint_in_slow_start_no_more_than_one(front_count: int) -> None:
-    """With a whole share each, processes of a front would send twice what the endpoint can take."""
+    """If each process had the front's whole share, they would send twice what the endpoint can take."""
     options = {
         "front_count": front_count,
         "shard_count": 4,
