--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -17,122 +17,145 @@
     Backoff,
 )
 
-RATE = 7.0  # calls per second that the service answers
+CALLS_PER_SECOND = 7.0  # calls per second that the service answers
 QUEUE_TIMEOUT_US = 2_000_000
 
 
-def overloaded_service(delays: list[Callable[[int], int]], starts: list[int], until: int) -> list[int | None]:
+def overloaded_service(
+    delay_functions: list[Callable[[int], int]], started_us: list[int], until_us: int
+) -> list[int | None]:
     """Return when each caller gets its list, or None for one that gets none.
 
     The service works on calls in turn. A caller whose call queued for longer than the timeout is rejected and
     calls again after its delay, but the service still works through the rejected call at the full cost.
     """
-    calls = [(at, k) for k, at in enumerate(starts)]
+    calls = [(called_us, caller) for caller, called_us in enumerate(started_us)]
     heapq.heapify(calls)
-    free, got = 0, [None] * len(starts)  # type: tuple[int, list[int | None]]
-    while calls and calls[0][0] < until:
-        at, k = heapq.heappop(calls)
-        begun = max(at, free)
-        free = begun + int(1_000_000 / RATE)
-        if begun - at <= QUEUE_TIMEOUT_US:
-            got[k] = free
+    service_free_us, received_us = 0, [None] * len(started_us)  # type: tuple[int, list[int | None]]
+    while calls and calls[0][0] < until_us:
+        called_us, caller = heapq.heappop(calls)
+        begun_us = max(called_us, service_free_us)
+        service_free_us = begun_us + int(1_000_000 / CALLS_PER_SECOND)
+        if begun_us - called_us <= QUEUE_TIMEOUT_US:
+            received_us[caller] = service_free_us
         else:  # the call is rejected at its timeout, and the service still works through it
-            heapq.heappush(calls, (at + QUEUE_TIMEOUT_US + delays[k](at + QUEUE_TIMEOUT_US), k))
-    return got
+            heapq.heappush(
+                calls,
+                (
+                    called_us + QUEUE_TIMEOUT_US + delay_functions[caller](called_us + QUEUE_TIMEOUT_US),
+                    caller,
+                ),
+            )
+    return received_us
 
 
-def doubling(rng: random.Random) -> Callable[[int], int]:
+def doubling_delay(rng: random.Random) -> Callable[[int], int]:
     """Return a function whose delays double from 0.1 s to 2 s, whatever the fleet's size."""
-    delay = FIRST_WINDOW_US
+    delay_us = FIRST_WINDOW_US
 
-    def next_(_: int) -> int:
-        nonlocal delay
-        drawn = int(delay * (0.5 + 0.5 * rng.random()))
-        delay = min(delay * 2, LAST_WINDOW_US)
-        return drawn
+    def next_delay_us(_: int) -> int:
+        nonlocal delay_us
+        drawn_us = int(delay_us * (0.5 + 0.5 * rng.random()))
+        delay_us = min(delay_us * 2, LAST_WINDOW_US)
+        return drawn_us
 
-    return next_
+    return next_delay_us
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_fleet_whose_watches_broke_at_once_gets_its_lists_from_a_slow_service(seed: int) -> None:
+def test_fleet_recovers_after_all_watches_break_at_an_overloaded_service(seed: int) -> None:
     """28 of 40 fronts restart at once while the watches of the others break. With delays that only double,
     rejected calls are repeated faster than the service works them off."""
-    fronts = [Backoff(40, random.Random(f"{seed}/{k}")) for k in range(40)]
-    delays: list[Callable[[int], int]] = [
+    fronts = [Backoff(40, random.Random(f"{seed}/{number}")) for number in range(40)]
+    delay_functions: list[Callable[[int], int]] = [
         partial(
-            f.next_delay_us, remaining_us=MAX_CALL_GAP_US - SERVICE_QUEUE_TIMEOUT_US, waited_in_queue=True
+            front.next_delay_us, remaining_us=MAX_CALL_GAP_US - SERVICE_QUEUE_TIMEOUT_US, waited_in_queue=True
         )
-        for f in fronts
+        for front in fronts
     ]
-    got = overloaded_service(delays, [f.first_delay_us() for f in fronts], 30_000_000)
-    times = sorted(t for t in got if t is not None)
-    assert len(times) == 40 and times[-1] < 10_000_000 and times[27] < 5_000_000
-    old = [doubling(random.Random(f"{seed}/{k}")) for k in range(40)]
-    before = overloaded_service(old, [p(0) for p in old], 30_000_000)
-    assert sum(t is None for t in before) >= 15
+    received_us = overloaded_service(
+        delay_functions, [front.first_delay_us() for front in fronts], 30_000_000
+    )
+    times_us = sorted(time_us for time_us in received_us if time_us is not None)
+    assert len(times_us) == 40 and times_us[-1] < 10_000_000 and times_us[27] < 5_000_000
+    doubling_delays = [doubling_delay(random.Random(f"{seed}/{number}")) for number in range(40)]
+    received_with_doubling_us = overloaded_service(
+        doubling_delays, [delay_function(0) for delay_function in doubling_delays], 30_000_000
+    )
+    assert sum(time_us is None for time_us in received_with_doubling_us) >= 15
 
 
-@pytest.mark.parametrize("fleet", [1, 4, 40, 200, 100_000])
-def test_windows_grow_with_the_fleet_and_with_each_failure_and_are_bounded(fleet: int) -> None:
+@pytest.mark.parametrize("fleet_size", [1, 4, 40, 200, 100_000])
+def test_windows_grow_with_fleet_size_and_failures_up_to_the_bound(fleet_size: int) -> None:
     """Delays exceed the bound only after a queued call was rejected, and then grow with the fleet's size."""
-    one = Backoff(fleet, random.Random(1))
-    windows = []
-    for k in range(30):
-        windows.append(one.window_us())
-        assert FIRST_WINDOW_US // 2 <= one.next_delay_us(k * 777_777) <= windows[-1]
-    assert windows == sorted(windows) and windows[-1] <= MAX_CALL_GAP_US
-    assert windows[-1] == (LAST_WINDOW_US if fleet <= 10 else MAX_CALL_GAP_US)
-    delays = [one.next_delay_us(0, waited_in_queue=True) for _ in range(9)]
-    if fleet * 1_000_000 // SERVICE_CALLS_PER_SECOND <= MAX_CALL_GAP_US + SERVICE_QUEUE_TIMEOUT_US:
-        assert max(delays) <= MAX_CALL_GAP_US
+    backoff = Backoff(fleet_size, random.Random(1))
+    windows_us = []
+    for number in range(30):
+        windows_us.append(backoff.window_us())
+        assert FIRST_WINDOW_US // 2 <= backoff.next_delay_us(number * 777_777) <= windows_us[-1]
+    assert windows_us == sorted(windows_us) and windows_us[-1] <= MAX_CALL_GAP_US
+    assert windows_us[-1] == (LAST_WINDOW_US if fleet_size <= 10 else MAX_CALL_GAP_US)
+    delays_us = [backoff.next_delay_us(0, waited_in_queue=True) for _ in range(9)]
+    if fleet_size * 1_000_000 // SERVICE_CALLS_PER_SECOND <= MAX_CALL_GAP_US + SERVICE_QUEUE_TIMEOUT_US:
+        assert max(delays_us) <= MAX_CALL_GAP_US
     else:
         assert (
-            delays == sorted(delays)
-            and delays[0] >= LAST_WINDOW_US
-            and MAX_BACKLOG_US <= delays[-1] <= 2 * MAX_BACKLOG_US
+            delays_us == sorted(delays_us)
+            and delays_us[0] >= LAST_WINDOW_US
+            and MAX_BACKLOG_US <= delays_us[-1] <= 2 * MAX_BACKLOG_US
         )
-        assert delays[0] >= min(
-            fleet * 1_000_000 // SERVICE_CALLS_PER_SECOND - MAX_CALL_GAP_US - SERVICE_QUEUE_TIMEOUT_US,
+        assert delays_us[0] >= min(
+            fleet_size * 1_000_000 // SERVICE_CALLS_PER_SECOND - MAX_CALL_GAP_US - SERVICE_QUEUE_TIMEOUT_US,
             MAX_BACKLOG_US,
         )
-    one.queue_emptied()
-    assert one.next_delay_us(0) <= MAX_CALL_GAP_US
-    one.record_success()
-    assert one.window_us() == windows[0] == min(max(FIRST_WINDOW_US, fleet * 100_000), MAX_CALL_GAP_US)
+    backoff.queue_emptied()
+    assert backoff.next_delay_us(0) <= MAX_CALL_GAP_US
+    backoff.record_success()
+    assert (
+        backoff.window_us()
+        == windows_us[0]
+        == min(max(FIRST_WINDOW_US, fleet_size * 100_000), MAX_CALL_GAP_US)
+    )
 
 
-def test_the_time_that_a_call_hung_is_part_of_the_bound() -> None:
-    for fleet in (1, 5, 30, 200):
-        for k in range(50):
-            one = Backoff(fleet, random.Random(k))
+def test_delay_stays_within_the_remaining_time() -> None:
+    for fleet_size in (1, 5, 30, 200):
+        for seed in range(50):
+            backoff = Backoff(fleet_size, random.Random(seed))
             assert (
-                one.next_delay_us(k, remaining_us=300_000) <= 300_000
-                and one.next_delay_us(k, remaining_us=-1) <= FIRST_WINDOW_US
+                backoff.next_delay_us(seed, remaining_us=300_000) <= 300_000
+                and backoff.next_delay_us(seed, remaining_us=-1) <= FIRST_WINDOW_US
             )
 
 
-def test_a_fleet_that_fails_together_calls_evenly_and_once_a_window() -> None:
+def test_calls_of_a_fleet_are_spread_evenly_over_each_window() -> None:
     """No member calls twice in a window, and the calls are evenly spread over the window."""
-    fronts, calls = [Backoff(200, random.Random(k)) for k in range(200)], list[int]()
-    for one in fronts:
-        now = 0
-        while now < 10 * MAX_CALL_GAP_US:
-            now += one.next_delay_us(now)
-            calls.append(now)
-    for begin in range(0, 9 * MAX_CALL_GAP_US, MAX_CALL_GAP_US):
-        inside = [t for t in calls if begin <= t < begin + MAX_CALL_GAP_US]
-        assert len(inside) <= 210
-        assert max(sum(t // 500_000 == s for t in inside) for s in range(100)) <= 45  # 26 on average
-
-
-def test_a_new_process_of_a_small_fleet_calls_at_once_and_one_of_a_large_fleet_somewhere_in_the_burst() -> (
-    None
-):
-    assert {Backoff(4, random.Random(k)).first_delay_us() for k in range(9)} == {0}
-    starts = [Backoff(40, random.Random(k)).first_delay_us() for k in range(400)]
-    assert max(starts) <= 4_000_000 and min(starts) < 100_000
-    assert 1.8 < sum(starts) / len(starts) / 1_000_000 < 2.2
+    fronts, calls_us = [Backoff(200, random.Random(seed)) for seed in range(200)], list[int]()
+    for front in fronts:
+        now_us = 0
+        while now_us < 10 * MAX_CALL_GAP_US:
+            now_us += front.next_delay_us(now_us)
+            calls_us.append(now_us)
+    for begin_us in range(0, 9 * MAX_CALL_GAP_US, MAX_CALL_GAP_US):
+        calls_in_window_us = [
+            call_us for call_us in calls_us if begin_us <= call_us < begin_us + MAX_CALL_GAP_US
+        ]
+        assert len(calls_in_window_us) <= 210
+        # 26 on average
+        assert (
+            max(
+                sum(call_us // 500_000 == half_second for call_us in calls_in_window_us)
+                for half_second in range(100)
+            )
+            <= 45
+        )
+
+
+def test_first_call_is_immediate_in_a_small_fleet_and_spread_in_a_large_one() -> None:
+    assert {Backoff(4, random.Random(seed)).first_delay_us() for seed in range(9)} == {0}
+    delays_us = [Backoff(40, random.Random(seed)).first_delay_us() for seed in range(400)]
+    assert max(delays_us) <= 4_000_000 and min(delays_us) < 100_000
+    assert 1.8 < sum(delays_us) / len(delays_us) / 1_000_000 < 2.2
 
 
 def test_retry_after_is_respected_within_the_bound() -> None:
