--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Rooms: when a room is lost in a front's eyes and when it is not, what spills, and how it comes back."""
+"""Zones: when a front marks a zone as down or degraded, what spills over, and how a zone recovers."""
 
 import math
 import random
@@ -95,7 +95,7 @@
     assert not [v for v in of.take_transitions() if v.state is ZoneState.DOWN]
     assert of.state("b") is (
         ZoneState.HEALTHY if down == 1 else ZoneState.DEGRADED
-    )  # half of it is no longer its servers' own
+    )  # two of four endpoints down are no longer outliers
 
 
 def test_one_broken_connection_to_each_endpoint_marks_no_zone_down() -> None:
@@ -238,7 +238,7 @@
 @settings(max_examples=40)
 @given(st.integers(0, 1 << 30))
 def test_a_healthy_fleet_with_dead_endpoints_and_errors_is_never_down(seed: int) -> None:
-    """A tenth of the servers dead, one attempt in fifty breaks: 20 s of 100 attempts a second."""
+    """20 s with 100 attempts per second: a tenth of the servers is dead, and one attempt in fifty breaks."""
     chance, of = random.Random(seed), machine("aaaaabbbbbccccc")
     dead = {m for m in of.members if chance.random() < 0.07}
     if any(sum(m[0] == r for m in dead) > 2 for r in "abc"):
@@ -252,7 +252,7 @@
     assert not [v for v in of.take_transitions() if v.state is ZoneState.DOWN]
 
 
-# The way back
+# Recovery
 
 
 def lose(of: ZoneHealth, at: int, room: str = "b") -> None:
@@ -262,7 +262,7 @@
 
 
 def tried(of: ZoneHealth, now: int, met: Contact) -> int:
-    """All trials that are due now, each with its outcome."""
+    """Run all trials of zone b that are due now with this outcome, and return their number."""
     count = 0
     for m in list(of.members.values()):
         if m.zone == "b" and of.state("b") is ZoneState.DOWN and of.try_start_trial(now, m.name):
@@ -276,9 +276,9 @@
     of = machine()
     lose(of, 10 * MICROSECONDS_PER_S)
     early = sum(tried(of, 10 * MICROSECONDS_PER_S + k * 50_000, Contact.BROKEN) for k in range(20))
-    assert early == 0  # it is left alone first
+    assert early == 0  # no trials at first
     late = sum(tried(of, 13 * MICROSECONDS_PER_S + k * 50_000, Contact.BROKEN) for k in range(100))
-    assert 3 <= late <= 10  # about one a second
+    assert 3 <= late <= 10  # about one per second
     at = 20 * MICROSECONDS_PER_S
     while of.state("b") is ZoneState.DOWN:
         tried(of, at, Contact.ANSWERED)
@@ -341,7 +341,7 @@
     assert len(times) > 10
 
 
-# By hand, and peers
+# Overrides by operators, and reports of peers
 
 
 def test_an_evacuated_zone_gets_nothing_whatever_the_evidence() -> None:
@@ -363,11 +363,11 @@
     for k in range(9):
         of.record_peer_state(MICROSECONDS_PER_S, f"p{k}", "b", ZoneState.DOWN)
     of.tick(MICROSECONDS_PER_S)
-    assert of.state("b") is ZoneState.HEALTHY  # own evidence says otherwise
+    assert of.state("b") is ZoneState.HEALTHY  # this front's own evidence contradicts the peers
     for n in range(2):
         of.record_outcome(MICROSECONDS_PER_S, "b4", f"{n}", Contact.BROKEN)
         of.record_outcome(MICROSECONDS_PER_S, "b5", f"{n}", Contact.BROKEN)
-    assert of.state("b") is ZoneState.HEALTHY  # two of four, and two up
+    assert of.state("b") is ZoneState.HEALTHY  # two endpoints of four are down, and two are up
     for n in range(2):
         of.record_outcome(MICROSECONDS_PER_S + 1, "b6", f"{n}", Contact.BROKEN)
         of.record_outcome(MICROSECONDS_PER_S + 1, "b7", f"{n}", Contact.BROKEN)
@@ -390,7 +390,7 @@
     assert needed(1) <= needed(0)
 
 
-# Spill
+# Spillover
 
 
 def test_reserves_go_before_shares_and_shares_before_spare() -> None:
@@ -445,11 +445,11 @@
     assert given_ <= most * (now / MICROSECONDS_PER_S) + most + 1e-6
 
 
-# The director
+# The router
 
 
 def director(rooms: str = "aabbcc", shards: int = 2, rules: ZoneSettings = RULES) -> ZoneRouter:
-    """Servers a0 a1 b0 b1 c0 c1, each shard in each room."""
+    """Return a router with the endpoints a0 a1 b0 b1 c0 c1: each zone has an endpoint of each shard."""
     made = ZoneRouter(rules, SETTINGS, 1, 0)
     names = [f"{r}{k % shards}" for k, r in enumerate(rooms)]
     nodes = tuple(Endpoint(n, EndpointStatus.UP, int(n[1:]), zone=n[0]) for n in names)
@@ -504,7 +504,7 @@
 
 
 def test_a_shard_of_a_down_zone_alone_is_rejected_at_once_with_retry_after() -> None:
-    of = director("aabc", 2)  # shards 0 and 1 in a; b0 and c1 beside: make shard 1 c's and a's
+    of = director("aabc", 2)  # shard 0 in zones a and b, shard 1 in a and c until c1 is gone
     of.apply_endpoint_list(0, EndpointList(False, (Endpoint("c1", EndpointStatus.GONE, 1),)))
     broken(of, MICROSECONDS_PER_S, "a")
     of.changed_endpoints(MICROSECONDS_PER_S)
@@ -586,7 +586,10 @@
 
 
 def test_the_endpoint_list_goes_before_zones() -> None:
-    """Gone and draining servers stay so; one that the list starts anew counts by the later of both times."""
+    """Endpoints that are gone or draining in the list stay so.
+
+    The start time of an endpoint is the later one of its start in the list and its recovery.
+    """
     of = director()
     news = of.apply_endpoint_list(1, EndpointList(False, (Endpoint("a0", EndpointStatus.GONE, 0),)))
     assert [(n.name, n.status) for n in news.endpoints] == [("a0", EndpointStatus.GONE)]
@@ -604,7 +607,7 @@
 def test_a_contact_record_counts_silence_once() -> None:
     of = ContactRecord()
     of.record_attempt(0, "a")
-    assert not of.detect_silence(800_000, 700_000)  # one that is never answered is that request's own
+    assert not of.detect_silence(800_000, 700_000)  # a single unanswered attempt may be the request's fault
     of.record_attempt(1, "b")
     assert not of.detect_silence(600_000, 700_000)
     assert of.detect_silence(800_000, 700_000) and not of.detect_silence(900_000, 700_000)
--- a/tests/test_zones_front.py
+++ b/tests/test_zones_front.py
@@ -1,5 +1,4 @@
-"""Rooms joined to fronts: in virtual time over emulated nodes, at the operators' door, and in the
-configuration."""
+"""Zones in fronts: in virtual time with emulated nodes, in the admin API, and in the configuration."""
 
 import json
 import urllib.request
@@ -70,13 +69,14 @@
     }
     took = [a.at - asked[a.id].at for a in of.answered if a.id in asked and a.kind == "refused"]
     assert len(took) > 50
-    assert sum(t < 5_000 for t in took) / len(took) > 0.85  # but for trials, which learn it the slow way
+    # All but trials, which are rejected only after their attempts failed.
+    assert sum(t < 5_000 for t in took) / len(took) > 0.85
     came = Counter(c.id for c in of.came if c.id in asked)
-    assert sum(came.values()) <= 4 * 4 * 2 * len(world.fronts)  # trials alone
+    assert sum(came.values()) <= 4 * 4 * 2 * len(world.fronts)  # only trials were sent
 
 
 def test_attempts_stay_bounded_while_a_zone_is_down() -> None:
-    """With two copies each read has a second try: no more than the part that retries may add."""
+    """With two copies each read could be retried, but no more than the retry budget adds is sent."""
     world = played("at 6s dark room 1 for 8s", "at 16s cut room 2 for 4s")
     for front in world.fronts:
         counts = front.engine.counters
@@ -113,7 +113,7 @@
         assert any(r.peer_states for f in world.fronts for r in f.zones.router.zone_health.zones.values())
 
 
-# One engine by hand
+# A single request lifecycle whose attempts the test ends
 
 
 SETTINGS = Settings(
@@ -131,7 +131,7 @@
 
 
 class ZoneHarness:
-    """An engine with rooms, whose attempts are ended by the test."""
+    """A request lifecycle with zones, whose attempts are ended by the test."""
 
     def __init__(self) -> None:
         loop = self.loop = Loop()
@@ -189,7 +189,7 @@
         self.run(0)
 
     def lose(self) -> None:
-        """Room a, by two broken attempts at each of its servers."""
+        """Mark zone a as down by two broken attempts at each of its endpoints."""
         for name in ("a00", "a01", "a10", "a11", "only"):
             for k in range(2):
                 self.rooms.router.record_outcome(
@@ -217,7 +217,7 @@
     of.ask("u", "upload")
     assert {a.endpoint[0] for a in of.out} == {"a"}
     of.lose()
-    assert [a.request.incoming.key for a in of.stopped] == ["r"]  # an upload may have run: it stays
+    assert [a.request.incoming.key for a in of.stopped] == ["r"]  # the upload may have run, so it stays there
     assert [(a.request.incoming.key, a.endpoint[0]) for a in of.out] == [("u", "a"), ("r", "b")]
 
 
@@ -300,7 +300,7 @@
 
 
 def test_admin_api_calls_reach_zones(tmp_path: Path) -> None:
-    """Over a whole front: the state, an evacuation, and what is no room."""
+    """Over a running front: the state of zones, an evacuation, and unknown zones and overrides."""
     import asyncio
 
     from tests.test_lists_front import world
