--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -108,7 +108,7 @@
             fleet_size * 1_000_000 // SERVICE_CALLS_PER_SECOND - MAX_CALL_GAP_US - SERVICE_QUEUE_TIMEOUT_US,
             MAX_BACKLOG_US,
         )
-    backoff.queue_emptied()
+    backoff.record_connect_failure()
     assert backoff.next_delay_us(0) <= MAX_CALL_GAP_US
     backoff.record_success()
     assert (
--- a/umberlead/recovery/backoff.py
+++ b/umberlead/recovery/backoff.py
@@ -128,7 +128,7 @@
         burst_us = self.fleet_size * SECOND_US // BURST_CALLS_PER_SECOND
         return min(max(burst_us, FIRST_WINDOW_US), MAX_CALL_GAP_US)
 
-    def queue_emptied(self) -> None:
+    def record_connect_failure(self) -> None:
         """Record that no connection to the service could be opened, so that its queue is gone."""
         self.rejections_after_queueing = 0
 
--- a/umberlead/recovery/discovery_pacing.py
+++ b/umberlead/recovery/discovery_pacing.py
@@ -177,7 +177,7 @@
         if self.is_agent or (self.is_agent is None and hung):
             return self.backoff.agent_delay_us()
         if call.connected_us is None and not silent:
-            self.backoff.queue_emptied()
+            self.backoff.record_connect_failure()
         since_us = call.last_activity_us if silent else now_us if call.list_received else call.started_us
         remaining_us = since_us + MAX_CALL_GAP_US - now_us
         was_rejected = call.answered and call.status not in (0, STATUS_OK)
