--- a/umberlead/zones/router.py
+++ b/umberlead/zones/router.py
@@ -61,7 +61,7 @@
 
     Attributes:
         is_spillover: Whether it counts against the spillover budget.
-        trial_endpoint: The endpoint of a zone that is down which the request is a trial of; None if of none.
+        trial_endpoint: The endpoint that the request tries if it is a trial of a zone that is down.
     """
 
     is_spillover: bool = False
@@ -330,7 +330,7 @@
         """Update what depends on time; to be called at least every 100 ms."""
         self.zone_health.tick(now_us)
         self.spillover_budget.adjust(now_us)
-        if now_us % MICROSECONDS_PER_S < 100_000:  # closes endpoints that were opened but got no trial
+        if now_us % MICROSECONDS_PER_S < 100_000:  # once a second, close endpoints that got no trial
             self.open_for_trial.clear()
 
     def is_shard_down(self, shard: int) -> bool:
--- a/umberlead/zones/zone_health.py
+++ b/umberlead/zones/zone_health.py
@@ -64,7 +64,7 @@
 
 
 class ZoneHealth:
-    """The states of all zones of the endpoint list in force.
+    """The states of all zones of the current endpoint list.
 
     Attributes:
         members: The endpoints of the list, by name.
