--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -78,7 +78,7 @@
     ("long answers: a small one that stopped is waited for", STREAM, "due_us = min(due_us, max(response.last_received_us + SERVER_PAUSE_TIMEOUT_US, self.deadline_us))", "pass"),
     ("long answers: a flood has no end", STREAM, "elif exceeds_stream_limit(self.forwarded_bytes):", "elif False:"),
     ("long answers: none gives way at nodes", POOL, "            min(overdue)[2].evict()\n", "            return False\n"),
-    ("long answers: a lower cap ends all connections at rest", POOL, "        for _ in range(len(self.slots) - self.max_connections):  # their slots are free a turn later\n", "        while len(self.slots) > self.max_connections:\n"),
+    ("long answers: a lower cap ends all connections at rest", POOL, "        for _ in range(len(self.slots) - self.max_connections):  # slots are freed one iteration later\n", "        while len(self.slots) > self.max_connections:\n"),
     ("long answers: none gives its client's place", CLIENTS, "        if not overdue:\n            return False\n", "        return False\n"),
     ("long answers: to a client of HTTP/1.0 one that broke off looks whole", SERVER, "if not (self.chunked or self.response_length or self.transport.is_closing()):", "if False:"),
     ("long answers: a write's is cut off where its server pauses", NODE, "wait_us = max(wait_us, SERVER_PAUSE_TIMEOUT_US)", "pass"),
--- a/umberlead/net/__init__.py
+++ b/umberlead/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: clients' connections, connections to endpoints, and the watch of service discovery."""
+"""Network connections: from clients, to endpoints, and to service discovery."""
--- a/umberlead/net/client_connections.py
+++ b/umberlead/net/client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections of one listener: their limit, the order of eviction, and the memory that they buffer."""
+"""The client connections of one listener: connection limit, eviction order and buffered memory."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -13,16 +13,17 @@
 from umberlead.net.timeouts import idle_timeout_us
 from umberlead.resource_limits import MAX_HEADER_BYTES
 
-IDLE_EVICTION_THRESHOLD = 0.5  # of the slots; above it new connections end with their first response
-ACCEPT_GRACE_US = 100_000  # in which a new connection is not evicted: its request may be on the way
+IDLE_EVICTION_THRESHOLD = 0.5  # of all slots; with more in use, a connection closes after its first response
+ACCEPT_GRACE_US = 100_000  # for which a new connection is not evicted, since its request may be in flight
 
 
-# Not partially read; ended; unused; longest in its state: such connections are evicted first.
+# Whether a request is partially read, whether the connection is still in use (not ending), whether it has
+# had a response, and when its state began. False sorts first.
 ClientEvictionKey: TypeAlias = tuple[bool, bool, bool, int]
 
 
 class ClientConnection(Protocol):
-    """What the group needs of a connection; `ServerConnection` implements it."""
+    """The part of a connection that the group uses; `ServerConnection` implements it."""
 
     transport: asyncio.Transport
     slot: int
@@ -41,7 +42,7 @@
         """End the connection, which has exceeded the timeout of its state."""
 
     def is_write_stalled(self, now_us: int) -> bool:
-        """Return whether the client has stopped reading a response that waits for it."""
+        """Return whether the client has stopped reading a response that is not completely sent."""
 
     def is_reading_paused(self) -> bool:
         """Return whether reading is paused, so that a disconnect would go unnoticed."""
@@ -53,10 +54,10 @@
         """Return whether the socket's receive buffer holds bytes of a request."""
 
     def record_close(self, reason: CloseReason) -> None:
-        """Record why the connection ends, once."""
+        """Record why the connection closes; only the first call has an effect."""
 
     def abort_disconnected(self) -> None:
-        """End the connection of a client whose disconnect was not reported yet."""
+        """Abort the connection of a client whose disconnect the event loop has not reported yet."""
 
     def close_if_idle(self) -> None:
         """Close the connection if it has no request."""
@@ -65,13 +66,13 @@
         """Reject a partially read request, or close an idle connection."""
 
     def abort_response(self) -> None:
-        """Abort the connection within a response."""
+        """Abort the connection in the middle of a response."""
 
     def abort_evicted(self) -> None:
         """Free the connection's slot; a partially read request is rejected first."""
 
     def is_evictable(self, before_us: int) -> bool:
-        """Return whether no request is open, and the state has lasted since `before_us`."""
+        """Return whether no request is open, and the present state began by `before_us`."""
 
     def eviction_order(self) -> ClientEvictionKey:
         """Return the sort key for eviction; the smallest is evicted first."""
@@ -86,13 +87,13 @@
         buffer_limit_bytes: limit on request bodies, unparsed input and unread responses of all connections.
         buffered_bytes: how much of that is in use.
         max_header_bytes: limit on the headers of a request.
-        on_capacity_shortage: requests a higher connection limit.
-        on_close: is called at a connection's end with whether a response is owed on it, the reason, and the
-            call ids of its open requests.
-        evicting_count: connections that were evicted and keep their slot for one more turn of the event loop.
-        stopping: the process stops; established connections are still served.
-        close_after_response: another process takes over, so connections end with their next response.
-        rejecting: the process ends; further requests are rejected unread.
+        on_capacity_shortage: is called when all slots are in use, and requests a higher connection limit.
+        on_close: is called when a connection closes, with whether a response is still owed on it, the reason
+            for the close, and the call ids of its open requests.
+        evicting_count: number of evicted connections; each keeps its slot for one more event-loop iteration.
+        stopping: the process is stopping; established connections are still served.
+        close_after_response: another process takes over, so each connection closes after its next response.
+        rejecting: the process is about to exit; further requests are rejected without being handled.
     """
 
     def __init__(
@@ -104,7 +105,7 @@
         buffer_limit_bytes: int,
         log: Callable[..., Any],
     ) -> None:
-        """Start without connections.
+        """Create a group without connections.
 
         Args:
             max_connections: limit on connections that have a slot.
@@ -130,14 +131,14 @@
 
     @property
     def count(self) -> int:
-        """The number of connections that have a slot, without evicted ones."""
+        """The number of connections that have a slot, not counting evicted ones."""
         return len(self.slots) - self.evicting_count
 
     def close_expired(self) -> None:
         """End connections that exceed the timeout of their present state.
 
-        Once most slots are in use, idle connections end sooner. Connections above a lowered limit are
-        evicted.
+        Once more than half of the slots are in use, the timeout of idle connections is shorter. Connections
+        above a lowered limit are evicted.
         """
         now_us = self.clock()
         self.evict_excess()
@@ -165,24 +166,24 @@
         return sum(conn.active_request is not None or not conn.is_evictable(before_us) for conn in self.slots)
 
     def above_idle_threshold(self) -> bool:
-        """Return whether a connection ends with its first response, since many are established.
+        """Return whether so many connections are established that one closes after its first response.
 
-        Clients that send one request and keep their connections would use up all slots, also of the peer
-        process. This excludes connections that were used again, and does not apply while the listener is
-        stopping.
+        Otherwise clients that send one request and keep their connection would use up all slots, including
+        those of the peer process. Connections that have had a response are exempt, and so are all while the
+        process is stopping.
         """
         return self.count > self.max_connections * IDLE_EVICTION_THRESHOLD and not self.stopping
 
     def is_full(self) -> bool:
         """Return whether requests occupy all slots.
 
-        A connection without a request so far takes no slot from a request that has arrived.
+        A connection that has not sent a request does not count, so it never displaces a received request.
         """
         busy = sum(conn.active_request is not None or conn.write_blocked for conn in self.slots)
         return busy >= self.max_connections
 
     def has_buffer_for(self, size_bytes: int) -> bool:
-        """Return whether `size_bytes` more could be buffered if their client does not read them."""
+        """Return whether another `size_bytes` fit into the buffer limit if the client does not read them."""
         return self.buffered_bytes + size_bytes <= self.buffer_limit_bytes
 
     def drain(self) -> None:
@@ -194,15 +195,15 @@
     def reject_new_requests(self) -> None:
         """Serve no further request.
 
-        Requests that arrive or are partially read are rejected at once, and pipelined ones get a rejection
-        each.
+        Requests that arrive or are partially read are rejected at once; each pipelined request gets its own
+        rejection.
         """
         self.rejecting = self.close_after_response = True
         for conn in self.slots:
             conn.begin_shutdown()
 
     def close(self) -> None:
-        """Abort responses that are unread by now: the process ends, and clients notice at once."""
+        """Abort responses that are not completely sent, so that clients notice before the process exits."""
         for conn in self.slots:
             if conn.write_blocked:
                 conn.abort_response()
@@ -211,9 +212,8 @@
     def evictable(self) -> Iterator[ClientConnection]:
         """Iterate over the connections that can be evicted, in order.
 
-        They are searched once, on the first request for one: a search serves a whole batch of accepts. First
-        come connections that are ending anyway, then those that have sent nothing, then the one idle for
-        longest.
+        The search runs when the first connection is taken, and serves a whole batch of accepts. Connections
+        that are ending come first, then those that have had no response, then the longest idle.
         """
         before_us = self.clock() - ACCEPT_GRACE_US
         found = [conn for conn in self.slots if conn.is_evictable(before_us)]
@@ -224,15 +224,15 @@
         """Evict a connection if all slots are in use; return False if none can be evicted.
 
         An evicted client reconnects when it needs to. If all connections have an open request, a streamed
-        response is aborted that is far past its request's deadline. A flood of silent connections displaces
-        no usual client.
+        response that is far past its request's deadline is aborted. A flood of connections that send nothing
+        evicts no client that sends requests.
         """
         return self.count < self.max_connections or self.evict(self.evictable())
 
     def evict(self, evictable: Iterator[ClientConnection]) -> bool:
-        """Evict the next of `evictable`, or else an overdue response; return False if there is none.
+        """Evict the next of `evictable`, or else abort an overdue response; return False if there is none.
 
-        The connection's slot is free now, and its descriptor one turn of the event loop later.
+        Its slot counts as free at once; its descriptor is closed in the next event-loop iteration.
         """
         for victim in evictable:
             if victim.has_unread_request():
--- a/umberlead/net/connection_input.py
+++ b/umberlead/net/connection_input.py
@@ -1,4 +1,4 @@
-"""The input side of a client's connection: what is parsed, what waits, and when it was received."""
+"""The input side of a client's connection: parsing, buffering and the time of receipt."""
 
 from typing import Protocol
 
@@ -7,13 +7,13 @@
 from umberlead.net.http_message import HttpRequest, RequestRejection
 from umberlead.net.request_parser import RequestLimits, RequestParser
 
-MAX_READ_BYTES = 256_000  # of one read of the event loop; a shorter one leaves nothing unread
-CATCH_UP_WINDOW_US = 50_000  # after reading was resumed, in which the receive buffer is read
-MAX_PIPELINED_REQUESTS = 256  # of one read; later reads wait unparsed
+MAX_READ_BYTES = 256_000  # limit of one event-loop read; a shorter read has emptied the receive buffer
+CATCH_UP_WINDOW_US = 50_000  # after reading is resumed, for emptying the receive buffer
+MAX_PIPELINED_REQUESTS = 256  # from one read; later reads are buffered unparsed
 
 
 class InputRules(RequestLimits, Protocol):
-    """What the input side needs of a front end's handler.
+    """The part of a front end's handler that the input side uses.
 
     Attributes:
         allows_slow_bodies: whether a body may take long as long as it progresses.
@@ -30,22 +30,23 @@
         super().__init__(clients)
         self._rules = rules
         self._parser = RequestParser(self, rules, clients)
-        self._timeout_deferred = False  # the timeout has passed while input of the request was unread
-        self._ignored_bytes = 0  # read after the end
+        self._timeout_deferred = False  # the request's timeout passed while part of it was unread
+        self._ignored_bytes = 0  # received after the connection stopped accepting requests
 
     def _start_next_request(self) -> None:
-        """Hand the next request over if it is its turn."""
+        """Pass the next request to the handler if none is active."""
         raise NotImplementedError
 
     def _send_rejection(self) -> None:
-        """Write the last response of the connection."""
+        """Write the rejection, which is the last response of the connection."""
         raise NotImplementedError
 
     def data_received(self, data: bytes) -> None:
-        """Parse input, or buffer it until its turn."""
+        """Parse input, or buffer it behind earlier input that waits."""
         received_us = self._received_us(data)
         if not self.accepts_requests:
-            # Read on for a moment, so that the response is not lost to a reset, but not without limit.
+            # Closing with unread input would send a reset, and the client could lose the response. Input is
+            # therefore read and ignored, up to a limit.
             self._ignored_bytes += len(data)
             if self._ignored_bytes > self.clients.max_header_bytes and not self.closed:
                 self.transport.pause_reading()
@@ -57,8 +58,8 @@
     def _received_us(self, data: bytes) -> int:
         """Return when input that is read now may have arrived, in microseconds.
 
-        For what waited in the receive buffer while reading was paused, only the time of the pause is known. A
-        request's time runs from then, since its client's does.
+        For input that was in the receive buffer while reading was paused, only the start of the pause is
+        known. The request's time budget runs from then, because the client's timeout runs as well.
         """
         now_us = self.clients.clock()
         if self.backlog_since_us:
@@ -75,10 +76,10 @@
         return now_us if caught_up else since_us
 
     def _buffer_input(self, data: bytes, received_us: int) -> None:
-        """Buffer input that is not its turn yet.
+        """Buffer input behind earlier input that waits.
 
-        Reading goes on so that a disconnect is noticed. Beyond the header limit it is paused, and
-        `ClientGroup.close_expired` looks for disconnects.
+        Reading continues so that a disconnect is noticed. Above the header limit it is paused, and
+        `ClientGroup.close_expired` polls for disconnects.
         """
         self._pending_input.put_unparsed(data, received_us)
         if self.clients.buffered_bytes > self.clients.buffer_limit_bytes:
@@ -104,22 +105,22 @@
             self._resumed_us = self.clients.clock()
             self.transport.resume_reading()
 
-    # RequestReceiver: called by the parser
+    # RequestReceiver interface: called by the parser
 
     def request_started(self) -> None:
-        """Start a request's time; that of the first request runs from the accept."""
+        """Start a request's timeout; that of the first request runs from the accept."""
         self._timeout_deferred = False
         if self.active_request is None and self.served_count:
             self.state_since_us = self.clients.clock()
 
     def headers_complete(self, request: HttpRequest) -> None:
-        """Request the body from a client that waits for 100 Continue."""
+        """Send 100 Continue to a client that expects it."""
         expects = request.headers.get(b"expect", b"").lower() == b"100-continue"
         if expects and self.active_request is None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def body_progressed(self) -> None:
-        """Restart the body's timeout: a slow upload that progresses is not stalled."""
+        """Restart the body's timeout if slow uploads are allowed, since this one progresses."""
         if self.active_request is None and self._rules.allows_slow_bodies:
             self.state_since_us = self.clients.clock()
 
@@ -131,7 +132,7 @@
         self._start_next_request()
 
     def reject(self, status: int, reason: str, target: bytes = b"") -> None:
-        """Reject what can't be read or served; the connection ends with that response."""
+        """Reject input that can't be read or served; the connection closes after that response."""
         partial = self._parser.partial_request
         rejected = partial.target if partial is not None else target
         self._parser.discard()
--- a/umberlead/net/connection_state.py
+++ b/umberlead/net/connection_state.py
@@ -1,4 +1,4 @@
-"""The state of a client's connection, and queries on it."""
+"""The state of a client's connection, and queries about it."""
 
 import asyncio
 import select
@@ -16,37 +16,37 @@
 
 
 class ConnectionState:
-    """The state of one connection. It neither writes to the connection nor ends it; `ServerConnection` does.
+    """The state of one connection. Writing and closing are left to `ServerConnection`.
 
     Attributes:
-        clients: the listener's connections, which this one belongs to.
+        clients: the group of the listener's connections, to which this one belongs.
         transport: the connection's transport.
         slot: index among the listener's connections; -1 before the connection has one.
         active_request: the request that is being responded to.
-        ended: no further input is read or responded to.
-        close_after_response: the connection closes after the present response.
-        served_count: number of responses given.
+        ended: no further input is handled as a request.
+        close_after_response: the connection closes after the current response.
+        served_count: number of completed responses.
         closed: the transport is closed.
-        client_disconnected: the client closed, reset or ended its sending, so no response is owed.
-        evicted: the connection gave up its slot.
-        write_blocked: a response waits for the client to read it.
+        client_disconnected: the client closed, half-closed or reset the connection, so no response is owed.
+        evicted: the connection was closed to free its slot.
+        write_blocked: part of a response is unsent until the client reads.
         state_since_us: when the present state began.
-        handler_context: belongs to the handler.
-        backlog_since_us: earliest time since which the connection may have waited for its accept; 0 if it did
-            not.
-        close_reason: why the connection ended or ends; None while it is established.
-        rejected_target: request target of what was rejected unread.
+        handler_context: data of the request handler, for the active request.
+        backlog_since_us: earliest time at which the connection may have entered the listen backlog; 0 if it
+            was accepted at once.
+        close_reason: why the connection closed or is closing; None before.
+        rejected_target: target of the request that was rejected without being handled.
         response_status: HTTP status of the latest response.
         response_length: body length of the latest response.
         chunked: the latest streamed response uses chunked transfer coding.
-        body_source: where the remainder of a streamed response comes from.
+        body_source: provides the remainder of a streamed response; None if none is in progress.
     """
 
     _parser: RequestParser
     _socket: SocketState
 
     def __init__(self, clients: ClientGroup) -> None:
-        """Start before the connection is accepted, as one of `clients`."""
+        """Create the state of a connection of `clients` that is not accepted yet."""
         self.clients = clients
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.slot = -1
@@ -64,14 +64,14 @@
         self.body_source: BodySource | None = None
         self.write_blocked = False
         self._pending_input = PendingInput(clients)
-        self._rejection: RequestRejection | None = None  # sent once the requests before it are responded to
-        self._unread_since_us = 0  # since when the next input may have been in the receive buffer
-        self._resumed_us = 0  # when reading was resumed last
-        self._unsent_bytes = self._unsent_since_us = 0  # of the latest check, and since when
+        self._rejection: RequestRejection | None = None  # sent after the responses to earlier requests
+        self._unread_since_us = 0  # earliest arrival of the next input; 0 if it is not delayed
+        self._resumed_us = 0  # when reading was last resumed
+        self._unsent_bytes = self._unsent_since_us = 0  # at the latest check, and when that changed
 
     @property
     def pipelined_requests(self) -> deque[HttpRequest]:
-        """Complete requests that wait behind the active one."""
+        """Complete requests that are queued behind the active one."""
         return self._pending_input.requests
 
     @property
@@ -85,15 +85,15 @@
         return not self.ended and self._rejection is None
 
     def has_more_input(self) -> bool:
-        """Return whether the client has sent anything behind the active request."""
+        """Return whether the client has sent anything after the active request."""
         return bool(
             self._pending_input or self._parser.partial_request is not None or self._rejection is not None
         )
 
     def owes_response(self) -> bool:
-        """Return whether a request was read, partially or completely, whose response has not begun.
+        """Return whether a request was read, partially or completely, whose response has not started.
 
-        The response to a rejected one is written, or waits for those before it.
+        This includes a rejection that waits for the responses before it.
         """
         if self.client_disconnected or self.ended:
             return False
@@ -109,9 +109,10 @@
         return b",".join(ids).decode("latin-1")
 
     def is_write_stalled(self, now_us: int) -> bool:
-        """Return whether the client has read nothing for long of what waits for it here or in the socket.
+        """Return whether the client has read none of the unsent bytes for `WRITE_STALL_TIMEOUT_US`.
 
-        A client that takes minutes over a response is served as long as it progresses.
+        Unsent are those in the transport's write buffer and in the socket's. A client may take minutes to
+        read a response as long as it progresses.
         """
         unsent_bytes = self._socket.unsent_bytes()
         if unsent_bytes != self._unsent_bytes:
@@ -125,7 +126,10 @@
         return not (busy or self.pipelined_requests or self.ended)
 
     def is_evictable(self, before_us: int) -> bool:
-        """Return whether no request is open, and the state began by `before_us` or ends anyway."""
+        """Return whether no request is open, and the connection is ending or its state began by `before_us`.
+
+        A connection with a stalled or very slow upload is evictable too.
+        """
         if self.active_request is not None or self.pipelined_requests or self.write_blocked:
             return False
         settled = self.ended or self.state_since_us <= before_us
@@ -135,8 +139,8 @@
     def eviction_order(self) -> ClientEvictionKey:
         """Return the sort key for eviction; the smallest is evicted first.
 
-        A partially read request is evicted last: its end may be on the way, and it would be accepted and
-        lost.
+        A connection with a partially read request comes last: the rest may be in flight, and the request
+        would be received and lost.
         """
         return (
             self._parser.partial_request is not None,
@@ -150,7 +154,7 @@
         return self._socket.pending_events()
 
     def has_unread_request(self) -> bool:
-        """Return whether input is unread that would be lost if the connection were closed."""
+        """Return whether the receive buffer holds input that would be lost if the connection were closed."""
         events = self.pending_events()
         return bool(events & select.POLLIN) and not events & DISCONNECT_POLL_EVENTS
 
--- a/umberlead/net/dialing.py
+++ b/umberlead/net/dialing.py
@@ -1,7 +1,7 @@
-"""Dials to endpoints: slow ones are raced by others, as in happy eyeballs (RFC 8305).
+"""Dialing endpoints; further dials race a slow one, as in Happy Eyeballs (RFC 8305).
 
-The first connection to be established carries the oldest waiting attempt. Those established later carry the
-next ones, also after the end of the attempt that started them.
+The first connection to be established carries the attempt that has waited longest. Connections established
+later carry later attempts, even if the attempt that started their dial has ended.
 """
 
 import asyncio
@@ -16,21 +16,21 @@
 from umberlead.resource_limits import LOCAL_RESOURCE_ERRNOS
 from umberlead.scheduling.events import AttemptResult
 
-CONNECTION_ATTEMPT_DELAY_RATIO = 0.2  # of the connect timeout, after which a dial may be raced
-MAX_RACING_DIALS_COUNT = 2  # beside an attempt's first dial
-CONNECT_TIMEOUT_MULTIPLIER = 6  # connect timeouts after which a dial is abandoned
+CONNECTION_ATTEMPT_DELAY_RATIO = 0.2  # of the connect timeout; a dial that takes longer may be raced
+MAX_RACING_DIALS_COUNT = 2  # in addition to an attempt's first dial
+CONNECT_TIMEOUT_MULTIPLIER = 6  # number of connect timeouts after which a dial is abandoned
 SUCCESS_EWMA_WEIGHT = 0.1  # of the latest slow dial in the success rate
-MIN_SUCCESS_RATE = 0.25  # of slow dials, below which none is raced: to a lost endpoint none succeeds
+MIN_SUCCESS_RATE = 0.25  # of slow dials; below it none is raced, since the endpoint may be unreachable
 LOCAL_DIAL_ERRNOS = LOCAL_RESOURCE_ERRNOS.union((errno.EADDRNOTAVAIL,))
 
 
 class DialingPool(ConnectionPool[EndpointConnection], Protocol):
-    """What dials need of the pool.
+    """The part of the pool that the dialer uses.
 
     Attributes:
-        loop: the event loop that runs them.
-        slots: all connections, with those being dialed.
-        max_connections: limit on these.
+        loop: the event loop that runs the dials.
+        slots: all connections, including those being dialed.
+        max_connections: limit on the connections in `slots`.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -47,7 +47,7 @@
     """
 
     def __init__(self, pool: DialingPool) -> None:
-        """Dial for `pool`."""
+        """Create a dialer for `pool`, without dials."""
         self._pool = pool
         self.pending: dict[Address, list[EndpointConnection]] = {}
         self.success_rate = 2 * MIN_SUCCESS_RATE
@@ -60,7 +60,7 @@
         self._schedule(conn, self._next_check_us(conn))
 
     def unclaimed(self, address: Address | None = None) -> list[EndpointConnection]:
-        """Return the dials to `address`, or to any, that no attempt waits for."""
+        """Return the dials to `address`, or to all addresses, that no attempt waits for."""
         lists = self.pending.values() if address is None else [self.pending.get(address, [])]
         return [conn for dials in lists for conn in dials if conn.attempt is None]
 
@@ -85,8 +85,8 @@
     def _dial_ended(self, conn: EndpointConnection, task: "asyncio.Task[None]") -> None:
         """Handle a dial that ended without a connection: refused, timed out or cancelled.
 
-        If a connection is established in the very turn that cancels its dial, uvloop closes it without
-        calling connection_lost; the attempt would never get a result.
+        If a connection is established in the event-loop iteration that cancels its dial, uvloop closes it
+        without calling `connection_lost`. It is called here, or the attempt would never get a result.
         """
         cancelled = task.cancelled() or task.exception() is not None
         if conn.transport is not None:
@@ -108,17 +108,17 @@
     def _check_next_tick(self, conn: EndpointConnection) -> None:
         """Check an unfinished dial one tick later.
 
-        If the process was suspended (slow core, SIGSTOP), timers run before pending input is handled. Without
-        one more tick an established connection would count as an unreachable endpoint.
+        After the process was suspended (slow core, SIGSTOP), timers run before pending I/O is handled.
+        Without the extra tick, the endpoint of an established connection would count as unreachable.
         """
         conn.timer = self._pool.wheel.call_after(1, self._check, conn)
 
     def _check(self, conn: EndpointConnection) -> None:
         """Race a slow dial, or end its attempt at the connect timeout.
 
-        Connections to a healthy endpoint may be established late, one by one. Another dial starts beside a
-        slow one, and the first to succeed carries the attempt. At the timeout the attempt ends; its dial goes
-        on for whichever attempt waits when it succeeds.
+        Single connections to a healthy endpoint may be slow to establish. Another dial is therefore started
+        in parallel, and the first to succeed carries the attempt. At the connect timeout the attempt ends,
+        but its dial continues, for an attempt that waits when it succeeds.
         """
         pool = self._pool
         now_us = pool.clock()
@@ -131,13 +131,13 @@
                 conn.race_count += 1
                 self._race(conn.address)
             return self._schedule(conn, self._next_check_us(conn))
-        conn.connect_error = "not up in time"
+        conn.connect_error = "connect timeout exceeded"
         pool.counters.add("node_connections_timed_out")
         self._keep_dialing(conn)
         conn.end_attempt(AttemptResult.CONNECT_FAILED)
 
     def _race(self, address: Address) -> None:
-        """Start another dial if slow dials have succeeded before and the pool has capacity."""
+        """Start another dial if enough slow dials have succeeded and the pool has capacity."""
         pool = self._pool
         if self.success_rate >= MIN_SUCCESS_RATE and len(pool.slots) < pool.max_connections:
             pool.counters.add("node_connections_raced")
@@ -152,7 +152,7 @@
     def connection_established(self, conn: EndpointConnection) -> None:
         """Remove a dial that succeeded from the pending ones.
 
-        Without an attempt of its own it takes over that of the oldest unfinished dial.
+        A connection without an attempt takes over the attempt of the oldest unfinished dial.
         """
         now_us = self._pool.clock()
         if now_us - conn.state_since_us > CONNECTION_ATTEMPT_DELAY_RATIO * self._pool.connect_timeout_us:
@@ -170,7 +170,7 @@
             self._keep_dialing(waiting[0])
 
     def remove(self, conn: EndpointConnection) -> None:
-        """Forget a dial that succeeded or ended."""
+        """Remove a dial that has succeeded or ended."""
         dials = self.pending.get(conn.address)
         if dials and conn in dials:
             dials.remove(conn)
--- a/umberlead/net/discovery.py
+++ b/umberlead/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch of service discovery: a stream of changes, reconnected with backoff when it ends."""
+"""The watch of service discovery: a stream of endpoint list changes, reconnected with backoff."""
 
 import asyncio
 import json
@@ -13,18 +13,18 @@
 
 
 class DiscoveryWatch:
-    """Watches the endpoint list, and keeps the latest one while the service can't be reached.
+    """Watches the endpoint list; the latest one stays in use while the service can't be reached.
 
     Attributes:
         address: host and port of the service.
         list_index: version of the latest list.
         on_message: is called with each list or change.
-        pacing: the rules on timeouts and backoff, from the fleet's size and whether an agent answers.
+        pacing: timeouts and backoff, which depend on the fleet's size and on whether an agent answers.
         expects_agent: whether the configured address is that of an agent on this host.
         on_agent_detected: is called once it is known whether an agent answers at the address.
-        stream: the present call; None between calls.
-        late_stream: a call that was given up, and is read beside its successor.
-        dial_task: establishes the present call's connection.
+        stream: the current call; None between calls.
+        late_stream: a call that timed out and is still read, in parallel with its successor.
+        dial_task: establishes the current call's connection.
         retry_timer: starts the next call.
         first_list_received: is set with the first list.
         closed: no further call is made.
@@ -83,7 +83,7 @@
         self.arm_silence_timer(stream)
 
     def arm_silence_timer(self, stream: WatchStream) -> None:
-        """Set the time at which `stream` is checked for silence."""
+        """Schedule the check of whether `stream` has gone silent."""
         if stream.silence_timer is not None:
             stream.silence_timer.cancel()
         if not stream.ended and stream is not self.late_stream:
@@ -97,7 +97,7 @@
             stream.end("refused")
 
     def _check_silence(self, stream: WatchStream) -> None:
-        """Give up a silent stream: a service that is cut off sends no other sign."""
+        """Abandon a silent stream; a network partition is detected in no other way."""
         if stream.ended or stream is self.late_stream:
             return
         now_us = self.clock()
@@ -125,8 +125,9 @@
     def response_started(self, stream: WatchStream) -> None:
         """Handle the end of a response's headers.
 
-        A list is used even if its call was given up. A rejection has shown who answers at the address, and
-        the next call waits its turn.
+        A list is used even if its call has timed out. Any other response closes a call that has timed out:
+        the pacing has learned from its status whether an agent answers, and the next call is made as
+        scheduled.
         """
         late_stream = self.late_stream
         self.late_stream = None
@@ -138,10 +139,10 @@
             late_stream.end("left")
 
     def apply_line(self, stream: WatchStream, line: bytes) -> bool:
-        """Apply one JSON object of a stream; return False if it is no endpoint list."""
+        """Apply one JSON object of a stream; return False if it is not an endpoint list."""
         try:
             message = parse_discovery_message(json.loads(line), on_bad_entry=self._record_malformed)
-        except (ValueError, RecursionError) as error:  # errors of the configuration are ValueErrors too
+        except (ValueError, RecursionError) as error:  # configuration errors are ValueErrors
             self._record_malformed(error)
             return False
         self.first_list_received.set()
@@ -153,7 +154,7 @@
         return True
 
     def _report_agent(self, stream: WatchStream) -> None:
-        """Report whether an agent answers at the address, when that is certain and new."""
+        """Report whether an agent answers at the address, once that is certain and if it has changed."""
         is_agent = self.pacing.is_agent
         if self.on_agent_detected is None or is_agent is None or is_agent == self._is_agent:
             return
@@ -162,7 +163,7 @@
             self.on_agent_detected(is_agent)
 
     def _record_malformed(self, error: Exception) -> None:
-        """Count and log a malformed entry, which must not hide that another endpoint drains."""
+        """Count and log a malformed entry; other entries still apply, such as one for a draining endpoint."""
         self.counters.add("discovery_entries_malformed")
         self.log("watch_entry_rejected", reason=str(error))
 
@@ -178,10 +179,10 @@
             self.retry_timer = self.wheel.call_after(delay_us, self.open)
 
     def change_address(self, address: Address) -> None:
-        """Watch another address from now on, not only once the present call ends.
+        """Watch another address at once, without waiting for the current call to end.
 
-        Versions are those of one service, so the new one is asked for its complete list; the present list
-        stays until that arrives.
+        List versions belong to one service, so the new one is asked for its complete list. The current list
+        stays in use until that arrives.
         """
         if address == self.address or self.closed:
             return
@@ -196,7 +197,7 @@
         self.open()
 
     def _close_streams(self) -> None:
-        """Close the calls, and cancel the next."""
+        """Close the open calls and cancel the next one."""
         streams = (self.stream, self.late_stream)
         self.stream = None
         self.late_stream = None
--- a/umberlead/net/endpoint_connection.py
+++ b/umberlead/net/endpoint_connection.py
@@ -1,7 +1,8 @@
-"""One connection to an endpoint: writing a request, reading its response, and what a disconnect means.
+"""One connection to an endpoint: writes requests, reads responses and classifies disconnects.
 
-If the request was not completely handed to the system, a failed connection proves that nothing was executed;
-afterwards it is a reset, which proves nothing. A request is never sent twice from here.
+If the connection fails before the kernel has accepted the whole request, the endpoint can't have executed it
+(CONNECT_FAILED). A later failure is a RESET, and the request may have been executed. This module never sends
+a request twice.
 """
 
 import asyncio
@@ -32,26 +33,27 @@
         transport: the transport; None while dialing.
         attempt: the attempt that the connection carries.
         cancel_result: the result for which this attempt was cancelled.
-        written: the request was completely handed to the system.
-        write_paused: some of the request waits for the system.
+        written: the kernel has accepted the whole request.
+        write_paused: part of the request is still in the transport's write buffer.
         dial_task: the dial that establishes the connection.
-        timer: of the dial or of the response.
+        timer: times out the dial or the response.
         slot: index among the pool's connections.
         state_since_us: when the dial started, then when it succeeded.
         race_count: how many times racing this dial was considered.
         idle_since_us: when the latest response ended; 0 before the first.
-        has_carried_attempt: the connection was used.
+        has_carried_attempt: a request was sent on the connection.
         closed: the connection was closed from this side.
         finished: the connection has ended, and the pool has removed it.
         connect_error: why no connection was established.
-        failed_locally: that was for a lack of local resources.
-        broke_early: neither refused nor timed out: established, or nearly, and then broken.
-        stream: the streamed response that is in progress, or was the latest.
+        failed_locally: the dial failed for lack of local resources.
+        broke_early: the connection broke when, or after, it was established; it was neither refused nor
+            timed out.
+        stream: the streamed response in progress, or else the latest one.
         response: parses the responses.
     """
 
     def __init__(self, pool: "ConnectionPool[EndpointConnection]", address: Address) -> None:
-        """Start before the dial to `address`."""
+        """Create a connection to `address` that is not dialed yet."""
         self.pool = pool
         self.address = address
         self.transport: asyncio.Transport | None = None
@@ -77,7 +79,7 @@
         return self.stream is not None and self.stream.sink is not None
 
     def has_no_unread_bytes(self) -> bool:
-        """Return whether the receive buffer is empty; its bytes would count as the next response."""
+        """Return whether the receive buffer is empty; its bytes would be taken for the next response."""
         return not self._socket_state().pending_events()
 
     def _socket_state(self) -> SocketState:
@@ -87,7 +89,10 @@
         return self._socket
 
     def is_open(self) -> bool:
-        """Return whether the connection is established and not closing, which is reported a turn later."""
+        """Return whether the connection is established and not closing.
+
+        The event loop reports a close one iteration after it.
+        """
         return self.transport is not None and not self.transport.is_closing()
 
     def cancel_timer(self) -> None:
@@ -96,15 +101,15 @@
             self.timer.cancel()
             self.timer = None
 
-    # asyncio
+    # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the waiting attempt, if that may still be sent."""
+        """Send the attempt that waits for this connection, if it may still be sent."""
         self.transport = cast(asyncio.Transport, transport)
         if self.closed:  # cancelled while the connection was being established
             self.transport.abort()
             return
-        # With a high-water mark of 0 a write is tried at once, and resume_writing follows once all is sent.
+        # With a high-water mark of 0 a write is tried at once, and resume_writing is called once all is sent.
         self.transport.set_write_buffer_limits(high=0)
         self.cancel_timer()
         self.pool.counters.add("node_connections_opened")
@@ -137,11 +142,11 @@
         self.pool.counters.add("attempts_written")
 
     def pause_writing(self) -> None:
-        """Record that the system has not accepted all of the request."""
+        """Record that the kernel has not accepted all of the request."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """Record that the system has accepted all of the request."""
+        """Record that the kernel has accepted all of the request."""
         self.write_paused = False
         if self.is_open() and not self.written:
             self._mark_written()
@@ -153,12 +158,12 @@
         if self.attempt is None or self.cancel_result is not None:
             if self.cancel_result is None:
                 self.pool.counters.add("node_answers_surplus")
-            self.close()  # unsolicited input: the connection is not usable any more
+            self.close()  # unsolicited input: the connection can't be reused
             return
         if not self.response.feed(data, self.pool.clock()):
             return self._response_malformed()
         if self.stream is not None and self.streaming and self.response.complete:
-            return self.stream.finish()  # the read that started the stream also ended it
+            return self.stream.finish()  # the read that started the stream also completed the response
         if not self.attempt_cancelled and self.attempt is not None:
             self._continue_response()
 
@@ -179,7 +184,7 @@
             self.timer = self.pool.wheel.call_after(self.pool.connect_timeout_us, self._check_progress)
 
     def eof_received(self) -> bool:
-        """End a response that is delimited by its connection's end."""
+        """End a response that is delimited by the end of the connection."""
         if self.response.framed or self._socket_state().was_reset():
             return False  # `connection_lost` follows: the response is incomplete, or counts as reset
         if self.stream is not None and self.streaming:
@@ -196,14 +201,14 @@
         self.close()
         self.pool.remove(self)
         self.response.release_body()
-        self.broke_early = not self.connect_error  # one that was established too late did not break
+        self.broke_early = not self.connect_error  # a connection established after its timeout did not break
         if self.stream is not None and self.streaming:
             self.stream.abort()
         if self.attempt is not None:
-            # A stale pooled connection ends here too; what was written may have been read.
+            # A stale pooled connection ends here too: the endpoint may have read a request written to it.
             self.end_attempt(AttemptResult.RESET if self.written else AttemptResult.CONNECT_FAILED)
 
-    # ResponseReceiver: called by the parser
+    # ResponseReceiver interface: called by the parser
 
     @property
     def attempt_cancelled(self) -> bool:
@@ -215,7 +220,7 @@
         if self.stream is not None and self.streaming:
             return self.stream.write(data)
         if self.attempt is None:
-            return  # cancelled within this read
+            return  # the attempt was cancelled while this read was parsed
         response = self.response
         response.buffer_body(data)
         if is_long_response(
@@ -238,7 +243,7 @@
     def response_failed(self, failure: str) -> None:
         """End the attempt with an error: the endpoint has responded, and may have executed the request.
 
-        This says nothing about the network path. The end of the response is unknown, so the connection is
+        This does not indicate a network fault. The end of the response is unknown, so the connection is
         closed.
         """
         if self.attempt is not None and not self.attempt_cancelled:
@@ -246,15 +251,15 @@
             self.cancel_attempt(AttemptResult.ERROR)
 
     def _check_progress(self) -> None:
-        """Fail a response that has started and stopped.
+        """Fail a response that has started but makes no progress.
 
-        A Content-Length that is too large would hold the request, and its capacity at the endpoint, until the
-        deadline.
+        Otherwise a Content-Length beyond the end of the body would occupy the request, and its capacity at
+        the endpoint, until the deadline.
         """
         wait_us = self.pool.connect_timeout_us
         attempt = self.attempt
         if attempt is not None and attempt.must_not_repeat and self.response.headers_complete:
-            # There is no retry in its place, and the endpoint may only pause.
+            # The request can't be retried if it fails, and the endpoint may only be pausing.
             wait_us = max(wait_us, SERVER_PAUSE_TIMEOUT_US)
         due_us = self.response.last_received_us + wait_us
         if due_us > self.pool.clock():
@@ -268,7 +273,7 @@
         )
 
     def _start_stream(self) -> None:
-        """End the attempt with the first bytes; the remainder is forwarded as its reader takes it."""
+        """End the attempt with the first bytes; the remainder is forwarded as the client reads it."""
         attempt = self.attempt
         reply = self._decode_response()
         assert attempt is not None
@@ -284,7 +289,7 @@
         if self.streaming:
             self.stream.start(attempt.deadline_us)
         else:
-            self.close()  # its client has disconnected
+            self.close()  # the client has disconnected
 
     def reuse(self) -> None:
         """Prepare for the next response, and return to the pool."""
@@ -317,7 +322,7 @@
             self.pool.put_idle(self)
         self.pool.lifecycle.attempt_ended(attempt, result, reply)
 
-    # Ending
+    # Closing
 
     def end_attempt(self, result: AttemptResult) -> None:
         """Report the attempt's result, or reconnect once if nothing of it was sent."""
@@ -331,7 +336,7 @@
                 reason if self.written or reason is AttemptResult.NOT_SENT else AttemptResult.CONNECT_FAILED
             )
         elif result is AttemptResult.CONNECT_FAILED and self.broke_early and not attempt.reconnected:
-            # Broken before the request was written: nothing was sent, and the endpoint may be healthy.
+            # The connection broke before the request was written: the endpoint may be healthy.
             self.pool.counters.add("node_connections_broke_early")
             attempt.reconnected = True
             return self.pool.reconnect(attempt, self.address)
@@ -358,7 +363,7 @@
     def cancel_attempt(self, result: AttemptResult) -> None:
         """End the attempt with `result`.
 
-        It is reported once the connection is closed, so the next attempt never overlaps this one.
+        The result is reported once the connection is closed, so the next attempt never overlaps this one.
         """
         if self.cancel_result is None and not self.closed:
             self.cancel_result = result
--- a/umberlead/net/endpoint_pool.py
+++ b/umberlead/net/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to endpoints: reuse, dials, eviction."""
+"""The pool of connections to endpoints: reuse, dialing and eviction."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,34 +16,34 @@
 from umberlead.resource_limits import MAX_BODY_BYTES, MAX_HEADER_BYTES
 from umberlead.scheduling.events import AttemptResult
 
-IDLE_KEEPALIVE_RATIO = 0.6  # the endpoint may close at any time within its keepalive timeout
-RESET_PROBABILITY_THRESHOLD = 0.02  # above which a write takes a new connection
+IDLE_KEEPALIVE_RATIO = 0.6  # of the endpoints' keepalive timeout, within which they may close at any time
+RESET_PROBABILITY_THRESHOLD = 0.02  # above it, requests that must not be repeated take a new connection
 RESET_EWMA_WEIGHT = 0.02  # of the latest reuse in that probability
-REUSE_DELAY_US = 5_000  # after a response, in which input belongs to no request
+REUSE_DELAY_US = 5_000  # after a response; input that arrives in between is unsolicited
 
 
 class EndpointPool:
     """Carries attempts on an idle connection to the endpoint's address, or on a new one.
 
     Attributes:
-        lifecycle: takes the attempts' results.
+        lifecycle: receives the attempts' results.
         addresses: the endpoints' addresses by name.
-        endpoint_counts: number of listed endpoints by address; connections are pooled for these only; None:
-            for all.
+        endpoint_counts: number of listed endpoints by address; connections are pooled only for these
+            addresses, or for all if it is None.
         idle_connections: idle connections by address, most recently used last.
         write_denial: returns why an attempt may not be written now; None permits it.
         on_write: is called with an attempt before its first byte is written, and its time budget in
             microseconds.
-        slots: all connections, with those being dialed.
-        max_connections: limit on these.
-        idle_timeout_us: how long a connection may be idle, a ratio of the endpoints' keepalive timeout.
+        slots: all connections, including those being dialed.
+        max_connections: limit on the connections in `slots`.
+        idle_timeout_us: how long a connection may be idle: a ratio of the endpoints' keepalive timeout.
         connect_timeout_us: how long a connection may take to be established.
         host_line: the Host field of each request, with its line end.
-        reset_probability: moving average of the share of reused connections that are reset under a request.
+        reset_probability: moving average of the share of reused connections that are reset during a request.
         buffered_bytes: size of the responses that are being read, of at most `buffer_limit_bytes`.
         max_response_bytes: limit on a response that is buffered until it is complete.
         max_header_bytes: limit on the headers of a response.
-        on_capacity_shortage: requests a higher connection limit.
+        on_capacity_shortage: is called when all slots are in use, and requests a higher connection limit.
         dialer: the unfinished dials.
     """
 
@@ -60,7 +60,7 @@
         service: str,
         log: Callable[..., Any],
     ) -> None:
-        """Start without connections."""
+        """Create a pool without connections."""
         self.log = log
         self.lifecycle = lifecycle
         self.loop = loop
@@ -82,10 +82,10 @@
         self.buffered_bytes = 0
         self.max_response_bytes = MAX_BODY_BYTES
         self.max_header_bytes = MAX_HEADER_BYTES
-        self.on_capacity_shortage: Callable[[], None] = lambda: None  # requests a higher limit
+        self.on_capacity_shortage: Callable[[], None] = lambda: None
         self.dialer = Dialer(self)
 
-    # Transport: what the request lifecycle calls
+    # Transport interface: called by the request lifecycle
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt; `RequestLifecycle.attempt_ended` is called once for it."""
@@ -93,7 +93,8 @@
         if address is None:  # listed without an address, or not listed any more
             self.lifecycle.attempt_ended(attempt, AttemptResult.NOT_SENT)
             return
-        # A retry, or a write that must not be repeated while reuse is risky, takes a new connection only.
+        # A retry takes only an unused connection. So does a request that must not be repeated, while reused
+        # connections are often reset.
         resets = self.reset_probability > RESET_PROBABILITY_THRESHOLD
         unused_only = attempt.number > 0 or (attempt.must_not_repeat and resets)
         conn = self._take_idle(address, unused_only)
@@ -105,11 +106,11 @@
         conn.send_request()
 
     def stop(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Cancel an attempt; `RequestLifecycle.attempt_ended` is called all the same."""
+        """Cancel an attempt; `RequestLifecycle.attempt_ended` is called for it too."""
         attempt.transport_state.cancel_attempt(result)
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
-        """Cancel an attempt that nothing waits for; return False if it was sent already."""
+        """Cancel an attempt whose result is not needed; return False if it was sent already."""
         conn = attempt.transport_state
         if conn is None or conn.attempt is not attempt or conn.written:
             return False
@@ -117,14 +118,13 @@
         conn.cancel_attempt(AttemptResult.NOT_SENT)
         return True
 
-    # ConnectionPool: called by connections
+    # ConnectionPool interface: called by connections
 
     def reconnect(self, attempt: Attempt, address: Address) -> None:
         """Connect once more for an attempt of which nothing was sent."""
         if self.endpoint_counts is not None and address not in self.endpoint_counts:
-            return self.lifecycle.attempt_ended(
-                attempt, AttemptResult.CONNECT_FAILED
-            )  # it has left the list meanwhile
+            # The endpoint has been removed from the list meanwhile.
+            return self.lifecycle.attempt_ended(attempt, AttemptResult.CONNECT_FAILED)
         if self.write_denial(attempt) is not None:
             return self.lifecycle.attempt_ended(attempt, AttemptResult.NOT_SENT)
         self._dial(attempt, address)
@@ -134,7 +134,7 @@
         self.dialer.connection_established(conn)
 
     def put_unclaimed(self, conn: EndpointConnection) -> None:
-        """Pool a new connection that no attempt waits for: the next attempt there takes it."""
+        """Pool a new connection that no attempt waits for; the next attempt to its address takes it."""
         self.counters.add("node_connections_spare")
         self.put_idle(conn)
         conn.idle_since_us -= REUSE_DELAY_US
@@ -148,7 +148,7 @@
         self.idle_connections.setdefault(conn.address, []).append(conn)
 
     def remove(self, conn: EndpointConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has closed."""
         if conn.slot >= 0:
             self.slots.free(conn.slot)
             conn.slot = -1
@@ -158,10 +158,11 @@
             idle_here.remove(conn)
 
     def record_reuse(self, conn: EndpointConnection, reset: bool) -> None:
-        """Record whether a reused connection was reset under a request.
+        """Record whether a reused connection was reset during a request.
 
-        Endpoints, or middleboxes, may drop idle connections silently long before the keepalive timeout: those
-        that have been idle for longer have most likely been dropped too.
+        Endpoints or middleboxes may silently drop idle connections long before the keepalive timeout. After
+        a reset, connections that have been idle for as long or longer have most likely been dropped too, and
+        are closed.
         """
         self.reset_probability += RESET_EWMA_WEIGHT * (reset - self.reset_probability)
         if reset:
@@ -170,24 +171,23 @@
                 if other.idle_since_us <= conn.idle_since_us:
                     other.close()
 
-    # Connections
+    # Connection management
 
     def _dial(self, attempt: Attempt, address: Address) -> None:
         if len(self.slots) >= self.max_connections:
             self.on_capacity_shortage()
         if len(self.slots) >= self.max_connections and not self._evict():
             self.counters.add("node_connections_over_cap")
-            self.lifecycle.attempt_ended(
-                attempt, AttemptResult.NOT_SENT
-            )  # our own cap, and none of the endpoint's doing
+            # The limit is this process's own and says nothing about the endpoint.
+            self.lifecycle.attempt_ended(attempt, AttemptResult.NOT_SENT)
             return
         self.dialer.dial(attempt, address)
 
     def _take_idle(self, address: Address, unused_only: bool) -> EndpointConnection | None:
-        """Take the most recently used connection, so that the others age and expire.
+        """Take the most recently used connection, so that the others stay idle and expire.
 
-        With `unused_only`, only one that was established recently and has carried no attempt, which is as
-        good as new.
+        With `unused_only`, it must have been established recently and have carried no attempt, which makes
+        it equivalent to a new one.
         """
         idle_here = self.idle_connections.get(address, [])
         reusable_before_us = self.clock() - REUSE_DELAY_US
@@ -206,7 +206,7 @@
     def close_unlisted(self, addresses: set[Address]) -> None:
         """Close idle connections and unclaimed dials to addresses that have no listed endpoint any more.
 
-        Attempts in flight end there; other connections close after their responses.
+        Attempts in flight are completed; their connections close after the responses.
         """
         for address in addresses:
             for conn in [*self.idle_connections.get(address, []), *self.dialer.unclaimed(address)]:
@@ -218,13 +218,13 @@
         return len(self.slots) - idle_count - len(self.dialer.unclaimed())
 
     def evict_excess(self) -> None:
-        """Close the connections above a lowered limit, as far as they carry nothing."""
-        for _ in range(len(self.slots) - self.max_connections):  # their slots are free a turn later
+        """Close connections above a lowered limit, as far as they are idle or can be evicted."""
+        for _ in range(len(self.slots) - self.max_connections):  # slots are freed one iteration later
             if not self._evict():
                 break
 
     def close_expired(self) -> None:
-        """Close idle connections well before the endpoint may close them."""
+        """Close connections that have been idle for too long, before the endpoint may close them."""
         before_us = self.clock() - self.idle_timeout_us
         self.evict_excess()
         for address, idle_here in list(self.idle_connections.items()):
@@ -237,8 +237,8 @@
     def _evict(self) -> bool:
         """Free a slot for another connection; return False if there is none to free.
 
-        The connection idle for longest is closed, or else an unclaimed dial, or else that of a streamed
-        response far past its request's deadline.
+        The longest idle connection is closed, or else the oldest unclaimed dial, or else the connection of a
+        streamed response that is far past its request's deadline.
         """
         idle_lists = [conns for conns in self.idle_connections.values() if conns]
         if idle_lists:
--- a/umberlead/net/endpoint_protocol.py
+++ b/umberlead/net/endpoint_protocol.py
@@ -1,4 +1,4 @@
-"""What is sent to an endpoint and what its response means, apart from HTTP framing."""
+"""The protocol of endpoints on top of HTTP: headers of requests, meaning of responses."""
 
 import re
 from dataclasses import dataclass, field
@@ -7,13 +7,13 @@
 from umberlead.scheduling.events import AttemptResult
 
 NUMBER_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-LOAD_REPORT_FIELDS_LIMIT = 16  # values of a load report
+LOAD_REPORT_FIELDS_LIMIT = 16  # further fields of a load report are ignored
 BODYLESS_METHOD = b"GET"
 
 
 @dataclass(slots=True)
 class OutgoingRequest:
-    """A request to an endpoint, as a front end passes it down.
+    """A request to an endpoint, as a front end builds it.
 
     Attributes:
         method: the HTTP method.
@@ -43,20 +43,21 @@
 
 
 def decode_response(status: int, headers: dict[bytes, bytes], body: bytes) -> Reply:
-    """Read the headers of our protocol from a response; numbers are optional, and ignored if malformed."""
+    """Decode a response, with the protocol's own headers; malformed numbers are ignored."""
     return Reply(
         status,
         body,
         _parse_load_report(headers.get(b"x-load-report", b"")),
-        _parse_number(headers.get(b"x-volume-use"), -1) + 1,  # the header leaves out the simulator's 1
+        _parse_number(headers.get(b"x-volume-use"), -1)
+        + 1,  # the header lacks the 1 that the simulator's value includes
         _parse_number(headers.get(b"x-served-elsewhere"), 0),
     )
 
 
 def result_of_response(request: OutgoingRequest, status: int, headers: dict[bytes, bytes]) -> AttemptResult:
-    """Return what a complete response means for its attempt.
+    """Return the result of an attempt from its complete response.
 
-    NOT_SENT stands for a request that was misdirected to this endpoint, which says nothing about its health.
+    NOT_SENT means that the request was misdirected to this endpoint, which does not affect its health.
     """
     if status in request.served_statuses:
         return AttemptResult.OK
--- a/umberlead/net/http_message.py
+++ b/umberlead/net/http_message.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 messages as typed values: a parsed request, and the encoding of a response's headers."""
+"""HTTP/1.1 messages: parsed requests, rejections, and the encoding of response headers."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from email.utils import formatdate
 
-# Fields that must not be repeated: the endpoint could read another one of two values than we do.
+# Fields that must not be repeated: the endpoint could use a different value than this program does.
 SINGLETON_HEADERS = frozenset((b"content-length", b"transfer-encoding", b"host", b"expect"))
 BODYLESS_STATUSES = (204, 304)  # responses that have neither body nor Content-Length
 
@@ -66,8 +66,8 @@
 
     Attributes:
         status: the HTTP status.
-        reason: a text for the client.
-        target: the request target, as far as it is known.
+        reason: text of the response body.
+        target: the request target; empty if it is not known.
     """
 
     status: int
@@ -89,10 +89,10 @@
         headers: complete header lines, without line ends.
         content_length: the value of Content-Length; None omits it.
         date_us: the time of the Date field, in microseconds since the epoch; None omits it.
-        close_connection: whether the response announces the connection's end.
+        close_connection: whether to send `Connection: close`.
 
     Returns:
-        The pieces, in the order to be written.
+        The pieces, in the order in which they are written.
     """
     pieces = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))]
     if date_us is not None:
--- a/umberlead/net/listener.py
+++ b/umberlead/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepting clients' connections on one address, as far as there is capacity."""
+"""Accepting clients' connections on one address while there is capacity."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 from umberlead.net.server_connection import RequestHandler, ServerConnection
 from umberlead.resource_limits import LOCAL_RESOURCE_ERRNOS, surplus_connections
 
-ACCEPT_BATCH_SIZE = 16  # connections accepted in a turn: a flood must not delay established ones
+ACCEPT_BATCH_SIZE = 16  # per event-loop iteration, so that a flood does not delay established connections
 ACCEPT_RETRY_SECONDS = 0.02  # until a failed accept is retried
 LISTEN_BACKLOG_SIZE = 1024
 
@@ -18,16 +18,16 @@
 class Listener:
     """A listening socket that accepts connections while there is capacity.
 
-    Other connections wait in the system's backlog, where they use no descriptor. With TCP_DEFER_ACCEPT those
-    that send nothing stay there for a second.
+    Other connections wait in the kernel's backlog, where they use no descriptor. With TCP_DEFER_ACCEPT,
+    connections that send nothing stay there for a second.
 
     Attributes:
         handler: serves the requests.
         clients: the accepted connections.
         address: the host and port it listens on.
         is_open: whether it accepts connections.
-        paused: whether accepting waits for capacity.
-        accepting_count: connections that were accepted and have no slot yet.
+        paused: whether accepting is paused for lack of capacity.
+        accepting_count: number of accepted connections that have no slot yet.
         accept_tasks: the tasks that set these connections up.
     """
 
@@ -39,14 +39,14 @@
         loop: asyncio.AbstractEventLoop,
         reuse_port: bool = False,
     ) -> None:
-        """Listen on `address`.
+        """Open the socket and listen on `address`.
 
         Args:
             handler: serves the requests.
-            clients: the group of the accepted connections.
+            clients: the group that accepted connections join.
             address: host and port.
             loop: the event loop.
-            reuse_port: whether to listen beside the process that this one replaces.
+            reuse_port: whether to share the port with the process that this one replaces.
 
         Raises:
             OSError: the address can't be listened on.
@@ -57,7 +57,7 @@
         self.is_open = True
         self.paused = False
         self.accepting_count = 0
-        self._backlog_since_us = 0  # since when connections wait in the backlog for more than a turn
+        self._backlog_since_us = 0  # since when a backlog has remained between iterations; 0 without one
         self.accept_tasks: dict[asyncio.Task[Any], ServerConnection] = {}
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_STREAM)
@@ -80,30 +80,28 @@
         return sum(conn.slot < 0 for conn in self.accept_tasks.values())
 
     def _excess_count(self) -> int:
-        """Connections above the limit, with those being accepted and without evicted ones."""
+        """Return the connections above the limit, counting those being accepted but not evicted ones."""
         return self.clients.count + self.pending_count() - self.clients.max_connections
 
     def _accept_batch(self) -> None:
-        """Accept one batch of the backlog; established connections are read in between."""
+        """Accept one batch from the backlog; established connections are read between batches."""
         clients = self.clients
         if self._excess_count() >= 0:
             clients.on_capacity_shortage()
         evictable = clients.evictable()
         excess = self._excess_count()
-        max_excess = surplus_connections(
-            clients.max_connections
-        )  # for telling those at once that there is no room
+        # Connections above the limit that are accepted only to be rejected at once.
+        max_excess = surplus_connections(clients.max_connections)
         for accepted in range(min(max_excess, ACCEPT_BATCH_SIZE)):
-            if (
-                excess + clients.evicting_count >= max_excess
-            ):  # an evicted one's descriptor is free a turn later
+            # The descriptor of an evicted connection is closed one iteration later.
+            if excess + clients.evicting_count >= max_excess:
                 if excess >= max_excess and not clients.evict(evictable):
                     self._pause()
                 return
             try:
                 sock, _ = self.socket.accept()
             except OSError as error:
-                # A lack of descriptors is reported even with an empty backlog.
+                # Without free descriptors, accept fails even if the backlog is empty.
                 return self._accept_failed(error, evictable, first=not accepted)
             self._connect(sock)
             excess += 1
@@ -111,7 +109,7 @@
                 excess -= 1
 
     def _accept_failed(self, error: OSError, evictable: Iterator[ClientConnection], first: bool) -> None:
-        """End a batch of accepts: the backlog is empty, the next turn continues, or a pause follows."""
+        """End a batch: the backlog is empty, the next iteration continues, or accepting is paused."""
         if isinstance(error, BlockingIOError):
             self._backlog_since_us = 0
             return
@@ -121,7 +119,7 @@
         clients = self.clients
         clients.counters.add("accepts_failed")
         clients.log("accept_failed", reason=str(error))
-        if error.errno in LOCAL_RESOURCE_ERRNOS:  # free a descriptor first
+        if error.errno in LOCAL_RESOURCE_ERRNOS:  # free a descriptor
             clients.evict(evictable)
         self.loop.call_later(ACCEPT_RETRY_SECONDS, self.resume)
         self._pause()
@@ -138,7 +136,7 @@
     def _connected(self, task: "asyncio.Task[Any]") -> None:
         del self.accept_tasks[task]
         self.accepting_count -= 1
-        if not task.cancelled() and task.exception() is not None:  # the client disconnected before
+        if not task.cancelled() and task.exception() is not None:  # the client has disconnected already
             self.clients.counters.add("accepts_failed")
 
     def _record_backlog(self) -> None:
@@ -156,11 +154,11 @@
             self.loop.add_reader(self.socket, self._accept_batch)
 
     def disable_deferred_accept(self) -> None:
-        """Accept silent connections too: the listener will close, and its backlog with it."""
+        """Accept connections that have sent nothing, too: closing the listener would reset them."""
         self._defer_accept(0)
 
     def close(self) -> None:
-        """Accept the backlog, and close."""
+        """Accept the connections in the backlog, then close the socket."""
         if self.is_open:
             self.is_open = False
             if not self.paused:
@@ -168,10 +166,10 @@
             self._accept_backlog()
 
     def _accept_backlog(self) -> None:
-        """Accept the system's backlog, which would be reset with the socket.
+        """Accept the connections in the backlog, which closing the socket would reset.
 
-        If there is no capacity now, there will be as connections end with their responses. If none is freed,
-        the surplus is rejected.
+        Without capacity now, the accept is retried, since connections close after their responses. If no
+        slot is freed, the surplus connections are rejected.
         """
         clients = self.clients
         evictable = clients.evictable()
@@ -188,7 +186,7 @@
             clients.counters.add("accepts_failed")
         for _ in range(excess):
             clients.evict(evictable)
-        self.accepting_count += 1  # the process does not exit meanwhile
+        self.accepting_count += 1  # keeps the process from exiting before the retry
         self.loop.call_later(ACCEPT_RETRY_SECONDS, self._retry_backlog)
 
     def _retry_backlog(self) -> None:
--- a/umberlead/net/pending_input.py
+++ b/umberlead/net/pending_input.py
@@ -1,4 +1,4 @@
-"""Input that a client sent ahead of its turn: complete requests, and unparsed bytes."""
+"""Pipelined input of a client: complete requests and unparsed bytes."""
 
 from collections import deque
 
@@ -7,22 +7,22 @@
 
 
 class PendingInput:
-    """Requests and bytes of one connection that wait for its active response; they count as buffered memory.
+    """Pipelined input of one connection, which waits for the active response and counts as buffered memory.
 
     Attributes:
-        requests: complete requests, in the order of their arrival.
-        unparsed_bytes: size of the input behind them.
+        requests: complete requests, in order of arrival.
+        unparsed_bytes: size of the input after them.
     """
 
     def __init__(self, clients: ClientGroup) -> None:
-        """Start empty; memory counts in `clients`."""
+        """Start empty; the buffered memory is counted in `clients`."""
         self._clients = clients
         self.requests: deque[HttpRequest] = deque()
-        self._unparsed: deque[tuple[bytes, int]] = deque()  # with the time of their read
+        self._unparsed: deque[tuple[bytes, int]] = deque()  # reads, and when they were received
         self.unparsed_bytes = 0
 
     def __bool__(self) -> bool:
-        """Return whether anything waits."""
+        """Return whether any input waits."""
         return bool(self.requests or self._unparsed)
 
     @property
@@ -37,7 +37,10 @@
         self._clients.buffered_bytes += len(data)
 
     def take_unparsed(self) -> tuple[bytes, int]:
-        """Remove the bytes of the oldest read, and their time; more at once could be too many requests."""
+        """Remove the bytes of the oldest read, and return them with the time at which they were received.
+
+        Several reads at once could exceed the limit on pipelined requests.
+        """
         data, received_us = self._unparsed.popleft()
         self.unparsed_bytes -= len(data)
         self._clients.buffered_bytes -= len(data)
@@ -56,7 +59,7 @@
         self.unparsed_bytes = 0
 
     def discard_all(self) -> None:
-        """Discard requests and bytes, and release their memory."""
+        """Discard the requests and the unparsed bytes, and release their memory."""
         while self.requests:
             self.release_body(self.requests.popleft())
         self.discard_unparsed()
--- a/umberlead/net/pool_interface.py
+++ b/umberlead/net/pool_interface.py
@@ -1,4 +1,4 @@
-"""What connections to endpoints need of their pool."""
+"""The interface of the connection pool that connections to endpoints use."""
 
 from collections.abc import Callable
 from typing import Any, Protocol, TypeVar
@@ -14,10 +14,10 @@
 
 
 class ConnectionPool(Protocol[ConnectionT]):
-    """What a connection needs of its pool; `endpoint_pool.EndpointPool` implements it.
+    """The part of the pool that a connection uses; `endpoint_pool.EndpointPool` implements it.
 
     Attributes:
-        lifecycle: takes the attempts' results.
+        lifecycle: receives the attempts' results.
         clock: returns microseconds of one monotonic clock.
         wheel: the timers.
         counters: where events are counted.
@@ -43,11 +43,11 @@
 
     @property
     def write_denial(self) -> Callable[[Attempt], Denial | None]:
-        """Returns why an attempt may not be written now; None permits it."""
+        """A function that returns why an attempt may not be written now, or None if it may."""
 
     @property
     def on_write(self) -> Callable[[Attempt, int], None]:
-        """Is called with an attempt before its first byte is written, and its time budget in microseconds."""
+        """Called before an attempt's first byte is written, with its time budget in microseconds."""
 
     def connection_established(self, conn: ConnectionT) -> None:
         """Record a dial that succeeded."""
@@ -59,10 +59,10 @@
         """Pool a connection after its response."""
 
     def remove(self, conn: ConnectionT) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has closed."""
 
     def record_reuse(self, conn: ConnectionT, reset: bool) -> None:
-        """Record whether a reused connection was reset under a request."""
+        """Record whether a reused connection was reset during a request."""
 
     def reconnect(self, attempt: Attempt, address: Address) -> None:
         """Connect once more for an attempt of which nothing was sent."""
--- a/umberlead/net/relay.py
+++ b/umberlead/net/relay.py
@@ -8,7 +8,7 @@
 
 
 class BodySource(Protocol):
-    """Where the remainder of a streamed response comes from."""
+    """Provides the remainder of a streamed response."""
 
     sink: Any
 
@@ -26,29 +26,32 @@
 
 
 class StreamingConnection(Protocol):
-    """What a relay needs of the client's connection."""
+    """The part of a client's connection that a relay uses."""
 
     transport: asyncio.Transport
     closed: bool
     body_source: BodySource | None
 
     def abort_response(self) -> None:
-        """Abort the connection within a response."""
+        """Abort the connection in the middle of a response."""
 
     def finish_response(self) -> None:
-        """End the response, which is written; the next request follows."""
+        """End the response, which has been written, and start the next request."""
 
 
 class ResponseRelay:
     """Forwards a streamed response to one client; it is the sink of a `BodySource`.
 
-    Without a length the body is sent in chunks, or delimited by the connection's end for HTTP/1.0.
+    A body of unknown length is sent in chunks, or for HTTP/1.0 delimited by the end of the connection.
     """
 
     def __init__(
         self, connection: StreamingConnection, chunked: bool, on_end: Callable[[bool], None]
     ) -> None:
-        """Relay to `connection`; `on_end` gets whether all was written, unless the client disconnects."""
+        """Relay to `connection`.
+
+        `on_end` is called with whether the body was completely written, unless the client disconnects.
+        """
         self._connection = connection
         self._chunked = chunked
         self._on_end = on_end
@@ -79,7 +82,7 @@
         connection.finish_response()
 
     def abort(self) -> None:
-        """Abort the response: its remainder will not arrive."""
+        """Abort the response: its remainder will not be received."""
         self._connection.body_source = None
         self._on_end(False)
         self._connection.abort_response()
--- a/umberlead/net/request_parser.py
+++ b/umberlead/net/request_parser.py
@@ -1,4 +1,4 @@
-"""Parsing of clients' HTTP/1.1 requests: limits, framing, and what is rejected."""
+"""Parsing of clients' HTTP/1.1 requests: limits, framing and rejections."""
 
 import re
 from typing import Protocol
@@ -14,7 +14,7 @@
 
 
 class RequestLimits(Protocol):
-    """What a front end permits its clients to send.
+    """Limits of a front end on the requests of its clients.
 
     Attributes:
         max_body_bytes: limit on a body.
@@ -26,7 +26,7 @@
 
 
 class RequestReceiver(Protocol):
-    """Takes what a parser reads."""
+    """Receives the events of a request parser."""
 
     @property
     def accepts_requests(self) -> bool:
@@ -36,20 +36,20 @@
         """Handle the first byte of a request."""
 
     def headers_complete(self, request: HttpRequest) -> None:
-        """Handle a request whose headers were read and accepted."""
+        """Handle a request whose headers are complete and valid."""
 
     def body_progressed(self) -> None:
         """Handle the arrival of a piece of a body."""
 
     def request_complete(self, request: HttpRequest) -> None:
-        """Take a complete request."""
+        """Handle a complete request."""
 
     def reject(self, status: int, reason: str) -> None:
         """Respond with `status`: no further input can be read."""
 
 
 class InputClosedError(UmberleadError):
-    """Stops the parser from within a callback of httptools: no further input is read as a request."""
+    """Raised in a callback of httptools to stop parsing: no further input is read as a request."""
 
 
 class RequestParser:
@@ -57,7 +57,7 @@
 
     Attributes:
         partial_request: the request that is being read.
-        feeding: whether `feed` is running; it is not reentrant.
+        feeding: whether `feed` is running, which is not reentrant.
     """
 
     def __init__(self, receiver: RequestReceiver, limits: RequestLimits, clients: ClientGroup) -> None:
@@ -70,19 +70,19 @@
         self.feeding = False
         self._header_bytes = self._field_bytes = self._body_bytes = 0
         self._in_headers = False
-        self._repeated_header = b""  # a field that was repeated and must not be
+        self._repeated_header = b""  # name of a repeated field that must not be repeated
         self._body: bytes | bytearray = b""
         self._body_since_us = self._received_us = 0
 
     @property
     def progress(self) -> RequestProgress | None:
-        """How far the present request was read; None between requests."""
+        """How far the current request has been read; None between requests."""
         if self.partial_request is None:
             return None
         return RequestProgress(not self._in_headers, self._body_since_us, self._body_bytes)
 
     def feed(self, data: bytes, received_us: int) -> None:
-        """Parse input received at `received_us`; the receiver is called within."""
+        """Parse input received at `received_us`; calls the receiver."""
         self._received_us = received_us
         if self._in_headers or self.partial_request is None:
             self._header_bytes += len(data)
@@ -133,7 +133,7 @@
             self._field_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Store a header field; a trailer must not change what the headers said."""
+        """Store a header field; trailer fields are ignored, so they can't change the headers."""
         request = self.partial_request
         if request is None:
             return
@@ -151,7 +151,7 @@
         request.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check the headers."""
+        """Check the complete headers."""
         request = self.partial_request
         if request is None or not self._receiver.accepts_requests:
             return
@@ -190,7 +190,7 @@
         self._body_bytes += len(body)
         self._receiver.body_progressed()
         self._clients.buffered_bytes += len(body)
-        # One buffer that grows in place: joining pieces at the end would need the memory twice.
+        # One buffer grows in place, since joining pieces at the end would need twice the memory.
         if not self._body:
             self._body = body
         elif isinstance(self._body, bytearray):
@@ -211,11 +211,11 @@
         self.partial_request = None
         self._header_bytes = 0
         request.method = self._parser.get_method()
-        if request.target[:7].lower() == b"http://":  # the absolute form says no more than Host
+        if request.target[:7].lower() == b"http://":  # absolute form: the authority only repeats Host
             request.target = b"/" + request.target[7:].partition(b"/")[2]
         request.body = self._body
         request.version = self._parser.get_http_version()
         request.keep_alive = self._parser.should_keep_alive()
-        request.received_us = self._received_us  # its time runs from its last byte, not from its turn
+        request.received_us = self._received_us  # its budget runs from its last byte, not from its start
         self._body = b""
         self._receiver.request_complete(request)
--- a/umberlead/net/response_parser.py
+++ b/umberlead/net/response_parser.py
@@ -13,14 +13,14 @@
 
 
 class ResponseReceiver(Protocol):
-    """Takes what a parser reads."""
+    """Receives the events of a response parser."""
 
     @property
     def attempt_cancelled(self) -> bool:
         """Whether the remainder of the response is not needed."""
 
     def body_received(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Handle a piece of the body."""
 
     def interim_response_complete(self) -> None:
         """Handle the end of an interim response; the final one follows."""
@@ -30,7 +30,7 @@
 
 
 class BufferAccounting(Protocol):
-    """Counts the bytes of all responses that are being read."""
+    """Counts the buffered bytes of all responses that are being read."""
 
     buffered_bytes: int
 
@@ -44,11 +44,11 @@
         body_bytes: their size.
         header_bytes: size of the input up to the end of the headers.
         content_length: the value of Content-Length; None without one.
-        framed: whether the response delimits its body, other than by its connection's end.
+        framed: whether Content-Length or Transfer-Encoding delimits the body, not the end of the connection.
         headers_complete: whether all headers were read.
         complete: whether all of the response was read.
         keep_alive: whether the connection can be reused once the response is complete.
-        has_surplus: whether there was input behind the response.
+        has_surplus: whether input followed the response.
         started: whether the response, or an interim one, has started.
         first_received_us: when its first byte was received.
         last_received_us: when its latest byte was received.
@@ -113,7 +113,7 @@
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Start a response: the first, one behind an interim response, or an unsolicited one."""
+        """Start a response: the first one, one that follows an interim response, or an unsolicited one."""
         self.has_surplus |= self.complete
         if not self.started:
             self.started = True
@@ -126,11 +126,11 @@
         name = name.lower()
         value = value.strip(b" \t")
         if name in self.headers and name in (b"content-length", b"transfer-encoding"):
-            value = self.headers[name] + b", " + value  # two lengths are invalid
+            value = self.headers[name] + b", " + value  # a repeated field is invalid
         self.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check the headers that frame the body."""
+        """Check the header fields that delimit the body."""
         if self.complete or self._receiver.attempt_cancelled:
             return
         self.headers_complete = True
@@ -153,7 +153,7 @@
             self._receiver.body_received(body)
 
     def on_message_complete(self) -> None:
-        """End the response; input behind it never counts as the next one."""
+        """End the response; input that follows it is never taken for the next one."""
         if self.complete or self._receiver.attempt_cancelled:
             return
         if self.status == SWITCHING_PROTOCOLS_STATUS:
--- a/umberlead/net/server_connection.py
+++ b/umberlead/net/server_connection.py
@@ -1,4 +1,4 @@
-"""The server's side of one HTTP/1.1 connection: the order of requests, responses, and its end."""
+"""The server side of one HTTP/1.1 connection: order of requests, responses and closing."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -17,13 +17,13 @@
 
 
 class RequestHandler(Protocol):
-    """What a front end does with requests, and what it permits its clients.
+    """Handles the requests of a front end, and states its limits on them.
 
     Attributes:
         max_body_bytes: limit on a request body.
         sends_date: whether responses have a Date field.
         singleton_headers: header fields, beside those of HTTP, that must not be repeated.
-        retry_after_us: the Retry-After of rejections, in microseconds.
+        retry_after_us: the value of Retry-After in rejections, in microseconds.
         allows_slow_bodies: whether a body may take long as long as it progresses.
     """
 
@@ -34,7 +34,7 @@
     allows_slow_bodies: bool
 
     def handle_request(self, conn: "ServerConnection", request: HttpRequest) -> None:
-        """Respond to a request, now or later, once."""
+        """Respond to a request exactly once, now or later."""
 
     def client_disconnected(self, conn: "ServerConnection") -> None:
         """Handle a client's disconnect while its request is open."""
@@ -44,33 +44,33 @@
 
 
 class ServerConnection(ConnectionInput, asyncio.Protocol):
-    """One client's connection: it serves one request at a time, in the order of their arrival.
+    """One client's connection, which serves one request at a time, in order of arrival.
 
     Attributes:
         handler: serves the requests.
     """
 
     def __init__(self, handler: RequestHandler, clients: ClientGroup) -> None:
-        """Serve a client by `handler`, as one of `clients`."""
+        """Create a connection of the group `clients`, whose requests `handler` serves."""
         super().__init__(handler, clients)
         self.handler = handler
         self._blocked_bytes = 0  # of a response that the client has not read
         self._writable_future: asyncio.Future[None] | None = None
 
-    # asyncio
+    # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take a slot."""
         self.transport = cast(asyncio.Transport, transport)
         self._socket = SocketState(self.transport)
-        # With a high-water mark of 0 pause_writing reports any unread bytes, which count as buffered.
+        # With a high-water mark of 0 pause_writing is called for any unsent bytes, which count as buffered.
         self.transport.set_write_buffer_limits(high=0)
         self.slot = self.clients.slots.add(self)
         self.state_since_us = self.clients.clock()
         self.clients.counters.add("clients_accepted")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release the slot, and end what is open."""
+        """Release the slot and end the open requests."""
         self.closed = True
         self.record_close(CloseReason.CLIENT_DISCONNECTED)
         self.clients.slots.free(self.slot)
@@ -102,12 +102,12 @@
         self.transport.abort()
 
     def record_close(self, reason: CloseReason) -> None:
-        """Record why the connection ends, once, and check that no response is owed."""
+        """Record why the connection closes, only once, and report whether a response is still owed."""
         if self.close_reason is not None:
             return
         self.close_reason = reason
         self.clients.counters.add(f"clients_closed_{reason.value}")
-        # A disconnected client is owed nothing, and that of an aborted response notices.
+        # A disconnected client is owed nothing, and the client of an aborted response notices the abort.
         owed = (
             reason not in (CloseReason.CLIENT_DISCONNECTED, CloseReason.RESPONSE_ABORTED)
             and self.owes_response()
@@ -116,12 +116,12 @@
             self.clients.on_close(owed, reason.value, self.call_ids())
 
     def eof_received(self) -> bool:
-        """End the connection: a client that ends its sending counts as disconnected."""
+        """End the connection: a client that half-closes it counts as disconnected."""
         self.disconnect()
         return False
 
     def pause_writing(self) -> None:
-        """Count what the client has not read as buffered memory."""
+        """Count the unsent bytes as buffered memory, and pause the source of a streamed response."""
         self.write_blocked = True
         self._blocked_bytes = self.transport.get_write_buffer_size()
         self._unsent_bytes = 0
@@ -131,7 +131,7 @@
             self.body_source.set_paused(True)
 
     def resume_writing(self) -> None:
-        """Continue: the client has read everything."""
+        """Continue with responses and requests: all bytes have been sent."""
         self.clients.buffered_bytes -= self._blocked_bytes
         self.write_blocked = False
         self._blocked_bytes = 0
@@ -143,24 +143,24 @@
         self._parse_buffered_input()
 
     async def wait_writable(self) -> bool:
-        """Wait until the client has read everything; return False if it disconnected."""
+        """Wait until all bytes have been sent; return False if the connection was closed."""
         while self.write_blocked and not self.closed:
             self._writable_future = asyncio.get_running_loop().create_future()
             await self._writable_future
         return not self.closed
 
-    # Requests, one after the other
+    # Requests, in order
 
     def _start_next_request(self) -> None:
-        # Not while a response is unread: a client that only sends must not pile responses up.
+        # No request starts while a response is unsent: a client that never reads must not pile up responses.
         ready = self.active_request is None and not (self.write_blocked or self.closed)
         if ready and self.pipelined_requests and not self.ended:
             if self._lacks_capacity():
-                # All slots are needed by other connections: this one is rejected.
+                # Requests of other connections occupy all slots.
                 target = self.pipelined_requests[0].target
                 self._pending_input.discard_all()
                 self.reject(503, "too many connections", target)
-            elif self.pending_events() & DISCONNECT_POLL_EVENTS:  # a disconnect that was not reported yet
+            elif self.pending_events() & DISCONNECT_POLL_EVENTS:  # a disconnect not reported yet
                 self.abort_disconnected()
             else:
                 self._start_request(self.pipelined_requests.popleft())
@@ -182,14 +182,14 @@
             return
         try:
             self.handler.handle_request(self, request)
-        except Exception as error:  # the parser would report it as a malformed request
+        except Exception as error:  # the parser would otherwise report a malformed request
             self.clients.counters.add("unexpected_errors")
             self.clients.log("request_handler_failed", error=repr(error))
             if self.active_request is request:
                 self.send_response(500, (), b"the front failed\n")
 
     def _send_rejection(self) -> None:
-        """Write the last response of the connection, once the complete requests before it have theirs."""
+        """Write the rejection, which is the connection's last response, after those to earlier requests."""
         assert self._rejection is not None
         rejection = self._rejection
         self._rejection = None
@@ -224,7 +224,7 @@
             status: the HTTP status.
             headers: complete header lines, without line ends.
             body: the body.
-            content_length: replaces the body's length if no body is sent, as in a response to HEAD.
+            content_length: replaces the length of `body` if that is not sent, as in a response to HEAD.
         """
         if self.closed or self.client_disconnected:
             return
@@ -248,8 +248,8 @@
             status: the HTTP status.
             content_length: the length of the body; None if unknown.
             first_piece: the first bytes of the body.
-            source: gives the remainder to its sink, and is paused while the client does not read.
-            on_end: is called with whether all was written, unless the client disconnects.
+            source: passes the remainder to its sink, and is paused while the client does not read.
+            on_end: is called with whether the body was completely written, unless the client disconnects.
         """
         self.chunked = ResponseRelay.uses_chunks(content_length, self.active_request)
         self.close_after_response |= content_length is None and not self.chunked
@@ -262,7 +262,7 @@
         )
 
     def finish_response(self) -> None:
-        """End the response, which is written; the next request follows."""
+        """End the response, which has been written, and start the next request."""
         self._pending_input.release_body(self.active_request)
         self.active_request = None
         self.served_count += 1
@@ -281,16 +281,16 @@
         if self.clients.rejecting:
             self.begin_shutdown()
         elif self.clients.close_after_response:
-            # Its response did not announce the end: what the client has sent since is still served.
+            # The response did not announce the close, so a request that the client has sent since is served.
             self.close_if_idle()
 
-    # Ending
+    # Closing
 
     def check_disconnected(self) -> bool:
-        """Return whether the client has disconnected, by the socket's present state.
+        """Return whether the client has disconnected, according to the socket's current state.
 
-        While reading is paused or the process is busy, the event loop reports it late. If so, what is open
-        ends within this call.
+        While reading is paused or the process is busy, the event loop reports a disconnect late. If there
+        is one, this call ends the open requests.
         """
         if not self.client_disconnected:
             closing = self.transport.is_closing()
@@ -314,10 +314,10 @@
             self.close_if_idle()
 
     def abort_response(self) -> None:
-        """Abort the connection within a response.
+        """Abort the connection in the middle of a response.
 
-        The client notices: the body is short of its length or of its last chunk. A body delimited by the
-        connection's end is aborted by a reset.
+        The client notices, since the body is shorter than its length or lacks its last chunk. A body
+        delimited by the end of the connection is aborted by a reset.
         """
         if not (self.chunked or self.response_length or self.transport.is_closing()):
             self._socket.reset_on_close()
@@ -327,7 +327,7 @@
     def abort_evicted(self) -> None:
         """Abort the connection to free its slot.
 
-        A partially read request is rejected first: its end may be on the way.
+        A partially read request is rejected first, since the rest of it may be in flight.
         """
         if self._parser.partial_request is not None and not self.ended:
             self.reject(503, "too many connections")
@@ -339,7 +339,8 @@
         """End the connection, which has exceeded the timeout of its state."""
         if self._parser.partial_request is not None and not self.ended:
             if self.has_unread_request() and not self._timeout_deferred:
-                # Its end may be unread. Deferred once only, or a slow sender would never time out.
+                # The rest of the request may be unread. The timeout is deferred only once, or a slow sender
+                # would never time out.
                 self._timeout_deferred = True
                 return
             self.reject(408, "the request did not come whole in time")
--- a/umberlead/net/socket_state.py
+++ b/umberlead/net/socket_state.py
@@ -1,4 +1,4 @@
-"""The system's present state of a connection: uvloop reports it one turn of the event loop later."""
+"""The kernel's current state of a connection, which uvloop reports one event-loop iteration later."""
 
 import asyncio
 import contextlib
@@ -10,10 +10,10 @@
 import termios
 from collections.abc import Iterator
 
-# The peer ended its sending, closed or reset the connection.
+# The peer half-closed, closed or reset the connection.
 DISCONNECT_POLL_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
-# Of `struct tcp_info` in linux/tcp.h: the state, and `tcpi_last_data_recv`.
+# Layout of `struct tcp_info` in linux/tcp.h: `tcpi_state` and `tcpi_last_data_recv`.
 TCP_INFO_BYTES = 56
 TCP_INFO_STATE_OFFSET_BYTES = 0
 LAST_DATA_RECEIVED_OFFSET_BYTES = 52
@@ -26,7 +26,7 @@
     """Queries the socket of one transport."""
 
     def __init__(self, transport: asyncio.Transport) -> None:
-        """Query the socket of `transport`, if it has one."""
+        """Create queries of the socket of `transport`, if it has one."""
         self._transport = transport
         self._poll: select.poll | None = None
 
@@ -47,7 +47,7 @@
         return sum(events for _, events in self._poll.poll(0))
 
     def last_data_age_us(self) -> int | None:
-        """Return how long ago the peer's latest bytes arrived, to some milliseconds; None if unknown."""
+        """Return how long ago the peer's latest bytes arrived, to a few milliseconds; None if unknown."""
         sock = self._transport.get_extra_info("socket")
         if sock is None:
             return None
@@ -60,7 +60,7 @@
         return LAST_DATA_RECEIVED_STRUCT.unpack_from(info, LAST_DATA_RECEIVED_OFFSET_BYTES)[0] * 1000
 
     def unsent_bytes(self) -> int:
-        """Return how many bytes wait here or in the socket's send buffer."""
+        """Return how many bytes are in the transport's write buffer and in the socket's send buffer."""
         unsent = self._transport.get_write_buffer_size()
         if (sock := self._transport.get_extra_info("socket")) is not None:
             queued = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4)
@@ -68,15 +68,15 @@
         return unsent
 
     def reset_on_close(self) -> None:
-        """Make the close of the connection a reset."""
+        """Make closing the connection send a reset."""
         sock = self._transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER_OPTION)
 
     def was_reset(self) -> bool:
         """Return whether the connection broke, which libuv may report as an end of file.
 
-        A reset that arrives with the last bytes looks like an end. This includes the system's finding that
-        the peer is unreachable (ETIMEDOUT, EHOSTUNREACH).
+        A reset that arrives together with the last bytes looks like an end of file. An error that reports an
+        unreachable peer (ETIMEDOUT, EHOSTUNREACH) counts too.
         """
         with self._duplicate() as sock:
             try:
@@ -90,15 +90,15 @@
     def stop_sending(self) -> None:
         """Keep the remainder of a partially written request from being sent.
 
-        uvloop closes an aborted connection one turn later and may write all of it in between. It would be
-        executed, although it counts as not sent.
+        uvloop closes an aborted connection one event-loop iteration later, and may write the remainder in
+        between. The endpoint would then execute a request that counts as not sent.
         """
-        with self._duplicate() as sock, contextlib.suppress(OSError):  # the connection has ended already
+        with self._duplicate() as sock, contextlib.suppress(OSError):  # the connection is closed already
             sock.shutdown(socket.SHUT_WR)
 
     @contextlib.contextmanager
     def _duplicate(self) -> Iterator[socket.socket]:
-        """Provide the socket apart from its transport; no further descriptor is used."""
+        """Provide a second socket object for the transport's descriptor, which is not duplicated."""
         descriptor = self._transport.get_extra_info("socket").fileno()
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
         try:
--- a/umberlead/net/streaming.py
+++ b/umberlead/net/streaming.py
@@ -1,4 +1,4 @@
-"""Streamed responses: forwarded as they are received while they progress and their slot is not needed."""
+"""Streamed responses, which are forwarded to the client as they are received from an endpoint."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,10 +8,10 @@
 from umberlead.common.timer_wheel import Timer, TimerWheel
 from umberlead.resource_limits import MAX_BODY_BYTES
 
-STREAM_IDLE_TIMEOUT_US = 10_000_000  # in which a streamed response must progress
-SERVER_PAUSE_TIMEOUT_US = 650_000  # that an endpoint may pause within a response
-# Past its request's deadline a streamed response can be evicted when slots are short. One without a length
-# may never end; one with a length ends, however slow.
+STREAM_IDLE_TIMEOUT_US = 10_000_000  # without progress, after which a streamed response is aborted
+SERVER_PAUSE_TIMEOUT_US = 650_000  # limit on an endpoint's pause within a response
+# Age past its request's deadline at which a streamed response can be evicted when slots are short. One
+# without a length may never end; one with a length ends, however slow.
 UNSIZED_EVICTION_AGE_US = 10_000_000
 SIZED_EVICTION_AGE_US = 60_000_000
 STREAMING_THRESHOLD_US = 20_000  # after which an incomplete response without a length is streamed
@@ -25,17 +25,17 @@
     """Forwards a streamed response as it is received."""
 
     def write(self, piece: bytes) -> None:
-        """Take a piece of the body."""
+        """Forward a piece of the body."""
 
     def finish(self) -> None:
         """End the response: its body is complete."""
 
     def abort(self) -> None:
-        """Abort the response: its remainder will not arrive."""
+        """Abort the response: its remainder will not be received."""
 
 
 class IncomingResponse(Protocol):
-    """What a stream needs of the response that is being parsed."""
+    """The part of the response parser that a stream uses."""
 
     last_received_us: int
     content_length: int | None
@@ -50,7 +50,7 @@
 
 
 class StreamingPool(Protocol):
-    """What a stream needs of the pool."""
+    """The part of the pool that a stream uses."""
 
     clock: Callable[[], int]
     wheel: TimerWheel
@@ -58,7 +58,7 @@
 
 
 class StreamOwner(Protocol):
-    """What a stream needs of its connection to the endpoint."""
+    """The part of the connection to the endpoint that a stream uses."""
 
     transport: asyncio.Transport | None
     timer: Timer | None
@@ -91,17 +91,17 @@
 
 
 class ResponseStream:
-    """The remainder of a streamed response, on its way from an endpoint to a sink.
+    """Forwards the remainder of a streamed response from an endpoint to a sink.
 
     Attributes:
-        sink: takes it; None once it has ended or its reader has disconnected.
-        deadline_us: the request's deadline, extended by the pauses of its reader.
-        forwarded_bytes: how much of the body was forwarded.
-        paused: its reader does not take more for now.
+        sink: receives the remainder; None once it has ended or the reader has disconnected.
+        deadline_us: the request's deadline, extended by the reader's pauses.
+        forwarded_bytes: number of bytes of the body that were forwarded.
+        paused: reading is paused until the reader accepts more.
     """
 
     def __init__(self, owner: StreamOwner, pool: StreamingPool, forwarded_bytes: int) -> None:
-        """Start behind the first `forwarded_bytes`, which are in the request's answer."""
+        """Start after the first `forwarded_bytes` of the body, which are in the attempt's reply."""
         self._owner = owner
         self._pool = pool
         self.sink: BodySink | None = None
@@ -111,19 +111,19 @@
         self._paused_since_us = 0
 
     def start(self, deadline_us: int) -> None:
-        """Supervise the stream from now on: it has a sink."""
+        """Start the timeouts of the stream, which has a sink now."""
         self.deadline_us = deadline_us
         now_us = self._pool.clock()
         self._check_at(min(now_us + STREAM_IDLE_TIMEOUT_US, deadline_us))
 
     def feed(self, data: bytes) -> None:
-        """Parse and forward input."""
+        """Parse input and forward the body."""
         response = self._owner.response
         if not response.feed(data, self._pool.clock()):
             self.abort()
         elif response.complete:
             self.finish()
-        elif exceeds_stream_limit(self.forwarded_bytes):  # a Content-Length was checked with the headers
+        elif exceeds_stream_limit(self.forwarded_bytes):  # Content-Length was checked with the headers
             self.abort()
 
     def write(self, data: bytes) -> None:
@@ -147,7 +147,7 @@
             sink.finish()
 
     def abort(self) -> None:
-        """Abort the stream: its remainder will not arrive."""
+        """Abort the stream: its remainder will not be received."""
         sink = self.sink
         self.sink = None
         self._pool.counters.add("node_answers_broke_off")
@@ -159,11 +159,11 @@
         self._owner.timer = self._pool.wheel.call_at(at_us, self._check)
 
     def _check(self) -> None:
-        """Abort a response whose endpoint has stopped within it.
+        """Abort a response whose endpoint has stopped sending.
 
-        While the endpoint progresses the response continues, also past the request's deadline. One without a
-        length and of at most 64 KiB so far may be small, with a client that waits for its last byte: past the
-        deadline it may only pause. A reader that stalls is detected by its own connection.
+        A response that progresses continues, even past the request's deadline. One without a length and of at
+        most 64 KiB so far may be a small one whose client waits for the last byte: past the deadline it is
+        aborted after a pause of `SERVER_PAUSE_TIMEOUT_US`. A stalled reader is detected by its connection.
         """
         now_us = self._pool.clock()
         response = self._owner.response
@@ -175,12 +175,12 @@
         else:
             self._check_at(due_us)
 
-    # BodySource: called by the sink's side
+    # BodySource interface: called by the client's side
 
     def eviction_rank(self) -> StreamEvictionKey | None:
         """Return the sort key for eviction, smallest first; None if it may not be evicted.
 
-        Responses without a length are evicted first, then by their requests' deadlines.
+        Responses without a length come first; each kind is ordered by the requests' deadlines.
         """
         if self.sink is None or self._owner.closed:
             return None
@@ -196,7 +196,7 @@
         self.abort()
 
     def set_paused(self, paused: bool) -> None:
-        """Pause reading while the reader does not take more, or resume it."""
+        """Pause reading while the reader accepts no more, or resume it."""
         transport = self._owner.transport
         if transport is None or transport.is_closing():
             return
@@ -208,12 +208,11 @@
             now_us = self._pool.clock()
             self.paused = False
             self._owner.response.last_received_us = now_us
-            self.deadline_us += (
-                now_us - self._paused_since_us
-            )  # the pause was the reader's, not the endpoint's
+            # The reader caused the pause, not the endpoint.
+            self.deadline_us += now_us - self._paused_since_us
             transport.resume_reading()
 
     def cancel(self) -> None:
-        """End the stream: its reader has disconnected."""
+        """End the stream: the reader has disconnected."""
         self.sink = None
         self._owner.close()
--- a/umberlead/net/timeouts.py
+++ b/umberlead/net/timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of a client connection's states: rules without I/O.
+"""Timeouts of the states of a client connection, computed without I/O.
 
 All times are whole microseconds of one monotonic clock.
 """
@@ -7,11 +7,11 @@
 
 REQUEST_TIMEOUT_US = 2_500_000  # for a request, from the accept or from its first byte
 MIN_BODY_TIMEOUT_US = 400_000  # for a body, from the end of its headers, even if these were late
-LINGER_TIMEOUT_US = 300_000  # after the last response, so that it arrives
+LINGER_TIMEOUT_US = 300_000  # after the last response, so that the client receives it
 WRITE_STALL_TIMEOUT_US = 30_000_000  # for a client that reads nothing of its response
 SHORT_IDLE_TIMEOUT_US = 2_000_000  # for an idle connection, once over half of the slots are in use
-MIN_BODY_BYTES_PER_S = 32_000  # at which a body must be received
-MIN_UPLOAD_BYTES_PER_S = 1_000  # below which a slow upload can be evicted
+MIN_BODY_BYTES_PER_S = 32_000  # minimum rate at which a body must be received
+MIN_UPLOAD_BYTES_PER_S = 1_000  # rate below which a slow upload can be evicted
 NO_TIMEOUT_US = 1 << 62
 
 
@@ -20,9 +20,9 @@
     """How far a request has been read.
 
     Attributes:
-        headers_complete: whether all headers were read.
+        headers_complete: whether all headers have been read.
         body_since_us: when the headers were complete.
-        body_bytes: how much of the body was read.
+        body_bytes: size of the part of the body that has been read.
     """
 
     headers_complete: bool
@@ -51,9 +51,9 @@
 
     Args:
         answering: a request is being responded to.
-        ended: the last response was written, and the connection only lingers.
-        progress: of the request that is being received; None if there is none.
-        has_served: the connection has had a response.
+        ended: the last response was written, and the connection lingers.
+        progress: how far the partially received request has been read; None without one.
+        has_served: the connection has had at least one response.
         state_since_us: when the present state began.
         idle_timeout_us: how long an idle connection may stay.
     """
@@ -75,7 +75,7 @@
 
 
 def is_slow_upload(progress: RequestProgress | None, now_us: int) -> bool:
-    """Return whether a body that may take long hardly progresses."""
+    """Return whether a body is received more slowly than `MIN_UPLOAD_BYTES_PER_S`, after a grace period."""
     if progress is None or not progress.headers_complete:
         return False
     allowed_us = REQUEST_TIMEOUT_US + progress.body_bytes * 1_000_000 // MIN_UPLOAD_BYTES_PER_S
--- a/umberlead/net/watch_stream.py
+++ b/umberlead/net/watch_stream.py
@@ -1,4 +1,4 @@
-"""One streamed response of service discovery: HTTP framing and JSON objects, without retries."""
+"""One call to service discovery: HTTP framing and JSON objects of its streamed response, without retries."""
 
 import asyncio
 import contextlib
@@ -15,17 +15,17 @@
 
 JSON_STRING_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"')
 MAX_LINE_BYTES = 4 << 20
-READ_BYTES = 64 << 10  # of one read that precedes the event loop's
-MAX_READS_COUNT = 64  # of such reads in one go
+READ_BYTES = 64 << 10  # size of one read outside the event loop
+MAX_READS_COUNT = 64  # limit on consecutive reads outside the event loop
 
 
 class WatchStreamOwner(Protocol):
-    """What a stream needs of its watch; `DiscoveryWatch` implements it.
+    """The part of the watch that a stream uses; `DiscoveryWatch` implements it.
 
     Attributes:
         address: host and port of the discovery service.
-        list_index: version of the latest list; the service sends what is newer.
-        pacing: the rules on timeouts and backoff.
+        list_index: version of the latest list; the service sends newer ones.
+        pacing: timeouts and backoff.
         clock: returns microseconds of one monotonic clock.
     """
 
@@ -35,16 +35,16 @@
     clock: Callable[[], int]
 
     def arm_silence_timer(self, stream: "WatchStream") -> None:
-        """Set the time at which a stream without input is given up."""
+        """Schedule the check of whether a stream has gone silent."""
 
     def response_started(self, stream: "WatchStream") -> None:
         """Handle the end of the response's headers."""
 
     def apply_line(self, stream: "WatchStream", line: bytes) -> bool:
-        """Apply one JSON object; return False if it is no endpoint list."""
+        """Apply one JSON object; return False if it is not an endpoint list."""
 
     def stream_ended(self, stream: "WatchStream", reason: str) -> None:
-        """Handle the end of a stream, which calls this once."""
+        """Handle the end of a stream; called once for each stream."""
 
 
 class WatchStream(asyncio.Protocol):
@@ -52,17 +52,17 @@
 
     Attributes:
         transport: the connection; None while it is being established.
-        partial_line: input behind the latest line end.
-        object_lines: lines of a JSON object that is incomplete: objects may be indented.
-        brace_depth: braces that are open in these lines.
+        partial_line: input after the latest line end.
+        object_lines: lines of an incomplete JSON object, since an indented object spans several lines.
+        brace_depth: number of unclosed braces in these lines.
         object_bytes: size of these lines.
-        call: what the pacing knows of this call.
+        call: the pacing's record of this call.
         silence_timer: fires when the stream may have fallen silent.
-        ended: the stream delivers nothing any more.
+        ended: no further input is applied.
     """
 
     def __init__(self, watch: WatchStreamOwner) -> None:
-        """Start a call on behalf of `watch`; its connection follows."""
+        """Start a call on behalf of `watch`, before its connection is established."""
         self.watch = watch
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
@@ -100,18 +100,18 @@
             self.watch.arm_silence_timer(self)
 
     def read_unread_bytes(self) -> None:
-        """Read what waits in the socket's receive buffer now.
+        """Read the socket's receive buffer at once, outside the event loop.
 
-        Timers and signals run before the event loop reads. A change that has arrived counts as notified, so
-        it must not be lost with a stream that is closed or taken for silent.
+        Timers and signal handlers run before the event loop reads. The front counts as notified of a change
+        that has arrived, so the change must not be lost when the stream is closed or considered silent.
         """
         if self.ended or self.transport is None or self.transport.is_closing():
             return
         descriptor = self.transport.get_extra_info("socket").fileno()
-        # The same descriptor under a second object: no further one is used.
+        # A second socket object for the same descriptor, which is not duplicated.
         duplicate = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
         try:
-            with contextlib.suppress(OSError):  # no more input, or its end, which the event loop reports
+            with contextlib.suppress(OSError):  # no more input, or an error that the event loop reports
                 for _ in range(MAX_READS_COUNT):
                     data = duplicate.recv(READ_BYTES, socket.MSG_DONTWAIT)
                     if not data or self.ended:
@@ -127,7 +127,7 @@
         if name.lower() == b"retry-after":
             try:
                 self.call.retry_after_us = max(int(float(value) * 1e6), 0)
-            except (ValueError, OverflowError):  # a date, or no number: backoff alone applies
+            except (ValueError, OverflowError):  # a date or malformed: only the backoff applies
                 self.call.retry_after_us = 0
 
     def on_headers_complete(self) -> None:
@@ -136,7 +136,7 @@
         self.watch.response_started(self)
 
     def on_body(self, body: bytes) -> None:
-        """Split the body into lines, and objects into those that are complete."""
+        """Split the body into lines, and apply complete objects."""
         if self.call.status != 200 or self.ended:
             return
         *lines, self.partial_line = (self.partial_line + body).split(b"\n")
@@ -157,12 +157,12 @@
     def _feed_line(self, line: bytes) -> None:
         """Collect a line; an object ends with the line that closes its last brace.
 
-        One that is malformed or breaks off may have announced a drain that no later line repeats, so the list
-        is requested anew.
+        An object that is malformed or incomplete may have announced a drain that no later line repeats. The
+        stream ends then, and the list is requested again.
         """
         if not line.strip():
             if self.brace_depth:
-                self.end("malformed")  # the keepalive of an unchanged list, within an object
+                self.end("malformed")  # a keepalive, sent while the list is unchanged, within an object
             return
         without_strings = JSON_STRING_PATTERN.sub(b"", line)
         self.brace_depth += without_strings.count(b"{") - without_strings.count(b"}")
@@ -178,7 +178,7 @@
             self.end("malformed")
 
     def on_message_complete(self) -> None:
-        """End the stream: a watch's response has no end of its own."""
+        """End the stream: the response of a watch should never end."""
         self.end("ended")
 
     def connection_lost(self, exc: Exception | None) -> None:
