--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -41,7 +41,7 @@
     ("bad clients: what is sent ahead has no bound", INPUT, "        if self.clients.buffered_bytes > self.clients.buffer_limit_bytes:\n            self.clients.counters.add(\"bodies_over_memory\")\n            self._pending_input.discard_unparsed()", "        if False:\n            self._pending_input.discard_unparsed()"),
     ("idle closing: a request that is here goes with its connection", SERVER, "if self.is_idle() and not self.has_unread_request():", "if self.is_idle():"),
     ("idle closing: room is made of one whose request is here", CLIENTS, "            if victim.has_unread_request():", "            if False:"),
-    ("bad clients: what came before the noise is dropped", INPUT, "self._rejection = RequestRejection(status, reason, rejected)", "self.ended = self.close_after_response = True"),
+    ("bad clients: what came before the noise is dropped", INPUT, "self._rejection = RequestRejection(status, reason, rejected_target)", "self.ended = self.close_after_response = True"),
     ("client gone: unseen where reading is paused", CLIENTS, "if conn.is_reading_paused() and conn.pending_events() & DISCONNECT_POLL_EVENTS:", "if False:"),
     ("client gone: what waits behind is kept", SERVER, "        self._rejection = None\n        self._pending_input.discard_all()\n", "        self._rejection = None\n"),
     ("client gone: a dial goes on", LIFECYCLE, "            self.transport.cancel_if_unsent(request.attempt)\n        self._post(ClientDisconnected", "            pass\n        self._post(ClientDisconnected"),
--- a/umberlead/net/connection_input.py
+++ b/umberlead/net/connection_input.py
@@ -115,8 +115,8 @@
 
     def headers_complete(self, request: HttpRequest) -> None:
         """Send 100 Continue to a client that expects it."""
-        expects = request.headers.get(b"expect", b"").lower() == b"100-continue"
-        if expects and self.active_request is None:
+        expects_continue = request.headers.get(b"expect", b"").lower() == b"100-continue"
+        if expects_continue and self.active_request is None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def body_progressed(self) -> None:
@@ -134,9 +134,9 @@
     def reject(self, status: int, reason: str, target: bytes = b"") -> None:
         """Reject input that can't be read or served; the connection closes after that response."""
         partial = self._parser.partial_request
-        rejected = partial.target if partial is not None else target
+        rejected_target = partial.target if partial is not None else target
         self._parser.discard()
-        self._rejection = RequestRejection(status, reason, rejected)
+        self._rejection = RequestRejection(status, reason, rejected_target)
         self.clients.counters.add(f"bad_requests_{status}")
         if self.active_request is None and not (self.pipelined_requests or self.closed):
             self._send_rejection()
--- a/umberlead/net/connection_state.py
+++ b/umberlead/net/connection_state.py
@@ -97,15 +97,18 @@
         """
         if self.client_disconnected or self.ended:
             return False
-        waits = self.active_request is not None and self.body_source is None
+        unanswered = self.active_request is not None and self.body_source is None
         return bool(
-            waits or self.pipelined_requests or self._rejection or self._parser.partial_request is not None
+            unanswered
+            or self.pipelined_requests
+            or self._rejection
+            or self._parser.partial_request is not None
         )
 
     def call_ids(self) -> str:
         """Return the call ids of the requests that were read and have no response, for the log."""
         open_requests = [self.active_request, *self.pipelined_requests, self._parser.partial_request]
-        ids = [m.headers.get(b"x-call-id", b"-") for m in open_requests if m is not None]
+        ids = [request.headers.get(b"x-call-id", b"-") for request in open_requests if request is not None]
         return b",".join(ids).decode("latin-1")
 
     def is_write_stalled(self, now_us: int) -> bool:
@@ -133,8 +136,8 @@
         if self.active_request is not None or self.pipelined_requests or self.write_blocked:
             return False
         settled = self.ended or self.state_since_us <= before_us
-        slow = settled or timeouts.is_slow_upload(self._parser.progress, before_us)
-        return slow and not self.transport.is_closing()
+        evictable = settled or timeouts.is_slow_upload(self._parser.progress, before_us)
+        return evictable and not self.transport.is_closing()
 
     def eviction_order(self) -> ClientEvictionKey:
         """Return the sort key for eviction; the smallest is evicted first.
@@ -160,13 +163,13 @@
 
     def is_reading_paused(self) -> bool:
         """Return whether reading is paused, so that a disconnect would go unnoticed."""
-        open_ = not self.client_disconnected and not self.transport.is_closing()
-        return open_ and not self.transport.is_reading()
+        established = not self.client_disconnected and not self.transport.is_closing()
+        return established and not self.transport.is_reading()
 
     def timeout_us(self, idle_timeout_us: int) -> int:
         """Return how long the connection may stay in its present state, in microseconds."""
         return timeouts.connection_timeout_us(
-            answering=self.active_request is not None,
+            has_active_request=self.active_request is not None,
             ended=self.ended,
             progress=self._parser.progress,
             has_served=self.served_count > 0,
--- a/umberlead/net/dialing.py
+++ b/umberlead/net/dialing.py
@@ -101,8 +101,8 @@
 
     def _next_check_us(self, conn: EndpointConnection) -> int:
         """Return when a dial that carries an attempt is checked next, to race it or end its attempt."""
-        raced = conn.race_count < MAX_RACING_DIALS_COUNT
-        delay_ratio = CONNECTION_ATTEMPT_DELAY_RATIO * (conn.race_count + 1) if raced else 1.0
+        may_race = conn.race_count < MAX_RACING_DIALS_COUNT
+        delay_ratio = CONNECTION_ATTEMPT_DELAY_RATIO * (conn.race_count + 1) if may_race else 1.0
         return conn.state_since_us + int(delay_ratio * self._pool.connect_timeout_us)
 
     def _check_next_tick(self, conn: EndpointConnection) -> None:
--- a/umberlead/net/endpoint_pool.py
+++ b/umberlead/net/endpoint_pool.py
@@ -95,8 +95,8 @@
             return
         # A retry takes only an unused connection. So does a request that must not be repeated, while reused
         # connections are often reset.
-        resets = self.reset_probability > RESET_PROBABILITY_THRESHOLD
-        unused_only = attempt.number > 0 or (attempt.must_not_repeat and resets)
+        reuse_is_risky = self.reset_probability > RESET_PROBABILITY_THRESHOLD
+        unused_only = attempt.number > 0 or (attempt.must_not_repeat and reuse_is_risky)
         conn = self._take_idle(address, unused_only)
         if conn is None:
             return self._dial(attempt, address)
@@ -153,9 +153,9 @@
             self.slots.free(conn.slot)
             conn.slot = -1
         self.dialer.remove(conn)
-        idle_here = self.idle_connections.get(conn.address)
-        if idle_here and conn in idle_here:
-            idle_here.remove(conn)
+        pooled = self.idle_connections.get(conn.address)
+        if pooled and conn in pooled:
+            pooled.remove(conn)
 
     def record_reuse(self, conn: EndpointConnection, reset: bool) -> None:
         """Record whether a reused connection was reset during a request.
@@ -189,15 +189,15 @@
         With `unused_only`, it must have been established recently and have carried no attempt, which makes
         it equivalent to a new one.
         """
-        idle_here = self.idle_connections.get(address, [])
+        pooled = self.idle_connections.get(address, [])
         reusable_before_us = self.clock() - REUSE_DELAY_US
         oldest_us = reusable_before_us - CONNECT_TIMEOUT_MULTIPLIER * self.connect_timeout_us
-        for position in range(len(idle_here) - 1, -1, -1):
-            conn = idle_here[position]
+        for position in range(len(pooled) - 1, -1, -1):
+            conn = pooled[position]
             if unused_only and (conn.has_carried_attempt or conn.state_since_us < oldest_us):
                 continue
             if conn.idle_since_us <= reusable_before_us:
-                del idle_here[position]
+                del pooled[position]
                 if not conn.closed and conn.is_open() and conn.has_no_unread_bytes():
                     return conn
                 conn.close()
@@ -227,11 +227,11 @@
         """Close connections that have been idle for too long, before the endpoint may close them."""
         before_us = self.clock() - self.idle_timeout_us
         self.evict_excess()
-        for address, idle_here in list(self.idle_connections.items()):
-            while idle_here and idle_here[0].idle_since_us <= before_us:
+        for address, pooled in list(self.idle_connections.items()):
+            while pooled and pooled[0].idle_since_us <= before_us:
                 self.counters.add("node_connections_retired")
-                idle_here.pop(0).close()
-            if not idle_here:
+                pooled.pop(0).close()
+            if not pooled:
                 del self.idle_connections[address]
 
     def _evict(self) -> bool:
--- a/umberlead/net/pending_input.py
+++ b/umberlead/net/pending_input.py
@@ -46,11 +46,11 @@
         self._clients.buffered_bytes -= len(data)
         return data, received_us
 
-    def release_body(self, message: HttpRequest | None) -> None:
+    def release_body(self, request: HttpRequest | None) -> None:
         """Release the body of a request."""
-        if message is not None:
-            self._clients.buffered_bytes -= len(message.body)
-            message.body = b""
+        if request is not None:
+            self._clients.buffered_bytes -= len(request.body)
+            request.body = b""
 
     def discard_unparsed(self) -> None:
         """Discard the unparsed bytes."""
--- a/umberlead/net/request_parser.py
+++ b/umberlead/net/request_parser.py
@@ -216,6 +216,7 @@
         request.body = self._body
         request.version = self._parser.get_http_version()
         request.keep_alive = self._parser.should_keep_alive()
-        request.received_us = self._received_us  # its budget runs from its last byte, not from its start
+        # The time budget runs from the last byte, even while the request waits for earlier ones.
+        request.received_us = self._received_us
         self._body = b""
         self._receiver.request_complete(request)
--- a/umberlead/net/server_connection.py
+++ b/umberlead/net/server_connection.py
@@ -169,8 +169,8 @@
 
     def _lacks_capacity(self) -> bool:
         clients = self.clients
-        over = clients.count > clients.max_connections and not self.served_count
-        return over and not clients.ensure_capacity() and clients.is_full()
+        over_limit = clients.count > clients.max_connections and not self.served_count
+        return over_limit and not clients.ensure_capacity() and clients.is_full()
 
     def _start_request(self, request: HttpRequest) -> None:
         self.active_request = request
--- a/umberlead/net/timeouts.py
+++ b/umberlead/net/timeouts.py
@@ -40,7 +40,7 @@
 
 def connection_timeout_us(
     *,
-    answering: bool,
+    has_active_request: bool,
     ended: bool,
     progress: RequestProgress | None,
     has_served: bool,
@@ -50,14 +50,14 @@
     """Return how long a connection may stay in its present state, from `state_since_us`.
 
     Args:
-        answering: a request is being responded to.
+        has_active_request: a request is being responded to.
         ended: the last response was written, and the connection lingers.
         progress: how far the partially received request has been read; None without one.
         has_served: the connection has had at least one response.
         state_since_us: when the present state began.
         idle_timeout_us: how long an idle connection may stay.
     """
-    if answering:
+    if has_active_request:
         return NO_TIMEOUT_US
     if ended:
         return LINGER_TIMEOUT_US
