--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -1,7 +1,7 @@
-"""Bytes that wait with the system as a reply ends or reading goes on, forced on real sockets.
+"""Input that is in the receive buffer when a response ends or reading is resumed, on real sockets.
 
-The client is a blocking socket of the same thread: what it has sent is with the system, and the loop has
-not run meanwhile.
+The client is a blocking socket in the same thread: what it has sent is in the kernel's buffers, and the event
+loop has not run meanwhile.
 """
 
 import asyncio
@@ -48,7 +48,7 @@
 
 
 class Setting:
-    """A listener, and a client's connection to it; `now` is the front's clock."""
+    """A listener and one client connection to it; `now` is the front's clock in microseconds."""
 
     def __init__(self) -> None:
         self.now, self.handler, self.ends = 1_000_000, Handler(), list[tuple[bool, str, str]]()
@@ -100,7 +100,7 @@
 
 
 def test_a_request_that_crosses_the_end_of_a_streamed_response_is_served_though_the_process_drains() -> None:
-    """The response had not said that its connection ends: the request was read, and dropped."""
+    """The response did not announce the close, but a request sent meanwhile was read and dropped."""
 
     async def steps(setting: Setting) -> None:
         setting.client.sendall(get("long"))
@@ -152,7 +152,8 @@
 
 
 def test_the_time_of_what_waited_while_nothing_was_read_runs_from_the_pause() -> None:
-    """It was given the time that it had waited once more, and its server was notified of it."""
+    """Requests that waited in the receive buffer had their time budget extended by that wait, and the
+    endpoint was sent the longer budget."""
 
     async def steps(setting: Setting) -> None:
         setting.clients.max_header_bytes = 500
@@ -193,7 +194,8 @@
 def test_a_broken_connection_is_no_end_whatever_the_system_calls_the_break(
     fault: OSError | None, broken: bool
 ) -> None:
-    """Only a reset was one: an answer without a length that broke off otherwise counted as complete."""
+    """Only a reset counted as a break: a response without a length that ended with another error was taken
+    for complete."""
     sock = mock.Mock(recv=mock.Mock(side_effect=fault, return_value=b""))
 
     @contextmanager
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -1,4 +1,4 @@
-"""Connections to chunk servers where their ends cross: each attempt has one outcome."""
+"""Dialing endpoints: each attempt has exactly one result, in whichever order its dials succeed or fail."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class Ends:
-    """In place of the request lifecycle: the results of attempts, as they come."""
+    """Stands in for the request lifecycle and records the results of attempts, in order."""
 
     def __init__(self) -> None:
         self.seen: list[tuple[int, AttemptResult]] = []
@@ -33,7 +33,7 @@
 
 
 class Wire(asyncio.Transport):
-    """A transport as uvloop leaves it when the task that waits for its connection is cancelled: aborted, and
+    """A transport that behaves as uvloop's does when the dial task is cancelled: it is aborted, and
     `connection_lost` is never called."""
 
     def __init__(self) -> None:
@@ -54,12 +54,13 @@
 
 
 class Dials:
-    """In the loop's place, with a clock set by hand: dials wait, and `up` lets the connection come up."""
+    """Stands in for the event loop, with a manual clock. Dials stay pending until a test establishes them;
+    with `up_when_cancelled`, one is established while it is cancelled."""
 
     def __init__(self, up_when_cancelled: bool) -> None:
         self.now = 1_000_000
         self.late, self.wire = up_when_cancelled, Wire()
-        self.conns: list[Any] = []  # as their dials began
+        self.conns: list[Any] = []  # in the order in which their dials started
         self.alarms: list[tuple[int, Callable[[], None]]] = []
 
     def create_task(self, work: Any) -> "asyncio.Task[None]":
@@ -132,32 +133,34 @@
 @pytest.mark.parametrize("late", [True, False])
 @pytest.mark.parametrize("ended_by", ["link time-out", "engine"])
 def test_a_dial_cancelled_as_its_connection_is_established_has_one_outcome(late: bool, ended_by: str) -> None:
-    """Seen as uploads answered 502 at the end of their time, after a front had stood still for a second."""
+    """After a front was suspended for a second, dials were cancelled just as their connections were
+    established. Their attempts never had a result, and the uploads were answered with 502 at their
+    deadline."""
 
     async def test() -> None:
         dials = Dials(late)
         pool, ends, attempt = _pool(dials)
-        pool.dialer.success_rate = 0.0  # no second dial beside it
+        pool.dialer.success_rate = 0.0  # no racing dial
         pool.start(attempt)
         await asyncio.sleep(0)
         if ended_by == "engine":
             pool.stop(attempt, AttemptResult.TIMEOUT)
         else:
             dials.until(dials.now + 2 * CONNECT_TIMEOUT_US)
-            assert ends.seen == [(0, AttemptResult.CONNECT_FAILED)]  # at the timeout, while its dial goes on
+            assert ends.seen == [(0, AttemptResult.CONNECT_FAILED)]  # at the timeout; the dial continues
             dials.until(dials.now + CONNECT_TIMEOUT_MULTIPLIER * CONNECT_TIMEOUT_US)
         await _turns()
         assert ends.seen == [(0, AttemptResult.CONNECT_FAILED)]
         assert not dials.wire.sent and dials.wire.aborted == late
-        assert not len(pool.slots)  # and its slot is free again
-        dials.conns[0].connection_lost(None)  # some loops call it all the same
+        assert not len(pool.slots)  # the slot is free again
+        dials.conns[0].connection_lost(None)  # some event loops call it nevertheless
         assert len(ends.seen) == 1
 
     asyncio.run(test())
 
 
 def test_a_connection_that_was_established_when_a_late_process_looks_is_used() -> None:
-    """The process stood still past the connect timeout: its timer runs first, then the connection is seen."""
+    """After a suspension past the connect timeout, a dial's timer runs before its connection is reported."""
 
     async def test() -> None:
         dials = Dials(False)
@@ -187,7 +190,7 @@
 
 
 def _wire(pool: EndpointPool, conn: Any) -> Wire:
-    """Up, on a transport of its own whose peer says nothing."""
+    """Establish `conn` on a new transport whose peer sends nothing, and return the transport."""
     wire, conn.has_no_unread_bytes = Wire(), lambda: True
     conn.connection_made(wire)
     return wire
@@ -195,20 +198,20 @@
 
 @pytest.mark.parametrize("first", [0, 1])
 def test_a_slow_dial_is_raced_and_the_first_that_is_established_carries_the_attempt(first: int) -> None:
-    """Seen on days when a third of the connections come up late: each that took over the link time-out ended
-    its attempt and rested a server that was well, whose requests nobody else can take."""
+    """When a third of the connections were slow to establish, each that exceeded the connect timeout failed
+    its attempt and ejected a healthy endpoint, whose requests no other endpoint can serve."""
 
     async def test() -> None:
         dials, pool, ends, attempt = await _raced()
         won, other = dials.conns[first], dials.conns[1 - first]
         assert _wire(pool, won).sent and attempt.transport_state is won
-        spare = _wire(pool, other)  # the other is not lost: the next attempt, also a second, has a connection
+        spare = _wire(pool, other)  # it stays pooled: the next attempt takes it, even a retry
         assert not spare.sent and not ends.seen
         again = _attempt(dials, 1)
         pool.start(again)
         assert spare.sent and again.transport_state is other and len(dials.conns) == 2
         dials.until(dials.now + (CONNECT_TIMEOUT_MULTIPLIER + 1) * CONNECT_TIMEOUT_US)
-        assert not ends.seen  # no timeout of a dial is left behind
+        assert not ends.seen  # no dial timeout is left
         pool.close()
 
     asyncio.run(test())
@@ -257,10 +260,10 @@
 def test_dials_that_nobody_waits_for_free_slots_at_the_limit() -> None:
     async def test() -> None:
         dials, pool, ends, _ = await _raced()
-        pool.max_connections = 2  # all taken: one by the attempt, one by its racer
+        pool.max_connections = 2  # both taken: by the attempt's dial and by the racing dial
         dials.until(dials.now + int(CONNECTION_ATTEMPT_DELAY_RATIO * CONNECT_TIMEOUT_US) + 4000)
         await _turns()
-        assert len(dials.conns) == 2  # no race without room
+        assert len(dials.conns) == 2  # no racing dial without a free slot
         other = _attempt(dials, 0)
         pool.start(other)
         await _turns()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's watch on sockets; the pauses between its calls are in test_backoff.py."""
+"""The watch of service discovery on real sockets; test_backoff.py tests the delays between its calls."""
 
 import asyncio
 import socket
@@ -23,7 +23,7 @@
 
 
 def _watch(answer: bytes, seconds: float) -> tuple[int, Counters]:
-    """Connections that one watch makes in `seconds` to a discovery that answers each with `answer`."""
+    """Watch a service that sends `answer` to each call; return the calls made in `seconds`, and counters."""
     dialled = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -66,8 +66,8 @@
 
 
 def test_a_rejection_from_discovery_does_not_set_the_backoff_back() -> None:
-    """Each 503 used to count as news, so the pause stayed at 0.1 s: 3,740 rejected watches from the
-    28 restarted processes in 12 s. Doubling from 0.1 s, 1.5 s hold 4 or 5 attempts at most."""
+    """Each 503 reset the backoff, so the delay stayed at 0.1 s: 28 restarted processes made 3,740 rejected
+    calls in 12 s. With a delay that doubles from 0.1 s, at most 4 or 5 calls are made in 1.5 s."""
     dialled, counters = _watch(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", 1.5)
     assert 2 <= dialled <= 6 and counters["discovery_updates"] == 0
 
@@ -81,10 +81,11 @@
 def test_a_list_that_comes_sets_the_backoff_back() -> None:
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(LIST), LIST)
     dialled, counters = _watch(answer, 1.0)
-    assert counters["discovery_updates"] == dialled >= 8  # each ended stream is tried again in 0.1 s at most
+    # After each stream the next call follows within 0.1 s.
+    assert counters["discovery_updates"] == dialled >= 8
 
 
-# The bound, on a clock that is set by hand
+# The bound on the time until a change is known, on a manual clock
 
 NO = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -99,7 +100,7 @@
 
 
 class Discovery:
-    """Answers each call as `how` says: with those bytes, not at all (b""), or "reset"."""
+    """A discovery service; `how` is the response to each call: bytes, b"" for none, or "reset"."""
 
     def __init__(self) -> None:
         self.how: bytes | str = b""
@@ -119,7 +120,7 @@
 
 
 class Setting:
-    """A watch on that discovery, and the clock that it goes by."""
+    """A watch of `discovery` with a manual clock."""
 
     def __init__(self, discovery: Discovery, **more: Any) -> None:
         self.now, self.discovery, self.dials, self.gate = T0, discovery, 0, asyncio.Event()
@@ -155,7 +156,7 @@
                 await asyncio.sleep(0)
 
     async def settle(self) -> None:
-        """All that a call under way brings about without the clock moving on has come about."""
+        """Wait until the current call has made all progress that is possible without advancing the clock."""
         stream, how = self.watch.stream, self.discovery.how
         if stream is None or stream.call.answered or not self.gate.is_set():
             return await asyncio.sleep(0)
@@ -168,10 +169,10 @@
             await self.until(lambda: stream.ended or stream.call.connected_us is not None)
 
     async def goes_on(self, until: Callable[[], Any], most: int) -> None:
-        """The clock moves on until that, `most` us at the most."""
+        """Advance the clock until `until` holds, by at most `most` microseconds."""
         end = self.now + most
         while not until():
-            assert self.now < end, "it did not come about in that time"
+            assert self.now < end, "the condition was not met in that time"
             self.now += STEP
             self.wheel.fire_due()
             await self.settle()
@@ -208,15 +209,15 @@
 @pytest.mark.parametrize("failed", [1, 4])
 @pytest.mark.parametrize("way", WAYS)
 def test_whatever_call_failed_changes_are_known_in_time(way: str, failed: int) -> None:
-    """One of 200 processes: the service is back the moment after a call was made, whatever comes of that. The
-    6 s less the 2 s that a call may wait its turn are left."""
+    """One of 200 processes: the service recovers just after a call was made. Whatever becomes of that call, a
+    change is known within the bound of 6 s, less the 2 s for which a call may queue at the service."""
 
     async def test(discovery: Discovery) -> None:
         of = Setting(discovery, fleet_size=200)
         discovery.how = WAYS[way]
         if way == "hung dial":
             of.gate.clear()
-        if way == "refused":  # nobody listens there for now
+        if way == "refused":  # no service listens at this address
             with socket.create_server(("127.0.0.1", 0)) as free:
                 of.watch.address = ("127.0.0.1", free.getsockname()[1])
         of.watch.open()
@@ -225,7 +226,7 @@
             await of.goes_on(partial(of.dialled, k), 8_000_000)
         back, dials, discovery.how = of.now, of.dials, NEWS
         of.watch.address = ("127.0.0.1", discovery.port)
-        await of.goes_on(lambda: of.dials > dials, MAX_CALL_GAP_US + STEP)  # one that hung is left first
+        await of.goes_on(lambda: of.dials > dials, MAX_CALL_GAP_US + STEP)  # a hung call is abandoned first
         of.gate.set()
         await of.goes_on(lambda: of.heard and of.heard[-1][0] == 9, STEP)
         assert of.heard[-1][1] - back <= MAX_CALL_GAP_US + 2 * STEP
@@ -250,7 +251,7 @@
 
 @pytest.mark.parametrize("agent", [None, True])
 def test_the_return_of_an_agent_is_seen_within_a_second(agent: bool | None) -> None:
-    """Of a few processes from the first call on, of many once an earlier process met it."""
+    """With few processes this holds from the first call, with many once an agent has been detected."""
 
     async def test(discovery: Discovery) -> None:
         of = Setting(discovery, fleet_size=200 if agent else 5, expects_agent=True, is_agent=agent)
@@ -266,7 +267,7 @@
 
 
 def test_a_call_that_was_cancelled_is_listened_to_and_a_no_spares_the_service() -> None:
-    """A service was taken for an agent, as it once answered quickly."""
+    """The service was taken for an agent because it once answered quickly."""
 
     async def test(discovery: Discovery) -> None:
         of = Setting(discovery, fleet_size=200, expects_agent=True, is_agent=True)
@@ -279,7 +280,7 @@
         assert of.watch.late_stream is None
         dials = of.dials
         await of.goes_on(lambda: of.now > T0 + 4_000_000, 3_000_000)
-        assert of.dials <= dials + 1  # what is under way waits its turn
+        assert of.dials <= dials + 1  # at most the call that was scheduled already
         of.watch.close()
 
     _play(test)
@@ -307,7 +308,8 @@
     async def test(discovery: Discovery) -> None:
         shared = SharedState(tmp_path)
         assert shared.agent_seen_before() is None and SharedState(None).agent_seen_before() is None
-        for how, agent in ((NEWS, True), (NO, True), (NEWS, None)):  # kept or not once a list has come
+        # The hint is stored or removed when a list is received; a rejection leaves it unchanged.
+        for how, agent in ((NEWS, True), (NO, True), (NEWS, None)):
             of = Setting(
                 discovery,
                 fleet_size=40,
--- a/tests/test_pipelined_deadlines.py
+++ b/tests/test_pipelined_deadlines.py
@@ -1,4 +1,4 @@
-"""Requests that a client sent at once, and whose time is over when their turn comes: each gets an answer."""
+"""Pipelined requests whose deadlines have passed before they are handled: each is rejected."""
 
 from tests.exchange import Exchange
 
@@ -12,7 +12,7 @@
 
 
 def test_those_behind_one_that_took_their_time_are_all_rejected() -> None:
-    """One after the other, and in their order, though all are rejected within the same turn of the loop."""
+    """Each gets its own rejection, in order, although all are rejected in one event-loop iteration."""
     sent = "".join(
         ASK.format(n=n, budget=budget) for n, budget in enumerate(("0.400", "0.300", "0.200", "0.100"))
     )
--- a/tests/test_request_delivery.py
+++ b/tests/test_request_delivery.py
@@ -1,5 +1,5 @@
-"""Requests in pieces and in all their forms, many on a connection, and an answer in time whatever becomes of
-their attempts: what the renewed standing test asks, on a clock that moves by hand alone."""
+"""Delivery of requests: in pieces and in all valid forms, pipelined, and with a response in time whatever the
+results of their attempts. Complete processes run on real sockets, with a manual clock."""
 
 import re
 import socket
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("size", [1, 2, 7, 150, 230])
 def test_requests_in_pieces_of_any_size_are_served_in_their_order(size: int) -> None:
-    """Byte by byte, and with the end of one and the begin of the next in one piece."""
+    """From single bytes to pieces that contain the end of one request and the start of the next."""
     play(
         "node n0 0\nclient a platform\n",
         f"a pieces {size} 0\n",
@@ -45,7 +45,7 @@
 
 
 def test_slow_writers_are_served() -> None:
-    """Two requests of a client that writes for over 2 s at each."""
+    """A client sends two requests and takes over 2 s to write each."""
     one = "| PUT /write?block={0} HTTP/1.1\n& ask {1} / 0\n| X-Budget: 3\n| Content-Length: 5\n|\n= 12345\n"
     play(
         "node n0 0\nclient a platform\n",
@@ -55,13 +55,13 @@
 
 
 def test_many_commands_sent_at_once_are_all_answered() -> None:
-    """All in one read: those beyond the eighth were dropped with a 400."""
+    """All arrive in one read; those after the eighth were dropped with a 400."""
     many = "a >\n" + "".join(asks("a", n).partition("\n")[2] for n in range(100))
     play("node n0 0\nclient a platform\n", many, 100 * DONE.format("a"), "writes n0 PUT 100\n")
 
 
 def test_the_time_of_one_that_waits_behind_others_runs_from_its_last_byte() -> None:
-    """The third was read and not parsed, so its time began with its turn."""
+    """The third request was read but not parsed, so its time budget started only when it was handled."""
     ask = "a >\n" + "| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a{0} / 0\n| X-Budget: 5\n|\n"
     answer = "n0 >\n& x\na <\n& x\n"
     got = "n0 <\n" + re.sub(r"X-Budget: 5", "X-Budget: {1}{{~}}", ask.partition("\n")[2])
@@ -101,7 +101,7 @@
     )
 
 
-# An answer in time
+# A response in time, whatever the results of the attempts
 
 ENDS = {
     "silence": ("", "stays"),
@@ -138,7 +138,8 @@
 def test_whatever_its_attempts_end_with_a_request_has_a_complete_response_in_time(
     how: str, call: str
 ) -> None:
-    """Half a second past its time at the latest; a reset is no end of an answer that tells no length."""
+    """The response arrives at most half a second after the deadline. A reset does not complete a response
+    without a length."""
     node = "node n0 0:down\n" if how == "refused" else "node n0 0:script\n"
     if how in ENDS:
         node += f"n0 cans {ENDS[how][1]}\n{ENDS[how][0]}"
@@ -152,7 +153,8 @@
 
 
 def test_a_reset_with_the_last_bytes_of_a_streamed_response_is_no_end() -> None:
-    """libuv reports an end where both are there at once, and the answer passed for complete."""
+    """If the last bytes and a reset arrive together, libuv reports an end of file, and the response was taken
+    for complete."""
     play(
         "node n0 0:script\nclient a platform\na >\n& read a1 / 0\nn0 <\n& got a1 / 0\n",
         "n0 >\n| HTTP/1.1 200 OK\n|\n@ 0 70000\n",
@@ -160,11 +162,11 @@
     )
 
 
-# Bytes in the moment of a close
+# Bytes that arrive as a connection is reused or closed
 
 
 def test_a_partial_line_on_a_pooled_connection_keeps_the_next_request_from_it() -> None:
-    """It arrives in the very turn in which the connection is to be used again."""
+    """The partial line arrives in the event-loop iteration in which the connection is to be reused."""
 
     class Crossing(Standing):
         async def _step(self, words: list[str], lines: list[str]) -> None:
@@ -187,7 +189,7 @@
 
 
 def test_no_connection_holds_small_writes_back() -> None:
-    """A close over unread bytes would take them along."""
+    """A close with unread input resets the connection, and would discard small writes that are held back."""
 
     class Looks(Standing):
         async def _step(self, words: list[str], lines: list[str]) -> None:
@@ -215,7 +217,8 @@
 
 @pytest.mark.parametrize("way", ["close", "reset"])
 def test_bad_clients_that_send_much_at_once_and_go_leave_nothing_behind(way: str) -> None:
-    """Whole requests, half ones and noise, 60 KB each; nothing of theirs is begun once they left."""
+    """Each client sends complete requests followed by a partial one or by invalid input, 60 KB in total, and
+    disconnects. None of its requests is started afterwards."""
     crowd, sent = [f"c{n}" for n in range(20)], ""
     for n, name in enumerate(crowd):
         whole = "".join(f"& block {name}x{k} / PUT /write / {block(100 + k)} / 1\n" for k in range(30))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,5 @@
-"""What service days ask of the module: nothing grows, links that break rest nobody, slow nodes are spared."""
+"""The scheduler and client connections over a day of service: bounded state, no ejection for broken
+connections, the load on slow and warming endpoints, buffered memory, and eviction."""
 
 import random
 import unittest
@@ -49,7 +50,8 @@
         self.assertEqual([a.endpoint for a in acts if isinstance(a, Send)], ["n1"] * 3)
 
     def test_what_a_node_has_no_use_for_goes_where_its_object_was_stored_or_is_refused(self) -> None:
-        """Each such answer took the node's bound to one request and rested it for half a second."""
+        """Each response to a misdirected request lowered the endpoint's concurrency limit to one request and
+        ejected the endpoint for half a second."""
         h = head(T0, up("n0", 0), up("n1", 1))
         feed(h, T0, ManualDrain("n0", True, T0), ask("w", cls="once", shard=-1, key="k"))
         feed(h, T0, end("w", node="n1"), ManualDrain("n0", False, T0))
@@ -62,13 +64,13 @@
         self.assertEqual(refused(acts), ["b"])
 
     def test_what_is_hopeless_goes_by_size(self) -> None:
-        """Late as it is, a small read still has the time it takes; a large one has not."""
+        """With little time left, a small read can still be served in time; a large one can't."""
         h = head(T0, up())
         for k in range(20):
             feed(h, T0 + k, ask(f"r{k}", T0 + k))
             feed(h, T0 + k, end(f"r{k}", elapsed=150_000))
         later = T0 + 100
-        h.admission.longest_timeouts_us["read"] = 2_200_000  # so the clients below come 200 ms late
+        h.admission.longest_timeouts_us["read"] = 2_200_000  # so the requests below arrive 200 ms late
         small = feed(h, later, ask("s", later, units=1.0))
         self.assertEqual(sends(small), ["s"])
         self.assertEqual(refused(feed(h, later, ask("l", later, units=4.0, volume="w"))), ["l"])
@@ -86,7 +88,7 @@
 
 class TestWarmingNodes(unittest.TestCase):
     def _head(self, of: dict[int, int], **more: Any) -> Scheduler:
-        """A head 20 s after its start that was asked so many units of each shard."""
+        """Return a scheduler 20 s after its start that has served so many units of each shard."""
         h = head(T0, *[up(f"n{k}", k) for k in of], **(COLD | more))
         now = T0 + 20_000_000
         for shard, units in of.items():
@@ -96,18 +98,18 @@
         return h
 
     def test_a_head_takes_the_part_of_a_shard_that_its_own_traffic_has(self) -> None:
-        """With an even part of 60, heads that share a node with ten others used a sixth of what it bears
-        cold, and refused the rest: 2986 of 4444 refusals on a day on which half of the nodes were
-        replaced."""
+        """With an even share of 1/60, fronts that share an endpoint with ten others used a sixth of what it
+        can serve while cold, and rejected the rest: 2986 of 4444 rejections on a day on which half of the
+        endpoints were replaced."""
         h = self._head({0: 100, 1: 50, 2: 50})
         parts = [round(h.directory.traffic_share(shard) * 60) for shard in (0, 1, 2, 3, -1)]
-        self.assertEqual(parts, [20, 15, 15, 1, 1])  # the first is held at a third
+        self.assertEqual(parts, [20, 15, 15, 1, 1])  # the first is limited to a third
         self.assertEqual(
             Scheduler(settings(**COLD), 1, T0).directory.traffic_share(5), 1 / 60
-        )  # nothing is known yet
+        )  # no traffic is known yet
 
     def test_parts_of_all_heads_add_up_to_one_in_the_mean(self) -> None:
-        """However traffic lies: fronts of few shards and of many, busy and quiet ones."""
+        """For uneven traffic: fronts with few and with many shards, busy and quiet ones."""
         chance, heads = random.Random(5), 40
         made = []
         for _ in range(heads):
@@ -123,8 +125,8 @@
         self.assertLess(max(whole), COLD["slow_start_overload_factor"])
 
     def test_the_first_rest_at_a_warming_node_follows_what_was_learnt_since(self) -> None:
-        """Worked out once as the list came, it stood for what a front knows at its start, which is nothing:
-        a front that was restarted sent nothing to warming nodes for up to 44 s."""
+        """The delay was computed once, when the list was received, and a front knows no traffic at its start:
+        a restarted front sent nothing to warming endpoints for up to 44 s."""
         now = T0 + 20_000_000
         h = head(T0, up("n0", 0, T0), **COLD)
         h.directory.endpoints["n0"].first_send_jitter = 1.0
@@ -138,7 +140,7 @@
 
 class TestUnreadAnswers(unittest.TestCase):
     def test_an_answer_that_is_not_read_counts_as_held_until_its_client_reads_or_goes(self) -> None:
-        """Uncounted, clients that ask for large answers and read slowly take the process over its limit."""
+        """Otherwise clients that read large responses slowly take the process over its memory limit."""
         clients = ClientGroup(9, lambda: T0, Counters(), 0, 300_000, print)
         handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
         handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x" * 200_000)
@@ -180,8 +182,8 @@
         return b"".join(transport.writelines.call_args.args[0]) if transport.writelines.called else b""
 
     def test_a_request_on_a_connection_too_many_is_served_where_another_is_idle(self) -> None:
-        """The one that gives its place up still has its slot for a turn of the loop, and a crowd of clients
-        that ask once was refused a quarter of its requests."""
+        """An evicted connection keeps its slot for one more event-loop iteration. Without allowance for that,
+        a crowd of clients that send one request each had a quarter of its requests rejected."""
         idle = [self._connect() for _ in range(8)]
         for conn in idle:
             self._ask(conn)
@@ -194,7 +196,7 @@
         self.assertEqual((self.clients.evicting_count, len(self.clients.slots)), (0, 0))
 
     def test_with_many_connections_the_first_answer_ends_its_own_until_the_front_stops(self) -> None:
-        """Kept by clients that ask once, they filled what clients may hold for as long as idle ones stand."""
+        """Connections kept by clients that send one request occupied all slots until their idle timeout."""
         kept = self._connect()
         few = [self._ask(conn) for conn in (kept, self._connect(), self._connect(), self._connect())]
         many = [self._ask(self._connect()) for _ in range(2)]
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -1,5 +1,5 @@
-"""Long answers: where the bounds of reads matter, which can't be told apart in a recorded exchange, and those
-that take longer than their requests' time or never end."""
+"""Streamed responses: cases that depend on the boundaries of reads, which a recorded exchange can't control,
+and responses that outlast their request's deadline or never end."""
 
 import unittest
 from typing import Any
@@ -80,7 +80,7 @@
         )
 
     def test_one_that_comes_in_one_read_ends_with_it(self) -> None:
-        """Begun and complete in the same read, it stood open until it was cut off as silent."""
+        """A response that started and ended in the same read stayed open until its idle timeout."""
         self.node.data_received(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(BODY), BODY)
         )
@@ -91,7 +91,7 @@
         self.assertFalse(self.node.streaming)
 
     def test_one_that_begins_and_turns_malformed_in_one_read_breaks_off_with_it(self) -> None:
-        """Its attempt has ended by then, so it stood until the next read, or for 10 s."""
+        """Its attempt has ended by then, so the stream stayed open until the next read, or for 10 s."""
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.node.data_received(head + b"%x\r\n%s\r\nno size\r\n" % (len(BODY), BODY))
         self.assertEqual(self.ended, [AttemptResult.OK, False])
@@ -100,7 +100,7 @@
         self.assertNotIn(b"0\r\n\r\n", self._out()[-5:])
 
     def test_one_without_a_length_that_comes_slowly_does_not_wait_for_64_kib(self) -> None:
-        """Its first bytes are what is timed: waiting for so much took up to a second."""
+        """Clients measure the time to the first bytes, and buffering 64 KiB took up to a second."""
         chunk = b"400\r\n" + b"x" * 1024 + b"\r\n"
         self.node.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
         self.now += STREAMING_THRESHOLD_US
@@ -141,7 +141,8 @@
         self.assertEqual(self.ended, [AttemptResult.OK, False])
 
     def test_past_its_request_s_time_what_may_be_a_small_one_may_pause_and_no_more(self) -> None:
-        """Its client waits for its last byte: one that stopped ends a pause past that time at the latest."""
+        """Its client waits for the last byte: a response that stops is aborted one pause after the
+        deadline."""
         chunk = b"400\r\n" + b"x" * 1024 + b"\r\n"
         self.node.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
         for self.now in (T0 + STREAMING_THRESHOLD_US + 1000, T0 + 10**6 - 1000):
@@ -164,10 +165,10 @@
         assert rank == (True, T0 + 10**6) and (False, self.now) < rank
 
 
-# Complete processes on real sockets, with a clock moved on by hand. An answer that moves and has an end goes
-# through, however slow; one that never ends keeps the process neither from its limits nor from its stop.
+# Complete processes on real sockets, with a manual clock. A response that progresses and has an end is
+# completed, however slow; one that never ends prevents neither eviction at limits nor the process's shutdown.
 
-TIME = 8_000_000  # us that clients give their requests
+TIME = 8_000_000  # time budget of the clients' requests, in microseconds
 WELL = "client {0} platform\n{0} >\n| GET /healthz HTTP/1.1\n|\n{0} <\n& well\n"
 ASKS = "client {0} platform\n{0} >\n& read {0}1 / {1}\n"
 SERVED = "n{1} <\n& got {0}1 / {1}\nn{1} >\n& x\n{0} <\n& x\n"
@@ -175,7 +176,7 @@
 
 
 class Body:
-    """What a client makes of the bytes it got."""
+    """A response body as a client parses it from `raw`, the bytes that it has received."""
 
     def __init__(self, raw: bytes) -> None:
         self.got, self.whole = b"", False
@@ -189,8 +190,9 @@
 
 
 class Long(Exchange):
-    """With steps of its own: `NAME has N` waits for that much of the content, `NAME whole N` for all of it,
-    `NAME cut` for an end that is seen to be none; `places nodes N`, `places clients N`; `over`."""
+    """An exchange with further steps: `NAME has N` waits until the client has N bytes of the content, `NAME
+    whole N` until its response is also complete, `NAME cut` until it ends visibly incomplete. `places nodes
+    N` and `places clients N` set connection limits; `over` releases the process's resources."""
 
     async def _step(self, words: list[str], lines: list[str]) -> None:
         match words:
@@ -231,7 +233,7 @@
 
 
 def begun(name: str, n: int, way: str, first: int = 70_000, version: str = "1.1") -> str:
-    """A client of its own asks a server of its own, and has the first bytes of a long answer."""
+    """A new client sends a request to endpoint `n`, which sends the first bytes of a streamed response."""
     ask = f"| X-Call-Id: {name}1\n| X-Plan: gold\n"
     asked = f"| GET /read?block=7f3a9c21e0b4d655 HTTP/{version}\n{ask}| X-Budget: {TIME / 1e6}\n"
     return (
@@ -250,7 +252,7 @@
 
 
 def goes_on(names: str, ways: list[str], steps: int = 4) -> str:
-    """Each gets 10,000 bytes more behind each of so many pauses of 5 s."""
+    """After each of `steps` pauses of 5 s, each response progresses by 10,000 bytes."""
     return "".join(
         "clock 5000000\n"
         + "".join(
@@ -263,7 +265,7 @@
 
 @pytest.mark.parametrize("way", HEADS)
 def test_one_that_moves_goes_through_past_its_request_s_time(way: str) -> None:
-    """A streamed response was cut off at the request's time while its server was still giving it."""
+    """A streamed response was aborted at the request's deadline while the endpoint was still sending it."""
     play(
         servers(1),
         begun("a", 0, way),
@@ -315,7 +317,8 @@
 
 @pytest.mark.parametrize("way", HEADS)
 def test_one_that_goes_on_does_not_keep_the_process_from_its_stop(way: str) -> None:
-    """All else is answered, the process ends before SIGKILL, and the client sees that it has not all."""
+    """Other requests are answered, the process exits before SIGKILL, and the client sees an incomplete
+    response."""
     play(
         servers(2),
         begun("a", 0, way),
@@ -329,7 +332,7 @@
 
 
 def test_where_slots_at_endpoints_are_short_one_far_past_its_time_is_evicted() -> None:
-    """Those without a length first, the oldest before the others; one that has an end stays."""
+    """Responses without a length are evicted first, the oldest of them first; one with a length stays."""
     ways = ["told", "chunked", "bare"]
     begin = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("abc", ways, strict=True))]
     play(
@@ -385,7 +388,8 @@
 
 
 def test_a_server_that_pauses_within_a_write_s_response_is_waited_for() -> None:
-    """It can't be tried again, so cutting it off wins nothing; one that stops for good is an error."""
+    """A write can't be retried, so aborting it early gains nothing. If the endpoint stops for good, it
+    fails."""
     play(
         "set settings.bounds.dialTimeout 60000\nnode n0 0:script\nclient a platform\n",
         "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n",
