--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -23,8 +23,8 @@
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.socket_state import SocketState
 
-MEMORY = 1 << 20
-PATIENCE_SECONDS = 5.0
+BUFFER_LIMIT_BYTES = 1 << 20
+TIMEOUT_SECONDS = 5.0
 
 
 class Handler:
@@ -37,8 +37,8 @@
     def __init__(self) -> None:
         self.requests: list[tuple[ServerConnection, HttpRequest]] = []
 
-    def handle_request(self, conn: ServerConnection, message: HttpRequest) -> None:
-        self.requests.append((conn, message))
+    def handle_request(self, conn: ServerConnection, request: HttpRequest) -> None:
+        self.requests.append((conn, request))
 
     def client_disconnected(self, conn: ServerConnection) -> None:
         pass
@@ -47,142 +47,146 @@
         conn.send_response(status, (), reason.encode())
 
 
-class Setting:
+class ConnectionHarness:
     """A listener and one client connection to it; `now` is the front's clock in microseconds."""
 
     def __init__(self) -> None:
-        self.now, self.handler, self.ends = 1_000_000, Handler(), list[tuple[bool, str, str]]()
-        self.clients = ClientGroup(100, lambda: self.now, Counters(), 0, MEMORY, print)
-        self.clients.on_close = lambda *told: self.ends.append(told)
+        self.now, self.handler, self.close_events = 1_000_000, Handler(), list[tuple[bool, str, str]]()
+        self.clients = ClientGroup(100, lambda: self.now, Counters(), 0, BUFFER_LIMIT_BYTES, print)
+        self.clients.on_close = lambda *event: self.close_events.append(event)
         self.listener = Listener(self.handler, self.clients, ("127.0.0.1", 0), asyncio.get_running_loop())
         self.client = socket.create_connection(self.listener.address)
-        self.client.settimeout(PATIENCE_SECONDS)
+        self.client.settimeout(TIMEOUT_SECONDS)
 
-    async def until(self, holds: Callable[[], Any]) -> None:
-        async with asyncio.timeout(PATIENCE_SECONDS):
-            while not holds():
+    async def wait_for(self, condition: Callable[[], Any]) -> None:
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            while not condition():
                 await asyncio.sleep(0)
 
-    async def requested(self, count: int) -> ServerConnection:
-        await self.until(lambda: len(self.handler.requests) >= count)
+    async def wait_for_request(self, count: int) -> ServerConnection:
+        await self.wait_for(lambda: len(self.handler.requests) >= count)
         return self.handler.requests[count - 1][0]
 
     async def read(self, end: bytes) -> bytes:
-        got = b""
+        received = b""
         self.client.setblocking(False)
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(PATIENCE_SECONDS):
-            while not got.endswith(end):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            while not received.endswith(end):
                 piece = await loop.sock_recv(self.client, 1 << 16)
-                assert piece, got
-                got += piece
-        return got
+                assert piece, received
+                received += piece
+        return received
 
     def close(self) -> None:
         self.client.close()
         self.listener.close()
 
 
-def play(steps: Callable[[Setting], Awaitable[None]]) -> None:
-    async def whole() -> None:
-        setting = Setting()
+def run_scenario(steps: Callable[[ConnectionHarness], Awaitable[None]]) -> None:
+    async def run_steps() -> None:
+        harness = ConnectionHarness()
         try:
-            await steps(setting)
+            await steps(harness)
         finally:
-            setting.close()
+            harness.close()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(whole())
+        runner.run(run_steps())
 
 
-def get(name: str, more: str = "") -> bytes:
-    return f"GET /{name} HTTP/1.1\r\n{more}\r\n".encode()
+def encode_get(name: str, headers: str = "") -> bytes:
+    return f"GET /{name} HTTP/1.1\r\n{headers}\r\n".encode()
 
 
-def test_a_request_that_crosses_the_end_of_a_streamed_response_is_served_though_the_process_drains() -> None:
+def test_request_sent_during_a_streamed_response_is_served_while_draining() -> None:
     """The response did not announce the close, but a request sent meanwhile was read and dropped."""
 
-    async def steps(setting: Setting) -> None:
-        setting.client.sendall(get("long"))
-        conn = await setting.requested(1)
+    async def steps(harness: ConnectionHarness) -> None:
+        harness.client.sendall(encode_get("long"))
+        conn = await harness.wait_for_request(1)
         source = mock.Mock()
-        conn.stream_response(200, 6, b"abc", source, lambda whole: None)
-        setting.clients.drain()
-        setting.client.sendall(get("next"))
+        conn.stream_response(200, 6, b"abc", source, lambda complete: None)
+        harness.clients.drain()
+        harness.client.sendall(encode_get("next"))
         source.sink.write(b"def")
         source.sink.finish()
-        again = await setting.requested(2)
-        assert again is conn
+        next_conn = await harness.wait_for_request(2)
+        assert next_conn is conn
         conn.send_response(200, (), b"x")
-        got = await setting.read(b"\r\n\r\nx")
-        assert b"abcdef" in got and got.count(b"Connection: close") == 1
-        assert setting.ends == [(False, CloseReason.CONNECTION_CLOSE_SENT.value, "")]
+        received = await harness.read(b"\r\n\r\nx")
+        assert b"abcdef" in received and received.count(b"Connection: close") == 1
+        assert harness.close_events == [(False, CloseReason.CONNECTION_CLOSE_SENT.value, "")]
 
-    play(steps)
+    run_scenario(steps)
 
 
-def test_a_streamed_response_that_ends_as_the_process_drains_closes_its_idle_connection_unread() -> None:
-    async def steps(setting: Setting) -> None:
-        setting.client.sendall(get("long"))
-        conn = await setting.requested(1)
+def test_connection_without_a_request_closes_after_a_streamed_response_while_draining() -> None:
+    async def steps(harness: ConnectionHarness) -> None:
+        harness.client.sendall(encode_get("long"))
+        conn = await harness.wait_for_request(1)
         source = mock.Mock()
-        conn.stream_response(200, 6, b"abc", source, lambda whole: None)
-        setting.clients.drain()
+        conn.stream_response(200, 6, b"abc", source, lambda complete: None)
+        harness.clients.drain()
         source.sink.write(b"def")
         source.sink.finish()
-        assert setting.ends == [(False, CloseReason.DRAIN.value, "")] and not conn.transport.is_reading()
-        await setting.read(b"abcdef")
+        assert (
+            harness.close_events == [(False, CloseReason.DRAIN.value, "")] and not conn.transport.is_reading()
+        )
+        await harness.read(b"abcdef")
 
-    play(steps)
+    run_scenario(steps)
 
 
-def test_a_response_does_not_end_its_connection_while_a_request_on_it_is_unread() -> None:
-    async def steps(setting: Setting) -> None:
-        setting.client.sendall(get("a"))
-        conn = await setting.requested(1)
-        setting.clients.close_after_response = True
-        setting.client.sendall(get("b"))
+def test_connection_stays_open_while_a_request_on_it_is_unread() -> None:
+    async def steps(harness: ConnectionHarness) -> None:
+        harness.client.sendall(encode_get("a"))
+        conn = await harness.wait_for_request(1)
+        harness.clients.close_after_response = True
+        harness.client.sendall(encode_get("b"))
         conn.send_response(200, (), b"x")
-        await setting.requested(2)
+        await harness.wait_for_request(2)
         conn.send_response(200, (), b"y")
-        got = await setting.read(b"\r\n\r\ny")
-        assert got.count(b"HTTP/1.1 200 OK") == 2 and got.count(b"Connection: close") == 1
+        received = await harness.read(b"\r\n\r\ny")
+        assert received.count(b"HTTP/1.1 200 OK") == 2 and received.count(b"Connection: close") == 1
 
-    play(steps)
+    run_scenario(steps)
 
 
-def test_the_time_of_what_waited_while_nothing_was_read_runs_from_the_pause() -> None:
+def test_budget_of_unread_requests_runs_from_the_pause_of_reading() -> None:
     """Requests that waited in the receive buffer had their time budget extended by that wait, and the
     endpoint was sent the longer budget."""
 
-    async def steps(setting: Setting) -> None:
-        setting.clients.max_header_bytes = 500
-        setting.client.sendall(get("a"))
-        conn = await setting.requested(1)
-        setting.client.sendall(get("b"))
-        await setting.until(lambda: conn.pipelined_requests)
-        setting.now += 100
-        setting.client.sendall(get("c", f"X-Long: {'x' * 400}\r\n") + get("d", f"X-Long: {'x' * 400}\r\n"))
-        await setting.until(conn.is_reading_paused)
-        paused_us = setting.now
-        setting.now += 2_000_000
-        setting.client.sendall(get("e"))
+    async def steps(harness: ConnectionHarness) -> None:
+        harness.clients.max_header_bytes = 500
+        harness.client.sendall(encode_get("a"))
+        conn = await harness.wait_for_request(1)
+        harness.client.sendall(encode_get("b"))
+        await harness.wait_for(lambda: conn.pipelined_requests)
+        harness.now += 100
+        harness.client.sendall(
+            encode_get("c", f"X-Long: {'x' * 400}\r\n") + encode_get("d", f"X-Long: {'x' * 400}\r\n")
+        )
+        await harness.wait_for(conn.is_reading_paused)
+        paused_us = harness.now
+        harness.now += 2_000_000
+        harness.client.sendall(encode_get("e"))
         for number in range(2, 6):
             conn.send_response(200, (), b"x")
-            await setting.requested(number)
-        times = [message.received_us for _, message in setting.handler.requests]
+            await harness.wait_for_request(number)
+        times = [request.received_us for _, request in harness.handler.requests]
         assert times == [paused_us - 100, paused_us - 100, paused_us, paused_us, paused_us]
-        setting.now += 1_000_000
+        harness.now += 1_000_000
         conn.send_response(200, (), b"x")
-        setting.client.sendall(get("f"))
-        await setting.requested(6)
-        assert setting.handler.requests[5][1].received_us == setting.now
+        harness.client.sendall(encode_get("f"))
+        await harness.wait_for_request(6)
+        assert harness.handler.requests[5][1].received_us == harness.now
 
-    play(steps)
+    run_scenario(steps)
 
 
 @pytest.mark.parametrize(
-    ("fault", "broken"),
+    ("error", "is_break"),
     [
         (OSError(errno.ECONNRESET, ""), True),
         (OSError(errno.ETIMEDOUT, ""), True),
@@ -191,12 +195,10 @@
         (None, False),
     ],
 )
-def test_a_broken_connection_is_no_end_whatever_the_system_calls_the_break(
-    fault: OSError | None, broken: bool
-) -> None:
+def test_any_connection_error_counts_as_a_break(error: OSError | None, is_break: bool) -> None:
     """Only a reset counted as a break: a response without a length that ended with another error was taken
     for complete."""
-    sock = mock.Mock(recv=mock.Mock(side_effect=fault, return_value=b""))
+    sock = mock.Mock(recv=mock.Mock(side_effect=error, return_value=b""))
 
     @contextmanager
     def duplicate() -> Any:
@@ -204,4 +206,4 @@
 
     state = SocketState(mock.Mock())
     with mock.patch.object(state, "_duplicate", duplicate):
-        assert state.was_reset() is broken
+        assert state.was_reset() is is_break
