--- a/tests/test_request_delivery.py
+++ b/tests/test_request_delivery.py
@@ -15,7 +15,7 @@
 
 # Requests in pieces
 
-FORMS = [
+REQUEST_FORMS = [
     "| PUT /write?block={0} HTTP/1.1\n| Host: service.internal\n& ask {1} / 0\n| Content-Length: 5\n|\n"
     "= body{2}\n",
     "| PUT /write?block={0} HTTP/1.1\n| x-io:volume=b4,units=1,shard=0\t\n| X-PLAN:  gold\t \n"
@@ -27,83 +27,85 @@
     "| PUT /write?x=%20&block={0}&y HTTP/1.1\n& ask {1} / 0\n| content-length:5\n| X-Empty:\n"
     "| X-Budget: 9.500000\n|\n= body{2}\n",
 ]
-SERIES = "".join(FORMS[n % 5].format(block(n), f"a{n}", n) for n in range(8))
-STORED = "n0 stored\n" + "".join(f"= body{n}\n" for n in range(8))
+REQUESTS = "".join(REQUEST_FORMS[n % 5].format(block(n), f"a{n}", n) for n in range(8))
+STORED_BODIES = "n0 stored\n" + "".join(f"= body{n}\n" for n in range(8))
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 150, 230])
-def test_requests_in_pieces_of_any_size_are_served_in_their_order(size: int) -> None:
+def test_requests_in_pieces_of_any_size_are_served_in_order(size: int) -> None:
     """From single bytes to pieces that contain the end of one request and the start of the next."""
     play(
         "node n0 0\nclient a platform\n",
         f"a pieces {size} 0\n",
-        SERIES,
+        REQUESTS,
         8 * DONE.format("a"),
-        STORED,
+        STORED_BODIES,
         "counter requests_taken 8\n",
     )
 
 
-def test_slow_writers_are_served() -> None:
+def test_slowly_written_requests_are_served() -> None:
     """A client sends two requests and takes over 2 s to write each."""
-    one = "| PUT /write?block={0} HTTP/1.1\n& ask {1} / 0\n| X-Budget: 3\n| Content-Length: 5\n|\n= 12345\n"
+    request = (
+        "| PUT /write?block={0} HTTP/1.1\n& ask {1} / 0\n| X-Budget: 3\n| Content-Length: 5\n|\n= 12345\n"
+    )
     play(
         "node n0 0\nclient a platform\n",
-        *(f"a pieces 4 60000\n{one.format(block(n), f'a{n}')}{DONE.format('a')}" for n in (1, 2)),
+        *(f"a pieces 4 60000\n{request.format(block(n), f'a{n}')}{DONE.format('a')}" for n in (1, 2)),
         "counter bad_requests_408 0\nwrites n0 PUT 2\n",
     )
 
 
-def test_many_commands_sent_at_once_are_all_answered() -> None:
+def test_many_pipelined_requests_are_all_answered() -> None:
     """All arrive in one read; those after the eighth were dropped with a 400."""
-    many = "a >\n" + "".join(asks("a", n).partition("\n")[2] for n in range(100))
-    play("node n0 0\nclient a platform\n", many, 100 * DONE.format("a"), "writes n0 PUT 100\n")
+    requests = "a >\n" + "".join(asks("a", n).partition("\n")[2] for n in range(100))
+    play("node n0 0\nclient a platform\n", requests, 100 * DONE.format("a"), "writes n0 PUT 100\n")
 
 
-def test_the_time_of_one_that_waits_behind_others_runs_from_its_last_byte() -> None:
+def test_budget_of_a_pipelined_request_runs_from_its_last_byte() -> None:
     """The third request was read but not parsed, so its time budget started only when it was handled."""
-    ask = "a >\n" + "| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a{0} / 0\n| X-Budget: 5\n|\n"
-    answer = "n0 >\n& x\na <\n& x\n"
-    got = "n0 <\n" + re.sub(r"X-Budget: 5", "X-Budget: {1}{{~}}", ask.partition("\n")[2])
-    got = got.replace(
+    request = "a >\n" + "| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a{0} / 0\n| X-Budget: 5\n|\n"
+    response = "n0 >\n& x\na <\n& x\n"
+    forwarded = "n0 <\n" + re.sub(r"X-Budget: 5", "X-Budget: {1}{{~}}", request.partition("\n")[2])
+    forwarded = forwarded.replace(
         "| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n", "| GET {{target}} HTTP/1.1\n| Host: {{~}}\n"
     )
     play(
         "patch umberlead.net.endpoint_pool REUSE_DELAY_US 0\n",
         "node n0 0:script\nclient a platform\nclient b platform\n",
-        *(ask.format(n) + well("b") for n in (1, 2, 3)),
-        got.format(1, "4.9"),
+        *(request.format(n) + well("b") for n in (1, 2, 3)),
+        forwarded.format(1, "4.9"),
         "clock 2000000\n",
-        answer,
-        got.format(2, "2.9"),
+        response,
+        forwarded.format(2, "2.9"),
         "clock 1000000\n",
-        answer,
-        got.format(3, "1.9"),
-        answer,
+        response,
+        forwarded.format(3, "1.9"),
+        response,
     )
 
 
-def test_a_further_attempt_has_the_remaining_budget() -> None:
-    def asked(budget: str) -> str:
+def test_retry_is_sent_the_remaining_budget() -> None:
+    def forwarded(budget: str) -> str:
         return f"n0 <\n| GET {{target}} HTTP/1.1\n| Host: {{~}}\n& ask a1 / 0\n| X-Budget: {budget}{{~}}\n|\n"
 
-    full = "n0 >\n| HTTP/1.1 503 -\n| X-Rejected: 1\n| Content-Length: 0\n|\n"
+    rejection = "n0 >\n| HTTP/1.1 503 -\n| X-Rejected: 1\n| Content-Length: 0\n|\n"
     play(
         "patch umberlead.net.endpoint_pool REUSE_DELAY_US 0\nnode n0 0:script\nclient a platform\n",
         "a >\n| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a1 / 0\n| X-Budget: 6\n|\n",
-        asked("5.9"),
+        forwarded("5.9"),
         "clock 1500000\n",
-        full,
+        rejection,
         "until attempts_full 1\ndials hold\nclock 600000\nclock 10000\n",
         "until attempts_sent 2\nclock 100000\ndials go\n",
-        asked("3.7"),
+        forwarded("3.7"),
         "n0 >\n& x\na <\n& x\n",
     )
 
 
 # A response in time, whatever the results of the attempts
 
-ENDS = {
+ENDPOINT_RESPONSES = {
     "silence": ("", "stays"),
     "closed": ("", "finishes"),
     "reset": ("", "resets"),
@@ -134,25 +136,23 @@
 
 
 @pytest.mark.parametrize("call", ["GET /read", "PUT /write"])
-@pytest.mark.parametrize("how", [*ENDS, "refused", "not up"])
-def test_whatever_its_attempts_end_with_a_request_has_a_complete_response_in_time(
-    how: str, call: str
-) -> None:
+@pytest.mark.parametrize("ending", [*ENDPOINT_RESPONSES, "refused", "not up"])
+def test_every_request_has_a_complete_response_in_time(ending: str, call: str) -> None:
     """The response arrives at most half a second after the deadline. A reset does not complete a response
     without a length."""
-    node = "node n0 0:down\n" if how == "refused" else "node n0 0:script\n"
-    if how in ENDS:
-        node += f"n0 cans {ENDS[how][1]}\n{ENDS[how][0]}"
+    node = "node n0 0:down\n" if ending == "refused" else "node n0 0:script\n"
+    if ending in ENDPOINT_RESPONSES:
+        node += f"n0 cans {ENDPOINT_RESPONSES[ending][1]}\n{ENDPOINT_RESPONSES[ending][0]}"
     play(
         node,
         "client a platform\n",
-        "dials hold\n" if how == "not up" else "",
+        "dials hold\n" if ending == "not up" else "",
         f"a >\n| {call}?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a1 / 0\n| X-Budget: 1\n|\n",
         "a answered 1500000\ncounter answered_for_module 0\n",
     )
 
 
-def test_a_reset_with_the_last_bytes_of_a_streamed_response_is_no_end() -> None:
+def test_reset_with_the_last_bytes_aborts_a_streamed_response() -> None:
     """If the last bytes and a reset arrive together, libuv reports an end of file, and the response was taken
     for complete."""
     play(
@@ -165,49 +165,49 @@
 # Bytes that arrive as a connection is reused or closed
 
 
-def test_a_partial_line_on_a_pooled_connection_keeps_the_next_request_from_it() -> None:
+def test_pooled_connection_with_unread_input_is_not_reused() -> None:
     """The partial line arrives in the event-loop iteration in which the connection is to be reused."""
 
-    class Crossing(Standing):
+    class PartialLineOnReuse(Standing):
         async def _step(self, words: list[str], lines: list[str]) -> None:
             if words != ["half", "line"]:
                 return await super()._step(words, lines)
             front, peer = await self._start(), await self.nodes["n0"].peer()
-            kept = front.pool._take_idle
+            take_idle = front.pool._take_idle
 
-            def crossed(*how: Any) -> EndpointConnection | None:
+            def take_after_partial_line(*arguments: Any) -> EndpointConnection | None:
                 peer.transport.write(b"HTTP/1.1 2")
-                return kept(*how)
+                return take_idle(*arguments)
 
-            self.patches.enter_context(mock.patch.object(front.pool, "_take_idle", crossed))
+            self.patches.enter_context(mock.patch.object(front.pool, "_take_idle", take_after_partial_line))
 
-    Crossing(
+    PartialLineOnReuse(
         "node n0 0:script\nclient a platform\na >\n& read a1 / 0\nn0 <\n& got a1 / 0\nn0 >\n& x\na <\n& x\n"
         "clock 10000\nhalf line\na >\n& read a2 / 0\nn0 fresh\nn0 <\n& got a2 / 0\nn0 >\n& x\na <\n& x\n"
         "counter node_connections_opened 2\ncounter attempts_ok 2\ncounter attempts_sent 2\n"
     ).play()
 
 
-def test_no_connection_holds_small_writes_back() -> None:
+def test_all_connections_use_tcp_nodelay() -> None:
     """A close with unread input resets the connection, and would discard small writes that are held back."""
 
-    class Looks(Standing):
+    class NoDelayCheck(Standing):
         async def _step(self, words: list[str], lines: list[str]) -> None:
             if words != ["undelayed"]:
                 return await super()._step(words, lines)
             front = await self._start()
             assert front.discovery_watch is not None and front.discovery_watch.stream is not None
-            links: list[Any] = [
+            connections: list[Any] = [
                 front.discovery_watch.stream,
                 *front.pool.slots,
                 *front.client_groups[0].slots,
             ]
-            assert len(links) == 3
-            for link in links:
-                sock = link.transport.get_extra_info("socket")
-                assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1, link
+            assert len(connections) == 3
+            for connection in connections:
+                sock = connection.transport.get_extra_info("socket")
+                assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1, connection
 
-    Looks(
+    NoDelayCheck(
         "discovery\nnode n0 0\nclient a platform\n"
         + asks("a", 1)
         + DONE.format("a")
@@ -216,23 +216,25 @@
 
 
 @pytest.mark.parametrize("way", ["close", "reset"])
-def test_bad_clients_that_send_much_at_once_and_go_leave_nothing_behind(way: str) -> None:
+def test_requests_of_disconnected_clients_are_not_started(way: str) -> None:
     """Each client sends complete requests followed by a partial one or by invalid input, 60 KB in total, and
     disconnects. None of its requests is started afterwards."""
-    crowd, sent = [f"c{n}" for n in range(20)], ""
-    for n, name in enumerate(crowd):
-        whole = "".join(f"& block {name}x{k} / PUT /write / {block(100 + k)} / 1\n" for k in range(30))
-        sent += f"plain {name} platform\n{name} >\n{whole}" + (
+    client_names, input_steps = [f"c{n}" for n in range(20)], ""
+    for n, name in enumerate(client_names):
+        complete_requests = "".join(
+            f"& block {name}x{k} / PUT /write / {block(100 + k)} / 1\n" for k in range(30)
+        )
+        input_steps += f"plain {name} platform\n{name} >\n{complete_requests}" + (
             "| noise\n" if n % 2 else f"| X: {'p' * 50_000}\n"
         )
     play(
         "node n0 0\nclient a platform\nn0 next hold\n",
         asks("a", 1, 6),
         "until attempts_written 1\ndials hold\n",
-        sent,
+        input_steps,
         "client b platform\n",
         well("b"),
-        *(f"{name} {way}\n" for name in crowd),
+        *(f"{name} {way}\n" for name in client_names),
         "clock 110000\ndials go\nn0 release 1\n",
         DONE.format("a"),
         well("b"),
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -29,9 +29,9 @@
 BODY = b"x" * 70_000
 
 
-class TestLongAnswers(unittest.TestCase):
+class TestStreamedResponses(unittest.TestCase):
     def setUp(self) -> None:
-        self.now, self.ended = T0, []  # type: ignore[var-annotated]
+        self.now, self.results = T0, []  # type: ignore[var-annotated]
         self.wheel = TimerWheel(lambda: self.now, lambda delay, fn: mock.Mock(), 1000)
         self.counters = Counters()
         self.clients = ClientGroup(9, lambda: self.now, self.counters, 0, 1 << 20, print)
@@ -49,87 +49,89 @@
             clock=lambda: self.now,
             counters=self.counters,
         )
-        pool.lifecycle.attempt_ended = self._ended
-        self.node = EndpointConnection(pool, ("127.0.0.1", 1))
-        self.node.transport, self.node.written = self._transport(), True
-        ask = mock.Mock(accepts_stream=True, payload=OutgoingRequest(b"GET", b"/a", []))
-        self.node.attempt = Attempt(mock.Mock(incoming=ask, answered=False), 0, "n0", T0, T0 + 10**6)
+        pool.lifecycle.attempt_ended = self._attempt_ended
+        self.endpoint = EndpointConnection(pool, ("127.0.0.1", 1))
+        self.endpoint.transport, self.endpoint.written = self._transport(), True
+        incoming_request = mock.Mock(accepts_stream=True, payload=OutgoingRequest(b"GET", b"/a", []))
+        self.endpoint.attempt = Attempt(
+            mock.Mock(incoming=incoming_request, answered=False), 0, "n0", T0, T0 + 10**6
+        )
 
     def _transport(self) -> Any:
-        made = mock.Mock()
-        made.is_closing.return_value = False
-        made.get_extra_info.return_value = None
-        made.get_write_buffer_size.return_value = 10
-        return made
+        transport = mock.Mock()
+        transport.is_closing.return_value = False
+        transport.get_extra_info.return_value = None
+        transport.get_write_buffer_size.return_value = 10
+        return transport
 
-    def _ended(self, attempt: Attempt, result: AttemptResult, reply: Reply) -> None:
-        self.ended.append(result)
-        self.client.stream_response(200, reply.body_length, reply.body, reply.stream, self.ended.append)
+    def _attempt_ended(self, attempt: Attempt, result: AttemptResult, reply: Reply) -> None:
+        self.results.append(result)
+        self.client.stream_response(200, reply.body_length, reply.body, reply.stream, self.results.append)
 
-    def _rank(self) -> tuple[bool, int] | None:
-        assert self.node.stream is not None
-        return self.node.stream.eviction_rank()
+    def _eviction_rank(self) -> tuple[bool, int] | None:
+        assert self.endpoint.stream is not None
+        return self.endpoint.stream.eviction_rank()
 
-    def _out(self) -> bytes:
+    def _written_bytes(self) -> bytes:
         transport: Any = self.client.transport
         calls = transport.method_calls
         return b"".join(
-            b"".join(c.args[0]) if c[0] == "writelines" else c.args[0]
-            for c in calls
-            if c[0] in ("write", "writelines")
+            b"".join(call.args[0]) if call[0] == "writelines" else call.args[0]
+            for call in calls
+            if call[0] in ("write", "writelines")
         )
 
-    def test_one_that_comes_in_one_read_ends_with_it(self) -> None:
+    def test_response_within_one_read_is_completed_by_it(self) -> None:
         """A response that started and ended in the same read stayed open until its idle timeout."""
-        self.node.data_received(
+        self.endpoint.data_received(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(BODY), BODY)
         )
-        self.assertEqual(self.ended, [AttemptResult.OK, True])
-        head, _, body = self._out().partition(b"\r\n\r\n")
+        self.assertEqual(self.results, [AttemptResult.OK, True])
+        head, _, body = self._written_bytes().partition(b"\r\n\r\n")
         self.assertEqual(head, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked")
         self.assertEqual(body, b"%x\r\n%s\r\n0\r\n\r\n" % (len(BODY), BODY))
-        self.assertFalse(self.node.streaming)
+        self.assertFalse(self.endpoint.streaming)
 
-    def test_one_that_begins_and_turns_malformed_in_one_read_breaks_off_with_it(self) -> None:
+    def test_response_malformed_within_its_first_read_is_aborted_at_once(self) -> None:
         """Its attempt has ended by then, so the stream stayed open until the next read, or for 10 s."""
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        self.node.data_received(head + b"%x\r\n%s\r\nno size\r\n" % (len(BODY), BODY))
-        self.assertEqual(self.ended, [AttemptResult.OK, False])
+        self.endpoint.data_received(head + b"%x\r\n%s\r\nno size\r\n" % (len(BODY), BODY))
+        self.assertEqual(self.results, [AttemptResult.OK, False])
         client: Any = self.client.transport
         client.abort.assert_called_once()
-        self.assertNotIn(b"0\r\n\r\n", self._out()[-5:])
+        self.assertNotIn(b"0\r\n\r\n", self._written_bytes()[-5:])
 
-    def test_one_without_a_length_that_comes_slowly_does_not_wait_for_64_kib(self) -> None:
+    def test_slow_response_without_a_length_is_streamed_before_64_kib(self) -> None:
         """Clients measure the time to the first bytes, and buffering 64 KiB took up to a second."""
         chunk = b"400\r\n" + b"x" * 1024 + b"\r\n"
-        self.node.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
+        self.endpoint.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
         self.now += STREAMING_THRESHOLD_US
-        self.node.data_received(chunk)
-        self.assertEqual(self.ended, [])
+        self.endpoint.data_received(chunk)
+        self.assertEqual(self.results, [])
         self.now += 1000
-        self.node.data_received(chunk)
-        self.assertEqual(self.ended, [AttemptResult.OK])
-        self.assertIn(b"c00\r\n" + b"x" * 3072, self._out())
+        self.endpoint.data_received(chunk)
+        self.assertEqual(self.results, [AttemptResult.OK])
+        self.assertIn(b"c00\r\n" + b"x" * 3072, self._written_bytes())
 
-    def test_a_reader_that_takes_its_time_stops_the_reading_and_is_not_cut_off(self) -> None:
-        self.node.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 140000\r\n\r\n" + BODY)
-        node: Any = self.node.transport
+    def test_slow_reader_pauses_reading_and_is_not_aborted(self) -> None:
+        self.endpoint.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 140000\r\n\r\n" + BODY)
+        endpoint_transport: Any = self.endpoint.transport
         self.client.pause_writing()
-        node.pause_reading.assert_called_once()
+        endpoint_transport.pause_reading.assert_called_once()
         for _ in range(5):
             self.now += STREAM_IDLE_TIMEOUT_US - 1
             self.client.transport.get_write_buffer_size.return_value -= 1  # type: ignore[attr-defined]
             self.wheel.fire_due()
             self.clients.close_expired()
-        self.assertEqual(self.ended, [AttemptResult.OK])
+        self.assertEqual(self.results, [AttemptResult.OK])
         self.client.resume_writing()
-        node.resume_reading.assert_called_once()
-        self.node.data_received(BODY)
-        self.assertEqual(self.ended, [AttemptResult.OK, True])
+        endpoint_transport.resume_reading.assert_called_once()
+        self.endpoint.data_received(BODY)
+        self.assertEqual(self.results, [AttemptResult.OK, True])
 
-    def test_neither_side_may_stand_still_for_ever(self) -> None:
+    def test_stalled_reader_and_stalled_endpoint_time_out(self) -> None:
         transport: Any = self.client.transport
-        self.node.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 140000\r\n\r\n" + BODY)
+        self.endpoint.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 140000\r\n\r\n" + BODY)
         self.client.pause_writing()
         self.clients.close_expired()
         self.now += WRITE_STALL_TIMEOUT_US
@@ -138,30 +140,30 @@
         self.client.resume_writing()
         self.now += STREAM_IDLE_TIMEOUT_US + 1000
         self.wheel.fire_due()
-        self.assertEqual(self.ended, [AttemptResult.OK, False])
+        self.assertEqual(self.results, [AttemptResult.OK, False])
 
-    def test_past_its_request_s_time_what_may_be_a_small_one_may_pause_and_no_more(self) -> None:
+    def test_small_response_past_its_deadline_may_only_pause(self) -> None:
         """Its client waits for the last byte: a response that stops is aborted one pause after the
         deadline."""
         chunk = b"400\r\n" + b"x" * 1024 + b"\r\n"
-        self.node.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
+        self.endpoint.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
         for self.now in (T0 + STREAMING_THRESHOLD_US + 1000, T0 + 10**6 - 1000):
-            self.node.data_received(chunk)
+            self.endpoint.data_received(chunk)
         for _ in range(3):
             self.now += SERVER_PAUSE_TIMEOUT_US - 1000
             self.wheel.fire_due()
-            self.assertEqual(self.ended, [AttemptResult.OK])
-            self.node.data_received(chunk)
+            self.assertEqual(self.results, [AttemptResult.OK])
+            self.endpoint.data_received(chunk)
         self.now += SERVER_PAUSE_TIMEOUT_US + 1000
         self.wheel.fire_due()
-        self.assertEqual(self.ended, [AttemptResult.OK, False])
+        self.assertEqual(self.results, [AttemptResult.OK, False])
 
-    def test_one_with_a_length_gives_its_slot_up_last(self) -> None:
-        self.node.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 140000\r\n\r\n" + BODY)
+    def test_response_with_a_length_is_evicted_last(self) -> None:
+        self.endpoint.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 140000\r\n\r\n" + BODY)
         self.now = T0 + 10**6 + SIZED_EVICTION_AGE_US - 1
-        self.assertIsNone(self._rank())
+        self.assertIsNone(self._eviction_rank())
         self.now += 1
-        rank = self._rank()
+        rank = self._eviction_rank()
         assert rank == (True, T0 + 10**6) and (False, self.now) < rank
 
 
@@ -175,18 +177,18 @@
 HEADS = {"told": "| Content-Length: 120000\n", "chunked": "| Transfer-Encoding: chunked\n", "bare": ""}
 
 
-class Body:
+class ResponseBody:
     """A response body as a client parses it from `raw`, the bytes that it has received."""
 
     def __init__(self, raw: bytes) -> None:
-        self.got, self.whole = b"", False
+        self.got, self.complete = b"", False
         httptools.HttpResponseParser(self).feed_data(raw)
 
     def on_body(self, body: bytes) -> None:
         self.got += body
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
 
 
 class Long(Exchange):
@@ -198,14 +200,17 @@
         match words:
             case ["places", which, number]:
                 front = await self._start()
-                of: Any = front.pool if which == "nodes" else front.client_groups[0]
-                of.max_connections = int(number)
+                connections: Any = front.pool if which == "nodes" else front.client_groups[0]
+                connections.max_connections = int(number)
             case ["over"]:
                 front, self.front = await self._start(), None
                 front.release_resources()
             case [name, "has" | "whole", number]:
                 peer = self.peers[name]
-                while len((body := Body(peer.got)).got) < int(number) or (words[1] == "whole") > body.whole:
+                while (
+                    len((body := ResponseBody(peer.got)).got) < int(number)
+                    or (words[1] == "whole") > body.complete
+                ):
                     assert not peer.ended, f"ended with {len(body.got)} bytes"
                     await peer.more(f"{number} bytes")
                 assert body.got == CONTENT[: int(number)]
@@ -213,8 +218,8 @@
                 peer = self.peers[name]
                 while not peer.ended:
                     await peer.more("the end")
-                body = Body(peer.got)
-                assert CONTENT.startswith(body.got) and not body.whole
+                body = ResponseBody(peer.got)
+                assert CONTENT.startswith(body.got) and not body.complete
                 head = peer.got.partition(b"\r\n\r\n")[0]
                 assert head.startswith(b"HTTP/1.1 200")
                 framed = b"Content-Length" in head or b"chunked" in head
@@ -234,11 +239,11 @@
 
 def begun(name: str, n: int, way: str, first: int = 70_000, version: str = "1.1") -> str:
     """A new client sends a request to endpoint `n`, which sends the first bytes of a streamed response."""
-    ask = f"| X-Call-Id: {name}1\n| X-Plan: gold\n"
-    asked = f"| GET /read?block=7f3a9c21e0b4d655 HTTP/{version}\n{ask}| X-Budget: {TIME / 1e6}\n"
+    headers = f"| X-Call-Id: {name}1\n| X-Plan: gold\n"
+    request_start = f"| GET /read?block=7f3a9c21e0b4d655 HTTP/{version}\n{headers}| X-Budget: {TIME / 1e6}\n"
     return (
-        f"client {name} platform\n{name} >\n{asked}| X-IO: volume=b4,units=1,shard={n}\n|\nn{n} <\n"
-        f"| GET {{target}} HTTP/1.1\n| Host: service.internal\n{ask}| X-IO: volume=b4,units=1,shard={n}\n"
+        f"client {name} platform\n{name} >\n{request_start}| X-IO: volume=b4,units=1,shard={n}\n|\nn{n} <\n"
+        f"| GET {{target}} HTTP/1.1\n| Host: service.internal\n{headers}| X-IO: volume=b4,units=1,shard={n}\n"
         f"| X-Budget: {{~}}\n|\nn{n} >\n| HTTP/1.1 200 OK\n{HEADS[way]}|\n" + piece(n, way, 0, first)
     )
 
@@ -251,26 +256,26 @@
     return f"set settings.extra.nShards {count}\n" + "".join(f"node n{n} {n}:script\n" for n in range(count))
 
 
-def goes_on(names: str, ways: list[str], steps: int = 4) -> str:
+def progress(names: str, ways: list[str], steps: int = 4) -> str:
     """After each of `steps` pauses of 5 s, each response progresses by 10,000 bytes."""
     return "".join(
         "clock 5000000\n"
         + "".join(
-            piece(n, way, at, at + 10_000) + f"{name} has {at + 10_000}\n"
+            piece(n, way, offset, offset + 10_000) + f"{name} has {offset + 10_000}\n"
             for n, (name, way) in enumerate(zip(names, ways, strict=True))
         )
-        for at in range(70_000, 70_000 + steps * 10_000, 10_000)
+        for offset in range(70_000, 70_000 + steps * 10_000, 10_000)
     )
 
 
 @pytest.mark.parametrize("way", HEADS)
-def test_one_that_moves_goes_through_past_its_request_s_time(way: str) -> None:
+def test_progressing_response_continues_past_its_deadline(way: str) -> None:
     """A streamed response was aborted at the request's deadline while the endpoint was still sending it."""
     play(
         servers(1),
         begun("a", 0, way),
         "a has 70000\n",
-        goes_on("a", [way]),
+        progress("a", [way]),
         piece(0, way, 110_000, 120_000),
         ended(0, way),
         "a whole 120000\ncounter node_answers_broke_off 0\n",
@@ -278,7 +283,7 @@
 
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
-def test_one_that_comes_in_small_pieces_does_too(way: str) -> None:
+def test_response_in_small_pieces_continues_past_its_deadline(way: str) -> None:
     play(
         servers(1),
         begun("a", 0, way, 1000),
@@ -296,13 +301,13 @@
     )
 
 
-def test_a_reset_is_no_end() -> None:
+def test_reset_or_missing_last_chunk_aborts_the_response() -> None:
     play(servers(1), begun("a", 0, "bare"), "a has 70000\nn0 reset\na cut\n")
     play(servers(1), begun("a", 0, "chunked", version="1.0"), "a has 70000\nn0 finish\na cut\n")
 
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
-def test_one_that_floods_ends_at_the_size_that_the_protocol_has(way: str) -> None:
+def test_response_above_the_protocol_limit_is_aborted(way: str) -> None:
     play(
         "patch umberlead.net.streaming MAX_STREAM_BYTES 100000\n",
         servers(1),
@@ -316,7 +321,7 @@
 
 
 @pytest.mark.parametrize("way", HEADS)
-def test_one_that_goes_on_does_not_keep_the_process_from_its_stop(way: str) -> None:
+def test_unfinished_response_does_not_delay_the_shutdown(way: str) -> None:
     """Other requests are answered, the process exits before SIGKILL, and the client sees an incomplete
     response."""
     play(
@@ -331,18 +336,18 @@
     )
 
 
-def test_where_slots_at_endpoints_are_short_one_far_past_its_time_is_evicted() -> None:
+def test_overdue_response_is_evicted_when_endpoint_connections_are_short() -> None:
     """Responses without a length are evicted first, the oldest of them first; one with a length stays."""
     ways = ["told", "chunked", "bare"]
-    begin = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("abc", ways, strict=True))]
+    started = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("abc", ways, strict=True))]
     play(
         servers(5),
         "places nodes 3\n",
-        *begin,
+        *started,
         ASKS.format("x", 3),
         "x <\n& refused\n",
         "counter node_answers_broke_off 0\n",
-        goes_on("abc", ways),
+        progress("abc", ways),
         "counter node_answers_broke_off 0\n",
         ASKS.format("d", 3),
         "b cut\n",
@@ -356,7 +361,7 @@
     )
 
 
-def test_a_lowered_limit_ends_no_more_connections_than_it_must() -> None:
+def test_lowered_limit_closes_only_the_surplus_connections() -> None:
     play(
         servers(3),
         *(ASKS.format(a, n) + SERVED.format(a, n) for n, a in enumerate("abc")),
@@ -369,16 +374,16 @@
     )
 
 
-def test_where_clients_slots_are_short_one_far_past_its_time_is_evicted() -> None:
+def test_overdue_response_is_evicted_when_client_slots_are_short() -> None:
     ways = ["told", "chunked"]
-    begin = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("ab", ways, strict=True))]
+    started = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("ab", ways, strict=True))]
     play(
         servers(2),
-        *begin,
+        *started,
         "places clients 2\nclient c platform\nc >\n| GET /healthz HTTP/1.1\n|\nc <\n"
         "| HTTP/1.1 503 Service Unavailable\n| Retry-After: 0.5\n| Content-Length: {~}\n"
         "| Connection: close\n|\n~ refused: too many connections\nc finish\n",
-        goes_on("ab", ways),
+        progress("ab", ways),
         "counter node_answers_broke_off 0\n",
         "client d platform\nd >\n| GET /healthz HTTP/1.1\n|\nb cut\n",
         "d <\n| HTTP/1.1 200 OK\n| Content-Length: 3\n| Connection: close\n|\n~ ok\n",
@@ -387,7 +392,7 @@
     )
 
 
-def test_a_server_that_pauses_within_a_write_s_response_is_waited_for() -> None:
+def test_pause_within_the_response_to_a_write_is_tolerated() -> None:
     """A write can't be retried, so aborting it early gains nothing. If the endpoint stops for good, it
     fails."""
     play(
