--- a/umberlead/net/dialing.py
+++ b/umberlead/net/dialing.py
@@ -116,7 +116,7 @@
     def _check(self, conn: EndpointConnection) -> None:
         """Race a slow dial, or end its attempt at the connect timeout.
 
-        Single connections to a healthy endpoint may be slow to establish. Another dial is therefore started
+        Individual connections to a healthy endpoint may be slow to establish. Another dial therefore starts
         in parallel, and the first to succeed carries the attempt. At the connect timeout the attempt ends,
         but its dial continues, for an attempt that waits when it succeeds.
         """
--- a/umberlead/net/discovery.py
+++ b/umberlead/net/discovery.py
@@ -97,7 +97,7 @@
             stream.end("refused")
 
     def _check_silence(self, stream: WatchStream) -> None:
-        """Abandon a silent stream; a network partition is detected in no other way."""
+        """Abandon a silent stream: a network partition gives no other sign."""
         if stream.ended or stream is self.late_stream:
             return
         now_us = self.clock()
@@ -125,8 +125,8 @@
     def response_started(self, stream: WatchStream) -> None:
         """Handle the end of a response's headers.
 
-        A list is used even if its call has timed out. Any other response closes a call that has timed out:
-        the pacing has learned from its status whether an agent answers, and the next call is made as
+        A list is used even if its call has timed out. Any other response closes a call that has timed out: if
+        it was a rejection, the pacing has learned whether an agent answers, and the next call is made as
         scheduled.
         """
         late_stream = self.late_stream
--- a/umberlead/net/endpoint_connection.py
+++ b/umberlead/net/endpoint_connection.py
@@ -46,8 +46,8 @@
         finished: the connection has ended, and the pool has removed it.
         connect_error: why no connection was established.
         failed_locally: the dial failed for lack of local resources.
-        broke_early: the connection broke when, or after, it was established; it was neither refused nor
-            timed out.
+        broke_early: the connection broke while or after it was established; it was neither refused nor timed
+            out.
         stream: the streamed response in progress, or else the latest one.
         response: parses the responses.
     """
--- a/umberlead/net/endpoint_protocol.py
+++ b/umberlead/net/endpoint_protocol.py
@@ -48,8 +48,8 @@
         status,
         body,
         _parse_load_report(headers.get(b"x-load-report", b"")),
-        _parse_number(headers.get(b"x-volume-use"), -1)
-        + 1,  # the header lacks the 1 that the simulator's value includes
+        # The header holds a percentage. The field adds 1, as the simulator's does, and 0 means unknown.
+        _parse_number(headers.get(b"x-volume-use"), -1) + 1,
         _parse_number(headers.get(b"x-served-elsewhere"), 0),
     )
 
