--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -114,9 +114,8 @@
         scheduler = self._make_scheduler({0: 100, 1: 50, 2: 50})
         shares = [round(scheduler.directory.traffic_share(shard) * 60) for shard in (0, 1, 2, 3, -1)]
         self.assertEqual(shares, [20, 15, 15, 1, 1])  # the first is limited to a third
-        self.assertEqual(
-            Scheduler(settings(**SLOW_START_SETTINGS), 1, T0).directory.traffic_share(5), 1 / 60
-        )  # no traffic is known yet
+        # A new scheduler knows no traffic yet.
+        self.assertEqual(Scheduler(settings(**SLOW_START_SETTINGS), 1, T0).directory.traffic_share(5), 1 / 60)
 
     def test_shares_of_all_fronts_add_up_to_about_one(self) -> None:
         """For uneven traffic: fronts with few and with many shards, busy and quiet ones."""
