--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -100,7 +100,7 @@
 
 
 def test_request_sent_during_a_streamed_response_is_served_while_draining() -> None:
-    """The response did not announce the close, but a request sent meanwhile was read and dropped."""
+    """The response does not announce the close, so a request that is sent meanwhile must not be dropped."""
 
     async def steps(harness: ConnectionHarness) -> None:
         harness.client.sendall(encode_get("long"))
@@ -154,8 +154,8 @@
 
 
 def test_budget_of_unread_requests_runs_from_the_pause_of_reading() -> None:
-    """Requests that waited in the receive buffer had their time budget extended by that wait, and the
-    endpoint was sent the longer budget."""
+    """The time for which requests wait in the receive buffer counts against their budget. Otherwise the
+    endpoint would be sent a longer budget than is left."""
 
     async def steps(harness: ConnectionHarness) -> None:
         harness.clients.max_header_bytes = 500
@@ -196,8 +196,8 @@
     ],
 )
 def test_any_connection_error_counts_as_a_break(error: OSError | None, is_break: bool) -> None:
-    """Only a reset counted as a break: a response without a length that ended with another error was taken
-    for complete."""
+    """If only a reset counted as a break, a response without a length that ends with another error would be
+    taken for complete."""
     sock = mock.Mock(recv=mock.Mock(side_effect=error, return_value=b""))
 
     @contextmanager
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -133,9 +133,8 @@
 @pytest.mark.parametrize("connects_late", [True, False])
 @pytest.mark.parametrize("ended_by", ["connect timeout", "engine"])
 def test_dial_cancelled_while_connecting_has_one_result(connects_late: bool, ended_by: str) -> None:
-    """After a front was suspended for a second, dials were cancelled just as their connections were
-    established. Their attempts never had a result, and the uploads were answered with 502 at their
-    deadline."""
+    """A front that was suspended for a second cancels dials just as their connections are established. If
+    their attempts then have no result, uploads are answered with 502 at their deadline."""
 
     async def test() -> None:
         dials = Dials(connects_late)
@@ -199,8 +198,8 @@
 
 @pytest.mark.parametrize("first", [0, 1])
 def test_first_established_of_racing_dials_carries_the_attempt(first: int) -> None:
-    """When a third of the connections were slow to establish, each that exceeded the connect timeout failed
-    its attempt and ejected a healthy endpoint, whose requests no other endpoint can serve."""
+    """Up to a third of the connections may be slow to establish. If each that exceeds the connect timeout
+    failed its attempt, a healthy endpoint would be ejected, whose requests no other endpoint can serve."""
 
     async def test() -> None:
         dials, pool, recorder, attempt = await _start_racing_dials()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -66,8 +66,8 @@
 
 
 def test_rejection_does_not_reset_the_backoff() -> None:
-    """Each 503 reset the backoff, so the delay stayed at 0.1 s: 28 restarted processes made 3,740 rejected
-    calls in 12 s. With a delay that doubles from 0.1 s, at most 4 or 5 calls are made in 1.5 s."""
+    """If each 503 reset the backoff, the delay would stay at 0.1 s, with which 28 restarted processes made
+    3,740 rejected calls in 12 s. With a delay that doubles from 0.1 s, at most 4 or 5 fit into 1.5 s."""
     call_count, counters = _watch_for(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", 1.5)
     assert 2 <= call_count <= 6 and counters["discovery_updates"] == 0
 
--- a/tests/test_request_delivery.py
+++ b/tests/test_request_delivery.py
@@ -57,13 +57,14 @@
 
 
 def test_many_pipelined_requests_are_all_answered() -> None:
-    """All arrive in one read; those after the eighth were dropped with a 400."""
+    """All arrive in one read. A limit of eight requests per read would drop the others with a 400."""
     requests = "a >\n" + "".join(asks("a", n).partition("\n")[2] for n in range(100))
     play("node n0 0\nclient a platform\n", requests, 100 * DONE.format("a"), "writes n0 PUT 100\n")
 
 
 def test_budget_of_a_pipelined_request_runs_from_its_last_byte() -> None:
-    """The third request was read but not parsed, so its time budget started only when it was handled."""
+    """The third request is read but not parsed while it waits. Its time budget must not start when it is
+    handled."""
     request = "a >\n" + "| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a{0} / 0\n| X-Budget: 5\n|\n"
     response = "n0 >\n& x\na <\n& x\n"
     forwarded = "n0 <\n" + re.sub(r"X-Budget: 5", "X-Budget: {1}{{~}}", request.partition("\n")[2])
@@ -153,8 +154,8 @@
 
 
 def test_reset_with_the_last_bytes_aborts_a_streamed_response() -> None:
-    """If the last bytes and a reset arrive together, libuv reports an end of file, and the response was taken
-    for complete."""
+    """If the last bytes and a reset arrive together, libuv reports an end of file. The response must not be
+    taken for complete."""
     play(
         "node n0 0:script\nclient a platform\na >\n& read a1 / 0\nn0 <\n& got a1 / 0\n",
         "n0 >\n| HTTP/1.1 200 OK\n|\n@ 0 70000\n",
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -52,8 +52,8 @@
         self.assertEqual([action.endpoint for action in actions if isinstance(action, Send)], ["n1"] * 3)
 
     def test_misdirected_request_goes_to_the_endpoint_of_its_object_or_is_rejected(self) -> None:
-        """Each response to a misdirected request lowered the endpoint's concurrency limit to one request and
-        ejected the endpoint for half a second."""
+        """A response to a misdirected request must neither lower the endpoint's concurrency limit to one
+        request nor eject the endpoint for half a second."""
         scheduler = head(T0, up("n0", 0), up("n1", 1))
         feed(scheduler, T0, ManualDrain("n0", True, T0), ask("w", cls="once", shard=-1, key="k"))
         feed(scheduler, T0, end("w", node="n1"), ManualDrain("n0", False, T0))
@@ -108,8 +108,8 @@
         return scheduler
 
     def test_share_of_a_shard_follows_the_front_s_own_traffic(self) -> None:
-        """With an even share of 1/60, fronts that share an endpoint with ten others used a sixth of what it
-        can serve while cold, and rejected the rest: 2986 of 4444 rejections on a day on which half of the
+        """With an even share of 1/60, fronts that share an endpoint with ten others use a sixth of what it
+        can serve while cold, and reject the rest: 2986 of 4444 rejections on a day on which half of the
         endpoints were replaced."""
         scheduler = self._make_scheduler({0: 100, 1: 50, 2: 50})
         shares = [round(scheduler.directory.traffic_share(shard) * 60) for shard in (0, 1, 2, 3, -1)]
@@ -140,8 +140,8 @@
         self.assertLess(max(total_shares), SLOW_START_SETTINGS["slow_start_overload_factor"])
 
     def test_first_send_to_a_warming_endpoint_follows_the_current_traffic(self) -> None:
-        """The delay was computed once, when the list was received, and a front knows no traffic at its start:
-        a restarted front sent nothing to warming endpoints for up to 44 s."""
+        """If the delay were computed once, when the list is received, a restarted front, which knows no
+        traffic yet, would send nothing to warming endpoints for up to 44 s."""
         now = T0 + 20_000_000
         scheduler = head(T0, up("n0", 0, T0), **SLOW_START_SETTINGS)
         scheduler.directory.endpoints["n0"].first_send_jitter = 1.0
@@ -197,8 +197,8 @@
         return b"".join(transport.writelines.call_args.args[0]) if transport.writelines.called else b""
 
     def test_request_above_the_connection_limit_is_served_if_another_is_idle(self) -> None:
-        """An evicted connection keeps its slot for one more event-loop iteration. Without allowance for that,
-        a crowd of clients that send one request each had a quarter of its requests rejected."""
+        """An evicted connection keeps its slot for one more event-loop iteration. If it still counted, a
+        crowd of clients that send one request each would have a quarter of its requests rejected."""
         idle = [self._connect() for _ in range(8)]
         for conn in idle:
             self._send_request(conn)
@@ -211,7 +211,8 @@
         self.assertEqual((self.clients.evicting_count, len(self.clients.slots)), (0, 0))
 
     def test_first_response_closes_its_connection_while_many_are_established(self) -> None:
-        """Connections kept by clients that send one request occupied all slots until their idle timeout."""
+        """Otherwise the connections of clients that send one request would occupy all slots until their idle
+        timeout."""
         kept = self._connect()
         few = [self._send_request(conn) for conn in (kept, self._connect(), self._connect(), self._connect())]
         many = [self._send_request(self._connect()) for _ in range(2)]
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -82,7 +82,7 @@
         )
 
     def test_response_within_one_read_is_completed_by_it(self) -> None:
-        """A response that started and ended in the same read stayed open until its idle timeout."""
+        """A response that starts and ends in the same read must not stay open until its idle timeout."""
         self.endpoint.data_received(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(BODY), BODY)
         )
@@ -93,7 +93,7 @@
         self.assertFalse(self.endpoint.streaming)
 
     def test_response_malformed_within_its_first_read_is_aborted_at_once(self) -> None:
-        """Its attempt has ended by then, so the stream stayed open until the next read, or for 10 s."""
+        """The attempt has ended, but its stream must not stay open until the next read, or for 10 s."""
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.endpoint.data_received(head + b"%x\r\n%s\r\nno size\r\n" % (len(BODY), BODY))
         self.assertEqual(self.results, [AttemptResult.OK, False])
@@ -102,7 +102,7 @@
         self.assertNotIn(b"0\r\n\r\n", self._written_bytes()[-5:])
 
     def test_slow_response_without_a_length_is_streamed_before_64_kib(self) -> None:
-        """Clients measure the time to the first bytes, and buffering 64 KiB took up to a second."""
+        """Clients measure the time to the first bytes, and buffering 64 KiB may take up to a second."""
         chunk = b"400\r\n" + b"x" * 1024 + b"\r\n"
         self.endpoint.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
         self.now += STREAMING_THRESHOLD_US
@@ -270,7 +270,7 @@
 
 @pytest.mark.parametrize("way", HEADS)
 def test_progressing_response_continues_past_its_deadline(way: str) -> None:
-    """A streamed response was aborted at the request's deadline while the endpoint was still sending it."""
+    """A streamed response must not be aborted at the request's deadline while the endpoint is sending it."""
     play(
         servers(1),
         begun("a", 0, way),
