--- a/tests/test_lists_files.py
+++ b/tests/test_lists_files.py
@@ -60,7 +60,7 @@
         ("server n1 adress h:1 shard 0", 11, "'address' or 'max-units'", "address"),
         ("server n1 address h:1 shard 0 wieght 1", 31, "found 'wieght'", "weight"),
         ("server n1 address h:1 shard 0 state reddy", 37, "'draining' or 'ready'", "ready"),
-        ("server n1 address h:1 shard", 28, "expected a whole number, the line ends", ""),
+        ("server n1 address h:1 shard", 28, "expected a whole number, found the end of the line", ""),
         ("server n1 address h shard 0", 19, "expected host:port, found 'h'", ""),
         ("server n1 shard 0", 8, "server n1 has no address", ""),
         ("server n1 address h:1 shard 0 shard 1", 37, "shard is given twice", ""),
--- a/umberlead/membership/change_gate.py
+++ b/umberlead/membership/change_gate.py
@@ -1,8 +1,7 @@
-"""A gate before a watched list: it is taken only when a suite of routing tests holds under it.
+"""Runs a suite of routing tests against a new list, which is accepted only if the suite passes.
 
-The suite runs in a process of its own (`umberlead expect`), so that neither the event loop nor the loading
-thread computes. The loading thread waits for it up to a time limit; the earlier list stays in force
-meanwhile.
+The suite runs in a separate process (`umberlead expect`), so that it uses no CPU time of this one. The
+loading thread waits for the suite up to a time limit; the earlier list stays in force meanwhile.
 """
 
 import json
@@ -18,11 +17,11 @@
 
 @dataclass(eq=False)
 class ChangeGate:
-    """Runs a suite against a list.
+    """Runs a suite of routing tests against a list.
 
     Attributes:
         suite_path: The suite of routing tests.
-        timeout_seconds: The time that one run may take.
+        timeout_seconds: The time limit of one run.
     """
 
     suite_path: Path
@@ -31,25 +30,25 @@
     _closed: bool = False
 
     def evaluate(self, main_path: Path) -> list[ListProblem]:
-        """Return why the list at `main_path` must not be taken; nothing where the suite holds.
+        """Return the reasons to reject the list at `main_path`; an empty list if the suite passes.
 
-        Blocks until the suite has ended, up to the time limit.
+        Blocks until the suite ends or the time limit is reached.
         """
         try:
             process = subprocess.Popen(
                 self._command(main_path), stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
             )
         except OSError as error:
-            return [self._problem("L502", f"the suite can't be played: {error}")]
+            return [self._problem("L502", f"the suite can't be run: {error}")]
         with process:
             self._process = process
-            if self._closed:  # Closed in between: nobody else would end it.
+            if self._closed:  # close() ran before the process was stored, and did not kill it.
                 process.kill()
             try:
                 output, errors = process.communicate(timeout=self.timeout_seconds)
             except subprocess.TimeoutExpired:
                 process.kill()
-                return [self._problem("L503", f"the suite has not ended within {self.timeout_seconds:g} s")]
+                return [self._problem("L503", f"the suite did not finish within {self.timeout_seconds:g} s")]
             finally:
                 self._process = None
         if process.returncode == 0:
@@ -57,10 +56,10 @@
         if process.returncode == 1 and (failed := self._failed_expectations(output)):
             return failed
         reason = (errors.strip().splitlines() or [f"exit code {process.returncode}"])[0]
-        return [self._problem("L502", f"the suite can't be played: {reason}")]
+        return [self._problem("L502", f"the suite can't be run: {reason}")]
 
     def close(self) -> None:
-        """End a suite that is running, so that the process can end; may be called from any thread."""
+        """Kill a running suite, so that this process can exit; may be called from any thread."""
         self._closed = True
         if (process := self._process) is not None:
             process.kill()
@@ -82,7 +81,7 @@
         return ListProblem(code, FilePosition(self.suite_path.name, line), message)
 
     def _failed_expectations(self, output: str) -> list[ListProblem]:
-        """Return the expectations that failed, by the command's JSON; nothing where it can't be read."""
+        """Return the expectations that failed from the command's JSON output; none if it is malformed."""
         try:
             verdicts = [verdict for suite in json.loads(output).values() for verdict in suite["verdicts"]]
         except (ValueError, KeyError, AttributeError):
--- a/umberlead/membership/checks.py
+++ b/umberlead/membership/checks.py
@@ -1,7 +1,7 @@
-"""What a parsed set of files must satisfy before it may be taken.
+"""The checks that a parsed set of list files must pass before the list is put in force.
 
-Free of I/O: host names are resolved before, and what the files hold is handed in. Each check has a code,
-with an entry in docs/watched-lists.md. All problems of a set are found at once.
+The module does no I/O: its functions take parsed files and resolved host names. Each problem has a code with
+an entry in docs/watched-lists.md. A check reports all problems of a set and does not stop at the first.
 """
 
 import difflib
@@ -23,35 +23,35 @@
 
 PROBLEM_CODES = {
     "L101": "a line can't be read",
-    "L102": "the closing line is missing or counts otherwise: the file may be half written",
-    "L103": "the last line has no line end: the file may be half written",
+    "L102": "the closing line is missing or has a wrong count: the file may be half written",
+    "L103": "the last line has no newline: the file may be half written",
     "L104": "the format is missing, unknown or not the first statement",
-    "L105": "something stands behind the closing line",
-    "L106": "a statement that may stand once stands twice",
+    "L105": "there is a statement after the closing line",
+    "L106": "a statement that is allowed once is given twice",
     "L107": "a statement is not allowed in this file",
-    "L201": "two servers have one name",
-    "L202": "two servers have one address",
-    "L203": "an address lies outside the permitted networks",
+    "L201": "two servers have the same name",
+    "L202": "two servers have the same address",
+    "L203": "an address is outside the permitted networks",
     "L204": "a host name is not in the inventory",
-    "L205": "a host name does not resolve, or not to one address",
-    "L206": "a shard is left without a ready server",
-    "L208": "all weights are 0: no server may take new objects",
-    "L209": "the version goes back",
-    "L210": "the version is that of another list",
-    "L211": "a network can't be read",
+    "L205": "a host name does not resolve to exactly one address",
+    "L206": "a shard has no ready server",
+    "L208": "all weights are 0: no server may store new objects",
+    "L209": "the version is lower than the one in force",
+    "L210": "the version is already in force with other content",
+    "L211": "a network is not valid",
     "L212": "the list has no version",
     "L213": "the list has no servers",
-    "L301": "too many servers are withdrawn at once: held until confirmed",
-    "L302": "shards would be left without a ready server: held until confirmed",
+    "L301": "too many servers are withdrawn at once: the list is held until confirmed",
+    "L302": "shards would be left without a ready server: the list is held until confirmed",
     "L401": "a file can't be read",
     "L402": "the files are too large, too many, or nested too deep",
     "L403": "files include each other in a loop",
-    "L404": "an include names no file",
-    "L405": "a file's digest is not the manifest's",
-    "L406": "a file is missing from the manifest, or stands there alone",
+    "L404": "an include names no existing file or folder",
+    "L405": "a file's digest differs from the manifest",
+    "L406": "a file of the set is not in the manifest, or a file of the manifest is not in the set",
     "L407": "the files changed while they were read",
 }
-# Problems that a set may have because it is still being written.
+# Problems that may occur because the files are still being written.
 TRANSIENT_CODES = frozenset(("L102", "L103", "L405", "L406", "L407", "L401", "L404"))
 NO_VERSION_STATUS = -1
 SIMILARITY_THRESHOLD = 0.6
@@ -62,11 +62,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CurrentList:
-    """What the checks need to know of the list in force.
+    """The list in force, as far as the checks need it.
 
     Attributes:
-        version: Its version; -1 where there is none.
-        digest: Its digest; "" where there is none.
+        version: Its version; -1 if there is no list in force.
+        digest: Its digest; "" if there is no list in force.
     """
 
     version: int = NO_VERSION_STATUS
@@ -74,19 +74,19 @@
 
 
 class PermittedNetworks:
-    """The permitted networks as one set.
+    """The union of the permitted networks.
 
-    Answers are cached, as lists are checked again and again.
+    Decisions are cached by address, since most addresses are the same in each list that is checked.
     """
 
     def __init__(self, networks: Iterable[str]) -> None:
-        """Take the networks, such as "10.1.0.0/16"."""
+        """Create the union of networks such as "10.1.0.0/16"."""
         self.networks = tuple(networks)
         self._ip_set = IPSet(IPNetwork(network) for network in self.networks)
         self._decisions: dict[str, bool] = {}
 
     def __contains__(self, address: str) -> bool:
-        """Return whether an IP address lies in one of the networks."""
+        """Return whether an IP address is in one of the networks."""
         permitted = self._decisions.get(address)
         if permitted is None:
             permitted = self._decisions[address] = IPAddress(address) in self._ip_set
@@ -94,12 +94,12 @@
 
 
 def is_ip_address(host: str) -> bool:
-    """Return whether a host looks like an IP address, right or wrong, and not like a name."""
+    """Return whether a host is written as an IP address, valid or not, and not as a name."""
     return ":" in host or host.replace(".", "").isdigit()
 
 
 def host_names(files: Iterable[ParsedFile]) -> set[str]:
-    """Return the host names that have to be resolved."""
+    """Return the host names that need to be resolved."""
     names = set()
     for parsed in files:
         for statement in parsed.endpoint_statements:
@@ -110,36 +110,36 @@
 
 
 def format_shards(shards: Collection[int]) -> str:
-    """Return the numbers of shards for a message, the first few of many."""
+    """Join shard numbers for a message; a long list is cut."""
     shown = ", ".join(map(str, list(shards)[:MAX_SHOWN_SHARDS_COUNT]))
     return shown + (" ..." if len(shards) > MAX_SHOWN_SHARDS_COUNT else "")
 
 
 @dataclass(slots=True)
 class CheckResult:
-    """A list that passed its checks, or the problems of one that didn't."""
+    """The list if it passed its checks, or else its problems."""
 
     checked_list: CheckedList | None
     problems: list[ListProblem]
 
     @property
     def is_transient(self) -> bool:
-        """Whether the set may be one that is still being written."""
+        """Whether all problems may have occurred because the files are still being written."""
         return bool(self.problems) and all(problem.code in TRANSIENT_CODES for problem in self.problems)
 
 
 class ListChecker:
-    """Checks sets one after the other; keeps the permitted networks between them."""
+    """Checks sets of list files; keeps the permitted networks from one set to the next."""
 
     def __init__(self, shard_count: int = 0) -> None:
-        """Check for shards 0 to `shard_count - 1`; 0 where their number is not known."""
+        """Create a checker for shards 0 to `shard_count - 1`; 0 if the number of shards is not known."""
         self.shard_count = shard_count
         self._permitted_cache: PermittedNetworks | None = None
 
     def check(
         self, files: list[ParsedFile], digest: str, current: CurrentList, resolved: ResolvedHosts
     ) -> CheckResult:
-        """Return the checked list, or all problems of the set.
+        """Check a set, and return the list or all problems.
 
         Args:
             files: The parsed files, the main one first.
@@ -170,10 +170,10 @@
         for parsed in others:
             for keyword, statement in (("version", parsed.version), ("manifest", parsed.manifest)):
                 if statement is not None:
-                    message = f"{keyword} belongs into {main.file} alone"
+                    message = f"{keyword} is allowed in {main.file} alone"
                     problems.append(ListProblem("L107", statement.position, message))
         return problems + [
-            ListProblem("L107", digest.position, "digests belong into the manifest")
+            ListProblem("L107", digest.position, "file digests are allowed only in the manifest")
             for parsed in (main, *others)
             for digest in parsed.digests
         ]
@@ -191,7 +191,7 @@
             message = f"version {version} is older than {current.version}, which is in force"
             problems.append(ListProblem("L209", position, message))
         elif version == current.version and digest != current.digest:
-            message = f"version {version} is in force with other content"
+            message = f"version {version} is already in force with other content"
             message += ": a changed list needs a higher version"
             problems.append(ListProblem("L210", position, message))
         return version
@@ -199,7 +199,7 @@
     def _permitted_networks(
         self, files: list[ParsedFile], problems: list[ListProblem]
     ) -> PermittedNetworks | None:
-        """Return the permitted networks; None where there are none, or one can't be read."""
+        """Return the permitted networks; None if there are none, or one is not valid."""
         networks = []
         all_valid = True
         for parsed in files:
@@ -208,7 +208,7 @@
                     IPNetwork(network)
                     networks.append(network)
                 except (AddrFormatError, ValueError):
-                    problems.append(ListProblem("L211", position, f"{network} is no network"))
+                    problems.append(ListProblem("L211", position, f"{network} is not a network"))
                     all_valid = False
         if not networks or not all_valid:
             return None
@@ -219,7 +219,7 @@
     def _check_coverage(
         self, main: ParsedFile, endpoints: dict[str, EndpointSpec], problems: list[ListProblem]
     ) -> None:
-        """Check that each shard has a ready endpoint, and that one may take new objects."""
+        """Check that each shard has a ready endpoint, and that some ready endpoint may store new objects."""
         position = FilePosition(main.file)
         if not endpoints:
             problems.append(ListProblem("L213", position, "the list has no servers"))
@@ -235,7 +235,7 @@
 
 
 class _EndpointChecker:
-    """Collects a set's endpoints with their addresses resolved, and the problems found on the way."""
+    """Collects the endpoints of a set with resolved addresses, and the problems found in them."""
 
     def __init__(
         self,
@@ -253,12 +253,12 @@
         self._name_by_address: dict[Address, str] = {}
 
     def add(self, statement: EndpointStatement) -> None:
-        """Check one statement; of two with the same name the first counts."""
+        """Check one statement and keep its endpoint; of two with the same name, the first is kept."""
         endpoint = statement.endpoint
         position = statement.position
         name = endpoint.name
         if name in self.endpoints:
-            message = f"server {name} stands at {self._positions[name]} already"
+            message = f"server {name} is listed at {self._positions[name]} already"
             self._problems.append(ListProblem("L201", position, message))
             return
         self._positions[name] = position
@@ -270,17 +270,17 @@
             self.endpoints[name] = replace(endpoint, address=address)
         host, port = address
         if address in self._name_by_address:
-            message = f"{host}:{port} is {self._name_by_address[address]}'s already"
+            message = f"{host}:{port} is the address of {self._name_by_address[address]} already"
             self._problems.append(ListProblem("L202", position, message))
         self._name_by_address[address] = name
         if self._permitted is not None and host not in self._permitted:
             networks = ", ".join(self._permitted.networks)
-            message = f"server {name}: {host} lies outside {networks}"
+            message = f"server {name}: {host} is outside {networks}"
             self._problems.append(ListProblem("L203", position, message))
 
     def _resolve_address(self, statement: EndpointStatement) -> Address | None:
-        """Return the IP address and port; None with a problem where there is none."""
-        assert statement.endpoint.address is not None  # The grammar demands one.
+        """Return the IP address and port; record a problem and return None if there is no single one."""
+        assert statement.endpoint.address is not None  # The grammar requires one.
         host, port = statement.endpoint.address
         label = f"server {statement.endpoint.name}:"
         position = statement.position
@@ -289,7 +289,7 @@
                 address = IPAddress(host)
                 return (str(address) if ":" in host else host), port
             except (AddrFormatError, ValueError):
-                self._problems.append(ListProblem("L101", position, f"{label} {host} is no address"))
+                self._problems.append(ListProblem("L101", position, f"{label} {host} is not an IP address"))
                 return None
         if self._inventory and host not in self._inventory:
             suggestion = _nearest(host, self._inventory)
@@ -307,7 +307,7 @@
 
 
 def _nearest(host: str, hosts: Collection[str]) -> str:
-    """Return the most similar of some hosts; "" where none is similar."""
+    """Return the most similar of `hosts`; "" if none is similar."""
     nearest = difflib.get_close_matches(host, hosts, 1, SIMILARITY_THRESHOLD)
     return nearest[0] if nearest else ""
 
@@ -315,19 +315,19 @@
 def manifest_problems(
     main: str, manifest: ParsedFile, digests: Mapping[str, str], position: FilePosition
 ) -> list[ListProblem]:
-    """Return what is wrong with a set by its manifest.
+    """Return the differences between a set and its manifest, and the problems of the manifest itself.
 
     Args:
         main: The main file's name.
         manifest: The parsed manifest.
-        digests: The SHA-256 of each file of the set as read, the main file's included.
+        digests: The SHA-256 of each list file as read, including the main file.
         position: Where the main file names the manifest.
     """
     problems = list(manifest.problems)
     misplaced = (manifest.endpoint_statements, manifest.includes, manifest.networks, manifest.hosts)
     for statements in misplaced:
         for statement in statements:
-            message = "a manifest holds digests alone"
+            message = "a manifest may contain only file digests"
             problems.append(ListProblem("L107", statement.position, message))
     listed: set[str] = set()
     for name, digest, at in manifest.digests:
@@ -335,9 +335,9 @@
             problems.append(ListProblem("L106", at, f"{name} is given twice"))
         listed.add(name)
         if name not in digests:
-            problems.append(ListProblem("L406", at, f"{name} is no file of this set"))
+            problems.append(ListProblem("L406", at, f"{name} is not a file of this set"))
         elif digests[name] != digest:
-            problems.append(ListProblem("L405", at, f"{name} is not what the manifest says: half written?"))
+            problems.append(ListProblem("L405", at, f"{name} does not match its digest: half written?"))
     problems += [
         ListProblem("L406", position, f"{name} is not in the manifest")
         for name in digests
--- a/umberlead/membership/errors.py
+++ b/umberlead/membership/errors.py
@@ -1,7 +1,7 @@
-"""The errors of endpoint lists."""
+"""The base class of errors about endpoint lists."""
 
 from umberlead.common.errors import UmberleadError
 
 
 class MembershipError(UmberleadError, ValueError):
-    """Base class of the errors of endpoint lists."""
+    """Base class of errors about endpoint lists."""
--- a/umberlead/membership/files.py
+++ b/umberlead/membership/files.py
@@ -1,7 +1,7 @@
-"""Reads a set of list files: the main file, what it includes, and its manifest.
+"""Reads a set of list files: the main file, the files that it includes, and its manifest.
 
-It blocks, and belongs on a worker thread. A set is taken only if it was the same before and after it was
-read, so that no mix of two versions passes.
+The functions block and are for a worker thread. The set is read until two consecutive reads are equal, so
+that a mix of two versions is not accepted.
 """
 
 import hashlib
@@ -23,17 +23,17 @@
 
 
 class PathSignature(NamedTuple):
-    """What tells one content of a path from another, as far as the file system does.
+    """File metadata that changes when the content of a path changes.
 
-    Signatures are compared for being the same, never for being later, as clocks go back.
+    Signatures are compared only for equality, never by age, since clocks may go back.
 
     Attributes:
         path: The path.
-        device: The file's device; -1 where there is no file, and the inode holds the error number.
-        inode: The file's inode; with it, it matters where a symlink points to.
+        device: The file's device; -1 if `stat` failed, and `inode` is then the error number.
+        inode: The inode of the file that the path leads to; it differs after a symlink is replaced.
         size_bytes: The file's size.
-        modified_ns: The time of the file's last change of content.
-        status_changed_ns: The time of its last change of content or status.
+        modified_ns: The time of the last change of the file's content.
+        status_changed_ns: The time of the last change of the file's content or status.
     """
 
     path: str
@@ -49,17 +49,17 @@
 
 @dataclass(slots=True)
 class FileSet:
-    """What was read.
+    """A set of files as read.
 
     Attributes:
         parsed_files: The files' statements, the main file first; without the manifest.
-        digest: The SHA-256 over names and contents of all files.
-        digest_by_file: The SHA-256 of each file, the manifest included.
-        text_by_file: The text of each file, the manifest included.
-        problems: What kept files from being read.
-        paths: The files' paths, those of missing files too.
-        watched_folders: The folders of the files, by their real paths too.
-        paths_signature: The signature of all paths and of folders with wildcards.
+        digest: The SHA-256 over the names and contents of all files.
+        digest_by_file: The SHA-256 of each file, including the manifest.
+        text_by_file: The text of each file, including the manifest.
+        problems: The problems of reading files, and of the manifest.
+        paths: The paths of all files, including missing ones.
+        watched_folders: The folders of the files, both as named and with symlinks resolved.
+        paths_signature: The signature of all paths, and of the folders that are searched by wildcards.
     """
 
     parsed_files: list[ParsedFile] = field(default_factory=list)
@@ -97,11 +97,11 @@
 
     Attributes:
         main_path: The main file.
-        file_set: What was read so far.
-        bytes_read: The size of what was read so far.
+        file_set: The files read so far.
+        bytes_read: The size of the files read so far.
         include_chain: The files that are being read, each included by the one before it.
-        seen_paths: The files that were read.
-        drop_in_folders: The folders whose content decides which files there are.
+        seen_paths: The list files that were read, or are being read.
+        drop_in_folders: The folders that `include` statements search by wildcards.
     """
 
     def __init__(self, main_path: Path) -> None:
@@ -113,15 +113,15 @@
         self.drop_in_folders: set[Path] = set()
 
     def relative_name(self, path: Path) -> str:
-        """Return a file's name in messages and in the manifest."""
+        """Return a file's name as used in messages and in the manifest."""
         return os.path.relpath(path, self.main_path.parent)
 
     def add_problem(self, code: str, position: FilePosition, message: str) -> None:
-        """Record what keeps a file from being read."""
+        """Record a problem of the set."""
         self.file_set.problems.append(ListProblem(code, position, message))
 
     def read_file(self, path: Path, position: FilePosition) -> ParsedFile | None:
-        """Read and parse a file that is named at `position`; None with a problem where it can't be read."""
+        """Read and parse a file that is named at `position`; on failure, record a problem and return None."""
         name = self.relative_name(path)
         data = self._read_bytes(path, name, position)
         if data is None:
@@ -142,8 +142,8 @@
         try:
             real_path = path.resolve()
             self.file_set.watched_folders.add(real_path.parent)
-            if not stat.S_ISREG(os.stat(real_path).st_mode):  # A pipe would block the thread for ever.
-                self.add_problem("L401", position, f"{name} is no regular file")
+            if not stat.S_ISREG(os.stat(real_path).st_mode):  # Opening a pipe would block for ever.
+                self.add_problem("L401", position, f"{name} is not a regular file")
                 return None
             with open(real_path, "rb") as file:
                 data = file.read(MAX_SET_BYTES - self.bytes_read + 1)
@@ -152,12 +152,12 @@
             return None
         self.bytes_read += len(data)
         if self.bytes_read > MAX_SET_BYTES:
-            self.add_problem("L402", position, f"the files hold more than {MAX_SET_BYTES >> 20} MiB")
+            self.add_problem("L402", position, f"the files exceed {MAX_SET_BYTES >> 20} MiB in total")
             return None
         return data
 
     def read_with_includes(self, path: Path, position: FilePosition) -> None:
-        """Read a file that is named at `position`, and what it includes."""
+        """Read a file that is named at `position`, and the files that it includes."""
         if path in self.include_chain:
             loop = [*self.include_chain[self.include_chain.index(path) :], path]
             self.add_problem("L403", position, " -> ".join(self.relative_name(included) for included in loop))
@@ -166,7 +166,7 @@
             self.add_problem("L403", position, f"{self.relative_name(path)} is included twice")
             return
         if len(self.include_chain) >= MAX_INCLUDE_DEPTH_COUNT or len(self.seen_paths) >= MAX_FILES_COUNT:
-            message = f"more than {MAX_INCLUDE_DEPTH_COUNT} levels or {MAX_FILES_COUNT} files of includes"
+            message = f"more than {MAX_INCLUDE_DEPTH_COUNT} include levels or {MAX_FILES_COUNT} files"
             self.add_problem("L402", position, message)
             return
         self.seen_paths.add(path)
@@ -180,7 +180,7 @@
         self.include_chain.pop()
 
     def read_include(self, folder: Path, pattern: str, position: FilePosition) -> None:
-        """Read what an `include` statement in a file of `folder` names."""
+        """Read the files named by an `include` statement of a file in `folder`."""
         if _has_wildcards(pattern):
             self._read_drop_ins(folder, pattern, position)
             return
@@ -195,12 +195,12 @@
     def _read_drop_ins(self, folder: Path, pattern: str, position: FilePosition) -> None:
         base, _, file_pattern = pattern.rpartition("/")
         if _has_wildcards(base):
-            self.add_problem("L404", position, f"{pattern}: only the last part may hold wildcards")
+            self.add_problem("L404", position, f"{pattern}: only the file name may have wildcards")
             return
         drop_in_folder = _normalized(folder / base)
         self.drop_in_folders.add(drop_in_folder)
         self.file_set.watched_folders.add(drop_in_folder)
-        if not drop_in_folder.is_dir():  # Being made again, or a typo: never an empty list.
+        if not drop_in_folder.is_dir():  # Being created again, or a typo: not an empty list.
             self.add_problem("L404", position, f"there is no folder {base or '.'}")
             return
         for path in sorted(drop_in_folder.glob(file_pattern)):
@@ -208,7 +208,7 @@
                 self.read_with_includes(path, position)
 
     def check_manifest(self) -> None:
-        """Check the files that were read against the manifest, if there is one."""
+        """Check the files that were read against the manifest, if the main file names one."""
         manifest = self.file_set.parsed_files[0].manifest if self.file_set.parsed_files else None
         if manifest is None:
             return
@@ -216,7 +216,7 @@
         path = _normalized(self.main_path.parent / name)
         digests = dict(self.file_set.digest_by_file)
         if path in self.seen_paths:
-            self.add_problem("L406", position, f"{name} is a file of the set itself")
+            self.add_problem("L406", position, f"{name} is a list file of the set and can't be its manifest")
             return
         parsed = self.read_file(path, position)
         if parsed is not None:
@@ -229,15 +229,15 @@
 
 
 def _normalized(path: Path) -> Path:
-    """Return the path without `..`, so that one file has one name.
+    """Return the path without `..`, so that each file has only one name.
 
-    Symlinks stay, since they are what is swapped.
+    Symlinks are not resolved, since an operator may update a list by replacing a symlink.
     """
     return Path(os.path.normpath(path))
 
 
 def read_set(main_path: Path) -> FileSet:
-    """Return the whole set with every problem found on the way; never raises for what files hold."""
+    """Read the set once, and return it with all problems found; no file content makes it raise."""
     main_path = _normalized(main_path.absolute())
     reader = _SetReader(main_path)
     reader.read_with_includes(main_path, FilePosition(main_path.name))
@@ -252,11 +252,11 @@
 
 
 def read_stable_set(main_path: Path, max_attempts: int = 3) -> FileSet:
-    """Return the set as it was at one moment: it is read again where something changed meanwhile.
+    """Read the set until two consecutive reads are equal.
 
     Args:
         main_path: The main file.
-        max_attempts: How often it is read again before it gets problem L407.
+        max_attempts: How often the set is read again before it is returned with problem L407.
     """
     file_set = read_set(main_path)
     for _ in range(max_attempts):
--- a/umberlead/membership/flap_damping.py
+++ b/umberlead/membership/flap_damping.py
@@ -1,7 +1,7 @@
 """Damping of flapping endpoints, after RFC 2439 (BGP route flap damping).
 
-Each return of an endpoint costs a penalty that halves with time. Free of I/O: the clock is handed in, and
-there is no list here, only penalties by name.
+Each time an endpoint becomes ready again, its penalty grows; the penalty decays exponentially. The module
+does no I/O, takes the time as an argument, and knows endpoints only by name.
 """
 
 import math
@@ -21,8 +21,8 @@
     Attributes:
         half_life_us: The time in which a penalty halves.
         suppress_threshold: The penalty above which an endpoint is suppressed.
-        reuse_threshold: The penalty below which it is used again.
-        max_penalty: The largest penalty, which bounds how long an endpoint is suppressed.
+        reuse_threshold: The penalty below which a suppressed endpoint is used again.
+        max_penalty: The largest penalty, which limits how long an endpoint stays suppressed.
     """
 
     half_life_us: int = 15_000_000
@@ -31,18 +31,18 @@
     max_penalty: float = 8000.0
 
     def __post_init__(self) -> None:
-        """Check that the thresholds are in order.
+        """Check the order of the thresholds and the half-life.
 
         Raises:
-            MembershipError: They are not, or the half-life is not above 0.
+            MembershipError: The thresholds are out of order, or the half-life is not above 0.
         """
         in_order = 0 < self.reuse_threshold < self.suppress_threshold <= self.max_penalty
         if not in_order or self.half_life_us <= 0:
-            raise MembershipError("damping needs 0 < reuse < suppress <= most and a half-life above 0")
+            raise MembershipError("flap damping needs 0 < reuse < suppress <= most and a half-life above 0")
 
     @property
     def max_suppression_us(self) -> int:
-        """The longest time that an endpoint is suppressed after it stopped flapping."""
+        """The longest time that an endpoint stays suppressed after its last return."""
         return math.ceil(self.half_life_us * math.log2(self.max_penalty / self.reuse_threshold)) + 1
 
 
@@ -52,27 +52,27 @@
 
 
 class FlapDamper:
-    """Penalties by name, and who is suppressed by them.
+    """Keeps the penalties of endpoints, and which endpoints are suppressed.
 
     Attributes:
         settings: The parameters.
-        suppressed: The names that are suppressed.
+        suppressed: The names of suppressed endpoints.
     """
 
     def __init__(self, settings: FlapDampingSettings) -> None:
-        """Start without penalties."""
+        """Create a damper without penalties."""
         self.settings = settings
         self.suppressed: set[str] = set()
         self._penalties: dict[str, _Penalty] = {}
 
     def penalty(self, name: str, now_us: int) -> float:
-        """Return the penalty by now; 0 below `FORGET_PENALTY_THRESHOLD`."""
+        """Return the decayed penalty; 0 if it is below `FORGET_PENALTY_THRESHOLD`."""
         value, at_us = self._penalties.get(name, (0.0, now_us))
         value *= 0.5 ** ((now_us - at_us) / self.settings.half_life_us)
         return value if value >= FORGET_PENALTY_THRESHOLD else 0.0
 
     def record_return(self, name: str, now_us: int) -> bool:
-        """Record that an endpoint is back after it was away; return whether it is suppressed from here on."""
+        """Record that an endpoint became ready again, and return whether it is suppressed now."""
         value = min(self.penalty(name, now_us) + RETURN_PENALTY_UNITS, self.settings.max_penalty)
         self._penalties[name] = _Penalty(value, now_us)
         if value > self.settings.suppress_threshold:
@@ -86,7 +86,7 @@
         return at_us + math.ceil(self.settings.half_life_us * half_lives) + 1
 
     def release_due(self, now_us: int) -> list[str]:
-        """Release and return the names whose time is over, and forget penalties that have faded."""
+        """Release and return names whose suppression has ended, and delete penalties that have decayed."""
         released = [name for name in self.suppressed if self.suppressed_until_us(name) <= now_us]
         self.suppressed.difference_update(released)
         faded = [
@@ -97,5 +97,5 @@
         return released
 
     def next_release_us(self) -> int | None:
-        """Return when `release_due` will next release a name; None for never."""
+        """Return when `release_due` will next release a name; None if no name is suppressed."""
         return min(map(self.suppressed_until_us, self.suppressed), default=None)
--- a/umberlead/membership/formatting.py
+++ b/umberlead/membership/formatting.py
@@ -1,7 +1,7 @@
-"""Lays an endpoint list out.
+"""Formats endpoint lists.
 
-There is at most one blank line in a row, attributes have one order, runs of `server` lines are aligned, and
-comments stay as they are. The meaning never changes, and formatting twice is formatting once.
+Consecutive blank lines become one, attributes get a fixed order, consecutive `server` lines are aligned, and
+comments are kept. Formatting does not change the meaning of a list and is idempotent.
 """
 
 from typing import NamedTuple
@@ -23,10 +23,10 @@
 
 
 def endpoint_attributes(endpoint: EndpointSpec) -> list[str]:
-    """Return an endpoint's attributes as they are written, in the usual order.
+    """Return the attributes of an endpoint's `server` statement, in their fixed order.
 
     Args:
-        endpoint: An endpoint of a list, which has an address.
+        endpoint: The endpoint; it must have an address.
     """
     assert endpoint.address is not None
     host, port = endpoint.address
@@ -65,7 +65,7 @@
 
 
 def _aligned_lines(run: list[_EndpointLine]) -> list[str]:
-    """Return a run of `server` lines with name, address and shard in columns."""
+    """Return consecutive `server` lines with name, address and shard aligned in columns."""
     rows = [[f"server {line.endpoint.name}", *endpoint_attributes(line.endpoint)] for line in run]
     widths = [max(len(row[column]) for row in rows) for column in range(ALIGNED_COLUMNS_COUNT)]
     lines = []
@@ -77,7 +77,7 @@
 
 
 def format_list(text: str) -> str:
-    """Return the text of a list file laid out; it must parse without problems."""
+    """Return the formatted text of a list file, which must parse without problems."""
     lines: list[str] = []
     run: list[_EndpointLine] = []
     for row in text.split("\n")[:-1]:
--- a/umberlead/membership/grammar.py
+++ b/umberlead/membership/grammar.py
@@ -1,9 +1,9 @@
-"""The line-based format of endpoint lists: one statement a line, read by a Lark grammar.
+"""The line-based format of endpoint lists: one statement per line, parsed with a Lark grammar.
 
-A statement's meaning depends on its own line alone, so that the result of a line is cached by its text: of a
-changed list only the changed lines are parsed. Errors give the column, what was expected there and the
-nearest known word. `end N` closes a file, N being the number of statements before it, so that no part of a
-file passes for all of it.
+The meaning of a statement depends only on its own line, so parsed lines are cached by their text, and only
+the changed lines of a changed list are parsed. A syntax error gives the column, the expected tokens and the
+most similar known word. `end N` closes a file, where N is the number of statements before it, so that a
+truncated file is not accepted.
 """
 
 import difflib
@@ -29,7 +29,7 @@
 from umberlead.scheduling.events import EndpointStatus
 
 FORMAT_VERSION = 1
-MAX_CACHED_LINES = 100_000  # More than the longest list has.
+MAX_CACHED_LINES = 100_000  # Larger than the number of lines of the longest list.
 MAX_LINE_CHARACTERS_COUNT = 4096
 MIN_ENDPOINT_UNITS = 0.1
 MAX_ENDPOINT_UNITS = 1e6
@@ -85,27 +85,27 @@
 
 
 class InvalidValueError(MembershipError):
-    """A value that parses but can't be used, such as one out of its range.
+    """A value that matches the grammar but is not valid, such as a number out of range.
 
     Attributes:
-        column: The column of the line at which the value stands.
-        reason: What is wrong with it.
+        column: The column at which the value begins.
+        reason: Why the value is not valid.
     """
 
     def __init__(self, token: Token, reason: str) -> None:
-        """Take the column from the value's token."""
+        """Create the error, with the column of the value's token."""
         super().__init__(reason)
         self.column = token.column or 1
         self.reason = reason
 
 
 class ParsedLine(NamedTuple):
-    """One statement, or an attribute of one while its line is parsed.
+    """A parsed statement; while its line is parsed, also an attribute of a statement.
 
     Attributes:
-        kind: Its keyword; `PROBLEM_KIND` for a line that can't be read, whose value is a `SyntaxProblem`.
-        value: What it says.
-        column: Where it stands.
+        kind: The keyword; `PROBLEM_KIND` for a line with a syntax error, whose value is a `SyntaxProblem`.
+        value: The parsed value.
+        column: The column at which the value begins; 0 for a line with a syntax error.
     """
 
     kind: str
@@ -114,7 +114,7 @@
 
 
 class SyntaxProblem(NamedTuple):
-    """Why a line can't be read; `suggestion` is the nearest known word, "" for none."""
+    """A syntax error in a line; `suggestion` is the most similar known word, "" if there is none."""
 
     column: int
     message: str
@@ -129,7 +129,7 @@
 
 
 def _one_token(kind: str, convert: Callable[[Token], Any] = str) -> Any:
-    """Return the method for a rule with one token."""
+    """Return a transformer method for a grammar rule with one token."""
 
     def convert_rule(transformer: Any, tokens: list[Token]) -> ParsedLine:
         return ParsedLine(kind, convert(tokens[0]), tokens[0].column or 1)
@@ -138,7 +138,7 @@
 
 
 class _StatementTransformer(Transformer[Token, Any]):
-    """Turns a line's tree into a `ParsedLine`; lark calls its methods by the names of the grammar's rules."""
+    """Converts the parse tree of a line; lark calls the method that has the name of the grammar rule."""
 
     format = _one_token("format", int)
     version = _one_token("version", int)
@@ -157,16 +157,16 @@
     )
 
     def start(self, children: list[Any]) -> ParsedLine | None:
-        """Return the statement; None for an empty line."""
+        """Return the line's statement; None for an empty line."""
         return children[0] if children else None
 
     def digest(self, tokens: list[Token]) -> ParsedLine:
-        """Return a manifest's `file` statement."""
+        """Convert a manifest's `file` statement."""
         path, digest = tokens
         return ParsedLine("file", (str(path), str(digest)), path.column or 1)
 
     def address(self, tokens: list[Token]) -> ParsedLine:
-        """Return an address, with its port checked."""
+        """Convert an address, and check its port."""
         (token,) = tokens
         host, _, port = str(token).rpartition(":")
         if not 0 < int(port) < 65536:
@@ -174,7 +174,7 @@
         return ParsedLine("address", (host.strip("[]").lower(), int(port)), token.column or 1)
 
     def server(self, children: list[Any]) -> ParsedLine:
-        """Return an endpoint, with its attributes checked."""
+        """Convert a `server` statement, and check that its attributes are complete and unique."""
         name, *attributes = children
         values: dict[str, Any] = {}
         for key, value, column in attributes:
@@ -197,7 +197,7 @@
 
 
 def keyword_by_terminal(parser: Lark) -> dict[str, str]:
-    """Return the keywords of a grammar by the names of their terminals."""
+    """Return the keywords of a grammar by terminal name."""
     return {t.name: str(t.pattern.value) for t in parser.terminals if t.pattern.type == "str"}
 
 
@@ -235,34 +235,34 @@
 
 
 def describe_syntax_error(text: str, error: UnexpectedInput, keywords: dict[str, str]) -> SyntaxProblem:
-    """Return where a line's error is, what was expected there and the nearest known word.
+    """Describe a syntax error: its column, the expected tokens and the most similar keyword.
 
     Args:
         text: The line.
-        error: What lark raised for it.
-        keywords: The grammar's keywords by the names of their terminals.
+        error: The exception that lark raised for the line.
+        keywords: The grammar's keywords by terminal name.
     """
     column = _error_column(text, error)
     names = _expected_terminals(error)
     if isinstance(error, UnexpectedCharacters):
-        # A keyword with more behind it is a word of its own: it is compared from its beginning.
+        # The lexer may match a keyword at the start of a longer word: the error is at the start of that word.
         column = _token_start(text, column)
     token = _token_at(text, column)
-    if token:  # That the line might have ended there is no help.
+    if token:  # With a token there, "expected the end of the line" does not help.
         names = [name for name in names if name != "$END"] or names
     known = [keywords[name] for name in names if name in keywords]
     wanted = [TERMINAL_DESCRIPTIONS[name] for name in names if name in TERMINAL_DESCRIPTIONS]
     wanted += [repr(keyword) for keyword in sorted(known)]
     nearest = difflib.get_close_matches(token.lower(), known, 1, SIMILARITY_THRESHOLD) if token else []
-    found = f"found {token!r}" if token else "the line ends"
+    found = f"found {token!r}" if token else "found the end of the line"
     message = f"expected {' or '.join(wanted) or 'nothing more'}, {found}"
     return SyntaxProblem(column, message, nearest[0] if nearest else "")
 
 
 def parse_line(text: str) -> ParsedLine | None:
-    """Return the statement of a line; None where it is empty.
+    """Return the statement of a line; None if the line is empty.
 
-    A line that can't be read has the kind `PROBLEM_KIND` and a `SyntaxProblem` as its value.
+    A line with a syntax error gives the kind `PROBLEM_KIND` with a `SyntaxProblem` as its value.
     """
     if text in _parsed_lines:
         return _parsed_lines[text]
@@ -285,11 +285,11 @@
 
 
 def parse_file(text: str, file: str) -> ParsedFile:
-    """Return all statements of a file and all problems found in them.
+    """Return all statements of a file and all problems found in it.
 
     Args:
         text: The file's text.
-        file: The file's name in positions.
+        file: The file's name, for positions.
     """
     return _FileParser(file).parse(text)
 
@@ -312,7 +312,7 @@
                 self._add_line(number, parsed)
         end_line = len(lines) + 1
         if last_line:
-            message = "the last line has no line end: perhaps half written"
+            message = "the last line has no newline: the file may be half written"
             self._add_problem("L103", self._position(end_line, len(last_line) + 1), message)
         if not self.closed:
             message = "there is no closing line 'end N': the file may be half written"
@@ -335,11 +335,11 @@
             return
         position = self._position(number, column)
         if self.closed:
-            self._add_problem("L105", position, f"{kind} stands behind the closing line")
+            self._add_problem("L105", position, f"{kind} stands after the closing line")
         elif kind == "end":
             self.closed = True
             if value != self.statement_count:
-                message = f"the file ends after {value} statements, but has {self.statement_count}"
+                message = f"the closing line counts {value} statements, the file has {self.statement_count}"
                 self._add_problem("L102", position, message)
         else:
             self.statement_count += 1
--- a/umberlead/membership/integration.py
+++ b/umberlead/membership/integration.py
@@ -1,4 +1,4 @@
-"""Joins the list in force to a front process: what its lifecycle and its pool are told of a change."""
+"""Connects the list in force to a front process: applies its changes to the lifecycle and the pool."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -24,7 +24,7 @@
 
 
 class MembershipHost(Protocol):
-    """The parts of a front process that lists are joined to."""
+    """The parts of a front process that the watched lists use."""
 
     config: configuration.Config
     loop: asyncio.AbstractEventLoop
@@ -36,7 +36,7 @@
 
 
 def endpoint_from_discovery(listed: configuration.ListedEndpoint) -> EndpointSpec:
-    """Return an endpoint of a message of discovery as a source lists it."""
+    """Convert an endpoint of a discovery update."""
     endpoint = listed.endpoint
     return EndpointSpec(
         name=endpoint.name,
@@ -49,7 +49,7 @@
 
 
 def scheduler_endpoint(active: ActiveEndpoint, status: EndpointStatus | None = None) -> Endpoint:
-    """Return an endpoint in force as the scheduler is told of it, with its own status or another."""
+    """Convert an endpoint in force for the scheduler, with `status` in place of its own if given."""
     endpoint = active.endpoint
     return Endpoint(
         active.id,
@@ -63,9 +63,9 @@
 
 
 def apply_change(change: MembershipChange, lifecycle: "RequestLifecycle", pool: "EndpointPool") -> None:
-    """Apply all of a change in one turn of the event loop, so that no request is scheduled in between.
+    """Apply a whole change in one event-loop callback, so that no request is scheduled in between.
 
-    Manual drains come first, so that a drained endpoint is drained when it is added.
+    Manual drains are applied first, so that a drained endpoint is already drained when it is added.
     """
     for endpoint_id, drained, drained_us in change.manual_drains:
         lifecycle.set_manual_drain(endpoint_id, drained, drained_us)
@@ -78,7 +78,7 @@
 
 
 def _address_changes(change: MembershipChange) -> Iterator[tuple[str, Address | None]]:
-    """Yield ids and their addresses by now; None for one that is removed or has none listed."""
+    """Yield ids with their new addresses; None for an id that was removed or has no address listed."""
     for active in change.removed:
         yield active.id, None
     for active in change.added:
@@ -88,10 +88,10 @@
 
 
 def _update_pool(change: MembershipChange, pool: "EndpointPool") -> None:
-    """Update the pool's addresses, and close the connections to those that are no longer listed.
+    """Update the pool's addresses, and close the connections to addresses that are no longer listed.
 
-    Addresses are counted and not collected anew: the cost follows what changed and not the length of the
-    list.
+    The pool counts the endpoints of each address, so the cost depends on the size of the change and not on
+    the length of the list.
     """
     if pool.endpoint_counts is None:
         pool.endpoint_counts = {}
@@ -101,7 +101,7 @@
     for endpoint_id, new_address in _address_changes(change):
         old_address = pool.addresses.pop(endpoint_id, None)
         if new_address is None and endpoint_id not in removed_ids:
-            # One that drains may come without an address: it keeps the one it has.
+            # A draining endpoint may be listed without an address: it keeps its current one.
             new_address = old_address
         if new_address is not None:
             pool.addresses[endpoint_id] = new_address
@@ -118,10 +118,10 @@
 def start_watched_lists(
     list_config: configuration.WatchedListConfig, host: MembershipHost
 ) -> WatchedListService:
-    """Start watching lists, with the first one in force.
+    """Put the first list in force, and start watching its files.
 
     Raises:
-        ConfigError: Neither the files nor a snapshot give a list to begin with.
+        ConfigError: Neither the files nor the snapshot contain a usable list.
     """
     settings = host.config.settings
     service = WatchedListService(
--- a/umberlead/membership/list_merge.py
+++ b/umberlead/membership/list_merge.py
@@ -1,9 +1,10 @@
-"""The list in force: files, discovery and manual drains merged. Free of I/O and of clocks.
+"""Merges list files, discovery and manual drains into the list in force; does no I/O and reads no clock.
 
-Precedence, name by name: a manual drain, then the files, then discovery. The first source that lists an
-endpoint gives address, shard, zone, weight and limits; the endpoint drains if any source that lists it says
-so, and its start is the latest that any gives. Each event touches the names that it is about and no others,
-so that its cost follows what changed and not the length of the list. All times are in microseconds.
+Precedence for each name: a manual drain, then the files, then discovery. The first source that lists an
+endpoint defines its address, shard, zone, weight and limit. The endpoint drains if any source lists it as
+draining, and its start time is the latest of all sources. An event updates only the names that it affects,
+so its cost depends on the size of the change and not on the length of the list. All times are in
+microseconds.
 """
 
 from collections.abc import Iterable
@@ -32,11 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """How lists are merged.
+    """Settings for merging the sources.
 
     Attributes:
-        max_withdrawn_ratio: The share of the ready endpoints that one list may withdraw unconfirmed.
-        identity_retention_us: How long an endpoint's id is kept after it left: longer than any request.
+        max_withdrawn_ratio: The largest part of the ready endpoints that one list may withdraw without an
+            operator's confirmation.
+        identity_retention_us: How long the id of a removed endpoint is kept; longer than any request lasts.
         flap_damping: The parameters of flap damping.
     """
 
@@ -46,14 +48,14 @@
 
 
 class _MergedEndpoint(NamedTuple):
-    """What all sources together say of an endpoint, and the one that takes precedence."""
+    """An endpoint merged from all sources, and the source that takes precedence."""
 
     endpoint: EndpointSpec
     source: Source
 
 
 class _MachineIdentity(NamedTuple):
-    """What makes an endpoint of the same name another machine."""
+    """The fields that tell two machines of the same name apart."""
 
     address: Address | None
     shard: int
@@ -72,19 +74,19 @@
     """The list in force.
 
     Attributes:
-        settings: How lists are merged.
-        generation: Grows with each change of the endpoints in force.
-        file_list: The list of the files that is in force; None before the first.
-        file_list_origin: Where that list came from: "none", "snapshot" or "files".
-        file_list_changed_us: When that list was taken.
-        pending: The list that waits to be confirmed; None for none.
-        rejection_problems: Why the files as they are now are not in force; nothing where they are.
+        settings: The settings for merging the sources.
+        generation: Grows by 1 with each change of the endpoints in force.
+        file_list: The list from the files that is in force; None before the first.
+        file_list_origin: The origin of `file_list`: "none", "snapshot" or "files".
+        file_list_changed_us: When `file_list` was put in force.
+        pending: The list that needs to be confirmed; None if there is none.
+        rejection_problems: Why the current files are not in force; empty if they are.
         active_endpoints: The endpoints in force by name.
-        manual_drains: The names under a manual drain, and since when in Unix time.
+        manual_drains: The time at which each manual drain was set, in Unix time, by endpoint name.
     """
 
     def __init__(self, settings: MembershipSettings) -> None:
-        """Start with an empty list of generation 0."""
+        """Create an empty list of generation 0."""
         self.settings = settings
         self.generation = 0
         self.file_list: CheckedList | None = None
@@ -96,19 +98,19 @@
         self.manual_drains: dict[str, int] = {}
         self._endpoints_by_source: dict[Source, dict[str, EndpointSpec]] = {source: {} for source in Source}
         self._flap_damper = FlapDamper(settings.flap_damping)
-        # Names that are ready by all sources, whether suppressed or not.
+        # Names that are ready after merging all sources, including suppressed ones.
         self._ready_names_by_shard: dict[int, set[str]] = {}
         self._shard_by_ready_name: dict[str, int] = {}
-        # By name, also of endpoints that left.
+        # By name; includes endpoints that were removed less than the retention time ago.
         self._identities: dict[str, _Identity] = {}
-        # When a name that is no longer ready ceased to be, and when one left the list in force.
+        # When a name stopped being ready, and when a name was removed from the list in force.
         self._not_ready_since_us: dict[str, int] = {}
         self._removed_us: dict[str, int] = {}
-        # The id that a name's manual drain was last announced for.
+        # The id under which a name's manual drain was last reported.
         self._drained_ids: dict[str, str] = {}
 
     def restore(self, now_us: int, checked_list: CheckedList) -> MembershipChange:
-        """Take the last good list, before the files have been read."""
+        """Put the last good list in force, before the files have been read."""
         assert self.file_list is None
         delta = diff_endpoints({}, checked_list.endpoints)
         return self._replace_file_list(now_us, checked_list, delta, "snapshot")
@@ -120,13 +122,14 @@
         delta: ListDelta | None = None,
         base_digest: str = "",
     ) -> MembershipChange:
-        """Take a set of files that passed its checks, or keep it pending.
+        """Put a list that passed its checks in force, or keep it pending.
 
         Args:
             now_us: The time.
             checked_list: The list.
-            delta: Its difference from the list of digest `base_digest`, if that is known.
-            base_digest: The digest of the list that `delta` was taken against; "" for none.
+            delta: The difference from the list with `base_digest` to this one, if it is known. It is used
+                only if that list is still in force.
+            base_digest: The digest of the list that `delta` was computed against; "" for none.
         """
         current = self.file_list
         if current is not None and checked_list.digest == current.digest:
@@ -148,19 +151,19 @@
         return self._replace_file_list(now_us, checked_list, delta, "files")
 
     def reject_files(self, problems: Iterable[ListProblem]) -> None:
-        """Record that the files as they are now can't be taken; a pending list is no longer what they say."""
+        """Record why the current files are rejected; drop a pending list, which no longer matches them."""
         self.pending = None
         self.rejection_problems = tuple(problems)
 
     def confirm(self, now_us: int, digest: str) -> MembershipChange:
-        """Take the pending list on an operator's word.
+        """Put the pending list in force, as an operator confirmed it.
 
         Args:
             now_us: The time.
             digest: The first digits of the list's digest, see `PendingList.check_digest`.
 
         Raises:
-            NoPendingListError: No list is pending, or another one.
+            NoPendingListError: No list is pending, or `digest` is that of another list.
         """
         if self.pending is None:
             raise NoPendingListError("no list is held")
@@ -173,12 +176,12 @@
     def apply_discovery(
         self, now_us: int, complete: bool, endpoints: Iterable[EndpointSpec]
     ) -> MembershipChange:
-        """Take a message of discovery.
+        """Apply an update from discovery.
 
         Args:
             now_us: The time.
-            complete: Whether discovery lists these endpoints and no others.
-            endpoints: The endpoints; one with status GONE is no longer listed there.
+            complete: Whether the update replaces all endpoints that discovery listed before.
+            endpoints: The endpoints; one with status GONE is removed from discovery's list.
         """
         listed = self._endpoints_by_source[Source.DISCOVERY]
         touched = dict.fromkeys(listed if complete else ())
@@ -190,7 +193,7 @@
                 listed.pop(endpoint.name, None)
                 continue
             before = listed.get(endpoint.name)
-            if endpoint.address is None and before is not None:  # One that drains may come without it.
+            if endpoint.address is None and before is not None:  # A draining one may have no address.
                 endpoint = replace(endpoint, address=before.address)
             listed[endpoint.name] = endpoint
         return self._update_endpoints(now_us, touched)
@@ -198,13 +201,13 @@
     def set_manual_drain(
         self, now_us: int, name: str, drained: bool, drained_us: int = 0
     ) -> MembershipChange:
-        """Set a manual drain, or lift it; it stays while its endpoint comes and goes.
+        """Set or remove a manual drain; it stays set if its endpoint is removed and added again.
 
         Args:
             now_us: The time.
             name: The endpoint's name.
-            drained: Whether to set it.
-            drained_us: When it was set, in Unix time; one that is set already keeps its time.
+            drained: True to set the drain, False to remove it.
+            drained_us: When the drain was set, in Unix time; a drain that is already set keeps its time.
         """
         if drained:
             self.manual_drains.setdefault(name, drained_us)
@@ -213,7 +216,7 @@
         return self._update_endpoints(now_us, [name])
 
     def advance_time(self, now_us: int) -> MembershipChange:
-        """Release what was suppressed long enough, and forget what left long ago."""
+        """Release endpoints whose suppression has ended, and delete the state of names removed long ago."""
         expired_us = now_us - self.settings.identity_retention_us
         for name in [name for name, at_us in self._not_ready_since_us.items() if at_us <= expired_us]:
             del self._not_ready_since_us[name]
@@ -223,11 +226,11 @@
         return self._update_endpoints(now_us, self._flap_damper.release_due(now_us))
 
     def next_change_us(self) -> int | None:
-        """Return when `advance_time` will next change the list; None for never."""
+        """Return when `advance_time` will next release an endpoint; None if none is suppressed."""
         return self._flap_damper.next_release_us()
 
     def knows_endpoint(self, name: str) -> bool:
-        """Return whether a name is in force or under a manual drain."""
+        """Return whether an endpoint of that name is in force or under a manual drain."""
         return name in self.active_endpoints or name in self.manual_drains
 
     def _no_change(self) -> MembershipChange:
@@ -245,7 +248,7 @@
         return self._update_endpoints(now_us, delta.affected_names)
 
     def _merge_sources(self, name: str) -> _MergedEndpoint | None:
-        """Return what the sources say of a name, before flap damping; None where none lists it."""
+        """Merge what the sources list for a name, before flap damping; None if no source lists it."""
         merged: EndpointSpec | None = None
         precedent = Source.DISCOVERY
         for source in SOURCES_BY_PRECEDENCE:
@@ -263,7 +266,7 @@
         return None if merged is None else _MergedEndpoint(merged, precedent)
 
     def _update_endpoints(self, now_us: int, names: Iterable[str]) -> MembershipChange:
-        """Bring the list in force up to date for some names."""
+        """Update the list in force for the given names, and return the change."""
         merged_by_name = {name: self._merge_sources(name) for name in dict.fromkeys(names)}
         if not merged_by_name:
             return self._no_change()
@@ -292,7 +295,10 @@
     def _add_suppressed_neighbours(
         self, now_us: int, merged_by_name: dict[str, _MergedEndpoint | None]
     ) -> None:
-        """Add the suppressed endpoints of the same shards: whether they stay so depends on the others."""
+        """Record readiness, and add the suppressed endpoints of the affected shards.
+
+        Whether those stay suppressed depends on the other endpoints of their shards.
+        """
         shards = {
             shard
             for name, merged in merged_by_name.items()
@@ -312,7 +318,7 @@
             self._removed_us.pop(name, None)
 
     def _record_readiness(self, now_us: int, name: str, merged: _MergedEndpoint | None) -> list[int]:
-        """Record whether a name is ready, and for which shard; return the shards it matters to."""
+        """Record whether a name is ready, and for which shard; return its earlier and its new shard."""
         endpoint = merged.endpoint if merged is not None else None
         old_shard = self._shard_by_ready_name.get(name)
         new_shard = endpoint.shard if endpoint is not None and endpoint.status is EndpointStatus.UP else None
@@ -332,7 +338,7 @@
         return [shard for shard in (old_shard, new_shard) if shard is not None]
 
     def _has_returned(self, name: str, endpoint: EndpointSpec | None, old_shard: int | None) -> bool:
-        """Return whether a ready endpoint is back after it was away, or is another machine than before."""
+        """Return whether a ready endpoint was not ready before, or is another machine than before."""
         if name in self._not_ready_since_us:
             return True
         identity = self._identities.get(name)
@@ -341,7 +347,7 @@
         return identity.machine != _machine_identity(endpoint)
 
     def _is_suppressed(self, name: str, shard: int) -> bool:
-        """Return whether a flapping endpoint is suppressed, which it isn't where its shard has no other."""
+        """Return whether to suppress an endpoint: it flaps, and its shard has another usable endpoint."""
         suppressed = self._flap_damper.suppressed
         if name not in suppressed:
             return False
@@ -363,15 +369,15 @@
         if identity is None:
             identity = self._identities[name] = _Identity(machine, name)
         elif identity.machine != machine:
-            # Another machine gets another id: responses of the earlier one say nothing of it, and requests in
-            # flight there end with the earlier id.
+            # Another machine gets another id, so that responses of the earlier machine don't count for it.
+            # Requests in flight to the earlier machine finish under the earlier id.
             identity = self._identities[name] = _Identity(machine, f"{name}~{self.generation + 1}")
         return ActiveEndpoint(identity.id, endpoint, source, suppressed)
 
     def _manual_drain_changes(self, names: Iterable[str]) -> tuple[ManualDrain, ...]:
-        """Return the drains to announce.
+        """Return the manual drains to report for the given names.
 
-        One is announced for the id that the name has now; one announced for an earlier id is lifted.
+        A drain is reported for the current id of its name; one reported under an earlier id ends.
         """
         changes: list[ManualDrain] = []
         for name in names:
--- a/umberlead/membership/loading.py
+++ b/umberlead/membership/loading.py
@@ -1,6 +1,6 @@
-"""From files on disk to a checked list, in one call on a worker thread: read, parse, resolve, check, compare.
+"""Loads list files into a checked list: reads, parses, resolves host names, checks and compares.
 
-What it returns is finished: the event loop only looks at it.
+All steps run in one call on a worker thread, so that the event loop only has to apply the result.
 """
 
 import time
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """What a load gave.
+    """The result of a load.
 
     Attributes:
-        check_result: The checked list, or its problems.
-        digest: The set's digest.
-        watched_folders: The folders of its files.
-        base_digest: The digest of the list that `delta` was taken against; "" for none.
-        delta: The difference from the list in force; None where there is no checked list.
+        check_result: The checked list, or the problems of the files.
+        digest: The digest of the set of files.
+        watched_folders: The folders of the files.
+        base_digest: The digest of the list that `delta` was computed against; "" for none.
+        delta: The difference from the list in force; None if there is no checked list.
         duration_seconds: How long the load took.
     """
 
@@ -45,14 +45,14 @@
 
 
 class ListLoader:
-    """Loads one set of files again and again; for one thread at a time.
+    """Loads one set of files any number of times; must not be used by two threads at once.
 
     Attributes:
         main_path: The main file.
         resolver: Resolves host names.
-        gate: Returns why a list must not be taken; None for no gate.
-        checker: The checks.
-        change_detector: Is told what was read.
+        gate: Returns the reasons to reject a list; None accepts each list that passes the checks.
+        checker: Runs the checks.
+        change_detector: Records the signatures of the files that were read.
     """
 
     def __init__(
@@ -63,14 +63,14 @@
         change_detector: ChangeDetector | None = None,
         gate: Callable[[Path], list[ListProblem]] | None = None,
     ) -> None:
-        """Load nothing yet.
+        """Create the loader; nothing is loaded yet.
 
         Args:
             main_path: The main file.
-            shard_count: How many shards there are; 0 where that is not known.
+            shard_count: The number of shards; 0 if it is not known.
             resolver: Resolves host names.
-            change_detector: Is told what was read; one of its own by default.
-            gate: Called last, for a list that is checked and new; it may take its time.
+            change_detector: Records the signatures of the files that were read; a new one by default.
+            gate: Called last, with the main file of a new list that passed the checks; may block.
         """
         self.main_path = main_path
         self.resolver = resolver
@@ -80,7 +80,7 @@
         self._gate_result = _GateResult("", [])
 
     def load(self, current: CheckedList | None) -> LoadResult:
-        """Load the set as it is now; `current` is the list in force."""
+        """Load the current files; `current` is the list in force."""
         began_seconds = time.perf_counter()
         file_set = files.read_stable_set(self.main_path)
         self.change_detector.record(file_set)
@@ -106,20 +106,20 @@
             in_force = CurrentList() if current is None else CurrentList(current.version, current.digest)
             check_result = self.checker.check(file_set.parsed_files, file_set.digest, in_force, resolved)
         if file_set.problems:
-            # The set's own problems explain the others: first what can't be read, then what it says.
+            # Files that can't be read explain other problems, so their problems come first.
             check_result = CheckResult(None, file_set.problems + check_result.problems)
         if check_result.checked_list is None and not check_result.problems:
             position = FilePosition(self.main_path.name)
-            check_result = CheckResult(None, [ListProblem("L401", position, "nothing could be read")])
+            check_result = CheckResult(None, [ListProblem("L401", position, "no list file could be read")])
         return check_result
 
     def _gate_problems(self, gate: Callable[[Path], list[ListProblem]], digest: str) -> list[ListProblem]:
-        """Return the gate's objections to this set; it is asked once for each."""
+        """Return the gate's reasons to reject this set; the gate runs once for each digest."""
         if self._gate_result.digest != digest:
             objections = gate(self.main_path)
             if files.read_set(self.main_path).digest != digest:
-                # The gate reads the files itself, and they have changed: it judged another set.
-                message = "the files changed while their suite was played"
+                # The gate reads the files itself; they have changed, so its result is for other content.
+                message = "the files changed while the routing tests were running"
                 return [ListProblem("L407", FilePosition(self.main_path.name), message)]
             self._gate_result = _GateResult(digest, objections)
         return list(self._gate_result.problems)
--- a/umberlead/membership/model.py
+++ b/umberlead/membership/model.py
@@ -1,4 +1,4 @@
-"""What endpoint lists say, as plain records; nothing here decides."""
+"""Plain records for endpoint lists, and the difference between two lists."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -15,7 +15,7 @@
 
 
 class Source(IntEnum):
-    """Who lists an endpoint; of two that do, the lower takes precedence."""
+    """A source of endpoints; where two list the same name, the lower value takes precedence."""
 
     FILES = 0
     DISCOVERY = 1
@@ -27,8 +27,8 @@
 
     Attributes:
         file: The file's name, relative to the main file's folder.
-        line: The line, counted from 1; 0 stands for the whole file.
-        column: The column, counted from 1; 0 stands for the whole line.
+        line: The line, counted from 1; 0 means the whole file.
+        column: The column, counted from 1; 0 means the whole line.
     """
 
     file: str
@@ -42,13 +42,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ListProblem:
-    """Why a set of files can't be taken.
+    """A reason to reject a set of list files.
 
     Attributes:
         code: The problem's code; docs/watched-lists.md has an entry for each.
-        position: Where it was found.
-        message: What is wrong.
-        suggestion: The nearest known word; "" for none.
+        position: The position at which the problem was found.
+        message: A description of the problem.
+        suggestion: The most similar known word; "" if there is none.
     """
 
     code: str
@@ -62,7 +62,7 @@
         return f"{self.position}: {self.code}: {self.message}{hint}"
 
     def to_json_row(self) -> dict[str, str | int]:
-        """Return the problem as the admin API and the command line give it in JSON."""
+        """Return the problem as the admin API and the command line print it in JSON."""
         row: dict[str, str | int] = {
             "code": self.code,
             "file": self.position.file,
@@ -78,14 +78,15 @@
     """An endpoint as one source lists it.
 
     Attributes:
-        name: Its name, unique in a list.
-        address: An IP address and a port; None only from discovery, for one that is not ready.
-        shard: The shard it serves.
-        status: Whether it takes new requests.
-        zone: Its zone; "" where none is listed.
-        weight: Its weight among the endpoints of its shard; None where none is listed.
-        max_units: The most units that one front may have in flight there; 0 for the scheduler's bound alone.
-        started_us: When it started, in Unix time; 0 for long ago.
+        name: The endpoint's name, unique in a list.
+        address: An IP address and a port; None only from discovery, for an endpoint that is not ready.
+        shard: The shard that the endpoint serves.
+        status: Whether the endpoint accepts new requests.
+        zone: The endpoint's zone; "" if none is listed.
+        weight: The endpoint's weight among those of its shard; None if none is listed.
+        max_units: The most units that one front may have in flight at the endpoint; 0 applies only the
+            scheduler's own limit.
+        started_us: When the endpoint started, in Unix time; 0 means long ago.
     """
 
     name: str
@@ -100,11 +101,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointStatement:
-    """A `server` statement as written.
+    """A `server` statement as written in a list file.
 
     Attributes:
-        endpoint: What it says; its address holds the host's name where one is written.
-        position: Where it stands.
+        endpoint: The endpoint; its address still holds the host name if the file has one.
+        position: The statement's position.
     """
 
     endpoint: EndpointSpec
@@ -112,14 +113,14 @@
 
 
 class Positioned(NamedTuple, Generic[Value]):
-    """A statement's value and where it stands."""
+    """A statement's value and position."""
 
     value: Value
     position: FilePosition
 
 
 class FileDigest(NamedTuple):
-    """A manifest's statement of one file's SHA-256."""
+    """A `file` statement of a manifest: the expected SHA-256 of one file."""
 
     file: str
     digest: str
@@ -147,8 +148,8 @@
     """A set of files that passed its checks.
 
     Attributes:
-        version: The list's own version.
-        digest: The SHA-256 of all bytes of the set.
+        version: The version that the main file states.
+        digest: The SHA-256 over the names and contents of all files of the set.
         endpoints: The endpoints by name, with resolved addresses.
         files: The names of the files, the main one first.
     """
@@ -164,12 +165,12 @@
     """The difference from one list to the next.
 
     Attributes:
-        added: Names that are in the next list alone.
-        removed: Names that are in the earlier list alone.
-        changed: Names whose entry differs.
-        withdrawn_count: How many endpoints were ready and take no new requests in the next list.
-        ready_count: How many endpoints were ready.
-        unserved_shards: Shards that had a ready endpoint and have none in the next list.
+        added: Names that only the next list has.
+        removed: Names that only the earlier list has.
+        changed: Names whose entries differ.
+        withdrawn_count: How many endpoints are ready in the earlier list and not in the next one.
+        ready_count: How many endpoints are ready in the earlier list.
+        unserved_shards: Shards that have a ready endpoint in the earlier list and none in the next one.
     """
 
     added: tuple[str, ...] = ()
@@ -181,7 +182,7 @@
 
     @property
     def affected_names(self) -> tuple[str, ...]:
-        """All names that the difference is about."""
+        """The names that were removed, changed or added."""
         return (*self.removed, *self.changed, *self.added)
 
 
@@ -190,7 +191,7 @@
 
 
 def diff_endpoints(old: dict[str, EndpointSpec], new: dict[str, EndpointSpec]) -> ListDelta:
-    """Return what `new` changes over `old`."""
+    """Return the difference from `old` to `new`."""
     added = [name for name in new if name not in old]
     removed = [name for name in old if name not in new]
     changed = [
@@ -219,10 +220,11 @@
     """An endpoint of the list in force.
 
     Attributes:
-        id: The id by which the scheduler knows it: its name, or one made of it where another endpoint had it.
-        endpoint: What the sources together say of it.
+        id: The endpoint's id in the scheduler: its name, or a name derived from it if the plain name was the
+            id of an earlier endpoint.
+        endpoint: The endpoint as merged from all sources.
         source: The source that takes precedence.
-        suppressed: Whether it gets no new requests because it flaps.
+        suppressed: Whether flap damping keeps new requests away from the endpoint.
     """
 
     id: str
@@ -232,12 +234,12 @@
 
 
 class ManualDrain(NamedTuple):
-    """A manual drain that was set or lifted.
+    """A manual drain that was set or removed.
 
     Attributes:
         endpoint_id: The id of the endpoint in the list in force.
-        drained: Whether it was set.
-        drained_us: When it was set, in Unix time; 0 where it was lifted.
+        drained: True if the drain was set, False if it was removed.
+        drained_us: When the drain was set, in Unix time; 0 if it was removed.
     """
 
     endpoint_id: str
@@ -254,14 +256,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """What an event changed in the list in force; false if nothing.
+    """The changes that an event made to the list in force; false if it made none.
 
     Attributes:
-        generation: The generation that is in force from here on.
-        added: Endpoints that were not in force under this id.
-        changed: Endpoints with the same id.
-        removed: Endpoints as they were; of one whose id changed, the earlier one.
-        manual_drains: The manual drains that were set or lifted.
+        generation: The generation of the list after the event.
+        added: Endpoints whose id is new in the list in force.
+        changed: Endpoints that keep their id and differ in something else.
+        removed: Endpoints that left, as they were before. An endpoint whose id changed is listed here with
+            its earlier id, and in `added` with its new one.
+        manual_drains: The manual drains that were set or removed.
     """
 
     generation: int
--- a/umberlead/membership/name_resolution.py
+++ b/umberlead/membership/name_resolution.py
@@ -1,4 +1,4 @@
-"""Resolves a list's host names: in parallel, within one time limit for all, off the event loop."""
+"""Resolves the host names of a list in parallel, with one time limit for all; runs off the event loop."""
 
 import socket
 import time
@@ -8,7 +8,7 @@
 
 Lookup = Callable[[str], Collection[str]]
 
-# A removal must be in force within 1 s of its file's change.
+# Low enough that the removal of an endpoint is in force within 1 s of the change of its file.
 RESOLVE_TIMEOUT_SECONDS = 0.3
 CACHE_SECONDS = 30.0
 MAX_STALE_SECONDS = 3600.0
@@ -16,10 +16,10 @@
 
 
 def system_lookup(host: str) -> Collection[str]:
-    """Return a host's addresses by the system's resolver.
+    """Return a host's addresses from the system's resolver.
 
     Raises:
-        OSError: It can't be resolved.
+        OSError: The host can't be resolved.
     """
     found = socket.getaddrinfo(host, None, type=socket.SOCK_STREAM)
     return sorted({str(socket_address[0]) for *_, socket_address in found})
@@ -31,10 +31,10 @@
 
 
 class NameResolver:
-    """Resolves host names and caches answers.
+    """Resolves host names and caches the addresses.
 
-    An answer is good for `CACHE_SECONDS`, and for up to `MAX_STALE_SECONDS` where the name can't be resolved
-    again: a name server that is down changes nothing for names that were resolved before.
+    Cached addresses are used for `CACHE_SECONDS`, and for up to `MAX_STALE_SECONDS` if the name can't be
+    resolved again: while the name servers are down, names that were resolved before keep their addresses.
     """
 
     def __init__(
@@ -43,7 +43,13 @@
         clock: Callable[[], float] = time.monotonic,
         timeout_seconds: float = RESOLVE_TIMEOUT_SECONDS,
     ) -> None:
-        """Resolve by `lookup`, all names of one call within `timeout_seconds`; `clock` gives seconds."""
+        """Create a resolver with an empty cache.
+
+        Args:
+            lookup: Returns the addresses of one host; called on several threads.
+            clock: Returns the time in seconds.
+            timeout_seconds: The time limit for all names of one call of `resolve`.
+        """
         self.lookup = lookup
         self.clock = clock
         self.timeout_seconds = timeout_seconds
@@ -51,7 +57,7 @@
         self._executor: ThreadPoolExecutor | None = None
 
     def resolve(self, hosts: Collection[str]) -> dict[str, tuple[str, ...]]:
-        """Return addresses by host; one that could not be resolved, now or lately, is absent."""
+        """Return addresses by host; one without a usable cache entry that can't be resolved is absent."""
         now = self.clock()
         due = [
             host
@@ -79,6 +85,6 @@
                 self._cache[host_by_call[call]] = _CachedAddresses(addresses, now)
 
     def close(self) -> None:
-        """End the threads without waiting for them."""
+        """Stop the threads without waiting for lookups that are running."""
         if self._executor is not None:
             self._executor.shutdown(wait=False, cancel_futures=True)
--- a/umberlead/membership/pending_list.py
+++ b/umberlead/membership/pending_list.py
@@ -1,4 +1,4 @@
-"""A list that withdraws too much at once waits for an operator to confirm it."""
+"""Lists that withdraw too many endpoints at once stay pending until an operator confirms them."""
 
 from dataclasses import dataclass
 
@@ -6,24 +6,24 @@
 from umberlead.membership.errors import MembershipError
 from umberlead.membership.model import CheckedList, FilePosition, ListDelta, ListProblem
 
-# The hex digits of a digest by which a list may be confirmed.
+# The fewest hex digits of the digest with which an operator may confirm a list.
 MIN_DIGEST_PREFIX_SIZE = 8
 SHOWN_DIGEST_SIZE = 16
 
 
 class NoPendingListError(MembershipError):
-    """There is no such list to confirm."""
+    """No list is pending, or the digest is that of another list."""
 
 
 @dataclass(frozen=True, slots=True)
 class PendingList:
-    """A checked list that withdraws too much to be taken unconfirmed.
+    """A checked list that needs an operator's confirmation.
 
     Attributes:
         checked_list: The list.
-        delta: Its difference from the list in force.
-        problems: Why it needs to be confirmed.
-        since_us: When it was found.
+        delta: The difference from the list in force to this one.
+        problems: Why the list needs to be confirmed.
+        since_us: When the list was first loaded.
     """
 
     checked_list: CheckedList
@@ -32,13 +32,13 @@
     since_us: int
 
     def check_digest(self, digest: str) -> None:
-        """Check that a digest names this list.
+        """Check that a digest is that of this list.
 
         Args:
             digest: The first digits of the list's digest, at least `MIN_DIGEST_PREFIX_SIZE`.
 
         Raises:
-            NoPendingListError: It names another list, or too few digits are given.
+            NoPendingListError: The digest is that of another list, or has too few digits.
         """
         own_digest = self.checked_list.digest
         if len(digest) < MIN_DIGEST_PREFIX_SIZE or not own_digest.startswith(digest):
@@ -48,12 +48,13 @@
 def confirmation_problems(
     checked_list: CheckedList, delta: ListDelta, max_withdrawn_ratio: float
 ) -> tuple[ListProblem, ...]:
-    """Return why a list must be confirmed before it is taken; nothing where it needn't.
+    """Return why a list needs to be confirmed; an empty tuple if it does not.
 
     Args:
         checked_list: The list.
-        delta: Its difference from the list in force.
-        max_withdrawn_ratio: The share of the ready endpoints that may be withdrawn; one may be in any case.
+        delta: The difference from the list in force to this one.
+        max_withdrawn_ratio: The largest part of the ready endpoints that may be withdrawn without
+            confirmation; one endpoint always may.
     """
     position = FilePosition(checked_list.files[0] if checked_list.files else "")
     problems = []
--- a/umberlead/membership/service.py
+++ b/umberlead/membership/service.py
@@ -1,7 +1,7 @@
-"""Watches a list of endpoints and keeps the list in force.
+"""Watches the endpoint list's files and keeps the list in force up to date.
 
-Threads read and save; the event loop takes what they bring in one turn. While a load runs, any number of
-wake-ups make one more load.
+Worker threads load the files and save the snapshot; the event loop applies a finished load in one callback.
+Any number of wake-ups during a load cause one more load.
 """
 
 import asyncio
@@ -27,27 +27,29 @@
 from umberlead.membership.status import JsonObject, endpoint_rows, list_status
 from umberlead.membership.watching import FolderWatcher
 
-# The time after which the loading thread gives way to the event loop.
+# The interpreter's thread switch interval: the longest time that the loading thread keeps the event loop
+# waiting for the interpreter lock.
 THREAD_SWITCH_INTERVAL_SECONDS = 0.0005
-# The time that files which may be half written get before a problem is logged.
+# How long files may look half written before their problems are logged.
 INCOMPLETE_FILES_GRACE_SECONDS = 0.25
 INCOMPLETE_FILES_CHECK_SECONDS = INCOMPLETE_FILES_GRACE_SECONDS / 4
 MAX_LOGGED_NAMES_COUNT = 8
-# The number of endpoints from which a load runs without collections of cycles.
+# With at least this many endpoints, a load runs with the cyclic garbage collector disabled.
 LARGE_LIST_ENDPOINTS_COUNT = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class WatchedListSettings:
-    """How a list is watched.
+    """Settings of the watch over one endpoint list.
 
     Attributes:
         main_path: The main file.
-        snapshot_path: Where the last good list is saved; None for nowhere.
-        settle_seconds: How long a burst of changes is waited for.
-        poll_interval_seconds: The time between two comparisons of signatures.
-        membership: How lists are merged.
-        gate: The gate before new lists; None for none.
+        snapshot_path: The file in which the last good list is saved; None saves none.
+        settle_seconds: The delay between a change notification and the load, so that a burst of changes
+            causes one load.
+        poll_interval_seconds: The time between two comparisons of file signatures.
+        membership: The settings for merging the sources.
+        gate: The routing tests that a new list has to pass; None for none.
     """
 
     main_path: Path
@@ -59,17 +61,22 @@
 
 
 class NoUsableListError(MembershipError):
-    """Neither the files nor a snapshot give a list to begin with."""
+    """Neither the files nor the snapshot contain a usable list at start-up."""
 
     def __init__(self, problems: list[ListProblem], reason: str) -> None:
-        """Make a message of the first of the files' problems and of why there is no snapshot, "" for none."""
+        """Build the message.
+
+        Args:
+            problems: The problems of the files; the message shows the first one and counts the others.
+            reason: Why the snapshot is not usable; "" if there is none.
+        """
         first = f"{problems[0]}" if problems else reason
         more = f" (and {len(problems) - 1} more)" if len(problems) > 1 else ""
         super().__init__(f"{first}{more}" + (f"; {reason}" if reason and problems else ""))
 
 
 def _abbreviated(names: Iterable[str]) -> str:
-    """Return names for a field of a log event, the first few of many."""
+    """Join names for a field of a log event; a long list is cut and ends with the number left out."""
     names = list(names)
     shown = ",".join(names[:MAX_LOGGED_NAMES_COUNT])
     hidden_count = len(names) - MAX_LOGGED_NAMES_COUNT
@@ -85,13 +92,13 @@
     """Watches one list for a front process.
 
     Attributes:
-        settings: How the list is watched.
+        settings: The settings of the watch.
         loop: The event loop.
-        clock: Gives microseconds.
-        counters: Count loads, changes and problems.
+        clock: Returns the time in microseconds.
+        counters: Counters of loads, changes and problems.
         log: The process's log.
         membership: The list in force.
-        load_count: How many loads there were.
+        load_count: The number of loads so far.
     """
 
     def __init__(
@@ -106,18 +113,18 @@
         lookup: Lookup = system_lookup,
         new_observer: Callable[[], Any] | None = None,
     ) -> None:
-        """Watch nothing yet.
+        """Create the service; nothing is loaded or watched yet.
 
         Args:
-            settings: How the list is watched.
-            shard_count: How many shards there are; 0 where that is not known.
+            settings: The settings of the watch.
+            shard_count: The number of shards; 0 if it is not known.
             loop: The event loop.
-            clock: Gives microseconds.
-            counters: Count loads, changes and problems.
+            clock: Returns the time in microseconds.
+            counters: Counters of loads, changes and problems.
             log: The process's log.
             apply_to_front: Called with each change of the list in force.
             lookup: Resolves a host name.
-            new_observer: Makes a watchdog observer; watchdog's own by default.
+            new_observer: Creates a watchdog observer; the class `Observer` by default.
         """
         self.settings = settings
         self.loop = loop
@@ -144,10 +151,10 @@
         return SnapshotStore(path, self.clock, self.counters, self.log, self._latest_list)
 
     def load_first_list(self) -> None:
-        """Load the first list, before anything listens; blocks.
+        """Load the first list before the front listens; blocks.
 
         Raises:
-            NoUsableListError: Neither the files nor the snapshot give one.
+            NoUsableListError: Neither the files nor the snapshot contain a usable list.
         """
         sys.setswitchinterval(min(sys.getswitchinterval(), THREAD_SWITCH_INTERVAL_SECONDS))
         store = self._snapshot_store
@@ -167,11 +174,11 @@
             self.log.error("endpoint_list_restored", generation=generation, **self._problem_fields())
 
     def start_watching(self) -> None:
-        """Watch the list from here on."""
+        """Start the task that watches the files."""
         self._watch_task = self.loop.create_task(self._watch_files())
         store = self._snapshot_store
         if store is not None and store.unsaved_list() and self.membership.file_list_origin == "files":
-            store.save_in_background(self.loop)  # The disk may have been full for a moment.
+            store.save_in_background(self.loop)  # Retries a first save that failed, as on a full disk.
 
     def close(self) -> None:
         """Stop watching, and save the list in force."""
@@ -190,19 +197,19 @@
         return self.membership.file_list
 
     def _on_files_changed(self) -> None:
-        """Wake the watch; called from the watcher's thread."""
+        """Wake the watch task; called from the watcher's thread."""
         if not self._closed:
             self.loop.call_soon_threadsafe(self._wake.set)
 
     def request_load(self) -> None:
-        """Load the files now, whether they have changed or not."""
+        """Load the files now, even if they have not changed."""
         self._wake.set()
 
     async def _watch_files(self) -> None:
         while not self._closed:
             try:
                 await asyncio.wait_for(self._wake.wait(), self.settings.poll_interval_seconds)
-                await asyncio.sleep(self.settings.settle_seconds)  # For the rest of a burst.
+                await asyncio.sleep(self.settings.settle_seconds)  # Lets a burst of changes end.
                 is_due = True
             except TimeoutError:
                 detector = self._loader.change_detector
@@ -215,12 +222,12 @@
             self._apply_change(self.membership.advance_time(self.clock()), "time")
 
     def _load_in_thread(self) -> LoadResult:
-        """Load on the loading thread.
+        """Load the files; runs on the loading thread.
 
-        A collection of cycles there holds the interpreter, and the event loop with it, while it walks all
-        that a long list has made. Such a load makes no cycles: none are looked for meanwhile, and what it
-        made is set apart from later collections, to be freed by its reference count. The event loop's few
-        cycles of that moment are set apart too.
+        A cyclic garbage collection during the load of a long list traverses all its objects and holds the
+        interpreter lock meanwhile, which blocks the event loop. A load creates no reference cycles, so the
+        collector is disabled for it. The objects are then frozen: later collections skip them, and their
+        reference counts free them. The few cycles that the event loop has at that moment are frozen too.
         """
         current = self.membership.file_list
         if current is None or len(current.endpoints) < LARGE_LIST_ENDPOINTS_COUNT or not gc.isenabled():
@@ -258,7 +265,10 @@
         self._apply_change(change, "files", round(result.duration_seconds * 1000, 1))
 
     def _report_problems(self, is_transient: bool) -> None:
-        """Log the problems once for each state of the files; half-written files get a moment before."""
+        """Log the problems once for each state of the files.
+
+        Files that may still be written are loaded again for a while before their problems are logged.
+        """
         now_seconds = time.monotonic()
         if is_transient:
             if self._incomplete_since_seconds is None:
@@ -276,7 +286,7 @@
         self.log.error(event, in_force=self.membership.generation, **self._problem_fields())
 
     def _problem_fields(self) -> dict[str, Any]:
-        """Return the fields of a log event that say what is wrong with the files."""
+        """Return the log event's fields that describe the problems of the files."""
         problems = self.membership.rejection_problems
         fields: dict[str, Any] = {}
         if problems:
@@ -290,7 +300,7 @@
         return fields
 
     def _apply_change(self, change: MembershipChange, source: str, load_ms: float = 0.0) -> None:
-        """Put a change in force from this turn of the event loop on."""
+        """Apply a change to the front, log it, and save the list."""
         if not change:
             return
         self._apply_to_front(change)
@@ -311,26 +321,26 @@
         store = self._snapshot_store
         if store is None or self.membership.file_list_origin != "files":
             return
-        if self._watch_task is None:  # At the start there is time for it.
+        if self._watch_task is None:  # During start-up, blocking is acceptable.
             store.save_now()
         else:
             store.save_in_background(self.loop)
 
     def apply_discovery(self, complete: bool, endpoints: list[EndpointSpec]) -> None:
-        """Take a message of discovery; see `Membership.apply_discovery`."""
+        """Apply an update from discovery; see `Membership.apply_discovery`."""
         change = self.membership.apply_discovery(self.clock(), complete, endpoints)
         self._apply_change(change, "discovery")
 
     def set_manual_drain(self, name: str, drained: bool, drained_us: int) -> None:
-        """Set a manual drain, or lift it; see `Membership.set_manual_drain`."""
+        """Set or remove a manual drain; see `Membership.set_manual_drain`."""
         change = self.membership.set_manual_drain(self.clock(), name, drained, drained_us)
         self._apply_change(change, "hand")
 
     def confirm(self, digest: str) -> int:
-        """Take the pending list, and return the generation that is in force then.
+        """Put the pending list in force, and return the new generation.
 
         Raises:
-            NoPendingListError: No list is pending, or another one.
+            NoPendingListError: No list is pending, or `digest` is that of another list.
         """
         change = self.membership.confirm(self.clock(), digest)
         self._reported_problems = ()
@@ -339,9 +349,9 @@
         return change.generation
 
     def status(self) -> JsonObject:
-        """Return what the admin API shows of the list in force."""
+        """Return the list's status for the admin API."""
         return list_status(self.membership, self.clock(), self._watcher.is_polling)
 
     def endpoint_rows(self) -> list[JsonObject]:
-        """Return what the admin API shows of the endpoints in force."""
+        """Return the endpoints in force for the admin API."""
         return endpoint_rows(self.membership)
--- a/umberlead/membership/snapshot.py
+++ b/umberlead/membership/snapshot.py
@@ -1,8 +1,8 @@
-"""The last good list on disk, so that a front that starts while the files are broken can serve.
+"""A snapshot of the last good list on disk, with which a front can start while the list files are invalid.
 
-The file is one line of header (name, format, length and SHA-256 of what follows) and MessagePack. It is
-written beside its place, synced, renamed into place, and the folder synced: a crash or a full disk leaves
-the earlier one whole. A snapshot that is not what its header says is never used.
+The file has a header line (name, format, length and SHA-256 of the body) and a MessagePack body. It is
+written to a temporary file in the same folder, synced and renamed, and the folder is synced: after a crash
+or on a full disk the earlier snapshot is intact. A snapshot that does not match its header is never used.
 """
 
 import hashlib
@@ -23,18 +23,18 @@
 
 
 class SnapshotDamagedError(MembershipError):
-    """The file is no snapshot, or not all of one; the message says why."""
+    """The data is not a complete snapshot; the message gives the reason."""
 
 
 class SavedList(NamedTuple):
-    """A list from a snapshot, and when it was saved, in Unix time."""
+    """A list from a snapshot, and the Unix time at which it was saved."""
 
     checked_list: CheckedList
     saved_us: int
 
 
 class _EndpointRow(msgspec.Struct, array_like=True):
-    """An endpoint as stored: an array in the order of these fields."""
+    """An endpoint as stored: an array with the fields in this order."""
 
     name: str
     host: str
@@ -47,7 +47,7 @@
 
 
 class _Body(msgspec.Struct):
-    """A list as stored: a map with the names given here."""
+    """A list as stored: a map whose keys are the `name` arguments."""
 
     version: int = msgspec.field(name="version")
     digest: str = msgspec.field(name="digest")
@@ -57,11 +57,11 @@
 
 
 def encode_snapshot(checked_list: CheckedList, saved_us: int) -> bytes:
-    """Return a list as the bytes of a snapshot.
+    """Encode a list as a snapshot.
 
     Args:
         checked_list: The list.
-        saved_us: The time, in Unix time.
+        saved_us: The time of saving, in Unix time.
     """
     body = msgspec.msgpack.encode(
         _Body(
@@ -103,20 +103,20 @@
 
 
 def decode_snapshot(data: bytes) -> SavedList:
-    """Return the list of a snapshot's bytes.
+    """Decode a snapshot.
 
     Raises:
-        SnapshotDamagedError: The bytes are anything but a whole snapshot.
+        SnapshotDamagedError: The data is not a complete snapshot.
     """
     header, found, body = data.partition(b"\n")
     words = header[:MAX_HEADER_BYTES].decode("latin-1").split(" ")
     if not found or len(words) != HEADER_WORDS_COUNT or words[0] != MAGIC:
-        raise SnapshotDamagedError("it is no snapshot of a list")
+        raise SnapshotDamagedError("it is not a snapshot of an endpoint list")
     _, format_version, length, digest = words
     if format_version != str(FORMAT_VERSION):
         raise SnapshotDamagedError(f"its format is {format_version}; this program reads {FORMAT_VERSION}")
     if length != str(len(body)):
-        raise SnapshotDamagedError(f"it holds {len(body)} bytes of {length}")
+        raise SnapshotDamagedError(f"its body has {len(body)} bytes; its header gives {length}")
     if hashlib.sha256(body).hexdigest() != digest:
         raise SnapshotDamagedError("its digest does not match")
     try:
@@ -129,10 +129,10 @@
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Write a file so that it is there with all of `data`, or as it was.
+    """Replace a file's content with `data`, completely or not at all.
 
     Raises:
-        OSError: It could not be written; what was there before is untouched.
+        OSError: The file could not be written; its earlier content is unchanged.
     """
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
@@ -161,10 +161,10 @@
 
 
 def read_snapshot(path: Path) -> SavedList | None:
-    """Return the list of a snapshot; None where there is no file.
+    """Read a snapshot; None if there is no file.
 
     Raises:
-        SnapshotDamagedError: The file is no whole snapshot.
+        SnapshotDamagedError: The file is not a complete snapshot.
         OSError: The file can't be read.
     """
     try:
--- a/umberlead/membership/snapshot_store.py
+++ b/umberlead/membership/snapshot_store.py
@@ -1,4 +1,4 @@
-"""Keeps the snapshot of the last good list up to date, off the event loop."""
+"""Saves the last good list to its snapshot, on a thread of its own."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,13 +15,13 @@
 
 
 class SnapshotStore:
-    """Reads the snapshot at the start, and writes the latest list to it.
+    """Reads the snapshot at start-up, and saves each new list to it.
 
-    Writing has a thread of its own, as a slow disk must not delay the removal of an endpoint.
+    Saving has a thread of its own, so that a slow disk does not delay the removal of an endpoint.
 
     Attributes:
         path: The snapshot's file.
-        restore_error: Why the snapshot could not be read at the start; "" where it could, or there is none.
+        restore_error: Why the snapshot could not be read at start-up; "" if it was read or does not exist.
     """
 
     def __init__(
@@ -32,14 +32,14 @@
         log: Any,
         latest_list: Callable[[], CheckedList | None],
     ) -> None:
-        """Read and write nothing yet.
+        """Create the store; nothing is read or written yet.
 
         Args:
             path: The snapshot's file.
-            clock: Gives microseconds of Unix time.
-            counters: Count what is saved, what could not be, and what could not be read.
+            clock: Returns Unix time in microseconds.
+            counters: Counters of saves, of failed saves and of snapshots that could not be read.
             log: The process's log.
-            latest_list: Gives the list to save.
+            latest_list: Returns the list to save.
         """
         self.path = path
         self.restore_error = ""
@@ -52,7 +52,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def restore(self) -> CheckedList | None:
-        """Return the list of the snapshot; None where there is none that can be used."""
+        """Return the list of the snapshot; None if there is no usable one."""
         try:
             saved = snapshot.read_snapshot(self.path)
         except (snapshot.SnapshotDamagedError, OSError) as error:
@@ -66,14 +66,14 @@
         return saved.checked_list
 
     def unsaved_list(self) -> CheckedList | None:
-        """Return the latest list; None where there is none, or the snapshot holds it."""
+        """Return the latest list; None if there is none, or the snapshot already has it."""
         checked_list = self._latest_list()
         if checked_list is None or checked_list.digest == self._saved_digest:
             return None
         return checked_list
 
     def save_now(self) -> None:
-        """Save the latest list before returning; one that can't be saved is logged."""
+        """Save the latest list before returning; a failure is logged."""
         checked_list = self.unsaved_list()
         if checked_list is None:
             return
@@ -84,12 +84,15 @@
             self._record_error(error)
 
     def save_in_background(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Save the latest list, and those that follow it meanwhile."""
+        """Start saving the latest list, unless a save is already running, which will include it."""
         if self._task is None:
             self._task = loop.create_task(self._save_latest(loop))
 
     async def _save_latest(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Save the latest list and not each, so that a burst of changes is a few writes."""
+        """Save until the snapshot has the latest list.
+
+        Only the latest list is saved and not each one, so that a burst of changes causes a few writes.
+        """
         try:
             while (checked_list := self.unsaved_list()) is not None:
                 saved_us = self._clock()
@@ -112,7 +115,7 @@
         self._log.error("endpoint_list_snapshot_failed", path=str(self.path), error=str(error))
 
     def close(self) -> None:
-        """Save the latest list, and end the thread."""
+        """Save the latest list before returning, and stop the thread."""
         if self._task is not None:
             self._task.cancel()
         checked_list = self.unsaved_list()
--- a/umberlead/membership/status.py
+++ b/umberlead/membership/status.py
@@ -1,4 +1,4 @@
-"""The list in force as the admin API shows it: plain values with the names of its JSON."""
+"""The list in force as plain values for the admin API's JSON."""
 
 from typing import Any
 
@@ -17,12 +17,12 @@
 
 
 def list_status(membership: Membership, now_us: int, is_polling: bool) -> JsonObject:
-    """Return what is in force, what waits to be confirmed and what is wrong with the files.
+    """Return the status of the list in force, the pending list and the problems of the files.
 
     Args:
         membership: The list in force.
         now_us: The time.
-        is_polling: Whether files are watched by polling alone.
+        is_polling: Whether the files are watched only by polling.
     """
     file_list = membership.file_list
     endpoints = list(membership.active_endpoints.values())
--- a/umberlead/membership/watching.py
+++ b/umberlead/membership/watching.py
@@ -1,8 +1,9 @@
-"""Notices that list files may have changed.
+"""Detects that list files may have changed.
 
-inotify is used through watchdog, and signatures are compared for all that inotify misses: an overflowing
-queue, watches that ran out, a folder that was made again, a network file system. watchdog's events only wake
-whoever reads the files; they decide nothing.
+inotify, used through watchdog, reports most changes at once. File signatures are also compared from time to
+time, for the changes that inotify misses: after a queue overflow, without free watches, in a folder that was
+deleted and created again, or on a network file system. An event from watchdog only triggers a new load; its
+content is not used.
 """
 
 import contextlib
@@ -17,9 +18,10 @@
 
 from umberlead.membership.files import FileSet, Signature, paths_signature
 
-# Events of reading, as this program does itself.
+# Events caused by reading a file, which this program does itself.
 READ_EVENT_TYPES = frozenset(("opened", "closed_no_write"))
-# Within this time a file system may give two contents of a file the same times: such a file is read again.
+# A file system may give two contents of a file, written within this time, the same timestamps: a file that
+# changed this recently is read again.
 RECENT_CHANGE_SECONDS = 2.0
 NANOSECONDS_PER_SECOND_FACTOR = 1e9
 STOP_TIMEOUT_SECONDS = 1.0
@@ -30,16 +32,16 @@
         self._on_change = on_change
 
     def on_any_event(self, event: FileSystemEvent) -> None:
-        """Pass on any event but one of reading; called by watchdog."""
+        """Report each event that is not caused by reading; called by watchdog."""
         if event.event_type not in READ_EVENT_TYPES:
             self._on_change()
 
 
 class FolderWatcher:
-    """Calls back when something in some folders may have changed.
+    """Calls a function when something in the watched folders may have changed.
 
     Attributes:
-        is_polling: Whether inotify is not available, so that comparing signatures has to do.
+        is_polling: Whether inotify is not available, so that changes are found only by polling signatures.
     """
 
     def __init__(
@@ -48,12 +50,12 @@
         log: Callable[..., Any],
         new_observer: Callable[[], Any] | None = None,
     ) -> None:
-        """Watch nothing yet.
+        """Create the watcher; it watches no folder yet.
 
         Args:
-            on_change: Called from a thread of the watcher's, as often as it likes.
-            log: Called with an event and its fields.
-            new_observer: Makes a watchdog observer; watchdog's own by default.
+            on_change: Called from a thread of the watcher, any number of times for one change.
+            log: Called with an event name and its fields.
+            new_observer: Creates a watchdog observer; the class `Observer` by default.
         """
         self.is_polling = False
         self._event_handler = _EventHandler(on_change)
@@ -65,9 +67,9 @@
         self._failed_folders: set[Path] = set()
 
     def watch_folders(self, folders: Iterable[Path]) -> None:
-        """Watch just these folders.
+        """Watch these folders and no others.
 
-        Changes in one that can't be watched are found by polling; it is tried again with the next call.
+        Changes in a folder that can't be watched are found by polling; the next call tries to watch it again.
         """
         with self._lock:
             wanted = set(folders)
@@ -85,7 +87,7 @@
         try:
             self._observer = self._new_observer()
             self._observer.start()
-        except OSError as error:  # No inotify instance or no descriptor is left.
+        except OSError as error:  # No inotify instance or no file descriptor is left.
             self._observer = None
             self.is_polling = True
             self._log("endpoint_list_polling_started", error=str(error))
@@ -93,7 +95,7 @@
     def _add_watch(self, folder: Path) -> None:
         try:
             watch = self._observer.schedule(self._event_handler, str(folder), recursive=False)
-        except OSError as error:  # It doesn't exist, or the system's number of watches is reached.
+        except OSError as error:  # The folder doesn't exist, or the system's limit of watches is reached.
             if folder not in self._failed_folders:
                 self._failed_folders.add(folder)
                 self._log("endpoint_list_watch_failed", folder=str(folder), error=str(error))
@@ -103,11 +105,11 @@
 
     def _remove_watch(self, folder: Path) -> None:
         watch = self._watches.pop(folder)
-        with contextlib.suppress(OSError, KeyError):  # It ended with its folder.
+        with contextlib.suppress(OSError, KeyError):  # The watch ended when its folder was deleted.
             self._observer.unschedule(watch)
 
     def close(self) -> None:
-        """Watch nothing any more."""
+        """Stop watching all folders."""
         with self._lock:
             if self._observer is not None:
                 self._observer.stop()
@@ -117,10 +119,10 @@
 
 
 class ChangeDetector:
-    """Decides by signatures whether a set may differ from what was read of it."""
+    """Compares file signatures to decide whether a set of files may differ from what was last read."""
 
     def __init__(self, clock: Callable[[], float] = time.time) -> None:
-        """Start as if an empty set had been read; `clock` gives seconds of Unix time."""
+        """Start as if an empty set had been read; `clock` returns Unix time in seconds."""
         self._clock = clock
         self._last_signature: Signature = ()
         self._paths: list[Path] = []
@@ -128,9 +130,9 @@
         self._recently_changed = False
 
     def record(self, file_set: FileSet) -> None:
-        """Record what was just read.
+        """Record the signature of a set that was just read.
 
-        A file that was written a moment ago may be written again without a sign.
+        A file that changed a moment ago may change again without a change of its signature.
         """
         signature = file_set.paths_signature
         self._last_signature = signature
@@ -142,5 +144,5 @@
         self._recently_changed = now_ns - newest_ns < RECENT_CHANGE_SECONDS * NANOSECONDS_PER_SECOND_FACTOR
 
     def has_changed(self) -> bool:
-        """Return whether the set has to be read again."""
+        """Return whether the set needs to be read again."""
         return self._recently_changed or paths_signature(self._paths, self._folders) != self._last_signature
