--- a/benchmarks/planted_routes.py
+++ b/benchmarks/planted_routes.py
@@ -58,7 +58,7 @@
     ("draining is told as ready", JOIN, "status or endpoint.status,", "status or EndpointStatus.UP,", {"never", "only"}),
     ("merging forgets who went", MACHINE, "                removed.append(before)\n", "                pass\n", {"never", "only"}),
     ("merging forgets who changed", MACHINE, "                changed.append(EndpointChange(before, after))", "                pass", {"never", "only"}),
-    ("marks are forgotten as they are told", MACHINE, "                changes.append(ManualDrain(due_id, True, self.manual_drains[name]))", "                pass", {"never", "only"}),
+    ("marks are forgotten as they are told", MACHINE, "                changes.append(ManualDrain(current_id, True, self.manual_drains[name]))", "                pass", {"never", "only"}),
     # engine
     ("an upload that may have run is sent again", GUARD, "        if request.may_have_run and unsafe:\n            return Denial.MAY_HAVE_RUN\n", "", set()),
     ("what may have run is not noted", LIFECYCLE, "request.may_have_run |= result not in RESULTS_WITHOUT_EFFECT", "pass", set()),
--- a/umberlead/membership/checks.py
+++ b/umberlead/membership/checks.py
@@ -53,7 +53,7 @@
 }
 # Problems that may occur because the files are still being written.
 TRANSIENT_CODES = frozenset(("L102", "L103", "L405", "L406", "L407", "L401", "L404"))
-NO_VERSION_STATUS = -1
+NO_VERSION = -1
 SIMILARITY_THRESHOLD = 0.6
 MAX_SHOWN_SHARDS_COUNT = 8
 
@@ -69,7 +69,7 @@
         digest: Its digest; "" if there is no list in force.
     """
 
-    version: int = NO_VERSION_STATUS
+    version: int = NO_VERSION
     digest: str = ""
 
 
@@ -185,7 +185,7 @@
         if main.version is None:
             if not main.problems:
                 problems.append(ListProblem("L212", FilePosition(main.file), "the list has no version"))
-            return NO_VERSION_STATUS
+            return NO_VERSION
         version, position = main.version
         if version < current.version:
             message = f"version {version} is older than {current.version}, which is in force"
@@ -330,14 +330,16 @@
             message = "a manifest may contain only file digests"
             problems.append(ListProblem("L107", statement.position, message))
     listed: set[str] = set()
-    for name, digest, at in manifest.digests:
+    for name, digest, digest_position in manifest.digests:
         if name in listed:
-            problems.append(ListProblem("L106", at, f"{name} is given twice"))
+            problems.append(ListProblem("L106", digest_position, f"{name} is given twice"))
         listed.add(name)
         if name not in digests:
-            problems.append(ListProblem("L406", at, f"{name} is not a file of this set"))
+            problems.append(ListProblem("L406", digest_position, f"{name} is not a file of this set"))
         elif digests[name] != digest:
-            problems.append(ListProblem("L405", at, f"{name} does not match its digest: half written?"))
+            problems.append(
+                ListProblem("L405", digest_position, f"{name} does not match its digest: half written?")
+            )
     problems += [
         ListProblem("L406", position, f"{name} is not in the manifest")
         for name in digests
--- a/umberlead/membership/files.py
+++ b/umberlead/membership/files.py
@@ -19,7 +19,7 @@
 MAX_SET_BYTES = 64 << 20
 MAX_FILES_COUNT = 1000
 MAX_INCLUDE_DEPTH_COUNT = 8
-WILDCARDS_PATTERN = "*?["
+WILDCARD_CHARACTERS = "*?["
 
 
 class PathSignature(NamedTuple):
@@ -225,7 +225,7 @@
 
 
 def _has_wildcards(pattern: str) -> bool:
-    return any(wildcard in pattern for wildcard in WILDCARDS_PATTERN)
+    return any(wildcard in pattern for wildcard in WILDCARD_CHARACTERS)
 
 
 def _normalized(path: Path) -> Path:
@@ -260,10 +260,10 @@
     """
     file_set = read_set(main_path)
     for _ in range(max_attempts):
-        again = read_set(main_path)
-        if again.paths_signature == file_set.paths_signature and again.digest == file_set.digest:
-            return again
-        file_set = again
+        reread_set = read_set(main_path)
+        if reread_set.paths_signature == file_set.paths_signature and reread_set.digest == file_set.digest:
+            return reread_set
+        file_set = reread_set
     message = "the files change faster than they can be read"
     file_set.problems.append(ListProblem("L407", FilePosition(main_path.name), message))
     return file_set
--- a/umberlead/membership/flap_damping.py
+++ b/umberlead/membership/flap_damping.py
@@ -48,7 +48,7 @@
 
 class _Penalty(NamedTuple):
     value: float
-    at_us: int
+    updated_us: int
 
 
 class FlapDamper:
@@ -67,8 +67,8 @@
 
     def penalty(self, name: str, now_us: int) -> float:
         """Return the decayed penalty; 0 if it is below `FORGET_PENALTY_THRESHOLD`."""
-        value, at_us = self._penalties.get(name, (0.0, now_us))
-        value *= 0.5 ** ((now_us - at_us) / self.settings.half_life_us)
+        value, updated_us = self._penalties.get(name, (0.0, now_us))
+        value *= 0.5 ** ((now_us - updated_us) / self.settings.half_life_us)
         return value if value >= FORGET_PENALTY_THRESHOLD else 0.0
 
     def record_return(self, name: str, now_us: int) -> bool:
@@ -81,9 +81,9 @@
 
     def suppressed_until_us(self, name: str) -> int:
         """Return when a suppressed endpoint may be used again."""
-        value, at_us = self._penalties[name]
+        value, updated_us = self._penalties[name]
         half_lives = math.log2(value / self.settings.reuse_threshold)
-        return at_us + math.ceil(self.settings.half_life_us * half_lives) + 1
+        return updated_us + math.ceil(self.settings.half_life_us * half_lives) + 1
 
     def release_due(self, now_us: int) -> list[str]:
         """Release and return names whose suppression has ended, and delete penalties that have decayed."""
--- a/umberlead/membership/formatting.py
+++ b/umberlead/membership/formatting.py
@@ -49,8 +49,8 @@
 
 
 def _extract_comment(text: str) -> str:
-    _, found, comment = text.partition("#")
-    return f"# {comment.strip()}".rstrip() if found else ""
+    _, separator, comment = text.partition("#")
+    return f"# {comment.strip()}".rstrip() if separator else ""
 
 
 def _with_comment(line: str, comment: str) -> str:
--- a/umberlead/membership/grammar.py
+++ b/umberlead/membership/grammar.py
@@ -198,7 +198,11 @@
 
 def keyword_by_terminal(parser: Lark) -> dict[str, str]:
     """Return the keywords of a grammar by terminal name."""
-    return {t.name: str(t.pattern.value) for t in parser.terminals if t.pattern.type == "str"}
+    return {
+        terminal.name: str(terminal.pattern.value)
+        for terminal in parser.terminals
+        if terminal.pattern.type == "str"
+    }
 
 
 _parser = Lark(GRAMMAR, parser="lalr", lexer="contextual", propagate_positions=False)
@@ -251,11 +255,11 @@
     if token:  # With a token there, "expected the end of the line" does not help.
         names = [name for name in names if name != "$END"] or names
     known = [keywords[name] for name in names if name in keywords]
-    wanted = [TERMINAL_DESCRIPTIONS[name] for name in names if name in TERMINAL_DESCRIPTIONS]
-    wanted += [repr(keyword) for keyword in sorted(known)]
+    expected = [TERMINAL_DESCRIPTIONS[name] for name in names if name in TERMINAL_DESCRIPTIONS]
+    expected += [repr(keyword) for keyword in sorted(known)]
     nearest = difflib.get_close_matches(token.lower(), known, 1, SIMILARITY_THRESHOLD) if token else []
     found = f"found {token!r}" if token else "found the end of the line"
-    message = f"expected {' or '.join(wanted) or 'nothing more'}, {found}"
+    message = f"expected {' or '.join(expected) or 'nothing more'}, {found}"
     return SyntaxProblem(column, message, nearest[0] if nearest else "")
 
 
@@ -366,8 +370,12 @@
             path, digest = value
             result.digests.append(FileDigest(path, digest, position))
         elif kind in ("network", "host", "include"):
-            several = {"network": result.networks, "host": result.hosts, "include": result.includes}
-            several[kind].append(Positioned(value, position))
+            statements_by_kind = {
+                "network": result.networks,
+                "host": result.hosts,
+                "include": result.includes,
+            }
+            statements_by_kind[kind].append(Positioned(value, position))
         elif kind in ("version", "manifest"):
             if getattr(result, kind) is not None:
                 self._add_problem("L106", position, f"{kind} is given twice")
--- a/umberlead/membership/list_merge.py
+++ b/umberlead/membership/list_merge.py
@@ -217,10 +217,10 @@
 
     def advance_time(self, now_us: int) -> MembershipChange:
         """Release endpoints whose suppression has ended, and delete the state of names removed long ago."""
-        expired_us = now_us - self.settings.identity_retention_us
-        for name in [name for name, at_us in self._not_ready_since_us.items() if at_us <= expired_us]:
+        cutoff_us = now_us - self.settings.identity_retention_us
+        for name in [name for name, at_us in self._not_ready_since_us.items() if at_us <= cutoff_us]:
             del self._not_ready_since_us[name]
-        for name in [name for name, at_us in self._removed_us.items() if at_us <= expired_us]:
+        for name in [name for name, at_us in self._removed_us.items() if at_us <= cutoff_us]:
             del self._removed_us[name]
             del self._identities[name]
         return self._update_endpoints(now_us, self._flap_damper.release_due(now_us))
@@ -250,20 +250,20 @@
     def _merge_sources(self, name: str) -> _MergedEndpoint | None:
         """Merge what the sources list for a name, before flap damping; None if no source lists it."""
         merged: EndpointSpec | None = None
-        precedent = Source.DISCOVERY
+        first_source = Source.DISCOVERY
         for source in SOURCES_BY_PRECEDENCE:
             listed = self._endpoints_by_source[source].get(name)
             if listed is None:
                 continue
             if merged is None:
                 merged = listed
-                precedent = source
+                first_source = source
                 continue
             if listed.status is not EndpointStatus.UP and merged.status is EndpointStatus.UP:
                 merged = replace(merged, status=listed.status)
             if listed.started_us > merged.started_us:
                 merged = replace(merged, started_us=listed.started_us)
-        return None if merged is None else _MergedEndpoint(merged, precedent)
+        return None if merged is None else _MergedEndpoint(merged, first_source)
 
     def _update_endpoints(self, now_us: int, names: Iterable[str]) -> MembershipChange:
         """Update the list in force for the given names, and return the change."""
@@ -382,12 +382,12 @@
         changes: list[ManualDrain] = []
         for name in names:
             active = self.active_endpoints.get(name)
-            announced_id = self._drained_ids.get(name)
-            due_id = active.id if active is not None and name in self.manual_drains else None
-            if announced_id is not None and announced_id != due_id:
-                changes.append(ManualDrain(announced_id, False, 0))
+            reported_id = self._drained_ids.get(name)
+            current_id = active.id if active is not None and name in self.manual_drains else None
+            if reported_id is not None and reported_id != current_id:
+                changes.append(ManualDrain(reported_id, False, 0))
                 del self._drained_ids[name]
-            if due_id is not None and announced_id != due_id:
-                changes.append(ManualDrain(due_id, True, self.manual_drains[name]))
-                self._drained_ids[name] = due_id
+            if current_id is not None and reported_id != current_id:
+                changes.append(ManualDrain(current_id, True, self.manual_drains[name]))
+                self._drained_ids[name] = current_id
         return tuple(changes)
--- a/umberlead/membership/loading.py
+++ b/umberlead/membership/loading.py
@@ -81,22 +81,22 @@
 
     def load(self, current: CheckedList | None) -> LoadResult:
         """Load the current files; `current` is the list in force."""
-        began_seconds = time.perf_counter()
+        started_seconds = time.perf_counter()
         file_set = files.read_stable_set(self.main_path)
         self.change_detector.record(file_set)
         check_result = self._check(file_set, current)
         is_new = current is None or current.digest != file_set.digest
         if check_result.checked_list is not None and is_new and self.gate is not None:
-            objections = self._gate_problems(self.gate, file_set.digest)
-            if objections:
-                check_result = CheckResult(None, objections)
+            gate_problems = self._gate_problems(self.gate, file_set.digest)
+            if gate_problems:
+                check_result = CheckResult(None, gate_problems)
         del check_result.problems[MAX_REPORTED_PROBLEMS_COUNT:]
         result = LoadResult(check_result, file_set.digest, file_set.watched_folders)
         if check_result.checked_list is not None:
             result.base_digest = current.digest if current else ""
             old_endpoints = current.endpoints if current else {}
             result.delta = diff_endpoints(old_endpoints, check_result.checked_list.endpoints)
-        result.duration_seconds = time.perf_counter() - began_seconds
+        result.duration_seconds = time.perf_counter() - started_seconds
         return result
 
     def _check(self, file_set: files.FileSet, current: CheckedList | None) -> CheckResult:
@@ -116,10 +116,10 @@
     def _gate_problems(self, gate: Callable[[Path], list[ListProblem]], digest: str) -> list[ListProblem]:
         """Return the gate's reasons to reject this set; the gate runs once for each digest."""
         if self._gate_result.digest != digest:
-            objections = gate(self.main_path)
+            gate_problems = gate(self.main_path)
             if files.read_set(self.main_path).digest != digest:
                 # The gate reads the files itself; they have changed, so its result is for other content.
                 message = "the files changed while the routing tests were running"
                 return [ListProblem("L407", FilePosition(self.main_path.name), message)]
-            self._gate_result = _GateResult(digest, objections)
+            self._gate_result = _GateResult(digest, gate_problems)
         return list(self._gate_result.problems)
--- a/umberlead/membership/name_resolution.py
+++ b/umberlead/membership/name_resolution.py
@@ -10,7 +10,7 @@
 
 # Low enough that the removal of an endpoint is in force within 1 s of the change of its file.
 RESOLVE_TIMEOUT_SECONDS = 0.3
-CACHE_SECONDS = 30.0
+CACHE_TTL_SECONDS = 30.0
 MAX_STALE_SECONDS = 3600.0
 PARALLEL_LOOKUPS_COUNT = 16
 
@@ -27,13 +27,13 @@
 
 class _CachedAddresses(NamedTuple):
     addresses: tuple[str, ...]
-    at_seconds: float
+    resolved_seconds: float
 
 
 class NameResolver:
     """Resolves host names and caches the addresses.
 
-    Cached addresses are used for `CACHE_SECONDS`, and for up to `MAX_STALE_SECONDS` if the name can't be
+    Cached addresses are used for `CACHE_TTL_SECONDS`, and for up to `MAX_STALE_SECONDS` if the name can't be
     resolved again: while the name servers are down, names that were resolved before keep their addresses.
     """
 
@@ -59,30 +59,30 @@
     def resolve(self, hosts: Collection[str]) -> dict[str, tuple[str, ...]]:
         """Return addresses by host; one without a usable cache entry that can't be resolved is absent."""
         now = self.clock()
-        due = [
+        hosts_to_resolve = [
             host
             for host in hosts
-            if host not in self._cache or self._cache[host].at_seconds + CACHE_SECONDS <= now
+            if host not in self._cache or self._cache[host].resolved_seconds + CACHE_TTL_SECONDS <= now
         ]
-        if due:
-            self._look_up(due, now)
+        if hosts_to_resolve:
+            self._look_up(hosts_to_resolve, now)
         cached = {host: self._cache[host] for host in hosts if host in self._cache}
         return {
             host: addresses
-            for host, (addresses, at_seconds) in cached.items()
-            if now - at_seconds <= MAX_STALE_SECONDS
+            for host, (addresses, resolved_seconds) in cached.items()
+            if now - resolved_seconds <= MAX_STALE_SECONDS
         }
 
     def _look_up(self, hosts: Collection[str], now: float) -> None:
         if self._executor is None:
             self._executor = ThreadPoolExecutor(PARALLEL_LOOKUPS_COUNT, "resolve")
-        host_by_call = {self._executor.submit(self.lookup, host): host for host in hosts}
-        done, late = wait(host_by_call, self.timeout_seconds)
-        for call in late:
-            call.cancel()
-        for call in done:
-            if call.exception() is None and (addresses := tuple(call.result())):
-                self._cache[host_by_call[call]] = _CachedAddresses(addresses, now)
+        host_by_future = {self._executor.submit(self.lookup, host): host for host in hosts}
+        done, unfinished = wait(host_by_future, self.timeout_seconds)
+        for future in unfinished:
+            future.cancel()
+        for future in done:
+            if future.exception() is None and (addresses := tuple(future.result())):
+                self._cache[host_by_future[future]] = _CachedAddresses(addresses, now)
 
     def close(self) -> None:
         """Stop the threads without waiting for lookups that are running."""
--- a/umberlead/membership/service.py
+++ b/umberlead/membership/service.py
@@ -16,7 +16,7 @@
 
 from umberlead.common.counters import Counters
 from umberlead.membership.change_gate import ChangeGate
-from umberlead.membership.checks import NO_VERSION_STATUS
+from umberlead.membership.checks import NO_VERSION
 from umberlead.membership.errors import MembershipError
 from umberlead.membership.list_merge import Membership, MembershipSettings
 from umberlead.membership.loading import ListLoader, LoadResult
@@ -311,7 +311,7 @@
             "endpoint_list_changed",
             generation=change.generation,
             source=source,
-            version=file_list.version if file_list else NO_VERSION_STATUS,
+            version=file_list.version if file_list else NO_VERSION,
             added=_abbreviated(active.id for active in change.added),
             removed=_abbreviated(active.id for active in change.removed),
             changed=_abbreviated(active.id for active in updated),
--- a/umberlead/membership/snapshot.py
+++ b/umberlead/membership/snapshot.py
@@ -108,9 +108,9 @@
     Raises:
         SnapshotDamagedError: The data is not a complete snapshot.
     """
-    header, found, body = data.partition(b"\n")
+    header, separator, body = data.partition(b"\n")
     words = header[:MAX_HEADER_BYTES].decode("latin-1").split(" ")
-    if not found or len(words) != HEADER_WORDS_COUNT or words[0] != MAGIC:
+    if not separator or len(words) != HEADER_WORDS_COUNT or words[0] != MAGIC:
         raise SnapshotDamagedError("it is not a snapshot of an endpoint list")
     _, format_version, length, digest = words
     if format_version != str(FORMAT_VERSION):
