--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate before a watched list: a suite of routing tests has the last word, and holds up no process."""
+"""The change gate: a new list is accepted only if a suite of routing tests passes under it."""
 
 import threading
 import time
@@ -45,7 +45,7 @@
     second = made.load(first.checked_list).check_result
     assert second.checked_list is None and [p.code for p in second.problems] == ["L501"]
     assert str(second.problems[0]).startswith("s.suite:5: L501: expect may shard 1 only c: ")
-    put(tmp_path, 3, GOOD | {"d": 1, "e": 2})  # one more on shard 1 fails it as well; mended, it is taken
+    put(tmp_path, 3, GOOD | {"d": 1, "e": 2})  # another server on shard 1 also fails; version 4 has none
     assert made.load(first.checked_list).check_result.checked_list is None
     put(tmp_path, 4, GOOD | {"e": 2})
     taken = made.load(first.checked_list).check_result.checked_list
@@ -71,7 +71,7 @@
     listing = made.load(None).check_result.checked_list
     assert made.load(listing).check_result.checked_list is not None and len(asked) == 1
     put(tmp_path, 2, GOOD)
-    for _ in range(3):  # each poll loads it again
+    for _ in range(3):  # as each poll does
         assert made.load(listing).check_result.checked_list is None
     assert len(asked) == 2
 
@@ -104,7 +104,7 @@
     gate.close()
     thread.join(20)
     assert not thread.is_alive() and [p.code for p in found] == ["L502"]
-    assert [p.code for p in gate.evaluate(main)] == ["L502"]  # nor does one that begins as it ends
+    assert [p.code for p in gate.evaluate(main)] == ["L502"]  # a run that begins after close() is killed too
 
 
 def test_the_configuration_names_the_suite_and_it_must_be_there(tmp_path: Path) -> None:
--- a/tests/test_lists_files.py
+++ b/tests/test_lists_files.py
@@ -1,4 +1,4 @@
-"""List files: the format, its errors, the checks and the set on disk."""
+"""List files: the format and its errors, the checks, reading a set of files, and snapshots."""
 
 import hashlib
 import os
@@ -126,7 +126,7 @@
 
 
 def test_no_part_of_a_file_passes_for_all_of_it(tmp_path: Path) -> None:
-    """Cut at every byte: half written, it is never taken and never more than a complaint."""
+    """A file that is truncated at any byte is rejected with a problem."""
     rows = [f"server n{k} address 127.0.0.1:{8000 + k} shard {k}  # room {k}" for k in range(12)]
     content = whole(*rows).encode()
     path = tmp_path / "main.list"
@@ -331,7 +331,7 @@
 
 
 def test_checks_alone_accept_what_loading_accepted() -> None:
-    """The check of a version against the list in force, at its edges."""
+    """A list needs a higher version than the one in force, or the same version with the same digest."""
     sheet = parse_file(whole(ONE, version=4), "f")
     for before, want in (
         (CurrentList(3, "x"), []),
--- a/tests/test_lists_front.py
+++ b/tests/test_lists_front.py
@@ -1,5 +1,5 @@
-"""Watched lists under a whole front: attempts at each stage, signals that cross a swap, and the command
-line."""
+"""Watched lists in a running front: requests at each stage of a list change, signals during a change, and
+the `list` commands."""
 
 import asyncio
 import contextlib
@@ -49,7 +49,7 @@
 
 
 class World:
-    """Stand-ins, a list, and a front in a process of its own."""
+    """Two chunk servers of this process, a list file, and a front in a process of its own."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.record = folder, Record()
@@ -69,7 +69,7 @@
         await self.spawn()
 
     async def spawn(self, address: str = "127.0.0.1:0") -> None:
-        """A front at `address`; where one stands there already, beside it."""
+        """Start a front at `address`; one that is already running there keeps running."""
         text = f'name = "f"\nlisten = "{address}"\nstate = "state"\n[membership]\nlist = "main.list"\n'
         (self.folder / "front.toml").write_text(text + "withdrawn_most = 1.0\n" + SETTINGS)
         count = len(self.lines)
@@ -103,7 +103,7 @@
         os.replace(beside, self.folder / "main.list")
 
     async def ask(self, name: str, method: str = "GET", units: int = 1) -> int:
-        """The status of one request on a connection of its own; 0 where it ended without an answer."""
+        """Send one request on a new connection; return its status, or 0 if there was no response."""
         reader, writer = await asyncio.open_connection(*self.address)
         path = "image-read" if method == "GET" else "image-upload"
         body = b"" if method == "GET" else b"x" * 100
@@ -151,7 +151,7 @@
 
 
 def test_requests_in_flight_at_a_removed_endpoint_end_there_and_its_connection_after(tmp_path: Path) -> None:
-    """An upload that the server works on: taken away under it, it is answered by it, and sent once."""
+    """An upload in progress at a server that leaves the list is answered by that server, and sent once."""
 
     async def test() -> None:
         async with world(tmp_path, unit=0.5) as w:
@@ -167,7 +167,7 @@
             assert [await out, *await asyncio.gather(*later)] == [200, 200, 200]
             ends = [(row["server"], row["id"]) for row in w.record.rows]
             assert sorted(ends) == [("a", "up1"), ("b", "r0"), ("b", "r1")]
-            await _until(lambda: not a.connections)  # it has left: nothing is kept open there
+            await _until(lambda: not a.connections)  # connections to the removed server are closed
             assert b.connections
             assert await w.end() == 0
 
@@ -196,7 +196,8 @@
 def test_signals_during_a_list_change_cost_no_request_its_response(
     tmp_path: Path, number: signal.Signals
 ) -> None:
-    """A swap right before and after the signal; stopped for a second, the front finds the newest list."""
+    """The list changes right before and after the signal. A front that was stopped for a second loads the
+    newest list."""
 
     async def test() -> None:
         async with world(tmp_path, unit=0.02) as w:
@@ -208,8 +209,8 @@
             w.process.send_signal(number)
             w.swap("b")
             if number is signal.SIGSTOP:
-                # A stop that outlasts a request's limit ends an upload that is out as failed, and rightly: it
-                # lasts a second, however many swaps a slow disk takes in that.
+                # The stop lasts a second by the clock, however few list changes a slow disk allows in that
+                # time: a stop longer than a request's time limit would rightly fail an upload in flight.
                 until = time.monotonic() + 1.0
                 while time.monotonic() < until:
                     w.swap("a")
@@ -223,7 +224,7 @@
             if number is not signal.SIGTERM:
                 await _until(lambda: any(f'version="{w.version}"' in x for x in w.lines))
                 seen = len(w.times("a"))
-                # A front that stood still for a second takes its servers for slow, and may refuse a while.
+                # A front that was stopped for a second takes its servers for slow, and may refuse requests.
                 calm, end = [0], time.monotonic() + PATIENCE
                 while set(calm) != {200}:
                     assert time.monotonic() < end and set(calm) <= {0, 200, 503}, calm
@@ -238,9 +239,9 @@
 
 
 def test_a_handover_between_two_processes_during_list_changes_loses_nothing(tmp_path: Path) -> None:
-    """A new process stands beside the old one while lists are swapped under both; the old one is told to go
-    in between. Each request has its answer, no upload runs twice, and who left the list gets nothing from
-    either process later than a second after."""
+    """Two processes of a front run side by side while the list changes, and the old one gets SIGTERM between
+    two changes. Each request is answered, no upload runs twice, and neither process sends anything to a
+    removed server more than a second after its removal."""
 
     async def test() -> None:
         async with world(tmp_path, unit=0.01) as w:
@@ -279,7 +280,7 @@
             assert not [t for t in w.times("a") if t > last + 1_000_000_000]
             assert await asyncio.gather(*[w.ask(f"s{k}") for k in range(10)]) == [200] * 10
             assert await w.end() == 0
-            left = ProcessRegistry(tmp_path / "state" / "fronts")  # spares, which nobody holds
+            left = ProcessRegistry(tmp_path / "state" / "fronts")  # the spare files, which no process uses
             assert left.refresh() == 0 and len(os.listdir(left.folder)) == SPARE_FILES_COUNT
 
     play(test)
@@ -299,7 +300,7 @@
 
 
 def test_the_platforms_front_loads_none_of_the_lists_libraries() -> None:
-    """Its start-up time and memory are priced: 32 MB are all that some fronts have."""
+    """Start-up time and memory are charged for, and some fronts have only 32 MB."""
     names = ("lark", "netaddr", "watchdog", "msgspec", "click", "numpy", "umberlead.membership")
     code = f"import sys, umberlead.daemon.process; print([m for m in {names} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True)
@@ -350,7 +351,7 @@
         assert self.run("list", "format", "--check", str(path)).exit_code == 1
         assert self.run("list", "format", "--write", str(path)).exit_code == 0
         assert self.run("list", "format", "--check", str(path)).exit_code == 0
-        assert self.run("list", "check", str(path)).exit_code == 1  # not sealed yet
+        assert self.run("list", "check", str(path)).exit_code == 1  # the manifest does not exist yet
         assert self.run("list", "seal", str(path)).exit_code == 0
         assert self.run("list", "check", str(path)).exit_code == 0
         assert self.run("list", "show", str(path)).stdout.startswith("a ")
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -1,4 +1,7 @@
-"""The list in force: against a plain account of it, over all short orders of events and long random ones."""
+"""The list in force, compared with a simple reference model over sequences of events.
+
+All short sequences are run, and long random ones. Other tests cover confirmation, flap damping and weights.
+"""
 
 import pytest
 from hypothesis import HealthCheck, Phase, settings
@@ -106,7 +109,7 @@
     for wrong in ("2222222", "11111111", ""):
         with pytest.raises(NoPendingListError):
             m.confirm(3, wrong)
-    m.reject_files([])  # the files are no longer that list
+    m.reject_files([])  # the files have changed to an invalid list
     with pytest.raises(NoPendingListError):
         m.confirm(4, small.digest)
     m.apply_files(5, small)
@@ -126,7 +129,7 @@
 
 
 def test_a_delta_against_another_list_is_not_used() -> None:
-    """While a list was loaded, a confirmation put another one in force."""
+    """An operator can confirm a pending list, which changes the list in force, while another list loads."""
     m = Membership(MembershipSettings(1.0))
     m.apply_files(1, listing("11111111", A, B))
     stale = diff_endpoints({}, {"a": A})
@@ -147,11 +150,11 @@
     assert flaps.suppressed_until_us("b") - now <= rules.max_suppression_us
     assert (
         flaps.release_due(now + 10 * rules.max_suppression_us) and not flaps._penalties
-    )  # what has faded is forgotten
+    )  # decayed penalties are deleted
 
 
 def test_suppression_depends_on_the_other_endpoints_of_the_shard() -> None:
-    """A suppressed endpoint is released as soon as no other endpoint would take its shard's requests."""
+    """A suppressed endpoint is used again as soon as its shard has no other usable endpoint."""
     m = Membership(
         MembershipSettings(1.0, 60 * SECOND, FlapDampingSettings(30 * SECOND, 1500.0, 1000.0, 4000.0))
     )
@@ -169,7 +172,7 @@
 
 
 def test_removed_names_are_forgotten() -> None:
-    """Of ever new servers the tables would grow for ever, ready or draining as they left."""
+    """State of removed names is deleted, whether they were ready or draining, so that it stays bounded."""
     m, now = Membership(MembershipSettings()), 0
     for k in range(50):
         state = EndpointStatus.UP if k % 2 else EndpointStatus.DRAINING
@@ -196,7 +199,7 @@
         choice.record_selection(name, weights)
         taken += name
     assert (taken.count("a"), taken.count("b"), taken.count("c")) == (50, 10, 10)
-    assert "aaaaa" not in taken  # well mixed: never more in a row than its part asks for
+    assert "aaaaa" not in taken  # no long run of one name: selections are interleaved
     choice.record_selection("b", {"b": 1.0})
     assert set(choice._credit) == {"b"}
 
@@ -215,11 +218,11 @@
             if isinstance(a, Send):
                 feed(h, T0 + k, Outcome(a.request_id, a.endpoint, 0, AttemptResult.OK, 9_000, True))
     assert (sent.count("n0"), sent.count("n1"), sent.count("n2")) == (30, 10, 0)
-    assert sends(feed(h, T0 + 99, ask("r", T0 + 99, shard=2))) == ["r"]  # its data is read all the same
+    assert sends(feed(h, T0 + 99, ask("r", T0 + 99, shard=2))) == ["r"]  # weight 0 does not affect reads
 
 
 def test_weights_act_among_those_that_can_take_a_request_now() -> None:
-    """The heavy one is full: waiting for it would hold up what the other can take at once."""
+    """If the endpoint of higher weight is full, requests go to the other one and do not wait."""
     h = head(T0, _weighted("n0", 0, 9.0, units=2.0), _weighted("n1", 1, 1.0))
     acts = feed(h, T0, *[ask(f"w{k}", cls="once", shard=-1, key=f"k{k}") for k in range(4)])
     assert sorted(a.endpoint for a in acts if isinstance(a, Send)) == ["n0", "n1", "n1", "n1"]
--- a/tests/test_lists_watch.py
+++ b/tests/test_lists_watch.py
@@ -1,4 +1,4 @@
-"""The watch: files that change under a front in every way, and what is then in force."""
+"""The watch over list files: ways in which files change, and the list that is in force afterwards."""
 
 import asyncio
 import os
@@ -18,7 +18,7 @@
 from umberlead.membership.pending_list import NoPendingListError
 from umberlead.membership.service import NoUsableListError, WatchedListService, WatchedListSettings
 
-PATIENCE = 15.0  # s until what never comes fails a test
+PATIENCE = 15.0  # until a condition that is never met fails the test
 
 
 class Log:
@@ -39,7 +39,7 @@
 
 
 class Bench:
-    """A folder, a service over it, and what it told."""
+    """A folder with a list, the service that watches it, and the changes that the service reported."""
 
     def __init__(self, folder: Path, observer: Callable[[], Any] | None = None, saved: bool = True) -> None:
         self.folder, self.log, self.told = folder, Log(), list[MembershipChange]()
@@ -83,7 +83,7 @@
             await asyncio.sleep(0.005)
 
     async def comes(self, *names: str) -> None:
-        await self.until(lambda: self.names() == set(names), f"{names} never came")
+        await self.until(lambda: self.names() == set(names), f"{names} not in force")
 
 
 def play(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -102,7 +102,7 @@
 
 
 class Deaf:
-    """Watches are there, and nothing is ever told: a queue that overflowed, or a file system without
+    """Accepts watches and never reports an event: a queue that overflowed, or a file system without
     events."""
 
     def start(self) -> None: ...
@@ -137,20 +137,18 @@
         other.write_text(sheet(4, "a", "d"))
         link = bench.main.with_name("link")
         os.symlink("other", link)
-        os.replace(link, bench.main)  # now a symlink, swapped as a whole
+        os.replace(link, bench.main)  # the file becomes a symlink
         await bench.comes("a", "d")
-        other.write_text(sheet(5, "a", "e"))  # what it points to, written in place
+        other.write_text(sheet(5, "a", "e"))  # the target of the symlink, written in place
         await bench.comes("a", "e")
-        shutil.rmtree(bench.main.parent)  # the folder goes, and is made again
-        await bench.until(
-            lambda: service.membership.rejection_problems, "a missing file was not complained of"
-        )
+        shutil.rmtree(bench.main.parent)  # the folder is deleted, and created again below
+        await bench.until(lambda: service.membership.rejection_problems, "the missing file was not reported")
         assert bench.names() == {"a", "e"}
         bench.main.parent.mkdir()
         bench.main.write_text(sheet(6, "f"))
         await bench.comes("f")
         bench.main.write_text(sheet(7, "g"))
-        os.utime(bench.main, (1, 1))  # its time goes back
+        os.utime(bench.main, (1, 1))  # the file's time goes back
         await bench.comes("g")
         service.close()
 
@@ -158,7 +156,7 @@
 
 
 def test_two_contents_with_one_signature_are_distinguished(tmp_path: Path) -> None:
-    """Same size, inode and time: a young file is read again although nothing shows that it changed."""
+    """A recently changed file is read again even if its size, inode and time are the same."""
 
     async def test() -> None:
         bench = Bench(tmp_path, Deaf)
@@ -180,9 +178,9 @@
         bench.main.write_text(sheet(1, "a"))
         service = bench.open()
         replace(bench.main, sheet(2, "a", "b").replace("shard", "shrad"))
-        await bench.until(lambda: "endpoint_list_rejected" in bench.log.events(), "no complaint")
+        await bench.until(lambda: "endpoint_list_rejected" in bench.log.events(), "not rejected")
         seen = service.load_count
-        for _ in range(3):  # the same file touched again and again
+        for _ in range(3):  # the same content with a new time
             os.utime(bench.main)
             await bench.until(lambda before=seen: service.load_count > before, "not read again")  # type: ignore[misc]
             seen = service.load_count
@@ -200,7 +198,7 @@
 
 
 def test_hundreds_of_changes_never_show_an_incomplete_list(tmp_path: Path) -> None:
-    """Each sound list has one even or one odd server and its version; a third of the files is broken."""
+    """Each valid list has server a, and b or c by its version; a third of the files is truncated."""
 
     async def test() -> None:
         bench = Bench(tmp_path)
@@ -214,7 +212,8 @@
                 replace(bench.main, good)
             await asyncio.sleep(0.002)
         await bench.until(
-            lambda: service.membership.file_list and service.membership.file_list.version == 200, "never 200"
+            lambda: service.membership.file_list and service.membership.file_list.version == 200,
+            "version 200 is not in force",
         )
         service.close()
         seen: dict[str, Any] = {}
@@ -239,10 +238,10 @@
         service = bench.open()
         assert bench.names() == {"a", "b"} and service.status()["origin"] == "snapshot"
         assert "endpoint_list_restored" in bench.log.events()
-        replace(bench.main, sheet(2, "c"))  # older than what the snapshot remembers
+        replace(bench.main, sheet(2, "c"))  # older than the version in the snapshot
         await bench.until(
             lambda: [p.code for p in service.membership.rejection_problems] == ["L209"],
-            "the version goes back",
+            "the older version was not rejected",
         )
         replace(bench.main, sheet(4, "c"))
         await bench.comes("c")
@@ -289,7 +288,7 @@
             patch.setattr(snapshot, "write_atomically", full)
             replace(bench.main, sheet(2, "a", "b"))
             await bench.comes("a", "b")
-            await bench.until(lambda: bench.counters["list_snapshots_failed"], "no complaint")
+            await bench.until(lambda: bench.counters["list_snapshots_failed"], "no failure was counted")
             service.close()
         assert bench.saved is not None
         found = snapshot.read_snapshot(bench.saved)
@@ -301,7 +300,7 @@
 def test_a_first_list_that_could_not_be_saved_is_saved_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was saved with the next change, which may never come."""
+    """The save is retried, and does not wait for the next change of the list, which may never come."""
 
     async def test() -> None:
         bench = Bench(tmp_path)
@@ -344,8 +343,8 @@
 
 
 def test_twenty_thousand_endpoints_do_not_block_the_event_loop(tmp_path: Path) -> None:
-    """The loop's longest stop while a list of that length is loaded anew; the bound is generous here, since
-    other processes share this machine: `make bench-lists` measures it alone."""
+    """Measures how long the event loop is blocked while such a list is loaded again. The bound is generous,
+    since other processes share this machine; `make bench-lists` measures it alone."""
 
     async def test() -> None:
         rows = [f"server n{k} address 10.0.{k >> 8}.{k & 255}:80 shard {k} weight 1" for k in range(20_000)]
