--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -13,110 +13,125 @@
 from umberlead.membership.name_resolution import NameResolver
 
 ROOT = Path(__file__).parent.parent
-GOOD = {"a": 0, "b": 0, "c": 1}
-
-
-def put(folder: Path, version: int, servers: dict[str, int]) -> Path:
-    rows = ["format 1", f"version {version}"]
-    rows += [f"server {n} address 127.0.0.1:{k} shard {s}" for k, (n, s) in enumerate(servers.items(), 1)]
-    beside = folder / "new"
-    beside.write_text("\n".join([*rows, f"end {len(rows)}", ""]))
-    beside.replace(folder / "l")
+VALID_SERVERS = {"a": 0, "b": 0, "c": 1}
+
+
+def write_list(folder: Path, version: int, servers: dict[str, int]) -> Path:
+    lines = ["format 1", f"version {version}"]
+    lines += [
+        f"server {name} address 127.0.0.1:{port} shard {shard}"
+        for port, (name, shard) in enumerate(servers.items(), 1)
+    ]
+    temporary = folder / "new"
+    temporary.write_text("\n".join([*lines, f"end {len(lines)}", ""]))
+    temporary.replace(folder / "l")
     return folder / "l"
 
 
-def suite(folder: Path, *lines: str) -> Path:
-    rows = ["format 1", f"config {ROOT / 'deploy' / 'watched.toml'}", "list l", "scenario reach", *lines]
-    (folder / "s.suite").write_text("\n".join([*rows, f"end {len(rows)}", ""]))
+def write_suite(folder: Path, *lines: str) -> Path:
+    statements = [
+        "format 1",
+        f"config {ROOT / 'deploy' / 'watched.toml'}",
+        "list l",
+        "scenario reach",
+        *lines,
+    ]
+    (folder / "s.suite").write_text("\n".join([*statements, f"end {len(statements)}", ""]))
     return folder / "s.suite"
 
 
-def loader(main: Path, gate: object) -> ListLoader:
-    return ListLoader(main, 0, NameResolver(lambda host: (host,)), gate=gate)  # type: ignore[arg-type]
+def new_loader(main_path: Path, gate: object) -> ListLoader:
+    return ListLoader(main_path, 0, NameResolver(lambda host: (host,)), gate=gate)  # type: ignore[arg-type]
 
 
-def test_a_list_under_which_the_suite_fails_is_not_taken_and_the_expectation_is_named(tmp_path: Path) -> None:
-    main = put(tmp_path, 1, GOOD)
-    gate = ChangeGate(suite(tmp_path, "expect may shard 1 only c"), 60.0)
-    made = loader(main, gate.evaluate)
-    first = made.load(None).check_result
+def test_a_list_that_fails_the_suite_is_rejected_with_the_failed_expectation(tmp_path: Path) -> None:
+    main_path = write_list(tmp_path, 1, VALID_SERVERS)
+    gate = ChangeGate(write_suite(tmp_path, "expect may shard 1 only c"), 60.0)
+    list_loader = new_loader(main_path, gate.evaluate)
+    first = list_loader.load(None).check_result
     assert first.checked_list is not None and not first.problems
-    put(tmp_path, 2, GOOD | {"b": 1})
-    second = made.load(first.checked_list).check_result
-    assert second.checked_list is None and [p.code for p in second.problems] == ["L501"]
+    write_list(tmp_path, 2, VALID_SERVERS | {"b": 1})
+    second = list_loader.load(first.checked_list).check_result
+    assert second.checked_list is None and [problem.code for problem in second.problems] == ["L501"]
     assert str(second.problems[0]).startswith("s.suite:5: L501: expect may shard 1 only c: ")
-    put(tmp_path, 3, GOOD | {"d": 1, "e": 2})  # another server on shard 1 also fails; version 4 has none
-    assert made.load(first.checked_list).check_result.checked_list is None
-    put(tmp_path, 4, GOOD | {"e": 2})
-    taken = made.load(first.checked_list).check_result.checked_list
-    assert taken is not None and taken.version == 4
+    # Another server on shard 1 also fails the suite; version 4 has none.
+    write_list(tmp_path, 3, VALID_SERVERS | {"d": 1, "e": 2})
+    assert list_loader.load(first.checked_list).check_result.checked_list is None
+    write_list(tmp_path, 4, VALID_SERVERS | {"e": 2})
+    accepted = list_loader.load(first.checked_list).check_result.checked_list
+    assert accepted is not None and accepted.version == 4
 
 
-def test_a_suite_that_cannot_be_played_or_takes_too_long_lets_nothing_pass(tmp_path: Path) -> None:
-    main = put(tmp_path, 1, GOOD)
-    bad = ChangeGate(suite(tmp_path, "expect may shard 1 onyl c"), 60.0).evaluate(main)
-    assert [p.code for p in bad] == ["L502"] and "s.suite:5:" in bad[0].message
-    late = ChangeGate(suite(tmp_path, "expect may shard 1 only c"), 0.01).evaluate(main)
-    assert [p.code for p in late] == ["L503"]
+def test_a_suite_that_is_invalid_or_times_out_rejects_the_list(tmp_path: Path) -> None:
+    main_path = write_list(tmp_path, 1, VALID_SERVERS)
+    invalid = ChangeGate(write_suite(tmp_path, "expect may shard 1 onyl c"), 60.0).evaluate(main_path)
+    assert [problem.code for problem in invalid] == ["L502"] and "s.suite:5:" in invalid[0].message
+    timed_out = ChangeGate(write_suite(tmp_path, "expect may shard 1 only c"), 0.01).evaluate(main_path)
+    assert [problem.code for problem in timed_out] == ["L503"]
 
 
-def test_the_gate_is_asked_once_for_each_new_set_and_not_for_the_one_in_force(tmp_path: Path) -> None:
-    asked: list[int] = []
+def test_the_gate_runs_once_for_each_new_list_and_not_for_the_one_in_force(tmp_path: Path) -> None:
+    gate_calls: list[int] = []
 
-    def gate(main: Path) -> list[ListProblem]:
-        asked.append(1)
-        return [ListProblem("L501", FilePosition("s"), "no")] if "version 2" in main.read_text() else []
+    def gate(main_path: Path) -> list[ListProblem]:
+        gate_calls.append(1)
+        return [ListProblem("L501", FilePosition("s"), "no")] if "version 2" in main_path.read_text() else []
 
-    made = loader(put(tmp_path, 1, GOOD), gate)
-    listing = made.load(None).check_result.checked_list
-    assert made.load(listing).check_result.checked_list is not None and len(asked) == 1
-    put(tmp_path, 2, GOOD)
+    list_loader = new_loader(write_list(tmp_path, 1, VALID_SERVERS), gate)
+    current = list_loader.load(None).check_result.checked_list
+    assert list_loader.load(current).check_result.checked_list is not None and len(gate_calls) == 1
+    write_list(tmp_path, 2, VALID_SERVERS)
     for _ in range(3):  # as each poll does
-        assert made.load(listing).check_result.checked_list is None
-    assert len(asked) == 2
+        assert list_loader.load(current).check_result.checked_list is None
+    assert len(gate_calls) == 2
 
 
-def test_files_that_move_on_under_the_gate_are_not_taken_on_its_word(tmp_path: Path) -> None:
-    main = put(tmp_path, 1, GOOD)
+def test_files_that_change_while_the_gate_runs_are_rejected(tmp_path: Path) -> None:
+    main_path = write_list(tmp_path, 1, VALID_SERVERS)
     versions = iter((2, 3))
 
-    def gate(main: Path) -> list[ListProblem]:
+    def gate(main_path: Path) -> list[ListProblem]:
         if (version := next(versions, None)) is not None:
-            put(tmp_path, version, GOOD)
+            write_list(tmp_path, version, VALID_SERVERS)
         return []
 
-    made = loader(main, gate)
+    list_loader = new_loader(main_path, gate)
     for _ in range(2):
-        assert [p.code for p in made.load(None).check_result.problems] == ["L407"]
-    listing = made.load(None).check_result.checked_list
-    assert listing is not None and listing.version == 3
+        assert [problem.code for problem in list_loader.load(None).check_result.problems] == ["L407"]
+    accepted = list_loader.load(None).check_result.checked_list
+    assert accepted is not None and accepted.version == 3
 
 
-def test_a_process_that_ends_does_not_wait_for_its_gate(tmp_path: Path) -> None:
-    main = put(tmp_path, 1, GOOD)
-    lines = ["expect may shard 1 only c"] * 2000
-    gate = ChangeGate(suite(tmp_path, *lines), 600.0)
-    found: list[ListProblem] = []
-    thread = threading.Thread(target=lambda: found.extend(gate.evaluate(main)))
+def test_closing_the_gate_ends_a_running_suite(tmp_path: Path) -> None:
+    main_path = write_list(tmp_path, 1, VALID_SERVERS)
+    expectations = ["expect may shard 1 only c"] * 2000
+    gate = ChangeGate(write_suite(tmp_path, *expectations), 600.0)
+    problems: list[ListProblem] = []
+    thread = threading.Thread(target=lambda: problems.extend(gate.evaluate(main_path)))
     thread.start()
     while gate._process is None and thread.is_alive():
         time.sleep(0.001)
     gate.close()
     thread.join(20)
-    assert not thread.is_alive() and [p.code for p in found] == ["L502"]
-    assert [p.code for p in gate.evaluate(main)] == ["L502"]  # a run that begins after close() is killed too
-
-
-def test_the_configuration_names_the_suite_and_it_must_be_there(tmp_path: Path) -> None:
-    text = (ROOT / "deploy" / "watched.toml").read_text()
-    put(tmp_path, 1, GOOD)
-    text = text.replace("watched/servers.list", "l")
-    file = tmp_path / "c.toml"
-    file.write_text(text.replace("[membership]", '[membership]\ngate = "s.suite"\ngate_within_s = 5'))
+    assert not thread.is_alive() and [problem.code for problem in problems] == ["L502"]
+    # A run that begins after close() is killed too.
+    assert [problem.code for problem in gate.evaluate(main_path)] == ["L502"]
+
+
+def test_the_suite_in_the_configuration_must_exist(tmp_path: Path) -> None:
+    config_text = (ROOT / "deploy" / "watched.toml").read_text()
+    write_list(tmp_path, 1, VALID_SERVERS)
+    config_text = config_text.replace("watched/servers.list", "l")
+    config_path = tmp_path / "c.toml"
+    config_path.write_text(
+        config_text.replace("[membership]", '[membership]\ngate = "s.suite"\ngate_within_s = 5')
+    )
     with pytest.raises(configuration.ConfigError, match="no such file"):
-        configuration.load_operator_file(str(file))
-    suite(tmp_path, "expect may shard 1 only c")
-    made = configuration.load_operator_file(str(file)).watched_lists
+        configuration.load_operator_file(str(config_path))
+    write_suite(tmp_path, "expect may shard 1 only c")
+    list_config = configuration.load_operator_file(str(config_path)).watched_lists
     assert (
-        made is not None and made.gate_suite_path == tmp_path / "s.suite" and made.gate_timeout_seconds == 5
+        list_config is not None
+        and list_config.gate_suite_path == tmp_path / "s.suite"
+        and list_config.gate_timeout_seconds == 5
     )
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -22,7 +22,7 @@
 SECOND = 1_000_000
 
 
-def test_all_orders_of_events_to_a_depth() -> None:
+def test_all_event_sequences_up_to_a_depth() -> None:
     states, steps = explore(DEPTH)
     assert states > 400 and steps > 2000
 
@@ -100,89 +100,97 @@
 )
 
 
-def test_a_list_is_pending_until_just_that_one_is_confirmed() -> None:
-    m = Membership(MembershipSettings())
-    m.apply_files(1, listing("11111111", A, B, C))
-    small = listing("22222222", A)
-    assert not m.apply_files(2, small) and set(m.active_endpoints) == {"a", "b", "c"}
-    assert [p.code for p in m.rejection_problems] == ["L301"]
-    for wrong in ("2222222", "11111111", ""):
+def test_a_pending_list_is_applied_only_with_its_own_digest() -> None:
+    membership = Membership(MembershipSettings())
+    membership.apply_files(1, listing("11111111", A, B, C))
+    smaller_list = listing("22222222", A)
+    assert not membership.apply_files(2, smaller_list) and set(membership.active_endpoints) == {"a", "b", "c"}
+    assert [problem.code for problem in membership.rejection_problems] == ["L301"]
+    for wrong_digest in ("2222222", "11111111", ""):
         with pytest.raises(NoPendingListError):
-            m.confirm(3, wrong)
-    m.reject_files([])  # the files have changed to an invalid list
+            membership.confirm(3, wrong_digest)
+    membership.reject_files([])  # the files have changed to an invalid list
     with pytest.raises(NoPendingListError):
-        m.confirm(4, small.digest)
-    m.apply_files(5, small)
-    assert set(m.active_endpoints) == {"a", "b", "c"}
-    assert {x.id for x in m.confirm(6, small.digest[:8]).removed} == {"b", "c"}
+        membership.confirm(4, smaller_list.digest)
+    membership.apply_files(5, smaller_list)
+    assert set(membership.active_endpoints) == {"a", "b", "c"}
+    assert {endpoint.id for endpoint in membership.confirm(6, smaller_list.digest[:8]).removed} == {"b", "c"}
 
 
-def test_a_name_with_a_new_address_is_another_endpoint_also_after_its_removal() -> None:
-    m = Membership(MembershipSettings(1.0, 60 * SECOND))
-    m.apply_files(1, listing("11111111", A, B))
-    first = m.active_endpoints["a"].id
-    m.apply_files(2, listing("22222222", B))
-    moved = m.apply_files(3, listing("33333333", server("a", 7), B)).added[0]
-    back = m.apply_files(4, listing("44444444", A, B))
-    ids = {first, moved.id, back.added[0].id}
-    assert first == "a" and len(ids) == 3 and [x.id for x in back.removed] == [moved.id]
+def test_a_name_with_a_new_address_gets_a_new_id_even_after_its_removal() -> None:
+    membership = Membership(MembershipSettings(1.0, 60 * SECOND))
+    membership.apply_files(1, listing("11111111", A, B))
+    first_id = membership.active_endpoints["a"].id
+    membership.apply_files(2, listing("22222222", B))
+    moved = membership.apply_files(3, listing("33333333", server("a", 7), B)).added[0]
+    returned = membership.apply_files(4, listing("44444444", A, B))
+    ids = {first_id, moved.id, returned.added[0].id}
+    assert first_id == "a" and len(ids) == 3 and [endpoint.id for endpoint in returned.removed] == [moved.id]
 
 
 def test_a_delta_against_another_list_is_not_used() -> None:
     """An operator can confirm a pending list, which changes the list in force, while another list loads."""
-    m = Membership(MembershipSettings(1.0))
-    m.apply_files(1, listing("11111111", A, B))
-    stale = diff_endpoints({}, {"a": A})
-    change = m.apply_files(2, listing("22222222", A), stale, "somewhere else")
-    assert [x.id for x in change.removed] == ["b"]
+    membership = Membership(MembershipSettings(1.0))
+    membership.apply_files(1, listing("11111111", A, B))
+    other_delta = diff_endpoints({}, {"a": A})
+    change = membership.apply_files(2, listing("22222222", A), other_delta, "somewhere else")
+    assert [endpoint.id for endpoint in change.removed] == ["b"]
 
 
 def test_damping_suppresses_a_flapping_endpoint_and_releases_it() -> None:
-    rules = FlapDampingSettings()
-    flaps, now = FlapDamper(rules), 0
-    held = [flaps.record_return("a", now := now + SECOND) for _ in range(4)]
-    assert held == [False, False, False, True]
-    until = flaps.suppressed_until_us("a")
-    assert not flaps.release_due(until - 2) and flaps.suppressed == {"a"}
-    assert flaps.release_due(until) == ["a"] and not flaps.suppressed
+    damping = FlapDampingSettings()
+    damper, now_us = FlapDamper(damping), 0
+    suppressed_after_return = [damper.record_return("a", now_us := now_us + SECOND) for _ in range(4)]
+    assert suppressed_after_return == [False, False, False, True]
+    release_us = damper.suppressed_until_us("a")
+    assert not damper.release_due(release_us - 2) and damper.suppressed == {"a"}
+    assert damper.release_due(release_us) == ["a"] and not damper.suppressed
     for _ in range(100):
-        flaps.record_return("b", now)
-    assert flaps.suppressed_until_us("b") - now <= rules.max_suppression_us
-    assert (
-        flaps.release_due(now + 10 * rules.max_suppression_us) and not flaps._penalties
-    )  # decayed penalties are deleted
+        damper.record_return("b", now_us)
+    assert damper.suppressed_until_us("b") - now_us <= damping.max_suppression_us
+    # Decayed penalties are deleted.
+    assert damper.release_due(now_us + 10 * damping.max_suppression_us) and not damper._penalties
 
 
 def test_suppression_depends_on_the_other_endpoints_of_the_shard() -> None:
     """A suppressed endpoint is used again as soon as its shard has no other usable endpoint."""
-    m = Membership(
+    membership = Membership(
         MembershipSettings(1.0, 60 * SECOND, FlapDampingSettings(30 * SECOND, 1500.0, 1000.0, 4000.0))
     )
-    now = 1
+    now_us = 1
     for _ in range(3):
-        m.apply_discovery(now := now + SECOND, True, [A, B])
-        m.apply_discovery(now := now + SECOND, True, [B])
-    m.apply_discovery(now := now + SECOND, True, [A, B])
-    assert m.active_endpoints["a"].suppressed
-    assert [x.suppressed for _, x in m.set_manual_drain(now, "b", True, now).changed] == [False]
-    assert [x.suppressed for _, x in m.set_manual_drain(now, "b", False).changed] == [True]
-    gone = m.apply_discovery(now, False, [server("b", 2, state=EndpointStatus.GONE)])
-    assert ([x.id for x in gone.removed], [x.suppressed for _, x in gone.changed]) == (["b"], [False])
-    assert [x.suppressed for _, x in m.apply_discovery(now, False, [B]).changed] == [True]
-
-
-def test_removed_names_are_forgotten() -> None:
+        membership.apply_discovery(now_us := now_us + SECOND, True, [A, B])
+        membership.apply_discovery(now_us := now_us + SECOND, True, [B])
+    membership.apply_discovery(now_us := now_us + SECOND, True, [A, B])
+    assert membership.active_endpoints["a"].suppressed
+    assert [
+        endpoint.suppressed for _, endpoint in membership.set_manual_drain(now_us, "b", True, now_us).changed
+    ] == [False]
+    assert [
+        endpoint.suppressed for _, endpoint in membership.set_manual_drain(now_us, "b", False).changed
+    ] == [True]
+    removal = membership.apply_discovery(now_us, False, [server("b", 2, state=EndpointStatus.GONE)])
+    assert (
+        [endpoint.id for endpoint in removal.removed],
+        [endpoint.suppressed for _, endpoint in removal.changed],
+    ) == (["b"], [False])
+    assert [
+        endpoint.suppressed for _, endpoint in membership.apply_discovery(now_us, False, [B]).changed
+    ] == [True]
+
+
+def test_the_state_of_removed_names_is_deleted() -> None:
     """State of removed names is deleted, whether they were ready or draining, so that it stays bounded."""
-    m, now = Membership(MembershipSettings()), 0
-    for k in range(50):
-        state = EndpointStatus.UP if k % 2 else EndpointStatus.DRAINING
-        m.apply_discovery(now := now + SECOND, True, [server(f"s{k}", k, state=state)])
-    m.advance_time(now + 200 * SECOND)
+    membership, now_us = Membership(MembershipSettings()), 0
+    for index in range(50):
+        state = EndpointStatus.UP if index % 2 else EndpointStatus.DRAINING
+        membership.apply_discovery(now_us := now_us + SECOND, True, [server(f"s{index}", index, state=state)])
+    membership.advance_time(now_us + 200 * SECOND)
     assert (
-        len(m._identities) == 1
-        and not m._not_ready_since_us
-        and not m._removed_us
-        and len(m._ready_names_by_shard) == 1
+        len(membership._identities) == 1
+        and not membership._not_ready_since_us
+        and not membership._removed_us
+        and len(membership._ready_names_by_shard) == 1
     )
 
 
@@ -192,44 +200,56 @@
         FlapDampingSettings(*rules)
 
 
-def test_smooth_choice_keeps_proportions_and_mixes() -> None:
-    choice, weights, taken = SmoothWeightedRoundRobin(), {"a": 5.0, "b": 1.0, "c": 1.0}, ""
+def test_smooth_weighted_round_robin_is_proportional_and_interleaved() -> None:
+    balancer, weights, selected = SmoothWeightedRoundRobin(), {"a": 5.0, "b": 1.0, "c": 1.0}, ""
     for _ in range(70):
-        name = choice.select(weights)
-        choice.record_selection(name, weights)
-        taken += name
-    assert (taken.count("a"), taken.count("b"), taken.count("c")) == (50, 10, 10)
-    assert "aaaaa" not in taken  # no long run of one name: selections are interleaved
-    choice.record_selection("b", {"b": 1.0})
-    assert set(choice._credit) == {"b"}
+        name = balancer.select(weights)
+        balancer.record_selection(name, weights)
+        selected += name
+    assert (selected.count("a"), selected.count("b"), selected.count("c")) == (50, 10, 10)
+    assert "aaaaa" not in selected  # no long run of one name: selections are interleaved
+    balancer.record_selection("b", {"b": 1.0})
+    assert set(balancer._credit) == {"b"}
 
 
-def _weighted(name: str, shard: int, weight: float | None, units: float = 0.0) -> Endpoint:
-    return Endpoint(name, EndpointStatus.UP, shard, 0, weight, units)
+def _weighted(name: str, shard: int, weight: float | None, max_units: float = 0.0) -> Endpoint:
+    return Endpoint(name, EndpointStatus.UP, shard, 0, weight, max_units)
 
 
-def test_weights_divide_new_objects_and_leave_reads_alone() -> None:
-    h = head(T0, _weighted("n0", 0, 3.0), _weighted("n1", 1, 1.0), _weighted("n2", 2, 0.0))
+def test_weights_divide_new_objects_and_do_not_affect_reads() -> None:
+    scheduler = head(T0, _weighted("n0", 0, 3.0), _weighted("n1", 1, 1.0), _weighted("n2", 2, 0.0))
     sent = []
-    for k in range(40):
-        acts = feed(h, T0 + k, ask(f"w{k}", T0 + k, "once", shard=-1, key=f"k{k}"))
-        sent += [a.endpoint for a in acts if isinstance(a, Send)]
-        for a in acts:
-            if isinstance(a, Send):
-                feed(h, T0 + k, Outcome(a.request_id, a.endpoint, 0, AttemptResult.OK, 9_000, True))
+    for index in range(40):
+        actions = feed(scheduler, T0 + index, ask(f"w{index}", T0 + index, "once", shard=-1, key=f"k{index}"))
+        sent += [action.endpoint for action in actions if isinstance(action, Send)]
+        for action in actions:
+            if isinstance(action, Send):
+                feed(
+                    scheduler,
+                    T0 + index,
+                    Outcome(action.request_id, action.endpoint, 0, AttemptResult.OK, 9_000, True),
+                )
     assert (sent.count("n0"), sent.count("n1"), sent.count("n2")) == (30, 10, 0)
-    assert sends(feed(h, T0 + 99, ask("r", T0 + 99, shard=2))) == ["r"]  # weight 0 does not affect reads
+    # Weight 0 does not affect reads.
+    assert sends(feed(scheduler, T0 + 99, ask("r", T0 + 99, shard=2))) == ["r"]
 
 
-def test_weights_act_among_those_that_can_take_a_request_now() -> None:
+def test_weights_apply_among_endpoints_with_free_capacity() -> None:
     """If the endpoint of higher weight is full, requests go to the other one and do not wait."""
-    h = head(T0, _weighted("n0", 0, 9.0, units=2.0), _weighted("n1", 1, 1.0))
-    acts = feed(h, T0, *[ask(f"w{k}", cls="once", shard=-1, key=f"k{k}") for k in range(4)])
-    assert sorted(a.endpoint for a in acts if isinstance(a, Send)) == ["n0", "n1", "n1", "n1"]
+    scheduler = head(T0, _weighted("n0", 0, 9.0, max_units=2.0), _weighted("n1", 1, 1.0))
+    actions = feed(
+        scheduler, T0, *[ask(f"w{index}", cls="once", shard=-1, key=f"k{index}") for index in range(4)]
+    )
+    assert sorted(action.endpoint for action in actions if isinstance(action, Send)) == [
+        "n0",
+        "n1",
+        "n1",
+        "n1",
+    ]
 
 
 def test_an_endpoints_listed_limit_lowers_its_concurrency_limit_at_once() -> None:
-    h = head(T0, _weighted("n0", 0, None))
-    assert len(sends(feed(h, T0, *[ask(f"a{k}") for k in range(3)]))) == 3
-    feed(h, T0 + 1, nodes(_weighted("n0", 0, None, units=4.0), whole=False))
-    assert sends(feed(h, T0 + 2, ask("b", T0 + 2))) == []
+    scheduler = head(T0, _weighted("n0", 0, None))
+    assert len(sends(feed(scheduler, T0, *[ask(f"a{index}") for index in range(3)]))) == 3
+    feed(scheduler, T0 + 1, nodes(_weighted("n0", 0, None, max_units=4.0), whole=False))
+    assert sends(feed(scheduler, T0 + 2, ask("b", T0 + 2))) == []
