--- a/tests/test_lists_files.py
+++ b/tests/test_lists_files.py
@@ -100,6 +100,7 @@
 COMMENTS = st.from_regex(r"#[ -~]{0,20}", fullmatch=True)
 
 
+# Hypothesis derives its seed from the source of this test, except comments: a rename changes the examples.
 @settings(deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(SERVERS, st.none() | COMMENTS) | COMMENTS | st.just(""), max_size=12))
 def test_formatting_keeps_the_meaning_and_comments_and_is_idempotent(
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -46,6 +46,7 @@
 )
 
 
+# Hypothesis derives its seed from the source of this class, except comments: a rename changes the examples.
 class Machine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
@@ -59,6 +60,7 @@
         self.count += 1
         self.world.files(CheckedList(self.count, f"{self.count:08d}{'0' * 56}", {s.name: s for s in servers}))
 
+    # The files become invalid.
     @rule()
     def broken(self) -> None:
         self.world.refused()
@@ -75,6 +77,7 @@
         told = {s.name: s for s in servers} | {n: server(n, 1, 0, EndpointStatus.GONE) for n in gone}
         self.world.discovery(whole, *told.values())
 
+    # An operator sets or removes a manual drain.
     @rule(name=NAMES, out=st.booleans())
     def mark(self, name: str, out: bool) -> None:
         self.world.mark(name, out)
@@ -83,6 +86,7 @@
     def wait(self, by: int) -> None:
         self.world.wait(by)
 
+    # The list in force is that of the reference model.
     @invariant()
     def as_the_plain_account_has_it(self) -> None:
         self.world.settle()
