--- a/tests/planted.py
+++ b/tests/planted.py
@@ -14,34 +14,34 @@
 ROOT = Path(__file__).parent.parent
 TESTS: tuple[str, ...] = ("tests/test_lists_machine.py", "tests/test_lists_files.py")
 
-MACHINE, CHECKS = "umberlead/membership/list_merge.py", "umberlead/membership/checks.py"
+LIST_MERGE, CHECKS = "umberlead/membership/list_merge.py", "umberlead/membership/checks.py"
 GRAMMAR, DAMPING = "umberlead/membership/grammar.py", "umberlead/membership/flap_damping.py"
 FILES, SNAPSHOT = "umberlead/membership/files.py", "umberlead/membership/snapshot.py"
 PENDING = "umberlead/membership/pending_list.py"
 PLANTED = (
-    ("a server that the second source lists as draining counts as ready", MACHINE, "merged = replace(merged, status=listed.status)", "pass"),
-    ("a server's start time is that of the first source, not the latest", MACHINE, "if listed.started_us > merged.started_us:", "if False:"),
+    ("a server that the second source lists as draining counts as ready", LIST_MERGE, "merged = replace(merged, status=listed.status)", "pass"),
+    ("a server's start time is that of the first source, not the latest", LIST_MERGE, "if listed.started_us > merged.started_us:", "if False:"),
     ("discovery takes precedence over the files", "umberlead/membership/model.py", "FILES = 0\n    DISCOVERY = 1", "FILES = 1\n    DISCOVERY = 0"),
-    ("a complete update of discovery keeps servers that it no longer lists", MACHINE, "            listed.clear()\n", "            pass\n"),
-    ("servers missing from a complete update of discovery are not updated", MACHINE, "dict.fromkeys(listed if complete else ())", "dict.fromkeys(())"),
-    ("a list that needs confirmation is put in force", MACHINE, "        if problems:\n", "        if False:\n"),
+    ("a complete update of discovery keeps servers that it no longer lists", LIST_MERGE, "            listed.clear()\n", "            pass\n"),
+    ("servers missing from a complete update of discovery are not updated", LIST_MERGE, "dict.fromkeys(listed if complete else ())", "dict.fromkeys(())"),
+    ("a list that needs confirmation is put in force", LIST_MERGE, "        if problems:\n", "        if False:\n"),
     ("a list may withdraw any number of servers", PENDING, "if delta.withdrawn_count > max(", "if delta.withdrawn_count > 9999 * max("),
     ("a shard without a ready server does not hold a list", PENDING, "    if delta.unserved_shards:", "    if False:"),
-    ("an invalid file keeps an older list pending", MACHINE, "        self.pending = None\n        self.rejection_problems = tuple(problems)", "        self.rejection_problems = tuple(problems)"),
+    ("an invalid file keeps an older list pending", LIST_MERGE, "        self.pending = None\n        self.rejection_problems = tuple(problems)", "        self.rejection_problems = tuple(problems)"),
     ("a digest of any length confirms a list", PENDING, "if len(digest) < MIN_DIGEST_PREFIX_SIZE or not", "if not"),
     ("a confirmation with another digest is accepted", PENDING, "or not own_digest.startswith(digest)", "or False"),
-    ("a delta against another list is used", MACHINE, 'if delta is None or base_digest != (current.digest if current else ""):', "if delta is None:"),
-    ("an endpoint with a new address keeps its id", MACHINE, 'identity = self._identities[name] = _Identity(machine, f"{name}~{self.generation + 1}")', "pass"),
-    ("the ids of a name are reused", MACHINE, 'f"{name}~{self.generation + 1}"', 'f"{name}~"'),
-    ("the last endpoint of a shard is suppressed for flapping", MACHINE, "        if name not in suppressed:\n            return False\n", "        return name in suppressed\n"),
-    ("a manually drained endpoint counts as usable for its shard", MACHINE, "other not in suppressed and other not in self.manual_drains", "other not in suppressed"),
-    ("suppression is not updated when other endpoints of the shard change", MACHINE, "if name in self._flap_damper.suppressed and name not in merged_by_name:", "if False:"),
-    ("a manual drain stays set for a name's earlier id", MACHINE, "if reported_id is not None and reported_id != current_id:", "if False:"),
-    ("a manual drain is lost when its server is removed", MACHINE, "if current_id is not None and reported_id != current_id:", "if current_id is not None and reported_id is None and name not in self._not_ready_since_us:"),
-    ("the generation does not grow without an added endpoint", MACHINE, "            self.generation += 1", "            self.generation += bool(added)"),
-    ("becoming ready again adds no penalty", MACHINE, "            self._flap_damper.record_return(name, now_us)", "            pass"),
-    ("a new address adds no penalty", MACHINE, "return identity.machine != _machine_identity(endpoint)", "return False"),
-    ("identities of removed endpoints are never deleted", MACHINE, "            del self._identities[name]", "            pass"),
+    ("a delta against another list is used", LIST_MERGE, 'if delta is None or base_digest != (current.digest if current else ""):', "if delta is None:"),
+    ("an endpoint with a new address keeps its id", LIST_MERGE, 'identity = self._identities[name] = _Identity(machine, f"{name}~{self.generation + 1}")', "pass"),
+    ("the ids of a name are reused", LIST_MERGE, 'f"{name}~{self.generation + 1}"', 'f"{name}~"'),
+    ("the last endpoint of a shard is suppressed for flapping", LIST_MERGE, "        if name not in suppressed:\n            return False\n", "        return name in suppressed\n"),
+    ("a manually drained endpoint counts as usable for its shard", LIST_MERGE, "other not in suppressed and other not in self.manual_drains", "other not in suppressed"),
+    ("suppression is not updated when other endpoints of the shard change", LIST_MERGE, "if name in self._flap_damper.suppressed and name not in merged_by_name:", "if False:"),
+    ("a manual drain stays set for a name's earlier id", LIST_MERGE, "if reported_id is not None and reported_id != current_id:", "if False:"),
+    ("a manual drain is lost when its server is removed", LIST_MERGE, "if current_id is not None and reported_id != current_id:", "if current_id is not None and reported_id is None and name not in self._not_ready_since_us:"),
+    ("the generation does not grow without an added endpoint", LIST_MERGE, "            self.generation += 1", "            self.generation += bool(added)"),
+    ("becoming ready again adds no penalty", LIST_MERGE, "            self._flap_damper.record_return(name, now_us)", "            pass"),
+    ("a new address adds no penalty", LIST_MERGE, "return identity.machine != _machine_identity(endpoint)", "return False"),
+    ("identities of removed endpoints are never deleted", LIST_MERGE, "            del self._identities[name]", "            pass"),
     ("a penalty never decays", DAMPING, "value *= 0.5 ** ((now_us - updated_us) / self.settings.half_life_us)", "pass"),
     ("a penalty has no maximum", DAMPING, "min(self.penalty(name, now_us) + RETURN_PENALTY_UNITS, self.settings.max_penalty)", "self.penalty(name, now_us) + RETURN_PENALTY_UNITS"),
     ("a suppressed endpoint is never released", DAMPING, "self.suppressed.difference_update(released)", "pass"),
@@ -67,41 +67,49 @@
 )  # fmt: skip
 
 
-def play(number: int) -> tuple[str, str]:
+def run_mistake(number: int) -> tuple[str, str]:
     """Run the tests with one mistake; return its description and result: caught, missed or gone."""
-    name, file, old, new = PLANTED[number]
+    description, file, old, new = PLANTED[number]
     with tempfile.TemporaryDirectory() as folder:
         root = Path(folder)
-        for part in ("umberlead", "tests", "deploy", "pyproject.toml"):
-            source = ROOT / part
+        for entry in ("umberlead", "tests", "deploy", "pyproject.toml"):
+            source = ROOT / entry
             if source.is_dir():
-                shutil.copytree(source, root / part, ignore=shutil.ignore_patterns("__pycache__"))
+                shutil.copytree(source, root / entry, ignore=shutil.ignore_patterns("__pycache__"))
             else:
-                shutil.copy(source, root / part)
+                shutil.copy(source, root / entry)
         text = (root / file).read_text()
         if old not in text:
-            return name, "gone"
+            return description, "gone"
         (root / file).write_text(text.replace(old, new, 1))
-        call = [sys.executable, "-B", "-m", "pytest", "-q", "-x", "--no-header", *TESTS]
+        pytest_command = [sys.executable, "-B", "-m", "pytest", "-q", "-x", "--no-header", *TESTS]
         try:
-            done = subprocess.run(call, cwd=root, capture_output=True, text=True, timeout=240, env=_env())
+            result = subprocess.run(
+                pytest_command, cwd=root, capture_output=True, text=True, timeout=240, env=_env()
+            )
         except subprocess.TimeoutExpired:
-            return name, "caught (timed out)"
-    if done.returncode == 0:
-        return name, "missed"
-    first = next((x for x in done.stdout.splitlines() if x.startswith(("FAILED", "ERROR"))), "")
-    return name, f"caught ({first.split('::')[-1].split(' - ')[0]})"
+            return description, "caught (timed out)"
+    if result.returncode == 0:
+        return description, "missed"
+    first_failure = next(
+        (line for line in result.stdout.splitlines() if line.startswith(("FAILED", "ERROR"))), ""
+    )
+    return description, f"caught ({first_failure.split('::')[-1].split(' - ')[0]})"
 
 
 def _env() -> dict[str, str]:
-    return {k: v for k, v in os.environ.items() if k != "PYTHONPATH"}
+    return {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
 
 
 def main() -> int:
     with ThreadPoolExecutor(os.cpu_count()) as pool:
-        results = list(pool.map(play, range(len(PLANTED))))
-    rows = ["| mistake | result |", "| --- | --- |", *(f"| {n} | {r} |" for n, r in results)]
-    missed = [n for n, r in results if not r.startswith("caught")]
+        results = list(pool.map(run_mistake, range(len(PLANTED))))
+    rows = [
+        "| mistake | result |",
+        "| --- | --- |",
+        *(f"| {description} | {result} |" for description, result in results),
+    ]
+    missed = [description for description, result in results if not result.startswith("caught")]
     print("\n".join([*rows, "", f"{len(results) - len(missed)} of {len(results)} planted mistakes caught"]))
     return 1 if missed else 0
 
