--- a/tests/test_lists_watch.py
+++ b/tests/test_lists_watch.py
@@ -135,7 +135,7 @@
         fixture.main.write_text(list_text(1, "a"))
         service = fixture.start_service()
         assert fixture.endpoint_names() == {"a"}
-        replace_file(fixture.main, list_text(2, "a", "b"))  # renamed over
+        replace_file(fixture.main, list_text(2, "a", "b"))  # another file renamed over it
         await fixture.wait_for_endpoints("a", "b")
         fixture.main.write_text(list_text(3, "a", "c"))  # written in place
         await fixture.wait_for_endpoints("a", "c")
