--- a/umberlead/membership/name_resolution.py
+++ b/umberlead/membership/name_resolution.py
@@ -1,4 +1,4 @@
-"""Resolves a list's host names: in parallel, within one time limit for all, off the event loop."""
+"""Resolves the host names of a list in parallel, with one time limit for all; runs off the event loop."""
 
 import socket
 import time
@@ -8,18 +8,18 @@
 
 Lookup = Callable[[str], Collection[str]]
 
-# A removal must be in force within 1 s of its file's change.
+# Low enough that the removal of an endpoint is in force within 1 s of the change of its file.
 RESOLVE_TIMEOUT_SECONDS = 0.3
-CACHE_SECONDS = 30.0
+CACHE_TTL_SECONDS = 30.0
 MAX_STALE_SECONDS = 3600.0
 PARALLEL_LOOKUPS_COUNT = 16
 
 
 def system_lookup(host: str) -> Collection[str]:
-    """Return a host's addresses by the system's resolver.
+    """Return a host's addresses from the system's resolver.
 
     Raises:
-        OSError: It can't be resolved.
+        OSError: The host can't be resolved.
     """
     found = socket.getaddrinfo(host, None, type=socket.SOCK_STREAM)
     return sorted({str(socket_address[0]) for *_, socket_address in found})
@@ -27,14 +27,14 @@
 
 class _CachedAddresses(NamedTuple):
     addresses: tuple[str, ...]
-    at_seconds: float
+    resolved_seconds: float
 
 
 class NameResolver:
-    """Resolves host names and caches answers.
+    """Resolves host names and caches the addresses.
 
-    An answer is good for `CACHE_SECONDS`, and for up to `MAX_STALE_SECONDS` where the name can't be resolved
-    again: a name server that is down changes nothing for names that were resolved before.
+    Cached addresses are used for `CACHE_TTL_SECONDS`, and for up to `MAX_STALE_SECONDS` if the name can't be
+    resolved again: while the name servers are down, names that were resolved before keep their addresses.
     """
 
     def __init__(
@@ -43,7 +43,13 @@
         clock: Callable[[], float] = time.monotonic,
         timeout_seconds: float = RESOLVE_TIMEOUT_SECONDS,
     ) -> None:
-        """Resolve by `lookup`, all names of one call within `timeout_seconds`; `clock` gives seconds."""
+        """Create a resolver with an empty cache.
+
+        Args:
+            lookup: Returns the addresses of one host; called on several threads.
+            clock: Returns the time in seconds.
+            timeout_seconds: The time limit for all names of one call of `resolve`.
+        """
         self.lookup = lookup
         self.clock = clock
         self.timeout_seconds = timeout_seconds
@@ -51,34 +57,34 @@
         self._executor: ThreadPoolExecutor | None = None
 
     def resolve(self, hosts: Collection[str]) -> dict[str, tuple[str, ...]]:
-        """Return addresses by host; one that could not be resolved, now or lately, is absent."""
+        """Return addresses by host; one without a usable cache entry that can't be resolved is absent."""
         now = self.clock()
-        due = [
+        hosts_to_resolve = [
             host
             for host in hosts
-            if host not in self._cache or self._cache[host].at_seconds + CACHE_SECONDS <= now
+            if host not in self._cache or self._cache[host].resolved_seconds + CACHE_TTL_SECONDS <= now
         ]
-        if due:
-            self._look_up(due, now)
+        if hosts_to_resolve:
+            self._look_up(hosts_to_resolve, now)
         cached = {host: self._cache[host] for host in hosts if host in self._cache}
         return {
             host: addresses
-            for host, (addresses, at_seconds) in cached.items()
-            if now - at_seconds <= MAX_STALE_SECONDS
+            for host, (addresses, resolved_seconds) in cached.items()
+            if now - resolved_seconds <= MAX_STALE_SECONDS
         }
 
     def _look_up(self, hosts: Collection[str], now: float) -> None:
         if self._executor is None:
             self._executor = ThreadPoolExecutor(PARALLEL_LOOKUPS_COUNT, "resolve")
-        host_by_call = {self._executor.submit(self.lookup, host): host for host in hosts}
-        done, late = wait(host_by_call, self.timeout_seconds)
-        for call in late:
-            call.cancel()
-        for call in done:
-            if call.exception() is None and (addresses := tuple(call.result())):
-                self._cache[host_by_call[call]] = _CachedAddresses(addresses, now)
+        host_by_future = {self._executor.submit(self.lookup, host): host for host in hosts}
+        done, unfinished = wait(host_by_future, self.timeout_seconds)
+        for future in unfinished:
+            future.cancel()
+        for future in done:
+            if future.exception() is None and (addresses := tuple(future.result())):
+                self._cache[host_by_future[future]] = _CachedAddresses(addresses, now)
 
     def close(self) -> None:
-        """End the threads without waiting for them."""
+        """Stop the threads without waiting for lookups that are running."""
         if self._executor is not None:
             self._executor.shutdown(wait=False, cancel_futures=True)
