--- a/umberlead/frontends/__init__.py
+++ b/umberlead/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols that clients and operators speak: the platform's, the object API and the admin API."""
+"""The HTTP protocols that a front serves: the platform protocol, the object API and the admin API."""
--- a/umberlead/frontends/admin_api.py
+++ b/umberlead/frontends/admin_api.py
@@ -1,6 +1,7 @@
-"""The admin API: whether this process is ready, its counters, the endpoint list in force, and manual drains.
+"""The admin API: readiness, counters, the endpoint list in force, zone overrides and manual drains.
 
-It has connections of its own, so that no number of clients keeps an operator out. A connection is one call.
+Its connections are limited separately from those of clients, so that clients can't lock an operator out. A
+connection serves one call and is then closed.
 """
 
 import json
@@ -31,7 +32,7 @@
 
 
 class AdminResponse(NamedTuple):
-    """The response to a call.
+    """The response to a call of the admin API.
 
     Attributes:
         status: the HTTP status.
@@ -43,34 +44,34 @@
 
 
 class ZoneControl(Protocol):
-    """What the API needs where requests are routed by zones."""
+    """The methods of the zone routing that the admin API calls."""
 
     def status(self) -> Any:
         """Return the state of all zones, for JSON."""
 
     def set_override(self, zone: str, override: str) -> bool:
-        """Set a zone's override, empty for none; false if there is no such zone."""
+        """Set a zone's override, or clear it if `override` is empty; return False for an unknown zone."""
 
 
 class ListControl(Protocol):
-    """What the API needs where endpoint lists are watched."""
+    """The methods of the watched endpoint lists that the admin API calls."""
 
     def status(self) -> Any:
         """Return the state of the list, for JSON."""
 
     def endpoint_rows(self) -> Any:
-        """Return the listed chunk servers, for JSON."""
+        """Return the chunk servers of the list in force, for JSON."""
 
     def confirm(self, digest: str) -> int:
-        """Put a list into force that waits for it, and return its generation.
+        """Put the list that is held for confirmation into force, and return its generation.
 
         Raises:
-            ValueError: no such list waits.
+            ValueError: no list is held, or one with another digest.
         """
 
 
 def format_counters(lifecycle: RequestLifecycle) -> bytes:
-    """Return counters since the start and gauges of the present, one a line, in statsd's format."""
+    """Return the counters since the process's start and the current gauges, as lines in statsd's format."""
     lines = [
         f"svc.{counter_name}.{quote(name, safe='')}:{lifecycle.answer_counts[kind, name]}|c"
         for name in lifecycle.classes
@@ -91,7 +92,7 @@
 
 
 def _wrong_method(method: bytes, is_change: bool) -> AdminResponse | None:
-    """Return the response to a call by a method that it does not have, or None."""
+    """Return a 405 response if the call does not support the method, else None."""
     if is_change:
         return None if method == b"PUT" else AdminResponse(405, b"this call is a PUT\n")
     return None if method in READ_METHODS else AdminResponse(405, b"this call is a GET\n")
@@ -101,8 +102,8 @@
     """Serves the admin listener; see `umberlead.net.server_connection.RequestHandler`.
 
     Attributes:
-        watched_lists: the watched endpoint lists, where the configuration has them.
-        zones: the routing by zones, where the configuration has it.
+        watched_lists: the watched endpoint lists; None if the configuration has none.
+        zones: the zone routing; None if the configuration has none.
     """
 
     max_body_bytes = 1024
@@ -121,10 +122,10 @@
         """Create the handler.
 
         Args:
-            lifecycle: gives the counters.
-            is_ready: tells whether this process serves.
-            set_manual_drain: drains an endpoint, or ends that; it may raise OSError.
-            knows_endpoint: tells whether there is an endpoint by a name, by default the lifecycle's method.
+            lifecycle: provides the counters.
+            is_ready: returns whether this process serves clients.
+            set_manual_drain: starts or ends the manual drain of an endpoint; may raise OSError.
+            knows_endpoint: returns whether an endpoint has this name; by default the lifecycle's method.
         """
         self.lifecycle = lifecycle
         self.is_ready = is_ready
@@ -134,16 +135,16 @@
         self.zones: ZoneControl | None = None
 
     def handle_request(self, conn: ServerConnection, request: HttpRequest) -> None:
-        """Answer a call, and close the connection."""
+        """Answer a call and close the connection after the response."""
         conn.close_after_response = True
         response = self._dispatch(request.method, request.split_target()[0].decode("latin-1"))
         conn.send_response(response.status, (b"Content-Type: text/plain; charset=utf-8",), response.body)
 
     def client_disconnected(self, conn: ServerConnection) -> None:
-        """Do nothing: each call is answered as it comes."""
+        """Do nothing: a call is answered as soon as it is read, so that none is in progress here."""
 
     def reject(self, conn: ServerConnection, status: int, reason: str) -> None:
-        """Answer a call that could not be read, or is not served."""
+        """Answer a call that is malformed, or that the connection rejects for another reason."""
         conn.send_response(status, (), f"{reason}\n".encode())
 
     def _dispatch(self, method: bytes, path: str) -> AdminResponse:
--- a/umberlead/frontends/object_api/blocks.py
+++ b/umberlead/frontends/object_api/blocks.py
@@ -15,14 +15,14 @@
 from umberlead.requests.types import Answer, AnswerKind, IncomingRequest, Reply
 from umberlead.resource_limits import MAX_BODY_BYTES
 
-READ_SERVED_STATUS = frozenset((200, 404))  # a chunk server answers 404 for a block it does not hold
+READ_SERVED_STATUS = frozenset((200, 404))  # a chunk server answers 404 for a block that it does not store
 WRITE_SERVED_STATUS = frozenset((200,))
 
 T = TypeVar("T")
 
 
 def set_result_if_pending(future: asyncio.Future[T], value: T) -> None:
-    """Set a future's result, unless who waited for it has left."""
+    """Set a future's result, unless it has one or was cancelled."""
     if not future.done():
         future.set_result(value)
 
@@ -35,8 +35,8 @@
 
         Args:
             config: the object API's configuration.
-            lifecycle: takes the requests to chunk servers.
-            incarnation: names this process and its start; it goes into the call ids.
+            lifecycle: accepts the requests to chunk servers.
+            incarnation: identifies the front and this process's start; call ids are derived from it.
         """
         self.config = config
         self.lifecycle = lifecycle
@@ -44,7 +44,7 @@
         self._last_number = 0
 
     def next_number(self) -> int:
-        """Return the next of the numbers that requests of clients and to chunk servers share."""
+        """Return the next request number; client requests and chunk server requests share one sequence."""
         self._last_number += 1
         return self._last_number
 
@@ -54,16 +54,16 @@
         """Read a block.
 
         Args:
-            request: the client's request that it is for.
-            operation: the kind of work, which gives the request's class.
+            request: the client request that needs the block.
+            operation: the operation, which sets the class of the chunk server request.
             block: the block's name.
-            deadline_us: until when.
+            deadline_us: when the chunk server request times out.
 
         Returns:
-            The chunk server's reply, whose status is 404 if it does not hold the block.
+            The chunk server's reply, whose status is 404 if it does not store the block.
 
         Raises:
-            S3Error: it was not read.
+            S3Error: the request was rejected or failed.
         """
         answer = await self._request_block(request, operation, block, None, deadline_us)
         if answer.kind is AnswerKind.SERVED and answer.reply is not None:
@@ -75,10 +75,10 @@
     async def read_range(
         self, request: ObjectRequest, operation: ObjectOperation, block_range: BlockRange, deadline_us: int
     ) -> bytes:
-        """Read a block of which it is known that it is stored, and return the bytes of a range of it.
+        """Return a range of bytes of a block that the manifest lists as stored.
 
         Raises:
-            S3Error: it was not read, is missing or is cut short.
+            S3Error: the block could not be read, is missing or has the wrong size.
         """
         reply = await self.read(request, operation, block_range.block, deadline_us)
         if reply.status != 200 or len(reply.body) != block_range.block_bytes:
@@ -91,7 +91,7 @@
         """Write a block by the client's deadline.
 
         Returns:
-            COMPLETE, OPEN if nothing ran, or UNCERTAIN.
+            COMPLETE; OPEN if no chunk server can have executed the write; otherwise UNCERTAIN.
         """
         answer = await self._request_block(request, operation, block, body, request.deadline_us)
         if answer.kind is AnswerKind.SERVED:
@@ -101,17 +101,18 @@
     async def store_part(
         self, request: ObjectRequest, operation: ObjectOperation, part: UploadPart, body: bytes
     ) -> StoreState:
-        """Write a part's blocks that are not stored yet, a few at a time.
+        """Write the blocks of a part that are not stored yet, `max_parallel_blocks` at a time.
 
-        A block that may be stored is never written again.
+        A block that may have been stored is never written again.
 
         Returns:
-            COMPLETE, OPEN if blocks are left of which nothing ran, or UNCERTAIN.
+            COMPLETE; OPEN if blocks are missing and none of their writes can have been executed; UNCERTAIN if
+            one of them may have been.
         """
         block_count = -(-len(body) // self.config.block_bytes)
         missing = [number for number in range(block_count) if not part.stored_blocks_mask >> number & 1]
         part.state = StoreState.IN_PROGRESS
-        state = StoreState.UNCERTAIN  # what it stays if this is cancelled
+        state = StoreState.UNCERTAIN  # the result if this task is cancelled
         try:
             state = await self._store_blocks(request, operation, part, body, missing)
             return state
@@ -148,10 +149,10 @@
         return await self.write(request, operation, hashed_name(part.nonce, str(number)), content)
 
     async def read_manifest(self, request: ObjectRequest) -> Manifest | None:
-        """Read the manifest of the object; None stands for an object that isn't there or was deleted.
+        """Return the manifest of the object; None if the object does not exist or was deleted.
 
         Raises:
-            S3Error: it was not read, or what was read isn't this object's manifest.
+            S3Error: it could not be read, is malformed, or is the manifest of another object.
         """
         block = hashed_name("manifest", request.bucket, request.key)
         reply = await self.read(request, self.config.read, block, request.deadline_us)
@@ -168,10 +169,10 @@
     async def write_manifest(
         self, request: ObjectRequest, operation: ObjectOperation, stored: bytes
     ) -> StoreState:
-        """Write the manifest of the object in its stored form; see `write`.
+        """Write the stored form of the object's manifest; the result is that of `write`.
 
         Raises:
-            S3Error: it is too large.
+            S3Error: the manifest is too large.
         """
         if len(stored) > MAX_BODY_BYTES:
             raise S3Error("InvalidRequest", "the object has more parts than its manifest can hold")
@@ -186,7 +187,7 @@
         body: bytes | None,
         deadline_us: int,
     ) -> Answer:
-        """Send one chunk server request; a body makes it a write."""
+        """Send one chunk server request: a write if it has a body, else a read."""
         if request.client_has_left:
             return Answer(AnswerKind.REJECTED, reason="its client left")
         answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
--- a/umberlead/frontends/object_api/errors.py
+++ b/umberlead/frontends/object_api/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the object API, and the HTTP status of each of S3's error codes."""
+"""Errors of the object API, and the HTTP status of each S3 error code."""
 
 from umberlead.common.errors import UmberleadError
 
@@ -27,17 +27,17 @@
 
 
 class ManifestFormatError(UmberleadError, ValueError):
-    """A stored manifest has a format that this version can't read."""
+    """A stored manifest has a format version that this program can't read."""
 
 
 class S3Error(UmberleadError):
-    """An error response in S3's terms.
+    """An S3 error response.
 
     Attributes:
-        code: S3's error code, a key of `STATUS_BY_CODE`.
-        message: the text for the client.
+        code: the S3 error code, a key of `STATUS_BY_CODE`.
+        message: the error message for the client.
         status: the HTTP status.
-        retry_after_us: when the client may retry, in microseconds; 0 stands for the front's usual value.
+        retry_after_us: after how many microseconds the client may retry; 0 stands for the front's default.
         headers: further header lines of the response.
     """
 
@@ -45,13 +45,13 @@
         """Create the error.
 
         Args:
-            code: S3's error code.
-            message: the text for the client.
+            code: the S3 error code.
+            message: the error message for the client.
             retry_after_us: see the attribute.
             headers: further header lines of the response.
 
         Raises:
-            KeyError: there is no such code.
+            KeyError: the code is not in `STATUS_BY_CODE`.
         """
         super().__init__(message)
         self.code = code
@@ -62,7 +62,7 @@
 
 
 def uncertain_part_error(number: int) -> S3Error:
-    """Return the error for a part of which it is unknown whether it is stored."""
+    """Return the error for a part that may have been stored, in part or whole."""
     return S3Error(
         "OperationAborted",
         f"part {number} may have been stored in part or whole; it is not sent again: abort the upload, "
--- a/umberlead/frontends/object_api/handler.py
+++ b/umberlead/frontends/object_api/handler.py
@@ -1,4 +1,4 @@
-"""The object API's handler: takes HTTP requests, selects their operation and answers errors."""
+"""The object API's request handler: routes HTTP requests to operations and sends error responses."""
 
 import asyncio
 import math
@@ -38,11 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """An operation of the API.
+    """The handler of an operation of the API.
 
     Attributes:
         handle: serves a request.
-        operation: gives the time that it may take.
+        operation: the operation's configuration, with its timeout.
     """
 
     handle: OperationHandler
@@ -73,10 +73,10 @@
 
         Args:
             config: the object API's configuration.
-            lifecycle: takes the requests to chunk servers.
+            lifecycle: accepts the requests to chunk servers.
             uploads: the multipart uploads of this process.
-            client_group: the listener's clients.
-            retry_after_us: when clients that are rejected may retry.
+            client_group: the connections of the listener's clients.
+            retry_after_us: the default Retry-After of 503 responses.
             log: a structlog logger.
         """
         self.config = config
@@ -85,12 +85,12 @@
         self.log = log
         self.max_body_bytes = config.max_part_bytes
         self.tasks: set[asyncio.Task[None]] = set()
-        self.writes_by_task: dict[Any, ObjectRequest] = {}  # which must not be cancelled in the middle
+        self.writes_by_task: dict[Any, ObjectRequest] = {}  # their tasks must not be cancelled
         self._blocks = BlockStore(config, lifecycle, uploads.incarnation)
         reader = ObjectReader(config, lifecycle, self._blocks, client_group, log)
         writer = ObjectWriter(config, lifecycle, self._blocks, uploads)
         multipart = MultipartWriter(config, lifecycle, self._blocks, uploads)
-        self._routes = {  # by method and the names of the query's parameters
+        self._routes = {  # by method and sorted names of the query parameters
             (b"GET", ()): Route(reader.get, config.read),
             (b"HEAD", ()): Route(reader.get, config.read),
             (b"PUT", ()): Route(writer.put, config.write),
@@ -102,7 +102,7 @@
         }
 
     def handle_request(self, conn: ServerConnection, request: HttpRequest) -> None:
-        """Serve a request in a task of its own."""
+        """Serve a request in a new task."""
         if request.target == b"/healthz":
             conn.send_response(200, (), b"ok\n")
             return
@@ -114,9 +114,10 @@
         conn.handler_context = task
 
     def client_disconnected(self, conn: ServerConnection) -> None:
-        """Cancel a read, and begin nothing more of a write.
+        """Cancel a read; let a write finish its chunk server requests in flight and start no others.
 
-        What is in flight for a write runs on, so that the registry of uploads learns how it ended.
+        The task of a write is not cancelled, so that the upload registry records the results of these
+        requests.
         """
         task = conn.handler_context
         conn.handler_context = None
@@ -129,7 +130,7 @@
             task.cancel()
 
     def reject(self, conn: ServerConnection, status: int, reason: str) -> None:
-        """Answer a request that could not be read, or is not served."""
+        """Answer a request that is malformed, or that the connection rejects for another reason."""
         error = S3Error(CODE_BY_REJECTION_STATUS.get(status, "RequestHeaderSectionTooLarge"), reason)
         self._send_error(conn, conn.partial_request or HttpRequest(), error, "")
 
@@ -157,7 +158,7 @@
             self._log_request(conn, http_request, request_id)
 
     def _log_request(self, conn: ServerConnection, http_request: HttpRequest, request_id: str) -> None:
-        """Log a request at its end; status 0 tells that its client left before it was answered."""
+        """Log the end of a request; status 0 means that the client disconnected before the response."""
         duration_us = self.lifecycle.clock() - http_request.received_us
         self.log.info(
             "object_request_ended",
@@ -184,7 +185,7 @@
             conn.send_response(error.status, headers, document)
 
     def _route(self, request: ObjectRequest) -> OperationHandler:
-        """Return the handler of a request's operation, and set the request's plan and deadline."""
+        """Return the handler of a request's operation; set the request's plan and deadline."""
         method = request.http_request.method
         if not request.bucket:
             raise S3Error("NotImplemented", "buckets are not listed here")
--- a/umberlead/frontends/object_api/manifest.py
+++ b/umberlead/frontends/object_api/manifest.py
@@ -1,7 +1,7 @@
-"""Manifests: which blocks make up an object, and how that is stored.
+"""Manifests, which list the blocks of an object, and their stored form.
 
-The stored form is JSON. Its names are those of `STORED_NAMES`, whatever the fields are called here, and its
-version is `STORED_VERSION_NUMBER`.
+A manifest is stored as JSON with the version `STORED_VERSION_NUMBER`. `STORED_NAMES` maps the fields of
+`Manifest` to their names in JSON, so that a field can be renamed without a change of the format.
 """
 
 import hashlib
@@ -13,7 +13,7 @@
 from umberlead.frontends.object_api.errors import ManifestFormatError
 
 STORED_VERSION_NUMBER = 1
-STORED_NAMES = {  # in the order in which they are stored
+STORED_NAMES = {  # by field, in the order in which they are stored
     "bucket": "bucket",
     "key": "key",
     "size_bytes": "size",
@@ -25,11 +25,11 @@
     "upload_id": "upload",
 }
 FIELD_NAMES = {stored: name for name, stored in STORED_NAMES.items()}
-DELETED_MANIFEST = b'{"v": 1, "deleted": true}'  # stands in the place of a deleted object's manifest
+DELETED_MANIFEST = b'{"v": 1, "deleted": true}'  # replaces the manifest of a deleted object
 
 
 def hashed_name(*components: str) -> str:
-    """Return the 16 hexadecimal digits that name a block, volume or shard, from what identifies it."""
+    """Return a hash of the components as 16 hexadecimal digits, for a block, volume, shard or call id."""
     return hashlib.blake2b("\0".join(components).encode(), digest_size=8).hexdigest()
 
 
@@ -51,18 +51,18 @@
 
 @dataclass(slots=True)
 class Manifest:
-    """What an object consists of.
+    """The metadata of an object and the parts that it consists of.
 
     Attributes:
-        bucket: its bucket.
-        key: its key.
-        size_bytes: its size.
-        etag: its entity tag, without quotes.
-        modified_seconds: when it was stored, in Unix seconds.
+        bucket: the object's bucket.
+        key: the object's key.
+        size_bytes: the object's size.
+        etag: the object's entity tag, without quotes.
+        modified_seconds: when the object was stored, in seconds of Unix time.
         block_bytes: the size of a block; the last one of a part may be shorter.
-        parts: nonce and size of each part, in order; the nonce goes into the names of its blocks.
-        headers: the header fields that are stored with it, by names in lower case.
-        upload_id: the multipart upload that made it, empty for an object that was stored in one request.
+        parts: nonce and size of each part, in order; the names of a part's blocks are derived from its nonce.
+        headers: the header fields that are stored with the object, by lower-case name.
+        upload_id: the multipart upload that stored the object; empty if one PUT stored it.
     """
 
     bucket: str
@@ -82,13 +82,13 @@
 
     @classmethod
     def from_bytes(cls, body: bytes) -> "Manifest | None":
-        """Read the stored form; None stands for a deleted object.
+        """Parse the stored form; return None for a deleted object.
 
         Raises:
-            ManifestFormatError: it has another version.
-            ValueError: it is no JSON.
+            ManifestFormatError: the version is not `STORED_VERSION_NUMBER`.
+            ValueError: the body is not JSON, or a value is invalid.
             KeyError: a name is missing or unknown.
-            TypeError: a value is missing or has the wrong type.
+            TypeError: a field is missing or has the wrong type.
         """
         stored = json.loads(body)
         if stored.pop("v") != STORED_VERSION_NUMBER:
@@ -99,7 +99,7 @@
         return cls(**{FIELD_NAMES[name]: value for name, value in stored.items()})
 
     def block_ranges(self, begin: int, end: int) -> Iterator[BlockRange]:
-        """Return the ranges of blocks that hold the object's bytes from `begin` up to `end`, in order."""
+        """Yield, in order, the block ranges that hold the object's bytes from `begin` to `end`, exclusive."""
         part_begin = 0
         for nonce, size_bytes in self.parts:
             part_end = part_begin + size_bytes
--- a/umberlead/frontends/object_api/multipart.py
+++ b/umberlead/frontends/object_api/multipart.py
@@ -34,13 +34,13 @@
         blocks: BlockStore,
         uploads: UploadRegistry,
     ) -> None:
-        """Create it.
+        """Create the handlers.
 
         Args:
             config: the object API's configuration.
-            lifecycle: gives clock, timers and counters.
+            lifecycle: provides the clock, timers and counters.
             blocks: writes blocks and manifests.
-            uploads: the uploads of this process.
+            uploads: the registry of uploads of this process.
         """
         self.config = config
         self.lifecycle = lifecycle
@@ -54,17 +54,17 @@
         """Create an upload.
 
         Raises:
-            S3Error: too many are open, or the metadata is too long.
+            S3Error: too many uploads are open, or the metadata is too large.
         """
         upload = self.uploads.create(request.bucket, request.key, stored_headers(request))
         fields = {"Bucket": request.bucket, "Key": request.key, "UploadId": upload.upload_id}
         _send_xml(request, xml_document("InitiateMultipartUploadResult", fields))
 
     async def upload_part(self, request: ObjectRequest) -> None:
-        """Store a part, or answer for it if an earlier request has stored it.
+        """Store a part; if an earlier request has stored it, only answer.
 
         Raises:
-            S3Error: it was not stored, or may not have been.
+            S3Error: the part was not stored, or it is uncertain whether it was.
         """
         body, md5_hex = verified_body(request)
         part_number = request.query["partNumber"]
@@ -88,7 +88,7 @@
         request.conn.send_response(200, (b'ETag: "%s"' % md5_hex.encode(),), b"")
 
     async def _wait_for_earlier(self, request: ObjectRequest, part: UploadPart) -> bool:
-        """Wait for the earlier request that stores the part; false if this one's deadline is first."""
+        """Wait for the earlier request that stores the part; return False at this request's deadline."""
         ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         part.waiting_retries.append(ended)
         timer = self.lifecycle.wheel.call_at(request.deadline_us, set_result_if_pending, ended, False)
@@ -99,10 +99,10 @@
             part.waiting_retries = [waiting for waiting in part.waiting_retries if waiting is not ended]
 
     async def complete(self, request: ObjectRequest) -> None:
-        """Write the manifest of an upload's object, or answer for it if an earlier request has written it.
+        """Write the manifest of the upload's object; if an earlier request has written it, only answer.
 
         Raises:
-            S3Error: it was not written, or may not have been.
+            S3Error: the manifest was not written, or it is uncertain whether it was.
         """
         upload = self._find(request)
         completed_parts = parse_completed_parts(request.http_request.body)
@@ -134,14 +134,14 @@
         upload.completed_parts = completed_parts
         upload.etag = manifest.etag
         upload.state = StoreState.IN_PROGRESS
-        state = StoreState.UNCERTAIN  # what it stays if this is cancelled
+        state = StoreState.UNCERTAIN  # the result if this task is cancelled
         try:
             state = await self.blocks.write_manifest(request, self.config.upload, manifest.to_bytes())
         finally:
             upload.state = state
 
     async def _check_manifest(self, request: ObjectRequest, upload: MultipartUpload) -> None:
-        """Find out by a read, which is harmless, whether a manifest was written; it isn't written again."""
+        """Read the manifest to see whether an uncertain write succeeded; it is not safe to write it again."""
         manifest = await self.blocks.read_manifest(request)
         if manifest is not None and manifest.upload_id == upload.upload_id:
             upload.state = StoreState.COMPLETE
@@ -174,10 +174,10 @@
         )
 
     async def abort(self, request: ObjectRequest) -> None:
-        """Remove an upload.
+        """Abort an upload.
 
         Raises:
-            S3Error: it is being completed.
+            S3Error: the upload is being completed.
         """
         upload = self._find(request)
         if upload.state is StoreState.IN_PROGRESS:
--- a/umberlead/frontends/object_api/ranges.py
+++ b/umberlead/frontends/object_api/ranges.py
@@ -1,23 +1,24 @@
-"""The Range header field: byte ranges as RFC 9110, section 14, defines them."""
+"""Parser of the Range header field: byte ranges by RFC 9110, section 14."""
 
 import re
 
-MAX_RANGES_COUNT = 32  # of one request; a longer list is ignored, as the RFC allows
+MAX_RANGES_COUNT = 32  # in a request; a header field with more is ignored, as the RFC allows
 RANGE_PATTERN = re.compile(r"(\d{0,18})-(\d{0,18})")
 
-ByteRange = tuple[int, int]  # the first byte, and the one after the last
+ByteRange = tuple[int, int]  # the offsets of the first byte and of the byte after the last one
 
 
 def parse_ranges(header: str, size_bytes: int) -> list[ByteRange] | None:
-    """Read a Range header field.
+    """Parse a Range header field.
 
     Args:
         header: the field's value.
         size_bytes: the size of the object.
 
     Returns:
-        The satisfiable ranges in the order requested, an empty list if there is none, and None where the
-        field is to be ignored: it isn't in bytes, is malformed, or its ranges together exceed the object.
+        The satisfiable ranges in the requested order, which is an empty list if none is satisfiable. None if
+        the field is to be ignored: its unit is not bytes, it is malformed, it has more than
+        `MAX_RANGES_COUNT` ranges, or its ranges are longer in total than the object.
     """
     unit, equals, specs = header.partition("=")
     if not equals or unit.strip().lower() != "bytes":
@@ -39,12 +40,12 @@
 
 
 def _parse_range(spec: str, size_bytes: int) -> ByteRange | None:
-    """Read one range, which is empty if it can't be satisfied; None where it is malformed."""
+    """Parse one range, which is empty if it can't be satisfied; return None if it is malformed."""
     match = RANGE_PATTERN.fullmatch(spec)
     if match is None or spec == "-":
         return None
     first, last = match.groups()
-    if not first:  # a suffix: the last so many bytes
+    if not first:  # a suffix range: the last N bytes
         return max(size_bytes - int(last), 0), size_bytes
     if not last:
         return int(first), size_bytes
--- a/umberlead/frontends/object_api/reads.py
+++ b/umberlead/frontends/object_api/reads.py
@@ -1,4 +1,4 @@
-"""GET and HEAD of objects: conditions, byte ranges, and responses that are read block by block."""
+"""GET and HEAD of objects: conditional requests, byte ranges, and responses streamed block by block."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,7 +16,7 @@
 from umberlead.net.server_connection import ServerConnection
 from umberlead.requests.lifecycle import RequestLifecycle
 
-CLIENT_READ_TIMEOUT_US = 60_000_000  # for what was written to a client and that it has not read
+CLIENT_READ_TIMEOUT_US = 60_000_000  # for data written to a client that it has not read
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
 BOUNDARY_TEMPLATE = "umberlead-{}"
 
@@ -24,14 +24,14 @@
 
 
 class MemoryReservation:
-    """Memory reserved within the client group's limit while a `with` statement runs."""
+    """A context manager that reserves memory within the client group's limit."""
 
     def __init__(self, client_group: ClientGroup, size_bytes: int) -> None:
         """Reserve the memory.
 
         Args:
-            client_group: the listener's clients, whose limit applies.
-            size_bytes: how much.
+            client_group: the connections of the listener's clients, whose limit applies.
+            size_bytes: the size of the reservation.
 
         Raises:
             S3Error: the limit would be exceeded.
@@ -43,10 +43,10 @@
         client_group.buffered_bytes += size_bytes
 
     def __enter__(self) -> None:
-        """Do nothing: the memory is reserved from the construction on."""
+        """Do nothing: the constructor has reserved the memory."""
 
     def __exit__(self, *_: object) -> None:
-        """Give the memory back."""
+        """Release the memory."""
         self.client_group.buffered_bytes -= self.size_bytes
 
 
@@ -56,8 +56,8 @@
 
     Attributes:
         status: the HTTP status.
-        headers: its header lines.
-        segments: its body, in order.
+        headers: the header lines.
+        segments: the body, in order.
     """
 
     status: int
@@ -75,17 +75,17 @@
 def is_modified(request: ObjectRequest, manifest: Manifest, last_modified: str) -> bool:
     """Evaluate the request's conditions by RFC 9110, section 13.2.2.
 
-    Dates are compared as the text that the API gives out.
+    Dates are not parsed: a date matches if its text equals the Last-Modified that the API sends.
 
     Returns:
-        Whether the object is sent, rather than 304.
+        True if the object is to be sent, False if the response is 304 Not Modified.
 
     Raises:
         S3Error: a precondition failed.
     """
 
     def names_etag(header: str) -> bool:
-        """Return whether a list of entity tags has the object's, or stands for any."""
+        """Return whether a list of entity tags contains the object's, or is `*`."""
         etags = [etag.strip().removeprefix("W/").strip('"') for etag in header.split(",")]
         return "*" in etags or manifest.etag in etags
 
@@ -115,7 +115,7 @@
 def _requested_ranges(
     request: ObjectRequest, manifest: Manifest, last_modified: str
 ) -> list[ByteRange] | None:
-    """Return the ranges to send, or None for the complete object."""
+    """Return the ranges to send; None for the complete object."""
     if_range = request.header(b"if-range")
     if request.http_request.method != b"GET":
         return None
@@ -171,9 +171,9 @@
 
         Args:
             config: the object API's configuration.
-            lifecycle: gives clock, timers and counters.
+            lifecycle: provides the clock, timers and counters.
             blocks: reads manifests and blocks.
-            client_group: the listener's clients, whose memory limit applies.
+            client_group: the connections of the listener's clients, whose memory limit applies.
             log: a structlog logger.
         """
         self.config = config
@@ -186,7 +186,7 @@
         """Answer a GET or HEAD of an object.
 
         Raises:
-            S3Error: the object is missing, a precondition failed, or it could not be read.
+            S3Error: the object does not exist, a precondition failed, or the object could not be read.
         """
         manifest = await self.blocks.read_manifest(request)
         if manifest is None:
@@ -206,8 +206,9 @@
     async def _send(self, request: ObjectRequest, manifest: Manifest, response: ReadResponse) -> None:
         """Send a response with a body.
 
-        Up to `buffer_bytes` are read before it begins, so that a failure until then is one clear answer. The
-        remainder goes window by window; if one fails, the connection is closed short of the end.
+        Up to `buffer_bytes` are read before the response begins, so that a failure until then is answered
+        with an error response. The remainder is streamed in windows of `max_parallel_blocks` blocks; if one
+        fails, the connection is aborted before the end of the body.
         """
         conn = request.conn
         config = self.config
@@ -226,14 +227,14 @@
             if first_bytes >= length_bytes:
                 conn.send_response(response.status, response.headers, b"".join(first_windows))
                 return
-            request.deadline_us = 0  # from here on each window has its own deadline
+            request.deadline_us = 0  # from now on each window has its own deadline
             response_start = conn.begin_response(response.status, response.headers, length_bytes)
             conn.transport.writelines(response_start + first_windows)
             first_windows.clear()
             await self._send_windows(request, windows)
 
     async def _send_windows(self, request: ObjectRequest, windows: AsyncIterator[bytes]) -> None:
-        """Send what is left of a response whose beginning has been sent."""
+        """Stream the remainder of a response that has begun."""
         conn = request.conn
         try:
             async for window in windows:
@@ -248,7 +249,7 @@
         conn.finish_response()
 
     async def _wait_writable(self, conn: ServerConnection) -> bool:
-        """Wait until the client has read enough; false if it left, or reads too slowly."""
+        """Wait until the client has read enough; return False if it disconnected or reads too slowly."""
         timer = self.lifecycle.wheel.call_after(CLIENT_READ_TIMEOUT_US, conn.transport.abort)
         try:
             return await conn.wait_writable()
@@ -258,7 +259,7 @@
     async def _read_windows(
         self, request: ObjectRequest, operation: ObjectOperation, manifest: Manifest, segments: list[Segment]
     ) -> AsyncIterator[bytes]:
-        """Read the body in order, `max_parallel_blocks` at a time."""
+        """Yield the body in order, reading up to `max_parallel_blocks` blocks at a time."""
         for segment in segments:
             if isinstance(segment, bytes):
                 yield segment
--- a/umberlead/frontends/object_api/requests.py
+++ b/umberlead/frontends/object_api/requests.py
@@ -1,4 +1,4 @@
-"""Requests to the object API: how they are read, and which of S3's features are rejected."""
+"""Requests to the object API: parsing, and rejection of S3 features that are not supported."""
 
 from dataclasses import dataclass, field
 from urllib.parse import parse_qs, unquote_to_bytes
@@ -10,8 +10,8 @@
 
 MAX_KEY_BYTES = 1024
 MAX_BUDGET_SECONDS = 86400.0
-BUDGET_US_PER_SECOND = 0.95e6  # the remainder is for the way here and back
-IGNORED_PARAMETERS = frozenset(("x-id",))  # SDKs name the operation there
+BUDGET_US_PER_SECOND = 0.95e6  # the remainder is reserved for the network in both directions
+IGNORED_PARAMETERS = frozenset(("x-id",))  # SDKs put the name of the operation there
 CONDITIONAL_HEADERS = frozenset((b"if-match", b"if-none-match", b"if-modified-since", b"if-unmodified-since"))
 
 
@@ -20,16 +20,16 @@
     """One client request while it is served.
 
     Attributes:
-        conn: its connection.
+        conn: the client's connection.
         http_request: the HTTP request.
-        request_id: its id in the log and in error responses.
+        request_id: the request's id in the log and in error responses.
         bucket: the bucket.
         key: the object's key, empty for a request about the bucket.
         query: the query's parameters.
         plan: the bucket's plan.
-        deadline_us: when it has to be answered; 0 once the response has begun.
-        open_block_requests: the requests for blocks that are in flight for it.
-        client_has_left: whether the client left while a write was in progress.
+        deadline_us: when the request has to be answered; 0 once the response has begun.
+        open_block_requests: the chunk server requests in flight for this request.
+        client_has_left: whether the client disconnected while a write was in progress.
     """
 
     conn: ServerConnection
@@ -44,15 +44,15 @@
     client_has_left: bool = False
 
     def header(self, name: bytes) -> str:
-        """Return the value of a header field by its name in lower case, empty if there is none."""
+        """Return the value of a header field by its lower-case name; empty if the request has none."""
         return self.http_request.headers.get(name, b"").decode("latin-1").strip()
 
 
 def parse_object_request(conn: ServerConnection, http_request: HttpRequest, request_id: str) -> ObjectRequest:
-    """Read bucket, key and parameters of a request.
+    """Parse the bucket, the key and the query parameters of a request.
 
     Raises:
-        S3Error: they are not UTF-8, or the key is too long.
+        S3Error: one of them is not UTF-8, or the key is too long.
     """
     path, query = http_request.split_target()
     raw_bucket, _, raw_key = path.lstrip(b"/").partition(b"/")
@@ -69,10 +69,10 @@
 
 
 def reject_unsupported_features(request: ObjectRequest) -> None:
-    """Reject what would lose or garble data if it were ignored.
+    """Reject features that would lose or corrupt data if they were ignored.
 
     Raises:
-        S3Error: the request has signed chunks, conditions on a write, or a source to copy from.
+        S3Error: the request has a body in signed chunks, a conditional write, or a source to copy from.
     """
     http_request = request.http_request
     if request.header(b"x-amz-content-sha256").startswith("STREAMING-"):
@@ -85,10 +85,12 @@
 
 
 def time_budget_us(request: ObjectRequest) -> int:
-    """Return how long the client waits, which it may give in seconds as on the platform.
+    """Return how long the client waits, from its X-Budget in seconds as in the platform protocol.
+
+    Part of the client's budget is left out for the network. Without X-Budget the result is the maximum.
 
     Raises:
-        S3Error: its X-Budget is malformed or not above 0.
+        S3Error: X-Budget is malformed or not above 0.
     """
     try:
         seconds = float(request.header(b"x-budget") or "inf")
--- a/umberlead/frontends/object_api/s3_messages.py
+++ b/umberlead/frontends/object_api/s3_messages.py
@@ -1,4 +1,4 @@
-"""XML of the object API: the documents that it sends, and those that clients send."""
+"""XML documents of the object API: those it sends, and those that clients send."""
 
 import re
 from typing import NamedTuple
@@ -15,8 +15,8 @@
     """A part that a client lists to complete an upload.
 
     Attributes:
-        number: its number.
-        etag: its ETag, without quotes.
+        number: the part number.
+        etag: the part's ETag, without quotes.
     """
 
     number: int
@@ -24,17 +24,17 @@
 
 
 def _replace_invalid_characters(text: str) -> str:
-    """Replace the characters that XML 1.0 can't hold."""
+    """Replace the characters that are not allowed in XML 1.0 with question marks."""
     return re.sub("[^\t\n\r\x20-\ud7ff\ue000-\ufffd\U00010000-\U0010ffff]", "?", text)
 
 
 def xml_document(name: str, fields: dict[str, str], namespace: bool = True) -> bytes:
-    """Return a document whose root has a child element for each field.
+    """Return a document whose root element has a child element for each field.
 
     Args:
-        name: the root's name.
-        fields: texts by names of elements, in order.
-        namespace: whether the root is in S3's namespace.
+        name: the name of the root element.
+        fields: the text of each child element by its name, in order.
+        namespace: whether the root element is in S3's namespace.
     """
     root = ElementTree.Element(name, {"xmlns": XML_NAMESPACE} if namespace else {})
     for key, value in fields.items():
@@ -55,10 +55,10 @@
 
 
 def parse_completed_parts(body: bytes) -> list[CompletedPart]:
-    """Return the parts of a CompleteMultipartUpload, as listed.
+    """Return the parts of a CompleteMultipartUpload document, in their order there.
 
     Raises:
-        S3Error: the body is no such document.
+        S3Error: the body is not a CompleteMultipartUpload document with parts.
     """
     try:
         root = fromstring(body)
--- a/umberlead/frontends/object_api/uploads.py
+++ b/umberlead/frontends/object_api/uploads.py
@@ -1,8 +1,9 @@
-"""The registry of multipart uploads: what became of each part.
+"""The in-memory registry of multipart uploads and the state of their parts.
 
-It keeps any part that may have been stored from being sent again, whatever its client retries. The registry
-is bounded by uploads and by parts of each. An upload's id names the front and the time of its start: an id
-that another front made, or an earlier incarnation of this one, is in no registry here and is rejected.
+A part that may have been stored is never sent again, even if the client retries it. The number of uploads and
+the number of parts per upload are limited. An upload id contains a hash of the front's name and the time of
+this process's start: an id that was issued by another front, or before a restart, is not in the registry and
+is rejected.
 """
 
 import asyncio
@@ -17,12 +18,12 @@
 
 
 class StoreState(Enum):
-    """How far the storing of a part, of an object or of a whole upload has come."""
+    """How far the storing of a part or of an object, or the completion of an upload, has progressed."""
 
-    OPEN = "open"  # nothing of it is in flight, and nothing is uncertain
+    OPEN = "open"  # no write is in flight, and none is uncertain
     IN_PROGRESS = "busy"
     COMPLETE = "done"
-    UNCERTAIN = "doubtful"  # an attempt may have run without an answer
+    UNCERTAIN = "doubtful"  # a write may have been executed, but its result is unknown
 
 
 @dataclass(slots=True)
@@ -30,12 +31,12 @@
     """A part of an upload, or the content of an object that is stored in one request.
 
     Attributes:
-        md5_hex: the MD5 digest of its content.
-        size_bytes: its size.
-        nonce: goes into the names of its blocks.
-        state: how far its storing has come.
-        waiting_retries: of retries that wait for the end of an earlier request; true tells that it ended.
-        stored_blocks_mask: a bit for each block that is known to be stored.
+        md5_hex: the MD5 digest of the content.
+        size_bytes: the size of the content.
+        nonce: a random text from which the names of the blocks are derived.
+        state: the progress of storing the part.
+        waiting_retries: futures of retries that wait for an earlier request to end; it sets them to True.
+        stored_blocks_mask: a bit for each block, set if it is known to be stored.
     """
 
     md5_hex: str
@@ -51,15 +52,15 @@
     """A multipart upload.
 
     Attributes:
-        upload_id: its id, as clients know it.
+        upload_id: the id that clients use.
         bucket: the object's bucket.
         key: the object's key.
         headers: the header fields that are stored with the object.
-        touched_us: when a request last named it.
-        parts: its parts, by number.
-        state: how far its completion has come.
+        touched_us: when the last request for the upload came.
+        parts: the parts, by number.
+        state: the progress of the upload's completion.
         etag: the object's entity tag, once the upload is being completed.
-        completed_parts: the parts that it is completed with, as its client lists them.
+        completed_parts: the parts that the client listed in its completion request.
     """
 
     upload_id: str
@@ -74,7 +75,7 @@
 
 
 class UploadRegistry:
-    """The multipart uploads of this process."""
+    """The multipart uploads of this process, by upload id."""
 
     def __init__(
         self,
@@ -88,22 +89,22 @@
 
         Args:
             front_name: the front's name.
-            clock: gives the time in microseconds.
-            max_uploads: how many uploads it holds.
-            max_parts_per_upload: the highest number of a part.
-            idle_timeout_us: after how long without a request an upload is removed.
+            clock: returns the time in microseconds.
+            max_uploads: the maximum number of uploads.
+            max_parts_per_upload: the highest part number.
+            idle_timeout_us: the time without a request after which an upload is removed.
         """
         self.clock = clock
         self.max_uploads = max_uploads
         self.max_parts_per_upload = max_parts_per_upload
         self.idle_timeout_us = idle_timeout_us
         hashed_front = hashlib.blake2b(front_name.encode(), digest_size=4).hexdigest()
-        self.incarnation = f"{hashed_front}-{clock():x}"  # the front and its start
+        self.incarnation = f"{hashed_front}-{clock():x}"  # of the front: its name and its start
         self.uploads: dict[str, MultipartUpload] = {}
         self.created_count = 0
 
     def new_nonce(self) -> str:
-        """Return a name never used before: two fronts that start alike must not write the same blocks."""
+        """Return a random nonce; it is random so that no two fronts ever write blocks of the same name."""
         return secrets.token_hex(12)
 
     def create(self, bucket: str, key: str, headers: dict[str, str]) -> MultipartUpload:
@@ -113,7 +114,7 @@
             S3Error: too many uploads are open.
         """
         self.expire_idle()
-        # Complete ones are only retained to answer a retried completion.
+        # Complete uploads are retained only to answer retries of their completion.
         complete = [upload for upload in self.uploads.values() if upload.state is StoreState.COMPLETE]
         if len(self.uploads) >= self.max_uploads and complete:
             del self.uploads[min(complete, key=lambda upload: upload.touched_us).upload_id]
@@ -126,10 +127,10 @@
         return upload
 
     def find(self, upload_id: str, bucket: str, key: str) -> MultipartUpload:
-        """Return an upload of this object.
+        """Return the upload of an object with this id.
 
         Raises:
-            S3Error: there is none by this id.
+            S3Error: there is none.
         """
         upload = self.uploads.get(upload_id)
         if upload is None or (upload.bucket, upload.key) != (bucket, key):
@@ -140,20 +141,20 @@
         return upload
 
     def remove(self, upload: MultipartUpload) -> None:
-        """Remove an upload; from then on its id is rejected."""
+        """Remove an upload; later requests with its id are rejected."""
         del self.uploads[upload.upload_id]
 
     def prepare_part(self, upload: MultipartUpload, number: int, md5_hex: str, size_bytes: int) -> UploadPart:
-        """Return the part, open, in progress or complete.
+        """Return the part, and add it if it is new; its state is open, in progress or complete.
 
         Args:
-            upload: its upload.
-            number: its number, as the client gives it.
-            md5_hex: the MD5 digest of its content.
-            size_bytes: its size.
+            upload: the upload.
+            number: the part number that the client gives.
+            md5_hex: the MD5 digest of the content.
+            size_bytes: the size of the content.
 
         Raises:
-            S3Error: the part must not be sent.
+            S3Error: the part must not be stored.
         """
         if upload.state is not StoreState.OPEN:
             raise S3Error("OperationAborted", "the upload is being completed, or is complete")
@@ -165,13 +166,13 @@
         if part is not None and (part.md5_hex, part.size_bytes) != (md5_hex, size_bytes):
             if part.state is not StoreState.OPEN or part.stored_blocks_mask:
                 raise S3Error("OperationAborted", f"part {number} holds other content: use another number")
-            part = None  # nothing of it ran
+            part = None  # no block of it was stored
         if part is None:
             part = upload.parts[number] = UploadPart(md5_hex, size_bytes, self.new_nonce())
         return part
 
     def expire_idle(self) -> None:
-        """Remove uploads that no request has named for long and that nothing of is in progress."""
+        """Remove uploads that had no request within the idle timeout and have no write in progress."""
         expired_us = self.clock() - self.idle_timeout_us
         for upload in list(self.uploads.values()):
             states = (upload.state, *(part.state for part in upload.parts.values()))
--- a/umberlead/frontends/object_api/writes.py
+++ b/umberlead/frontends/object_api/writes.py
@@ -13,15 +13,15 @@
 from umberlead.frontends.object_api.uploads import StoreState, UploadPart, UploadRegistry
 from umberlead.requests.lifecycle import RequestLifecycle
 
-MAX_METADATA_BYTES = 2048  # of a client's own x-amz-meta- header fields
+MAX_METADATA_BYTES = 2048  # of the x-amz-meta- header fields of a request
 
 
 class VerifiedBody(NamedTuple):
-    """A request's body.
+    """A request's body and its digest.
 
     Attributes:
-        content: its bytes.
-        md5_hex: its MD5 digest, in hexadecimal digits.
+        content: the bytes.
+        md5_hex: the MD5 digest, in hexadecimal digits.
     """
 
     content: bytes
@@ -29,10 +29,10 @@
 
 
 def verified_body(request: ObjectRequest) -> VerifiedBody:
-    """Return the request's body, and check the digest that the client may give.
+    """Return the request's body after checking it against Content-MD5, if the client sends that.
 
     Raises:
-        S3Error: its Content-MD5 does not match.
+        S3Error: Content-MD5 does not match the body.
     """
     body = request.http_request.body
     md5 = hashlib.md5(body, usedforsecurity=False)
@@ -46,7 +46,7 @@
     """Return the header fields that are stored with an object.
 
     Raises:
-        S3Error: they are too long.
+        S3Error: the metadata is too large.
     """
     headers = {
         name.decode("latin-1"): value.decode("latin-1")
@@ -72,9 +72,9 @@
 
         Args:
             config: the object API's configuration.
-            lifecycle: gives the clock.
+            lifecycle: provides the clock.
             blocks: writes blocks and manifests.
-            uploads: gives names for new blocks.
+            uploads: provides nonces for the names of new blocks.
         """
         self.config = config
         self.lifecycle = lifecycle
@@ -85,7 +85,7 @@
         """Store an object.
 
         Raises:
-            S3Error: it was not stored, or may not have been.
+            S3Error: the object was not stored, or it is uncertain whether it was.
         """
         body, md5_hex = verified_body(request)
         headers = stored_headers(request)
@@ -109,14 +109,14 @@
                 return
             if state is StoreState.UNCERTAIN:
                 raise S3Error("InternalError", "the object may have been stored: read it to see")
-        # Blocks without a manifest are no object: a retry is harmless, and writes other blocks.
+        # Without a manifest the blocks are not visible as an object. A retry is safe: it writes new blocks.
         raise S3Error("SlowDown", "the object was not stored")
 
     async def delete(self, request: ObjectRequest) -> None:
-        """Replace the object's manifest; the chunk servers' protocol has no way to free blocks.
+        """Delete an object by replacing its manifest; the chunk servers' protocol has no way to free blocks.
 
         Raises:
-            S3Error: it was not deleted, or may not have been.
+            S3Error: the object was not deleted, or it is uncertain whether it was.
         """
         state = await self.blocks.write_manifest(request, self.config.write, DELETED_MANIFEST)
         if state is StoreState.OPEN:
--- a/umberlead/frontends/platform.py
+++ b/umberlead/frontends/platform.py
@@ -1,4 +1,9 @@
-"""The platform's protocol: a client's HTTP request to an `IncomingRequest`, and an `Answer` to HTTP."""
+"""The platform protocol, in which clients read and write single blocks over HTTP.
+
+A read is `GET /CLASS?block=BLOCK`, a write is a PUT. The header fields X-Call-Id, X-Plan and X-IO are
+required, X-Budget (the client's timeout in seconds) and X-Again (1 for a client retry) are optional. This
+module parses an HTTP request into an `IncomingRequest`, and sends its `Answer` as an HTTP response.
+"""
 
 import math
 import re
@@ -23,11 +28,11 @@
 from umberlead.scheduling.settings import Settings
 
 FORWARDED_HEADERS = ((b"x-call-id", b"X-Call-Id: "), (b"x-plan", b"X-Plan: "), (b"x-io", b"X-IO: "))
-MAX_BUDGET_RATIO = 1.25  # of a class's timeout, which is the longest that its clients wait
-MAX_SHARDS_COUNT = 1 << 20  # where the settings don't tell
+MAX_BUDGET_RATIO = 1.25  # to the class's timeout, the longest that its clients wait
+MAX_SHARDS_COUNT = 1 << 20  # where the settings give no shard count
 CALL_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
 BLOCK_PATTERN = re.compile(rb"(?:^|&)block=([0-9a-fA-F]{16})(?:&|$)")
-SECONDS_PATTERN = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")  # float() alone takes nan, 1e9, 1_0 and signs
+SECONDS_PATTERN = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")  # float() also accepts nan, 1e9, 1_0 and signs
 IO_FIELD_PATTERNS = {
     "units": re.compile(r"[0-9]{1,6}(\.[0-9]{1,9})?"),
     "shard": re.compile(r"-1|[0-9]{1,6}"),
@@ -39,17 +44,17 @@
 
 
 class BadRequestError(UmberleadError, ValueError):
-    """A request breaks the protocol; the text tells its client how."""
+    """A request violates the protocol; the message is sent to the client."""
 
 
 class IoFields(NamedTuple):
-    """The X-IO header field.
+    """The values of the X-IO header field.
 
     Attributes:
-        units: the request's size.
+        units: the size of the request, in units of work.
         shard: the shard that holds the data; -1 for a new object.
-        front_count: the fronts through which the volume works.
-        volume: the volume, in hexadecimal digits.
+        front_count: how many fronts the clients of the volume use.
+        volume: the volume's name, in hexadecimal digits.
     """
 
     units: float
@@ -60,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamedAnswer:
-    """What a connection has as its context while a long answer is sent on it.
+    """The `handler_context` of a connection while an answer is streamed on it.
 
     Attributes:
         class_name: the request's class.
@@ -70,12 +75,12 @@
 
 
 def class_name_of(target: bytes, known: Container[str]) -> str:
-    """Return the class that a request target names by its first path segment.
+    """Return the name of the request class, the first path segment of a request target.
 
     Args:
         target: the request target.
-        known: the names of the classes. The segment is taken as it stands if it is one of these, and with its
-            percent escapes decoded otherwise.
+        known: the names of the configured classes. A segment that equals one of them is returned unchanged;
+            any other is returned with its percent escapes decoded.
     """
     segment = target.partition(b"?")[0].lstrip(b"/").split(b"/", 1)[0]
     name = segment.decode("latin-1")
@@ -93,7 +98,7 @@
 
 
 def _parse_block(request: HttpRequest) -> str:
-    """Return the block that a request names, once its call id and its method are checked."""
+    """Check the call id and the method of a request, and return the name of its block."""
     if CALL_ID_PATTERN.fullmatch(request.headers.get(b"x-call-id", b"")) is None:
         raise BadRequestError("X-Call-Id is missing or malformed")
     if request.method not in (b"GET", b"PUT"):
@@ -105,7 +110,7 @@
 
 
 def _parse_budget_seconds(headers: dict[bytes, bytes], timeout_us: int) -> float:
-    """Return how long the client waits, by default the class's timeout."""
+    """Return how long the client waits for the answer: its X-Budget, or else the class's timeout."""
     budget = headers.get(b"x-budget")
     timeout_seconds = timeout_us / 1e6
     if budget is None:
@@ -138,15 +143,15 @@
 def parse_request(
     request: HttpRequest, lifecycle: RequestLifecycle, answer_margin_us: int
 ) -> IncomingRequest:
-    """Read a client's request.
+    """Parse a client's request.
 
     Args:
         request: the HTTP request.
-        lifecycle: knows classes, plans and settings.
-        answer_margin_us: how much of the client's budget is left for the way here and back.
+        lifecycle: provides the classes, the plans and the settings.
+        answer_margin_us: the part of the client's budget that is reserved for the network in both directions.
 
     Raises:
-        BadRequestError: it breaks the protocol.
+        BadRequestError: the request violates the protocol.
     """
     headers = request.headers
     class_name = class_name_of(request.target, lifecycle.classes)
@@ -166,7 +171,7 @@
         key=block,
         shard=io.shard,
         units=io.units,
-        # The budget counts from the client's sending.
+        # The client's budget runs from when it sends the request; the margin covers the time in the network.
         deadline_us=request.received_us + max(budget_us - answer_margin_us, 0),
         payload=_outgoing_request(request),
         volume_front_count=io.front_count,
@@ -183,18 +188,18 @@
 
 
 def format_seconds(seconds: float) -> bytes:
-    """Return seconds as decimal digits, to the millisecond, without an exponent or trailing zeros."""
+    """Return seconds in decimal notation, rounded to milliseconds, without an exponent or trailing zeros."""
     return f"{seconds:.3f}".rstrip("0").rstrip(".").encode()
 
 
 class PlatformFrontend:
     """Serves the platform's listener; see `umberlead.net.server_connection.RequestHandler`.
 
-    It translates and decides nothing.
+    It only translates between HTTP and the request lifecycle, which makes all decisions.
     """
 
     max_body_bytes = MAX_STREAM_BYTES
-    sends_date = False  # the platform needs none
+    sends_date = False  # clients of this protocol don't use Date
     singleton_headers = frozenset((b"x-call-id", b"x-plan", b"x-io", b"x-budget", b"x-again"))
     allows_slow_bodies = False
 
@@ -202,9 +207,10 @@
         """Create the handler.
 
         Args:
-            lifecycle: takes the requests.
-            retry_after_us: when clients that are rejected may retry, where the lifecycle gives no advice.
-            answer_margin_us: how much of a client's budget is left for the way here and back.
+            lifecycle: accepts the requests.
+            retry_after_us: the Retry-After of rejections for which the lifecycle gives none.
+            answer_margin_us: the part of a client's budget that is reserved for the network in both
+                directions.
         """
         self.lifecycle = lifecycle
         self.answer_margin_us = answer_margin_us
@@ -212,7 +218,7 @@
         self.ready = True
 
     def handle_request(self, conn: ServerConnection, request: HttpRequest) -> None:
-        """Hand a request to the lifecycle, or answer at once what isn't one."""
+        """Pass a request to the lifecycle; answer health checks and invalid requests directly."""
         if request.target == b"/healthz" and request.method in (b"GET", b"HEAD"):
             conn.send_response(200 if self.ready else 503, (), b"ok\n" if self.ready else b"not ready\n")
             return
@@ -262,19 +268,19 @@
         self.lifecycle.stream_ended(streamed.class_name, complete)
 
     def reply_rejected(self, conn: ServerConnection, retry_after_us: int, reason: str) -> None:
-        """Answer that a request was rejected, and when its client may retry.
+        """Send a 503 response that says when the client may retry.
 
         Args:
             conn: the client's connection.
-            retry_after_us: when, in microseconds; 0 stands for the front's usual value.
-            reason: a text for the client.
+            retry_after_us: the time until the retry, in microseconds; 0 stands for the front's default.
+            reason: the reason to give to the client.
         """
         seconds = math.ceil((retry_after_us or self.retry_after_us) / 1000) / 1000
         body = f"refused: {reason or 'try later'}\n".encode()
         conn.send_response(503, (b"Retry-After: " + format_seconds(seconds),), body)
 
     def client_disconnected(self, conn: ServerConnection) -> None:
-        """Tell the lifecycle that a client left before the end of its answer."""
+        """Notify the lifecycle that a client disconnected before it received the complete answer."""
         context = conn.handler_context
         conn.handler_context = None
         if isinstance(context, InFlightRequest):
@@ -283,7 +289,7 @@
             self.lifecycle.stream_ended(context.class_name, None)
 
     def reject(self, conn: ServerConnection, status: int, reason: str) -> None:
-        """Answer a request that could not be read, or is not served."""
+        """Answer a request that is malformed, or that the connection rejects for another reason."""
         if status == 503:
             class_name = class_name_of(conn.rejected_target, self.lifecycle.classes)
             self.lifecycle.count_unread_rejection(class_name)
