--- a/umberlead/frontends/admin_api.py
+++ b/umberlead/frontends/admin_api.py
@@ -91,7 +91,7 @@
     return AdminResponse(200, json.dumps(value, indent=1).encode() + b"\n")
 
 
-def _wrong_method(method: bytes, is_change: bool) -> AdminResponse | None:
+def _method_not_allowed(method: bytes, is_change: bool) -> AdminResponse | None:
     """Return a 405 response if the call does not support the method, else None."""
     if is_change:
         return None if method == b"PUT" else AdminResponse(405, b"this call is a PUT\n")
@@ -154,13 +154,13 @@
         if self.watched_lists is not None and is_list_call:
             return self._list_call(self.watched_lists, method, path)
         endpoint, _, action = path.removeprefix(CHUNK_SERVERS_PATH).partition("/")
-        is_drain = path.startswith(CHUNK_SERVERS_PATH) and action in DRAINED_BY_ACTION
-        if not is_drain and path not in (READY_PATH, COUNTERS_PATH):
+        is_drain_call = path.startswith(CHUNK_SERVERS_PATH) and action in DRAINED_BY_ACTION
+        if not is_drain_call and path not in (READY_PATH, COUNTERS_PATH):
             return AdminResponse(404, b"no such call\n")
-        wrong_method = _wrong_method(method, is_drain)
-        if wrong_method is not None:
-            return wrong_method
-        if is_drain:
+        method_error = _method_not_allowed(method, is_drain_call)
+        if method_error is not None:
+            return method_error
+        if is_drain_call:
             return self._set_drained(unquote(endpoint), DRAINED_BY_ACTION[action])
         if path == COUNTERS_PATH:
             return AdminResponse(200, format_counters(self.lifecycle))
@@ -180,9 +180,9 @@
 
     def _list_call(self, lists: ListControl, method: bytes, path: str) -> AdminResponse:
         is_confirmation = path.startswith(CONFIRM_PATH)
-        wrong_method = _wrong_method(method, is_confirmation)
-        if wrong_method is not None:
-            return wrong_method
+        method_error = _method_not_allowed(method, is_confirmation)
+        if method_error is not None:
+            return method_error
         if not is_confirmation:
             return _json_response(lists.status() if path == LIST_PATH else lists.endpoint_rows())
         try:
--- a/umberlead/frontends/object_api/multipart.py
+++ b/umberlead/frontends/object_api/multipart.py
@@ -47,7 +47,7 @@
         self.blocks = blocks
         self.uploads = uploads
 
-    def _find(self, request: ObjectRequest) -> MultipartUpload:
+    def _find_upload(self, request: ObjectRequest) -> MultipartUpload:
         return self.uploads.find(request.query["uploadId"], request.bucket, request.key)
 
     async def create(self, request: ObjectRequest) -> None:
@@ -71,9 +71,9 @@
         if not part_number.isascii() or not part_number.isdigit():
             raise S3Error("InvalidArgument", "partNumber must be a number")
         number = int(part_number)
-        upload = self._find(request)
+        upload = self._find_upload(request)
         part = self.uploads.prepare_part(upload, number, md5_hex, len(body))
-        while part.state is StoreState.IN_PROGRESS and await self._wait_for_earlier(request, part):
+        while part.state is StoreState.IN_PROGRESS and await self._wait_for_earlier_request(request, part):
             part = self.uploads.prepare_part(upload, number, md5_hex, len(body))
         if part.state is StoreState.IN_PROGRESS:
             raise S3Error("OperationAborted", f"part {number} is being stored by an earlier request")
@@ -87,7 +87,7 @@
                 raise S3Error("SlowDown", f"part {number} is not stored yet")
         request.conn.send_response(200, (b'ETag: "%s"' % md5_hex.encode(),), b"")
 
-    async def _wait_for_earlier(self, request: ObjectRequest, part: UploadPart) -> bool:
+    async def _wait_for_earlier_request(self, request: ObjectRequest, part: UploadPart) -> bool:
         """Wait for the earlier request that stores the part; return False at this request's deadline."""
         ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         part.waiting_retries.append(ended)
@@ -104,7 +104,7 @@
         Raises:
             S3Error: the manifest was not written, or it is uncertain whether it was.
         """
-        upload = self._find(request)
+        upload = self._find_upload(request)
         completed_parts = parse_completed_parts(request.http_request.body)
         if upload.state is StoreState.IN_PROGRESS:
             raise S3Error("OperationAborted", "the upload is being completed by an earlier request")
@@ -179,7 +179,7 @@
         Raises:
             S3Error: the upload is being completed.
         """
-        upload = self._find(request)
+        upload = self._find_upload(request)
         if upload.state is StoreState.IN_PROGRESS:
             raise S3Error("OperationAborted", "the upload is being completed")
         self.uploads.remove(upload)
--- a/umberlead/frontends/object_api/ranges.py
+++ b/umberlead/frontends/object_api/ranges.py
@@ -2,7 +2,7 @@
 
 import re
 
-MAX_RANGES_COUNT = 32  # in a request; a header field with more is ignored, as the RFC allows
+MAX_RANGE_COUNT = 32  # in a request; a header field with more is ignored, as the RFC allows
 RANGE_PATTERN = re.compile(r"(\d{0,18})-(\d{0,18})")
 
 ByteRange = tuple[int, int]  # the offsets of the first byte and of the byte after the last one
@@ -18,16 +18,16 @@
     Returns:
         The satisfiable ranges in the requested order, which is an empty list if none is satisfiable. None if
         the field is to be ignored: its unit is not bytes, it is malformed, it has more than
-        `MAX_RANGES_COUNT` ranges, or its ranges are longer in total than the object.
+        `MAX_RANGE_COUNT` ranges, or its ranges are longer in total than the object.
     """
     unit, equals, specs = header.partition("=")
     if not equals or unit.strip().lower() != "bytes":
         return None
-    listed = [spec.strip() for spec in specs.split(",") if spec.strip()]
-    if not listed or len(listed) > MAX_RANGES_COUNT:
+    range_specs = [spec.strip() for spec in specs.split(",") if spec.strip()]
+    if not range_specs or len(range_specs) > MAX_RANGE_COUNT:
         return None
     ranges: list[ByteRange] = []
-    for spec in listed:
+    for spec in range_specs:
         byte_range = _parse_range(spec, size_bytes)
         if byte_range is None:
             return None
--- a/umberlead/frontends/object_api/reads.py
+++ b/umberlead/frontends/object_api/reads.py
@@ -84,7 +84,7 @@
         S3Error: a precondition failed.
     """
 
-    def names_etag(header: str) -> bool:
+    def matches_etag(header: str) -> bool:
         """Return whether a list of entity tags contains the object's, or is `*`."""
         etags = [etag.strip().removeprefix("W/").strip('"') for etag in header.split(",")]
         return "*" in etags or manifest.etag in etags
@@ -92,13 +92,13 @@
     if_match = request.header(b"if-match")
     unmodified_since = request.header(b"if-unmodified-since")
     if if_match:
-        if not names_etag(if_match):
+        if not matches_etag(if_match):
             raise S3Error("PreconditionFailed", "If-Match")
     elif unmodified_since and unmodified_since != last_modified:
         raise S3Error("PreconditionFailed", "If-Unmodified-Since")
     if_none_match = request.header(b"if-none-match")
     if if_none_match:
-        return not names_etag(if_none_match)
+        return not matches_etag(if_none_match)
     return request.header(b"if-modified-since") != last_modified
 
 
--- a/umberlead/frontends/object_api/uploads.py
+++ b/umberlead/frontends/object_api/uploads.py
@@ -56,7 +56,7 @@
         bucket: the object's bucket.
         key: the object's key.
         headers: the header fields that are stored with the object.
-        touched_us: when the last request for the upload came.
+        last_request_us: when the last request for the upload came.
         parts: the parts, by number.
         state: the progress of the upload's completion.
         etag: the object's entity tag, once the upload is being completed.
@@ -67,7 +67,7 @@
     bucket: str
     key: str
     headers: dict[str, str]
-    touched_us: int
+    last_request_us: int
     parts: dict[int, UploadPart] = field(default_factory=dict)
     state: StoreState = StoreState.OPEN
     etag: str = ""
@@ -117,7 +117,7 @@
         # Complete uploads are retained only to answer retries of their completion.
         complete = [upload for upload in self.uploads.values() if upload.state is StoreState.COMPLETE]
         if len(self.uploads) >= self.max_uploads and complete:
-            del self.uploads[min(complete, key=lambda upload: upload.touched_us).upload_id]
+            del self.uploads[min(complete, key=lambda upload: upload.last_request_us).upload_id]
         if len(self.uploads) >= self.max_uploads:
             raise S3Error("SlowDown", "too many uploads are open at this front")
         self.created_count += 1
@@ -134,10 +134,10 @@
         """
         upload = self.uploads.get(upload_id)
         if upload is None or (upload.bucket, upload.key) != (bucket, key):
-            own = upload_id.startswith(self.incarnation + "-")
-            reason = "it is over" if own else "another front made it, or an earlier life of this one"
+            is_own_id = upload_id.startswith(self.incarnation + "-")
+            reason = "it is over" if is_own_id else "another front made it, or an earlier life of this one"
             raise S3Error("NoSuchUpload", f"this front does not hold the upload: {reason}")
-        upload.touched_us = self.clock()
+        upload.last_request_us = self.clock()
         return upload
 
     def remove(self, upload: MultipartUpload) -> None:
@@ -176,5 +176,5 @@
         expired_us = self.clock() - self.idle_timeout_us
         for upload in list(self.uploads.values()):
             states = (upload.state, *(part.state for part in upload.parts.values()))
-            if upload.touched_us <= expired_us and StoreState.IN_PROGRESS not in states:
+            if upload.last_request_us <= expired_us and StoreState.IN_PROGRESS not in states:
                 del self.uploads[upload.upload_id]
--- a/umberlead/frontends/platform.py
+++ b/umberlead/frontends/platform.py
@@ -29,7 +29,7 @@
 
 FORWARDED_HEADERS = ((b"x-call-id", b"X-Call-Id: "), (b"x-plan", b"X-Plan: "), (b"x-io", b"X-IO: "))
 MAX_BUDGET_RATIO = 1.25  # to the class's timeout, the longest that its clients wait
-MAX_SHARDS_COUNT = 1 << 20  # where the settings give no shard count
+MAX_SHARD_COUNT = 1 << 20  # where the settings give no shard count
 CALL_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
 BLOCK_PATTERN = re.compile(rb"(?:^|&)block=([0-9a-fA-F]{16})(?:&|$)")
 SECONDS_PATTERN = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")  # float() also accepts nan, 1e9, 1_0 and signs
@@ -74,25 +74,25 @@
     class_name: str
 
 
-def class_name_of(target: bytes, known: Container[str]) -> str:
+def class_name_of(target: bytes, class_names: Container[str]) -> str:
     """Return the name of the request class, the first path segment of a request target.
 
     Args:
         target: the request target.
-        known: the names of the configured classes. A segment that equals one of them is returned unchanged;
-            any other is returned with its percent escapes decoded.
+        class_names: the names of the configured classes. A segment that equals one of them is returned
+            unchanged; any other is returned with its percent escapes decoded.
     """
     segment = target.partition(b"?")[0].lstrip(b"/").split(b"/", 1)[0]
     name = segment.decode("latin-1")
-    return name if name in known else unquote_to_bytes(segment).decode("utf-8", "replace")
+    return name if name in class_names else unquote_to_bytes(segment).decode("utf-8", "replace")
 
 
-def _parse_plan(headers: dict[bytes, bytes], known: Container[str]) -> str:
+def _parse_plan(headers: dict[bytes, bytes], plan_names: Container[str]) -> str:
     raw_plan = headers.get(b"x-plan", b"")
     plan = raw_plan.decode("latin-1")
-    if plan not in known:
+    if plan not in plan_names:
         plan = raw_plan.decode("utf-8", "replace")
-    if plan not in known:
+    if plan not in plan_names:
         raise BadRequestError(f"X-Plan: no such plan: {plan}")
     return plan
 
@@ -133,7 +133,7 @@
         if pattern.fullmatch(fields.get(name, "")) is None:
             raise BadRequestError("X-IO is missing or malformed")
     io = IoFields(float(fields["units"]), int(fields["shard"]), int(fields["hosts"]), fields["volume"])
-    shard_count = settings.shard_count or MAX_SHARDS_COUNT
+    shard_count = settings.shard_count or MAX_SHARD_COUNT
     max_units = max(settings.max_request_units, 1)
     if not (0 < io.units <= max_units and io.shard < shard_count and io.front_count):
         raise BadRequestError("X-IO is out of range")
