--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -363,7 +363,11 @@
 
 @pytest.mark.parametrize(
     ("text", "why"),
-    [("", "there is no key"), ("zz\n", ":1: is no hex"), ("# k\n00ff\n", ":2: a key has 16 octets at least")],
+    [
+        ("", "the file has no key"),
+        ("zz\n", ":1: the key is not hexadecimal"),
+        ("# k\n00ff\n", ":2: a key needs at least 16 bytes"),
+    ],
 )
 def test_bad_keys_name_file_and_line(tmp_path: Path, text: str, why: str) -> None:
     (tmp_path / "keys").write_text(text)
--- a/umberlead/gossip/__init__.py
+++ b/umberlead/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip between fronts in the manner of SWIM: who is alive, and what each front observes of zones."""
+"""SWIM-style gossip between fronts: membership, and the zone states that each front observes."""
--- a/umberlead/gossip/members.py
+++ b/umberlead/gossip/members.py
@@ -1,29 +1,30 @@
-"""What a front knows of another one, and of the pings that are under way. Times are in us."""
+"""Records of the other members and of pings in flight. Times are in microseconds."""
 
 from dataclasses import dataclass
 
 from umberlead.gossip.messages import MemberState, MemberUpdate
 
-REPLAY_WINDOW_SIZE = 64  # sequence numbers below the highest that are remembered
+REPLAY_WINDOW_SIZE = 64  # how many sequence numbers below the highest are tracked
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another front, as this one knows it.
+    """Another front, as this one sees it.
 
     Attributes:
-        name: Its name.
-        address: Its `host:port`.
-        incarnation: Its incarnation.
-        state: Whether it is alive, as far as this front knows.
-        since_us: When that began.
-        session: Its proven session, -1 if there is none.
-        highest_sequence: The highest sequence number of that session.
-        seen_bits: Which of the sequence numbers below were received; bit 0 is the next lower one.
-        unproven_session: A session that has yet to be proven, -1 if there is none.
-        nonce: What an ack of that session must repeat.
-        challenged_us: When that was sent.
-        suspicion_sent_us: When it was last told that it is a suspect.
+        name: The peer's name.
+        address: The peer's `host:port`.
+        incarnation: The peer's highest known incarnation.
+        state: The peer's state in this front's view.
+        since_us: When the peer entered this state.
+        session: The peer's verified session, -1 if there is none.
+        highest_sequence: The highest sequence number received in that session.
+        seen_bits: A bit for each of the sequence numbers below the highest, set if it was received; bit 0 is
+            the highest one minus 1.
+        unproven_session: The session that is being verified, -1 if there is none.
+        nonce: The nonce of the challenge, which an ack of the unproven session must repeat.
+        challenged_us: When the challenge was sent.
+        suspicion_sent_us: When the peer was last sent the update that it is a suspect.
     """
 
     name: str
@@ -40,18 +41,18 @@
     suspicion_sent_us: int = 0
 
     def to_update(self) -> MemberUpdate:
-        """Return what this front says of the peer."""
+        """Return the update about the peer that this front sends."""
         return MemberUpdate(self.name, self.address, self.incarnation, self.state)
 
     def begin_session(self, session: int) -> None:
-        """Take a session for proven."""
+        """Accept a session as verified, and expect its first sequence number."""
         self.session = session
         self.highest_sequence = -1
         self.seen_bits = 0
         self.unproven_session = -1
 
     def is_fresh(self, sequence: int) -> bool:
-        """Return whether a sequence number of the session has not been received yet, and remember it."""
+        """Record a sequence number of the session; return False if it is a replay or too old to tell."""
         if sequence > self.highest_sequence:
             shift = sequence - self.highest_sequence
             if shift <= REPLAY_WINDOW_SIZE:
@@ -70,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitedAck:
-    """A ping without an ack so far; the name is empty for a seed address, whose front is not known."""
+    """A ping that awaits its ack; the name is empty for a ping to a seed address, whose member is unknown."""
 
     name: str
     sent_us: int
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedPing:
-    """A ping for another front, whose ack is sent on to it with its own nonce."""
+    """A ping sent for another member, to which the ack is forwarded with the nonce of its request."""
 
     requester: str
     requester_nonce: int
--- a/umberlead/gossip/messages.py
+++ b/umberlead/gossip/messages.py
@@ -1,8 +1,9 @@
-"""Datagrams between fronts: MessagePack under a keyed digest.
+"""Gossip datagrams: MessagePack messages, authenticated with HMAC-SHA256.
 
-A datagram is one byte of the format's version, four of the key's name, sixteen of HMAC-SHA256 over all but
-itself, and the body. Keys are lines of hex in a file; the first signs, all are accepted: a new key is
-appended on all fronts, then moved to the top on all of them, then the old one is removed.
+A datagram has 1 byte of format version, 4 bytes of key id, the first 16 bytes of the HMAC over all other
+bytes, and the body. The keys are lines of hexadecimal digits in a file: datagrams are signed with the first
+key and accepted with any. To rotate keys, append the new key on all fronts, then move it to the top on all of
+them, then remove the old one.
 """
 
 import hashlib
@@ -19,7 +20,7 @@
 KEY_NAME_BYTES = 4
 DIGEST_BYTES = 16
 MIN_KEY_BYTES = 16
-MAX_DATAGRAM_BYTES = 1200  # below the limit of any usual path
+MAX_DATAGRAM_BYTES = 1200  # below the MTU of usual network paths
 MAX_NAME_BYTES = 64
 MAX_ROWS_COUNT = 64
 INCARNATION_LIMIT = 1 << 62
@@ -27,7 +28,7 @@
 
 
 class MemberState(IntEnum):
-    """A member's state, as its number in datagrams; of one incarnation the higher one counts."""
+    """A member's state, as a number in datagrams; within one incarnation the higher number prevails."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -35,7 +36,7 @@
 
 
 class MessageKind(IntEnum):
-    """A datagram's kind, as its number there."""
+    """The kind of a message, as a number in datagrams."""
 
     PING = 0
     ACK = 1
@@ -43,7 +44,7 @@
 
 
 class GossipKeysError(UmberleadError, ValueError):
-    """The file with the keys can't be used; the text names the file and the line."""
+    """The key file can't be used; the message names the file and the line."""
 
 
 class DatagramTooLongError(UmberleadError, ValueError):
@@ -51,12 +52,12 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=False):
-    """What a front says of another, or of itself.
+    """A front's update about a member, which may be itself.
 
     Attributes:
         name: The member's name.
-        address: Its `host:port`.
-        incarnation: Its incarnation, which it raises to refute that it is suspected or dead.
+        address: The member's `host:port`.
+        incarnation: The member's incarnation, which it increments to refute that it is suspect or dead.
         state: The number of a `MemberState`.
     """
 
@@ -67,7 +68,7 @@
 
 
 class Observation(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=False):
-    """What the sender itself knows of a zone.
+    """The state of a zone as the sender itself observes it.
 
     Attributes:
         zone: The zone's name.
@@ -85,12 +86,12 @@
         kind: The number of a `MessageKind`.
         name: The sender's name.
         address: The sender's `host:port`.
-        session: A random number of the sender's process.
-        sequence: The datagram's number in that session.
-        nonce: A random number of a ping, which its ack repeats.
-        target: The member to ping, of a request to ping.
-        updates: What the sender says of members.
-        observations: What the sender says of zones.
+        session: A random number that identifies the sender's process.
+        sequence: The datagram's sequence number in that session.
+        nonce: A random number that the sender of a ping draws; the ack repeats it.
+        target: The member to ping, in a PING_REQ.
+        updates: The sender's updates about members.
+        observations: The zone states that the sender observes.
     """
 
     kind: int
@@ -109,7 +110,7 @@
 
 
 def _key_name(key: bytes) -> bytes:
-    """Return the start of a key's digest: fronts need not number their keys alike."""
+    """Return the key id, the start of the key's hash: it is independent of the order in a key file."""
     return hashlib.sha256(key).digest()[:KEY_NAME_BYTES]
 
 
@@ -117,32 +118,32 @@
     try:
         key = bytes.fromhex(text)
     except ValueError:
-        raise GossipKeysError(f"{place}: is no hex") from None
+        raise GossipKeysError(f"{place}: the key is not hexadecimal") from None
     if len(key) < MIN_KEY_BYTES:
-        raise GossipKeysError(f"{place}: a key has 16 octets at least, this one {len(key)}")
+        raise GossipKeysError(f"{place}: a key needs at least 16 bytes, this one has {len(key)}")
     return key
 
 
 class GossipKeys:
-    """The keys of one front: the first signs, all are accepted."""
+    """The keys of a front: the first one signs, all are accepted."""
 
     def __init__(self, keys: list[bytes]) -> None:
-        """Take the keys in their order.
+        """Create it from the keys in the order of the file.
 
         Raises:
-            GossipKeysError: There is no key.
+            GossipKeysError: The list is empty.
         """
         if not keys:
-            raise GossipKeysError("there is no key")
+            raise GossipKeysError("there is no gossip key")
         self.keys = {_key_name(key): key for key in keys}
         self.first = _key_name(keys[0])
 
     @classmethod
     def read(cls, path: Path) -> "GossipKeys":
-        """Read a file of keys, one a line in hex; `#` begins a comment.
+        """Read a key file, which has one key per line in hexadecimal; `#` begins a comment.
 
         Raises:
-            GossipKeysError: The file can't be read, has a line that is no key, or has none.
+            GossipKeysError: The file can't be read, has an invalid key, or has no key.
         """
         try:
             lines = path.read_text().splitlines()
@@ -151,7 +152,7 @@
         texts = [line.split("#")[0].strip() for line in lines]
         keys = [_parse_key(text, f"{path}:{number}") for number, text in enumerate(texts, 1) if text]
         if not keys:
-            raise GossipKeysError(f"{path}: there is no key")
+            raise GossipKeysError(f"{path}: the file has no key")
         return cls(keys)
 
     def seal(self, message: GossipMessage) -> bytes:
@@ -162,7 +163,7 @@
         """
         body = _encoder.encode(message)
         if HEADER_BYTES + DIGEST_BYTES + len(body) > MAX_DATAGRAM_BYTES:
-            raise DatagramTooLongError("a datagram of more than 1200 octets")
+            raise DatagramTooLongError("the datagram is longer than 1200 bytes")
         header = bytes((FORMAT_VERSION,)) + self.first
         return header + self._digest(self.keys[self.first], header + body) + body
 
@@ -171,7 +172,7 @@
         return hmac.new(key, data, hashlib.sha256).digest()[:DIGEST_BYTES]
 
     def open(self, data: bytes) -> GossipMessage | None:
-        """Return the message of a datagram, None where it is not valid or not signed with one of the keys."""
+        """Return the message of a datagram; None if it is malformed or not signed with one of the keys."""
         body_start = HEADER_BYTES + DIGEST_BYTES
         if not body_start < len(data) <= MAX_DATAGRAM_BYTES or data[0] != FORMAT_VERSION:
             return None
@@ -189,7 +190,7 @@
 
 
 def is_within_bounds(message: GossipMessage) -> bool:
-    """Return whether a message keeps the bounds that its types don't hold."""
+    """Return whether the values of a decoded message are in the ranges that its types don't express."""
     names = [message.name, message.address, message.target]
     names += [observation.zone for observation in message.observations]
     names += [update.name for update in message.updates]
--- a/umberlead/gossip/swim.py
+++ b/umberlead/gossip/swim.py
@@ -1,13 +1,14 @@
-"""Membership of fronts, and what they observe of zones, in the manner of SWIM. Pure; times are in us.
+"""SWIM membership of fronts, with the zone states that they observe. Does no I/O; times are in microseconds.
 
 After Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-Protocol" (2002). In each protocol period a front pings one other, in turns of a shuffled order; one without
-an ack is pinged through two helpers, then suspected, and after a while taken for dead. A member refutes that
-by raising its incarnation. Datagrams carry updates of members and the sender's own observations of zones.
-
-Beyond the paper: a session is proven before anything it says counts. It must repeat a nonce that was drawn
-for it, so that datagrams recorded from an earlier session say nothing. And the bytes sent a second are
-bounded.
+Protocol" (2002). In each protocol period a front pings one other member, round-robin in a shuffled order. A
+member that does not ack is pinged indirectly through two helpers, then marked suspect, and after a timeout
+marked dead. A member refutes this by incrementing its incarnation. Datagrams carry updates about members and
+the sender's own observations of zones.
+
+There are two additions to the paper. A peer's session has to be verified before its messages are used: it
+must repeat a nonce that was drawn for it, so that datagrams recorded in an earlier session can't be replayed.
+And the number of bytes sent per second is limited.
 """
 
 import random
@@ -25,45 +26,46 @@
 )
 from umberlead.zones.model import MICROSECONDS_PER_S, ZoneState
 
-# Zone states by their numbers in datagrams.
+# The zone states, at the index that is their number in datagrams.
 ZONE_STATES = (ZoneState.HEALTHY, ZoneState.DEGRADED, ZoneState.DOWN, ZoneState.RECOVERING)
 
 PROTOCOL_PERIOD_US = MICROSECONDS_PER_S
-ACK_TIMEOUT_US = 300_000  # for an ack, and as long again for one through helpers
-SUSPICION_TIMEOUT_US = 4 * MICROSECONDS_PER_S  # in which a suspect may refute it
-MEMBER_RETENTION_US = 120 * MICROSECONDS_PER_S  # of dead members, and of those that never proved a session
+ACK_TIMEOUT_US = 300_000  # for a direct ack, and again for an indirect one
+SUSPICION_TIMEOUT_US = 4 * MICROSECONDS_PER_S  # within which a suspect can refute the suspicion
+MEMBER_RETENTION_US = 120 * MICROSECONDS_PER_S  # of dead members and of those never verified
 INDIRECT_PINGS_COUNT = 2
-MAX_OBSERVATIONS_COUNT = 16  # in a datagram
-UPDATE_TRANSMISSIONS_COUNT = 6  # datagrams that carry an update, and pending updates that a datagram carries
+MAX_OBSERVATIONS_COUNT = 16  # per datagram
+UPDATE_TRANSMISSIONS_COUNT = 6  # of an update; also the limit of pending updates per datagram
 MAX_MEMBERS_COUNT = 500
 NONCE_BITS_SIZE = 53
 
-Datagrams = list[tuple[str, bytes]]  # the addresses and what is sent there
+Datagrams = list[tuple[str, bytes]]  # pairs of destination address and data
 
 
 def _ignore_observation(peer: str, zone: str, state: ZoneState) -> None:
-    """Drop an observation while no callback is set."""
+    """The default callback for observations, which does nothing."""
 
 
 def _ignore_death(peer: str) -> None:
-    """Drop a member's death while no callback is set."""
+    """The default callback for dead members, which does nothing."""
 
 
 class Gossip:
-    """One front's members, as a state machine: it is given datagrams and the time, and returns datagrams.
+    """The gossip state machine of one front: takes datagrams and the time, returns datagrams to send.
 
     Attributes:
         name: This front's name.
-        address: Its `host:port`.
-        seed_addresses: The addresses to join through.
-        session: The random number of this process.
+        address: This front's `host:port`.
+        seed_addresses: The addresses through which it joins the others.
+        session: The random number that identifies this process.
         incarnation: This front's incarnation.
         peers: The other members, by name.
-        observations: What this front observes of zones, by name; set by the owner.
-        on_observation: Called with a peer, a zone and what the peer observes of it.
-        on_member_dead: Called with a peer that is dead now.
-        dropped: Datagrams that were not sent, as the bytes a second did not allow them.
-        rejected: Datagrams that were received and did not count.
+        observations: The zone states that this front observes, by zone name; set by the owner.
+        on_observation: Called with the names of a peer and a zone, and the state that the peer observes.
+        on_member_dead: Called with the name of a peer when it is marked dead.
+        dropped: The number of datagrams that were not sent because of the rate limit.
+        rejected: The number of received datagrams that were ignored as invalid, as replays, or because there
+            are too many peers.
     """
 
     def __init__(
@@ -76,7 +78,7 @@
         now_us: int,
         bytes_per_second: int = 20_000,
     ) -> None:
-        """Begin without members; the first ping is due at once."""
+        """Start without peers; the first ping is due immediately."""
         self.name = name
         self.address = address
         self.seed_addresses = seed_addresses
@@ -96,9 +98,9 @@
         self._sequence = 0
         self._next_ping_us = now_us
         self._ping_order: list[str] = []
-        self._awaited_acks: dict[int, AwaitedAck] = {}  # by their nonce
-        self._relayed_pings: dict[int, RelayedPing] = {}  # by the nonce of the ping that was sent
-        self._pending_updates: dict[str, int] = {}  # how often the update of each name was sent
+        self._awaited_acks: dict[int, AwaitedAck] = {}  # by nonce
+        self._relayed_pings: dict[int, RelayedPing] = {}  # by the nonce of the relayed ping
+        self._pending_updates: dict[str, int] = {}  # transmissions so far of the update about each member
 
     def _nonce(self) -> int:
         return self.rng.getrandbits(NONCE_BITS_SIZE)
@@ -108,7 +110,7 @@
     def _send(
         self, now_us: int, datagrams: Datagrams, address: str, kind: MessageKind, nonce: int, target: str = ""
     ) -> None:
-        """Add one datagram to those to send, if the bytes a second allow it."""
+        """Append a datagram to those to send, unless it exceeds the rate limit (a token bucket of bytes)."""
         data = self._seal(kind, nonce, target, self._updates_for(address), self._sampled_observations())
         if data is None:
             self.dropped += 1
@@ -123,15 +125,15 @@
         datagrams.append((address, data))
 
     def _updates_for(self, address: str) -> list[MemberUpdate]:
-        """Return the updates that a datagram to an address carries, the most important first."""
+        """Return the updates for a datagram to an address, the most important first."""
         updates = [MemberUpdate(self.name, self.address, self.incarnation, MemberState.ALIVE)]
-        # A member that is not alive is told so by whoever sends to it, so that it can refute it.
+        # Any datagram to a member that is suspect or dead carries that update, so that it can refute it.
         updates += [
             peer.to_update()
             for peer in self.peers.values()
             if peer.address == address and peer.state != MemberState.ALIVE
         ]
-        if self.peers:  # and a random one, so that a member that joins late learns of all
+        if self.peers:  # a random one, so that members that join late eventually learn of all the others
             updates.append(self.rng.choice(list(self.peers.values())).to_update())
         fewest_sent_first = sorted(self._pending_updates, key=self._pending_updates.__getitem__)
         for name in fewest_sent_first[:UPDATE_TRANSMISSIONS_COUNT]:
@@ -157,7 +159,11 @@
         updates: list[MemberUpdate],
         observations: list[Observation],
     ) -> bytes | None:
-        """Return the datagram with as much as fits of what it may carry; None where nothing does."""
+        """Return the signed datagram, with fewer observations and updates if it is too long.
+
+        Returns:
+            None if even the update about this front alone makes it too long.
+        """
         self._sequence += 1
         while True:
             message = GossipMessage(
@@ -173,7 +179,7 @@
             )
             try:
                 return self.keys.seal(message)
-            except DatagramTooLongError:  # long names: fewer at a time
+            except DatagramTooLongError:  # because of long names
                 if observations:
                     observations = observations[: len(observations) // 2]
                 elif len(updates) > 1:
@@ -186,10 +192,10 @@
         self._awaited_acks[nonce] = AwaitedAck(name, now_us, False)
         self._send(now_us, datagrams, address, MessageKind.PING, nonce)
 
-    # Time
+    # Timers
 
     def tick(self, now_us: int) -> Datagrams:
-        """Return the datagrams that are due; to be called at least ten times a second."""
+        """Expire timeouts and return the datagrams that are due; call this at least ten times a second."""
         datagrams: Datagrams = []
         self._expire_awaited_acks(now_us, datagrams)
         self._relayed_pings = {
@@ -204,7 +210,7 @@
         return datagrams
 
     def _expire_awaited_acks(self, now_us: int, datagrams: Datagrams) -> None:
-        """Ping through helpers what has no ack, and suspect what has none through them either."""
+        """Ping members without an ack through helpers; suspect those without an ack of these pings either."""
         for nonce, awaited in list(self._awaited_acks.items()):
             if now_us - awaited.sent_us < ACK_TIMEOUT_US:
                 continue
@@ -228,7 +234,7 @@
             self._send(now_us, datagrams, helper.address, MessageKind.PING_REQ, nonce, name)
 
     def _expire_peers(self, now_us: int, datagrams: Datagrams) -> None:
-        """Take suspects for dead, tell them that they are suspects, and forget the dead."""
+        """Notify suspects that they are suspected, mark them dead after the timeout, and remove the dead."""
         for peer in list(self.peers.values()):
             state_us = now_us - peer.since_us
             if peer.state == MemberState.SUSPECT and state_us >= SUSPICION_TIMEOUT_US:
@@ -241,7 +247,7 @@
                 del self.peers[peer.name]
 
     def _ping_next(self, now_us: int, datagrams: Datagrams) -> None:
-        """Ping the next member of the order; after the last one shuffle it, and ping a seed address."""
+        """Ping the next member of the order; at its end draw a new order, and ping a seed address."""
         while self._ping_order:
             peer = self.peers.get(self._ping_order.pop())
             if peer is not None and peer.state != MemberState.DEAD:
@@ -249,7 +255,7 @@
                 return
         self._ping_order = list(self.peers)
         self.rng.shuffle(self._ping_order)
-        # Seed addresses are pinged whatever is known of them: that heals a partition.
+        # Seed addresses are pinged even if their members are known to be dead: this heals network partitions.
         address = self.rng.choice(self.seed_addresses) if self.seed_addresses else ""
         if address and address != self.address:
             self._ping(now_us, datagrams, "", address)
@@ -257,16 +263,16 @@
     # Receiving
 
     def receive(self, now_us: int, data: bytes) -> Datagrams:
-        """Handle a datagram from whoever sent it; return the datagrams that follow from it."""
+        """Handle a received datagram, which may be from anyone; return the datagrams to send in response."""
         datagrams: Datagrams = []
         message = self.keys.open(data)
         peer = None if message is None else self._sender_of(now_us, message)
         if message is None or peer is None:
             self.rejected += 1
             return datagrams
-        if (
-            message.kind == MessageKind.PING
-        ):  # answered to all: that gives nothing away, and lets the sender prove itself
+        # Pings of unverified sessions are acked too: this discloses nothing, and else two fronts that are new
+        # to each other could never verify their sessions.
+        if message.kind == MessageKind.PING:
             self._send(now_us, datagrams, message.address, MessageKind.ACK, message.nonce)
         if not self._is_session_proven(now_us, datagrams, peer, message):
             return datagrams
@@ -284,7 +290,7 @@
         return datagrams
 
     def _apply_contents(self, now_us: int, peer: Peer, message: GossipMessage) -> None:
-        """Take over what a message carries; a peer that is dead for others observes nothing."""
+        """Apply the updates of a message, and its observations if its sender is alive after these updates."""
         for update in message.updates:
             self._apply_update(now_us, update)
         if peer.state == MemberState.ALIVE:
@@ -292,7 +298,7 @@
                 self.on_observation(peer.name, observation.zone, ZONE_STATES[observation.state])
 
     def _sender_of(self, now_us: int, message: GossipMessage) -> Peer | None:
-        """Return the peer that a message is from; None if that is this front, or one too many."""
+        """Return the sender of a message, which may be a new peer; None for this front or too many peers."""
         if message.name == self.name:
             return None
         peer = self.peers.get(message.name)
@@ -305,15 +311,15 @@
     def _is_session_proven(
         self, now_us: int, datagrams: Datagrams, peer: Peer, message: GossipMessage
     ) -> bool:
-        """Return whether a message is of the peer's proven session; challenge its session where it is not."""
+        """Return whether a message belongs to the peer's verified session; if not, challenge its session."""
         if message.session == peer.session:
             return True
         if message.kind == MessageKind.ACK:
             awaited = self._awaited_acks.get(message.nonce)
             is_awaited = awaited is not None and awaited.name in (peer.name, "")
             if message.nonce == peer.nonce or is_awaited:
-                # The nonce was drawn here, not long ago: who repeats it is alive. A restarted front begins
-                # anew.
+                # This front drew the nonce recently, so the ack is no replay and its sender is alive. After a
+                # restart the sender has a new session.
                 peer.begin_session(message.session)
                 return True
         if message.session != peer.unproven_session or now_us - peer.challenged_us >= ACK_TIMEOUT_US:
@@ -340,7 +346,10 @@
             self._send(now_us, datagrams, requester.address, MessageKind.ACK, relayed.requester_nonce)
 
     def _apply_update(self, now_us: int, update: MemberUpdate) -> None:
-        """Take over an update: the higher incarnation counts, and of one incarnation the worse state."""
+        """Apply an update of a higher incarnation, or of the same one and a worse state.
+
+        This front refutes an update that declares it suspect or dead.
+        """
         if update.name == self.name:
             if update.state != MemberState.ALIVE and update.incarnation >= self.incarnation:
                 self.incarnation = update.incarnation + 1
@@ -369,7 +378,7 @@
         self._pending_updates[peer.name] = 0
 
     def alive_members(self) -> list[str]:
-        """Return the names of the members that are alive and have proven their session."""
+        """Return the names of the peers that are alive and whose session is verified."""
         return sorted(
             peer.name for peer in self.peers.values() if peer.state == MemberState.ALIVE and peer.session >= 0
         )
--- a/umberlead/gossip/udp_transport.py
+++ b/umberlead/gossip/udp_transport.py
@@ -1,4 +1,4 @@
-"""Gossip over UDP: what this front observes of zones is sent, and what peers observe is received."""
+"""Gossip over UDP, which exchanges observed zone states with the other fronts."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,33 +15,33 @@
 
 
 class GossipProtocol(asyncio.DatagramProtocol):
-    """The socket's events.
+    """The UDP socket: passes received datagrams to the state machine, and sends its datagrams.
 
     Attributes:
-        gossip: The members, as a state machine without I/O.
-        clock: Returns the time in us.
-        transport: The socket, None before it is open.
+        gossip: The gossip state machine, which does no I/O.
+        clock: Returns the time in microseconds.
+        transport: The socket; None before it is open.
     """
 
     def __init__(self, gossip: Gossip, clock: Callable[[], int]) -> None:
-        """Begin without a socket."""
+        """Create the protocol; asyncio sets its socket."""
         self.gossip = gossip
         self.clock = clock
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the socket."""
+        """Store the socket."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: Any) -> None:
-        """Handle a datagram; what it says of its sender counts, and not the address it came from."""
+        """Handle a datagram; its sender is identified by the message, not by the source address."""
         self.send(self.gossip.receive(self.clock(), data))
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that a peer's port is closed: that its pings have no ack says the same."""
+        """Ignore ICMP errors such as a closed port: the missing ack of a ping reveals the same failure."""
 
     def send(self, datagrams: Datagrams) -> None:
-        """Send datagrams; one whose address can't be used is as good as lost."""
+        """Send datagrams; drop those with an invalid address or a socket error, as if they were lost."""
         for address, data in datagrams:
             host, _, port = address.rpartition(":")
             if self.transport is not None and port.isdigit() and 0 < int(port) < PORT_LIMIT:
@@ -52,10 +52,10 @@
 
 
 class GossipService:
-    """A front's open socket and its periodic task."""
+    """Gossip of a running front: the open socket and the periodic task."""
 
     def __init__(self, protocol: GossipProtocol, zone_health: ZoneHealth) -> None:
-        """Start the periodic task."""
+        """Start the periodic task, and pass the peers' observations to `zone_health`."""
         self._protocol = protocol
         self._zone_health = zone_health
         self._task = asyncio.get_running_loop().create_task(self._tick_periodically())
@@ -63,7 +63,7 @@
 
     @property
     def address(self) -> str:
-        """The `host:port` that the front listens at."""
+        """The `host:port` on which the front listens."""
         return self._protocol.gossip.address
 
     def _on_observation(self, peer: str, zone: str, state: ZoneState) -> None:
@@ -93,15 +93,15 @@
     """Open the socket and start the periodic task.
 
     Args:
-        gossip_config: The addresses and the keys.
+        gossip_config: The addresses, the key file and the rate limit.
         name: This front's name.
-        seed: The seed of the random numbers, another one for each process.
-        zone_health: Gives what is observed of zones, and takes what peers observe.
-        clock: Returns the time in us.
+        seed: The seed of the random numbers, a different one for each process.
+        zone_health: Provides the zone states that this front observes, and records those of its peers.
+        clock: Returns the time in microseconds.
 
     Raises:
         GossipKeysError: The keys can't be used.
-        OSError: The address can't be listened at.
+        OSError: The socket can't be opened at the address.
     """
     gossip = Gossip(
         name,
