--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -185,11 +185,11 @@
     rows = net.members["f1:1"].tick(net.now + 2 * MICROSECONDS_PER_S)
     (data,) = [d for a, d in rows if a == "f0:1"][:1]
     net.heard["f0"].clear()
-    before = net.members["f0:1"].rejected
+    before = net.members["f0:1"].rejected_count
     for _ in range(5):
         net.members["f0:1"].receive(net.now, data)
     assert len([r for r in net.heard["f0"] if r[1] == "r"]) == 1
-    assert net.members["f0:1"].rejected == before + 4
+    assert net.members["f0:1"].rejected_count == before + 4
 
 
 def test_without_the_key_nothing_is_taken() -> None:
@@ -215,7 +215,7 @@
     net.sent.clear()
     net.run(30)
     assert max(net.sent.values()) <= 31 * 1000
-    assert any(m.dropped for m in net.members.values())
+    assert any(m.dropped_count for m in net.members.values())
 
 
 def test_a_full_datagram_is_still_one() -> None:
@@ -254,7 +254,7 @@
 def test_any_body_under_a_sound_digest_is_a_sound_message_or_none(body: bytes) -> None:
     """Whoever has a key may still err: the decoder is reached, and bounds hold."""
     keys = GossipKeys([KEY])
-    head = bytes((1,)) + keys.first
+    head = bytes((1,)) + keys.signing_key_id
     got = keys.open(head + keys._digest(KEY, head + body) + body)
     assert got is None or is_within_bounds(got)
     net = Net(1)
@@ -337,9 +337,9 @@
             bad = bytearray(old)
             bad[at % len(bad)] ^= by
             member = self.net.members[address]
-            before = member.rejected
+            before = member.rejected_count
             member.receive(self.net.now, bytes(bad))
-            assert member.rejected == before + 1
+            assert member.rejected_count == before + 1
 
     @invariant()
     def heard_is_said(self) -> None:
--- a/umberlead/gossip/members.py
+++ b/umberlead/gossip/members.py
@@ -21,8 +21,8 @@
         highest_sequence: The highest sequence number received in that session.
         seen_bits: A bit for each of the sequence numbers below the highest, set if it was received; bit 0 is
             the highest one minus 1.
-        unproven_session: The session that is being verified, -1 if there is none.
-        nonce: The nonce of the challenge, which an ack of the unproven session must repeat.
+        unverified_session: The session that is being verified, -1 if there is none.
+        challenge_nonce: The nonce of the challenge, which an ack of the unverified session must repeat.
         challenged_us: When the challenge was sent.
         suspicion_sent_us: When the peer was last sent the update that it is a suspect.
     """
@@ -35,8 +35,8 @@
     session: int = -1
     highest_sequence: int = -1
     seen_bits: int = 0
-    unproven_session: int = -1
-    nonce: int = 0
+    unverified_session: int = -1
+    challenge_nonce: int = 0
     challenged_us: int = 0
     suspicion_sent_us: int = 0
 
@@ -49,9 +49,9 @@
         self.session = session
         self.highest_sequence = -1
         self.seen_bits = 0
-        self.unproven_session = -1
+        self.unverified_session = -1
 
-    def is_fresh(self, sequence: int) -> bool:
+    def record_sequence(self, sequence: int) -> bool:
         """Record a sequence number of the session; return False if it is a replay or too old to tell."""
         if sequence > self.highest_sequence:
             shift = sequence - self.highest_sequence
--- a/umberlead/gossip/messages.py
+++ b/umberlead/gossip/messages.py
@@ -17,12 +17,12 @@
 
 FORMAT_VERSION = 1  # a datagram's first byte
 HEADER_BYTES = 5
-KEY_NAME_BYTES = 4
+KEY_ID_BYTES = 4
 DIGEST_BYTES = 16
 MIN_KEY_BYTES = 16
 MAX_DATAGRAM_BYTES = 1200  # below the MTU of usual network paths
 MAX_NAME_BYTES = 64
-MAX_ROWS_COUNT = 64
+MAX_LIST_LENGTH = 64
 INCARNATION_LIMIT = 1 << 62
 ZONE_STATE_COUNT = 4
 
@@ -109,18 +109,18 @@
 _decoder: msgspec.msgpack.Decoder[GossipMessage] = msgspec.msgpack.Decoder(GossipMessage)
 
 
-def _key_name(key: bytes) -> bytes:
+def _key_id(key: bytes) -> bytes:
     """Return the key id, the start of the key's hash: it is independent of the order in a key file."""
-    return hashlib.sha256(key).digest()[:KEY_NAME_BYTES]
+    return hashlib.sha256(key).digest()[:KEY_ID_BYTES]
 
 
-def _parse_key(text: str, place: str) -> bytes:
+def _parse_key(text: str, location: str) -> bytes:
     try:
         key = bytes.fromhex(text)
     except ValueError:
-        raise GossipKeysError(f"{place}: the key is not hexadecimal") from None
+        raise GossipKeysError(f"{location}: the key is not hexadecimal") from None
     if len(key) < MIN_KEY_BYTES:
-        raise GossipKeysError(f"{place}: a key needs at least 16 bytes, this one has {len(key)}")
+        raise GossipKeysError(f"{location}: a key needs at least 16 bytes, this one has {len(key)}")
     return key
 
 
@@ -135,8 +135,8 @@
         """
         if not keys:
             raise GossipKeysError("there is no gossip key")
-        self.keys = {_key_name(key): key for key in keys}
-        self.first = _key_name(keys[0])
+        self.keys = {_key_id(key): key for key in keys}
+        self.signing_key_id = _key_id(keys[0])
 
     @classmethod
     def read(cls, path: Path) -> "GossipKeys":
@@ -164,8 +164,8 @@
         body = _encoder.encode(message)
         if HEADER_BYTES + DIGEST_BYTES + len(body) > MAX_DATAGRAM_BYTES:
             raise DatagramTooLongError("the datagram is longer than 1200 bytes")
-        header = bytes((FORMAT_VERSION,)) + self.first
-        return header + self._digest(self.keys[self.first], header + body) + body
+        header = bytes((FORMAT_VERSION,)) + self.signing_key_id
+        return header + self._digest(self.keys[self.signing_key_id], header + body) + body
 
     @staticmethod
     def _digest(key: bytes, data: bytes) -> bytes:
@@ -199,8 +199,8 @@
         0 <= message.kind < len(MessageKind)
         and bool(message.name)
         and all(len(name) <= MAX_NAME_BYTES for name in names)
-        and len(message.updates) <= MAX_ROWS_COUNT
-        and len(message.observations) <= MAX_ROWS_COUNT
+        and len(message.updates) <= MAX_LIST_LENGTH
+        and len(message.observations) <= MAX_LIST_LENGTH
         and all(_is_update_within_bounds(update) for update in message.updates)
         and all(0 <= observation.state < ZONE_STATE_COUNT for observation in message.observations)
         and min(message.session, message.sequence, message.nonce) >= 0
--- a/umberlead/gossip/swim.py
+++ b/umberlead/gossip/swim.py
@@ -33,11 +33,11 @@
 ACK_TIMEOUT_US = 300_000  # for a direct ack, and again for an indirect one
 SUSPICION_TIMEOUT_US = 4 * MICROSECONDS_PER_S  # within which a suspect can refute the suspicion
 MEMBER_RETENTION_US = 120 * MICROSECONDS_PER_S  # of dead members and of those never verified
-INDIRECT_PINGS_COUNT = 2
-MAX_OBSERVATIONS_COUNT = 16  # per datagram
-UPDATE_TRANSMISSIONS_COUNT = 6  # of an update; also the limit of pending updates per datagram
-MAX_MEMBERS_COUNT = 500
-NONCE_BITS_SIZE = 53
+INDIRECT_PING_COUNT = 2
+MAX_OBSERVATION_COUNT = 16  # per datagram
+UPDATE_TRANSMISSION_COUNT = 6  # of an update; also the limit of pending updates per datagram
+MAX_PEER_COUNT = 500
+NONCE_BITS = 53
 
 Datagrams = list[tuple[str, bytes]]  # pairs of destination address and data
 
@@ -63,9 +63,9 @@
         observations: The zone states that this front observes, by zone name; set by the owner.
         on_observation: Called with the names of a peer and a zone, and the state that the peer observes.
         on_member_dead: Called with the name of a peer when it is marked dead.
-        dropped: The number of datagrams that were not sent because of the rate limit.
-        rejected: The number of received datagrams that were ignored as invalid, as replays, or because there
-            are too many peers.
+        dropped_count: The number of datagrams that were not sent because of the rate limit.
+        rejected_count: The number of received datagrams that were ignored as invalid, as replays, or because
+            there are too many peers.
     """
 
     def __init__(
@@ -84,15 +84,15 @@
         self.seed_addresses = seed_addresses
         self.keys = keys
         self.rng = random.Random(seed)
-        self.session = self._nonce()
+        self.session = self._draw_nonce()
         self.incarnation = 0
         self.peers: dict[str, Peer] = {}
         self.observations: dict[str, ZoneState] = {}
         self.on_observation: Callable[[str, str, ZoneState], None] = _ignore_observation
         self.on_member_dead: Callable[[str], None] = _ignore_death
         self.bytes_per_second = bytes_per_second
-        self.dropped = 0
-        self.rejected = 0
+        self.dropped_count = 0
+        self.rejected_count = 0
         self._available_bytes = float(bytes_per_second)
         self._refilled_us = now_us
         self._sequence = 0
@@ -102,8 +102,8 @@
         self._relayed_pings: dict[int, RelayedPing] = {}  # by the nonce of the relayed ping
         self._pending_updates: dict[str, int] = {}  # transmissions so far of the update about each member
 
-    def _nonce(self) -> int:
-        return self.rng.getrandbits(NONCE_BITS_SIZE)
+    def _draw_nonce(self) -> int:
+        return self.rng.getrandbits(NONCE_BITS)
 
     # Sending
 
@@ -113,13 +113,13 @@
         """Append a datagram to those to send, unless it exceeds the rate limit (a token bucket of bytes)."""
         data = self._seal(kind, nonce, target, self._updates_for(address), self._sampled_observations())
         if data is None:
-            self.dropped += 1
+            self.dropped_count += 1
             return
         refilled_bytes = self.bytes_per_second * (now_us - self._refilled_us) / MICROSECONDS_PER_S
         self._available_bytes = min(self._available_bytes + refilled_bytes, float(self.bytes_per_second))
         self._refilled_us = now_us
         if len(data) > self._available_bytes:
-            self.dropped += 1
+            self.dropped_count += 1
             return
         self._available_bytes -= len(data)
         datagrams.append((address, data))
@@ -136,12 +136,12 @@
         if self.peers:  # a random one, so that members that join late eventually learn of all the others
             updates.append(self.rng.choice(list(self.peers.values())).to_update())
         fewest_sent_first = sorted(self._pending_updates, key=self._pending_updates.__getitem__)
-        for name in fewest_sent_first[:UPDATE_TRANSMISSIONS_COUNT]:
+        for name in fewest_sent_first[:UPDATE_TRANSMISSION_COUNT]:
             peer = self.peers.get(name)
             if peer is not None:
                 updates.append(peer.to_update())
             self._pending_updates[name] += 1
-            if self._pending_updates[name] >= UPDATE_TRANSMISSIONS_COUNT or peer is None:
+            if self._pending_updates[name] >= UPDATE_TRANSMISSION_COUNT or peer is None:
                 del self._pending_updates[name]
         return updates
 
@@ -149,7 +149,7 @@
         observations = [
             Observation(zone, ZONE_STATES.index(state)) for zone, state in self.observations.items()
         ]
-        return self.rng.sample(observations, min(len(observations), MAX_OBSERVATIONS_COUNT))
+        return self.rng.sample(observations, min(len(observations), MAX_OBSERVATION_COUNT))
 
     def _seal(
         self,
@@ -188,7 +188,7 @@
                     return None
 
     def _ping(self, now_us: int, datagrams: Datagrams, name: str, address: str) -> None:
-        nonce = self._nonce()
+        nonce = self._draw_nonce()
         self._awaited_acks[nonce] = AwaitedAck(name, now_us, False)
         self._send(now_us, datagrams, address, MessageKind.PING, nonce)
 
@@ -230,20 +230,20 @@
             for candidate in self.peers.values()
             if candidate.state == MemberState.ALIVE and candidate.name != name and candidate.session >= 0
         ]
-        for helper in self.rng.sample(helpers, min(INDIRECT_PINGS_COUNT, len(helpers))):
+        for helper in self.rng.sample(helpers, min(INDIRECT_PING_COUNT, len(helpers))):
             self._send(now_us, datagrams, helper.address, MessageKind.PING_REQ, nonce, name)
 
     def _expire_peers(self, now_us: int, datagrams: Datagrams) -> None:
         """Notify suspects that they are suspected, mark them dead after the timeout, and remove the dead."""
         for peer in list(self.peers.values()):
-            state_us = now_us - peer.since_us
-            if peer.state == MemberState.SUSPECT and state_us >= SUSPICION_TIMEOUT_US:
+            elapsed_us = now_us - peer.since_us
+            if peer.state == MemberState.SUSPECT and elapsed_us >= SUSPICION_TIMEOUT_US:
                 self._set_state(now_us, peer, MemberState.DEAD, peer.incarnation)
                 self.on_member_dead(peer.name)
             elif peer.state == MemberState.SUSPECT and now_us - peer.suspicion_sent_us >= ACK_TIMEOUT_US:
                 peer.suspicion_sent_us = now_us
-                self._send(now_us, datagrams, peer.address, MessageKind.PING, self._nonce())
-            elif state_us >= MEMBER_RETENTION_US and (peer.state == MemberState.DEAD or peer.session < 0):
+                self._send(now_us, datagrams, peer.address, MessageKind.PING, self._draw_nonce())
+            elif elapsed_us >= MEMBER_RETENTION_US and (peer.state == MemberState.DEAD or peer.session < 0):
                 del self.peers[peer.name]
 
     def _ping_next(self, now_us: int, datagrams: Datagrams) -> None:
@@ -266,18 +266,18 @@
         """Handle a received datagram, which may be from anyone; return the datagrams to send in response."""
         datagrams: Datagrams = []
         message = self.keys.open(data)
-        peer = None if message is None else self._sender_of(now_us, message)
+        peer = None if message is None else self._find_or_add_sender(now_us, message)
         if message is None or peer is None:
-            self.rejected += 1
+            self.rejected_count += 1
             return datagrams
         # Pings of unverified sessions are acked too: this discloses nothing, and else two fronts that are new
         # to each other could never verify their sessions.
         if message.kind == MessageKind.PING:
             self._send(now_us, datagrams, message.address, MessageKind.ACK, message.nonce)
-        if not self._is_session_proven(now_us, datagrams, peer, message):
+        if not self._is_session_verified(now_us, datagrams, peer, message):
             return datagrams
-        if not peer.is_fresh(message.sequence):
-            self.rejected += 1
+        if not peer.record_sequence(message.sequence):
+            self.rejected_count += 1
             return datagrams
         peer.address = message.address
         if peer.state == MemberState.SUSPECT:
@@ -297,18 +297,18 @@
             for observation in message.observations:
                 self.on_observation(peer.name, observation.zone, ZONE_STATES[observation.state])
 
-    def _sender_of(self, now_us: int, message: GossipMessage) -> Peer | None:
+    def _find_or_add_sender(self, now_us: int, message: GossipMessage) -> Peer | None:
         """Return the sender of a message, which may be a new peer; None for this front or too many peers."""
         if message.name == self.name:
             return None
         peer = self.peers.get(message.name)
-        if peer is None and len(self.peers) < MAX_MEMBERS_COUNT:
+        if peer is None and len(self.peers) < MAX_PEER_COUNT:
             peer = Peer(message.name, message.address, since_us=now_us)
             self.peers[message.name] = peer
             self._pending_updates[message.name] = 0
         return peer
 
-    def _is_session_proven(
+    def _is_session_verified(
         self, now_us: int, datagrams: Datagrams, peer: Peer, message: GossipMessage
     ) -> bool:
         """Return whether a message belongs to the peer's verified session; if not, challenge its session."""
@@ -317,22 +317,22 @@
         if message.kind == MessageKind.ACK:
             awaited = self._awaited_acks.get(message.nonce)
             is_awaited = awaited is not None and awaited.name in (peer.name, "")
-            if message.nonce == peer.nonce or is_awaited:
+            if message.nonce == peer.challenge_nonce or is_awaited:
                 # This front drew the nonce recently, so the ack is no replay and its sender is alive. After a
                 # restart the sender has a new session.
                 peer.begin_session(message.session)
                 return True
-        if message.session != peer.unproven_session or now_us - peer.challenged_us >= ACK_TIMEOUT_US:
-            peer.unproven_session = message.session
-            peer.nonce = self._nonce()
+        if message.session != peer.unverified_session or now_us - peer.challenged_us >= ACK_TIMEOUT_US:
+            peer.unverified_session = message.session
+            peer.challenge_nonce = self._draw_nonce()
             peer.challenged_us = now_us
-            self._send(now_us, datagrams, message.address, MessageKind.PING, peer.nonce)
+            self._send(now_us, datagrams, message.address, MessageKind.PING, peer.challenge_nonce)
         return False
 
     def _relay_ping(self, now_us: int, datagrams: Datagrams, message: GossipMessage) -> None:
         target = self.peers.get(message.target)
         if target is not None:
-            nonce = self._nonce()
+            nonce = self._draw_nonce()
             self._relayed_pings[nonce] = RelayedPing(message.name, message.nonce, now_us)
             self._send(now_us, datagrams, target.address, MessageKind.PING, nonce)
 
@@ -356,7 +356,7 @@
             return
         peer = self.peers.get(update.name)
         if peer is None:
-            if update.state == MemberState.ALIVE and len(self.peers) < MAX_MEMBERS_COUNT:
+            if update.state == MemberState.ALIVE and len(self.peers) < MAX_PEER_COUNT:
                 peer = Peer(update.name, update.address, update.incarnation, since_us=now_us)
                 self.peers[update.name] = peer
                 self._pending_updates[update.name] = 0
