--- a/umberlead/handover/__init__.py
+++ b/umberlead/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Handover: a process of a front and the one that replaces it share the front's descriptors and state."""
+"""Handover between processes of a front, which share its file descriptors and state while both run."""
--- a/umberlead/handover/clock_anchors.py
+++ b/umberlead/handover/clock_anchors.py
@@ -1,8 +1,9 @@
-"""Offsets of the wall clock from the monotonic clock, as a front's processes saw them, stored in a file.
+"""Offsets between the wall clock and the monotonic clock that a front's processes saw, stored in a file.
 
-Both clocks are the machine's. An offset that an earlier process saw tells a later one, which started after
-the wall clock stepped, by which other time an endpoint's start may have been reported. It is only a hint:
-an offset that can't be stored or read is not known.
+Both are clocks of this machine. If the wall clock stepped before this process started, an endpoint may have
+reported its start in the old wall-clock time; the offset that an earlier process stored relates that to the
+monotonic clock.
+An offset is only a hint: one that can't be stored or read is ignored.
 """
 
 import contextlib
@@ -10,7 +11,7 @@
 import re
 from pathlib import Path
 
-MAX_ANCHORS_COUNT = 16  # that are stored; the oldest is dropped first
+MAX_ANCHORS_COUNT = 16  # in the file; the oldest is dropped first
 MAX_FILE_BYTES = 4096
 ANCHOR_PATTERN = re.compile(rb"(-?[0-9]{1,18})\n")
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
@@ -18,14 +19,14 @@
 
 
 class ClockAnchors:
-    """Anchors in microseconds: the wall clock less the monotonic clock."""
+    """The stored anchors; an anchor is the wall clock minus the monotonic clock, in microseconds."""
 
     def __init__(self, path: Path | None) -> None:
-        """Store them at `path`; None stores nothing."""
+        """Store anchors in the file at `path`; if it is None, store nothing."""
         self._path = path
 
     def read(self) -> list[int]:
-        """Return the anchors that were seen since the machine booted, the oldest first."""
+        """Return the anchors stored since the machine booted, the oldest first."""
         if self._path is None:
             return []
         try:
@@ -38,7 +39,7 @@
         return [int(anchor) for anchor in ANCHOR_PATTERN.findall(lines)][-MAX_ANCHORS_COUNT:]
 
     def add(self, anchor_us: int) -> None:
-        """Store another anchor, where that is possible now."""
+        """Store another anchor; ignore file system errors."""
         if self._path is None:
             return
         anchors = [*self.read(), anchor_us][-MAX_ANCHORS_COUNT:]
--- a/umberlead/handover/descriptor_quota.py
+++ b/umberlead/handover/descriptor_quota.py
@@ -1,4 +1,4 @@
-"""A process's limits of connections: divided anew as its siblings change theirs."""
+"""Connection limits of a process, recomputed whenever a sibling process changes its claim."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -11,22 +11,22 @@
 from umberlead.net.listener import Listener
 from umberlead.resource_limits import connections_within, with_surplus
 
-SHORTAGE_REFRESH_INTERVAL_US = 5_000  # between divisions of a process that is short of connections
-UNBOUNDED_COUNT = 1_000_000  # more than any front's descriptors
+SHORTAGE_REFRESH_INTERVAL_US = 5_000  # minimum between updates on a shortage of connections
+UNBOUNDED_COUNT = 1_000_000  # more than the descriptors of any front
 
 
 class DescriptorQuota:
-    """The quota of each kind: connections of each admin listener's and client listener's, and to endpoints.
+    """The quota of each kind of connection: of each admin listener, of each client listener, to endpoints.
 
     Attributes:
-        shared: the state that the processes of the front have in common.
+        shared: the state that the front's processes share.
         pool: the connections to endpoints.
-        client_groups: the clients' connections, a group for each listener.
-        admin_listeners: the admin API's listeners and the connections that each accepts.
-        listeners: the clients' listeners.
+        client_groups: the client connections, a group for each client listener.
+        admin_listeners: the admin API's listeners, each with the group of its connections.
+        listeners: the client listeners.
         clock: returns microseconds.
-        settled: is set once siblings released what this process needs to start.
-        has_siblings: whether other processes of the front run, as far as is known.
+        settled: set once siblings have released the descriptors that this process needs to start.
+        has_siblings: whether other processes of the front ran at the latest update.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         clock: Callable[[], int],
         request_update: Callable[[], None],
     ) -> None:
-        """Start without quota; `request_update` has to call `update`."""
+        """Start with no quota; `request_update` has to cause a call of `update`."""
         self.shared = shared
         self.pool = pool
         self.client_groups = client_groups
@@ -54,19 +54,19 @@
         pool.on_capacity_shortage = self.connection_refused_for_quota
 
     def connection_refused_for_quota(self) -> None:
-        """Divide at once where a connection is needed and the quota is used up: some may be unclaimed."""
+        """Request an update after a connection was refused: there may be unclaimed descriptors."""
         elapsed_us = self.clock() - self._updated_us
         if self.has_siblings and elapsed_us >= SHORTAGE_REFRESH_INTERVAL_US:
             self._request_update()
 
     def update(self, descriptors: int, fixed: int, single_quota: Sequence[int], open_requests: int) -> None:
-        """Divide anew; no quota rises where the siblings' claims can't be read now.
+        """Recompute the quotas; none is raised if the siblings' claims can't be read now.
 
         Args:
-            descriptors: of the front.
-            fixed: those of this process that are no connections.
+            descriptors: the number of file descriptors of the front.
+            fixed: the number of this process's descriptors that are not connections.
             single_quota: by kind, the quota of a process without siblings.
-            open_requests: of this process.
+            open_requests: the number of open requests of this process.
         """
         if len(self._quotas) != len(single_quota):
             self._quotas = (0,) * len(single_quota)
@@ -74,7 +74,7 @@
         self._updated_us = self.clock()
 
         def decide(siblings: list[DescriptorClaim | None]) -> DescriptorClaim:
-            """Lower what falls, and claim what this process has from now on."""
+            """Apply the quotas that decrease, and return the claim of this process from now on."""
             nonlocal quotas
             self.has_siblings = bool(siblings)
             claim = self._divide(descriptors, fixed, single_quota, open_requests, siblings)
@@ -94,13 +94,13 @@
         open_requests: int,
         siblings: SiblingClaims,
     ) -> DescriptorClaim:
-        """Return this process's new claim, after quotas that fall were applied."""
+        """Apply the quotas that decrease, and return this process's new claim."""
         own = self._claim(fixed, self._quotas, open_requests)
         quotas = divide_quota(descriptors, single_quota, own, siblings)
         lowered = tuple(map(min, quotas, self._quotas))
         if lowered != self._quotas:
             self._apply(lowered)
-            own = self._claim(fixed, quotas, open_requests)  # connections that could be closed are gone
+            own = self._claim(fixed, quotas, open_requests)  # idle connections above the quota are closed now
         uses = (
             ConnectionUse(quota, use.open_connections, use.required, use.max_required)
             for quota, use in zip(quotas, own.connection_uses, strict=True)
@@ -128,7 +128,7 @@
         return ConnectionUse(quota, open_connections, required, max_required)
 
     def _is_closed(self) -> bool:
-        """Tell whether no new clients are accepted any more."""
+        """Return whether this process no longer accepts client connections."""
         accepts = any(listener.is_open or listener.accepting_count for listener in self.listeners)
         return bool(self.listeners) and not accepts
 
--- a/umberlead/handover/drain_overrides.py
+++ b/umberlead/handover/drain_overrides.py
@@ -1,4 +1,4 @@
-"""Manual drains of endpoints: one file each, which all processes of a front see."""
+"""Manual drains of endpoints, stored as one file each in a folder that all processes of a front share."""
 
 import os
 import time
@@ -7,21 +7,22 @@
 
 
 class DrainOverrides:
-    """The endpoints that operators drained by hand; without a folder this process alone knows them.
+    """The endpoints that operators drained manually; without a folder they are kept in this process only.
 
     Attributes:
-        folder: where the files are; None where there is none.
+        folder: the folder of the files; None if there is none.
     """
 
     def __init__(self, folder: Path | None) -> None:
-        """Store them in `folder`."""
+        """Store the drains in `folder`."""
         self.folder = folder
         self._known: dict[str, int] = {}
 
     def read(self) -> dict[str, int]:
-        """Return the drained endpoints, and when each was drained in microseconds of Unix time.
+        """Return the drained endpoints with the times of their drains, in microseconds of Unix time.
 
-        What can't be read now is as it was: a manual drain holds until it is taken back.
+        If the folder or a file can't be read now, the previous state is returned: a manual drain holds until
+        an operator ends it.
         """
         if self.folder is None:
             return dict(self._known)
@@ -36,7 +37,7 @@
             endpoint = unquote(file_name)
             try:
                 found[endpoint] = os.stat(self.folder / file_name).st_mtime_ns // 1000
-            except FileNotFoundError:  # it was taken back meanwhile
+            except FileNotFoundError:  # the drain was ended meanwhile
                 continue
             except OSError:
                 found[endpoint] = self._known.get(endpoint, time.time_ns() // 1000)
@@ -44,10 +45,10 @@
         return dict(found)
 
     def set(self, endpoint: str, is_drained: bool) -> None:
-        """Drain an endpoint, or take that back.
+        """Start or end the manual drain of an endpoint.
 
         Raises:
-            OSError: it can't be stored; nothing has changed then.
+            OSError: the change can't be stored; nothing is changed then.
         """
         if self.folder is None:
             if is_drained:
--- a/umberlead/handover/process_claims.py
+++ b/umberlead/handover/process_claims.py
@@ -1,4 +1,4 @@
-"""What a process of a front publishes to its siblings: the descriptors that it may use, and their use."""
+"""Claims, which a process publishes to its siblings: the file descriptors that it may use and does use."""
 
 from dataclasses import dataclass
 
@@ -8,18 +8,18 @@
 
 
 class InvalidClaimError(UmberleadError, ValueError):
-    """A published claim can't be read."""
+    """A published claim is malformed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionUse:
-    """One kind of connection in one process; all numbers are descriptors.
+    """The use of one kind of connection in one process; all values are numbers of descriptors.
 
     Attributes:
-        quota: how many the process may have open.
+        quota: how many connections the process may have open.
         open_connections: how many it has open.
         required: how many of them it can't close in favor of a sibling.
-        max_required: a bound on what it will ever require; unbounded while it accepts new clients.
+        max_required: an upper bound of `required` from now on; unbounded while it accepts new clients.
     """
 
     quota: int
@@ -28,11 +28,11 @@
     max_required: int
 
     def claimed(self) -> int:
-        """Return what siblings must leave: after the quota fell, what is still open above it too."""
+        """Return how many descriptors siblings can't use: the quota, or the open connections if more."""
         return max(self.quota, self.open_connections)
 
     def wanted_headroom(self) -> int:
-        """Return how many more the process may come to require."""
+        """Return by how much `required` may still rise."""
         return max(self.max_required - self.required, 0)
 
 
@@ -41,19 +41,19 @@
     """All descriptors that one process may use.
 
     Attributes:
-        fixed_descriptors: those that are no connections.
-        connection_uses: by kind, in an order that all processes of a front have in common.
+        fixed_descriptors: the number of descriptors that are not connections.
+        connection_uses: the use of each kind, in the same order in all processes of a front.
     """
 
     fixed_descriptors: int
     connection_uses: tuple[ConnectionUse, ...]
 
     def total(self) -> int:
-        """Return all descriptors that the process may use."""
+        """Return the number of all descriptors that the process may use."""
         return self.fixed_descriptors + sum(use.claimed() for use in self.connection_uses)
 
     def to_text(self) -> str:
-        """Return the stored form: `v1 FIXED QUOTA/OPEN/REQUIRED/MAX_REQUIRED ...`, a group for each kind."""
+        """Return the stored form: `v1 FIXED QUOTA/OPEN/REQUIRED/MAX_REQUIRED ...`, with a group per kind."""
         groups = (
             f"{use.quota}/{use.open_connections}/{use.required}/{use.max_required}"
             for use in self.connection_uses
@@ -62,7 +62,7 @@
 
 
 def parse_claim(text: str) -> DescriptorClaim | None:
-    """Read a claim's stored form; None where it is partial or of another version."""
+    """Parse the stored form of a claim; return None if it is incomplete, malformed or of another version."""
     version, *fields = text.split() or [""]
     if version != FORMAT_VERSION or not fields:
         return None
@@ -75,7 +75,7 @@
 
 
 def _parse_number(text: str) -> int:
-    """Read a plain decimal number; `int` alone takes signs and underscores too."""
+    """Parse a plain decimal number; `int` also accepts signs and underscores."""
     if not (text.isascii() and text.isdigit()):
         raise InvalidClaimError(f"not a decimal number in a process's claim: {text!r}")
     return int(text)
--- a/umberlead/handover/process_registry.py
+++ b/umberlead/handover/process_registry.py
@@ -1,8 +1,8 @@
-"""Which processes of a front run: each holds a lock on a file of its own in a folder that they share.
+"""Registry of a front's running processes: each locks a file of its own (its entry) in a shared folder.
 
-A process that was killed leaves its file, but not the lock on it. Where no file can be created for want of
-disk space, or while the disk fails, a process takes over one that nobody has locked: spare files are kept for
-that, so that it is seen then too.
+A process that was killed leaves its file, but its lock is released. A process that can't create a file,
+because the disk is full or fails, takes over an entry that is not locked. Spare files are kept for that, so
+that its siblings see such a process too.
 """
 
 import contextlib
@@ -13,22 +13,22 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-# Stored in entries. They are of one length, so that overwriting needs no more disk space.
+# The contents of entries. They have the same length, so that overwriting needs no more disk space.
 ENTRY_RUNNING = b"standing"
 ENTRY_LEAVING = b"leaving "
-LEAVING_PROCESS_SHARE = (
-    0.25  # of a sibling's: the clients of one that ends change over with their next answer
-)
-SPARE_FILES_COUNT = 2  # for processes that can't create one
+# The weight of a process that shuts down, relative to a running one: its clients move to the other processes
+# with their next response.
+LEAVING_PROCESS_SHARE = 0.25
+SPARE_FILES_COUNT = 2  # for processes that can't create a file
 FILE_MODE = 0o644
 PERMANENT_ERRNOS = frozenset((errno.EROFS, errno.EACCES, errno.EPERM, errno.ENOTDIR, errno.ENOENT))
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write from the start of a file, however little of it the system takes at once.
+    """Write data at the start of a file, repeating partial writes until all of it is written.
 
     Raises:
-        OSError: not all of it could be written.
+        OSError: not all data could be written.
     """
     written = 0
     while written < len(data):
@@ -36,18 +36,18 @@
 
 
 class ProcessRegistry:
-    """This process's entry in a folder, and a view of its siblings'.
+    """This process's entry in the folder, and its siblings' entries as of the latest refresh.
 
     Attributes:
-        folder: where the entries are.
-        name: of this process's entry; "" while it has none.
-        siblings: the names of the other running processes' entries as of the latest refresh.
-        listed_ns: the folder's modification time at that refresh.
-        taken_over: whether this process's entry was there before it.
+        folder: the folder of the entries.
+        name: the name of this process's entry; "" while it has none.
+        siblings: the names of the entries of the other running processes.
+        listed_ns: the folder's modification time at the latest refresh.
+        taken_over: whether this process took over an existing entry.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Start without an entry: `register` creates one."""
+        """Start without an entry; `register` creates one."""
         self.folder = folder
         self.name = ""
         self.siblings: list[str] = []
@@ -58,14 +58,14 @@
         self._descriptor = -1
 
     def register(self, prepare: Callable[[str], None]) -> None:
-        """Create an entry, or take over one that nobody has locked; may be retried where that failed.
+        """Create an entry, or take over one that is not locked; may be retried after a failure.
 
         Args:
-            prepare: is called with the entry's name before siblings can see it, and with those of spare
-                files; raises OSError where it can't be done now.
+            prepare: called with the entry's name before siblings can see it, and with the names of spare
+                files; may raise OSError.
 
         Raises:
-            OSError: neither was possible; it may be later.
+            OSError: neither is possible now.
         """
         if self.name:
             return
@@ -83,7 +83,7 @@
         descriptor = os.open(self.folder / name, os.O_RDWR | os.O_CLOEXEC | open_flags, FILE_MODE)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | lock_flags)
-            with contextlib.suppress(OSError):  # one that can't be written counts as running
+            with contextlib.suppress(OSError):  # an entry that can't be written counts as running
                 write_all(descriptor, ENTRY_RUNNING)
         except OSError:
             os.close(descriptor)
@@ -92,7 +92,7 @@
         self._descriptor = descriptor
 
     def _take_over(self, prepare: Callable[[str], None]) -> bool:
-        """Lock an entry that nobody has locked; return whether there was one."""
+        """Lock an entry that is not locked; return whether there was one."""
         try:
             names = sorted(os.listdir(self.folder))
         except OSError:
@@ -109,7 +109,7 @@
         return False
 
     def _create_spare_files(self, prepare: Callable[[str], None]) -> None:
-        """Create entries for processes that can't create one, unless there are enough."""
+        """Create spare entries up to their number, for processes that can't create one."""
         names = [name for name in os.listdir(self.folder) if name != self.name]
         unlocked = [name for name in names if not self._weight_of(name)]
         for _ in range(SPARE_FILES_COUNT - len(unlocked)):
@@ -117,12 +117,12 @@
             prepare(name)
             descriptor = os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL, FILE_MODE)
             try:
-                write_all(descriptor, ENTRY_RUNNING)  # so that it has its disk space
+                write_all(descriptor, ENTRY_RUNNING)  # allocates its disk space
             finally:
                 os.close(descriptor)
 
     def refresh(self) -> int:
-        """Look for siblings and return how many run; where that fails, those of the latest refresh."""
+        """Scan for running siblings and return their number; if that fails, that of the latest refresh."""
         with contextlib.suppress(OSError):
             listed_ns = os.stat(self.folder).st_mtime_ns
             names = [name for name in os.listdir(self.folder) if name != self.name]
@@ -133,10 +133,10 @@
         return len(self.siblings)
 
     def _weight_of(self, name: str) -> float:
-        """Return the weight of the process that has locked an entry; 0 where none has.
+        """Return the weight of the process that has locked an entry; 0 if it is not locked.
 
         Raises:
-            OSError: it can't be read now.
+            OSError: the entry can't be read now.
         """
         try:
             with open(self.folder / name, "rb") as file:
@@ -150,18 +150,18 @@
         return 0.0
 
     def changed(self) -> bool:
-        """Tell whether entries came or went since the latest refresh; a kill shows at a refresh only."""
+        """Return whether entries were added or removed since the latest refresh; kills don't show here."""
         try:
             return os.stat(self.folder).st_mtime_ns != self.listed_ns
         except OSError:
             return False
 
     def share(self) -> float:
-        """Return this process's share, above 0 to 1, of its front's limits, as of the latest refresh."""
+        """Return this process's share of its front's limits, above 0 to 1, as of the latest refresh."""
         return self._weight / (self._weight + sum(self._weights))
 
     def announce_leaving(self) -> None:
-        """Let siblings know that this process was told to end; else they count it with an equal share."""
+        """Mark this process as shutting down, so that siblings no longer count it with an equal share."""
         self._weight = LEAVING_PROCESS_SHARE
         if self.name:
             with contextlib.suppress(OSError):
@@ -169,10 +169,10 @@
 
     @contextlib.contextmanager
     def exclusive(self) -> Iterator[int]:
-        """Within, no sibling is in such a section; yields the folder's descriptor.
+        """Enter a critical section that excludes the siblings; yields the folder's descriptor.
 
         Raises:
-            OSError: a sibling is in one, or the folder can't be opened.
+            OSError: a sibling is in the section, or the folder can't be opened.
         """
         descriptor = os.open(self.folder, os.O_RDONLY)
         try:
@@ -182,10 +182,10 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Give up the entry.
+        """Release the entry.
 
-        One that was taken over stays as a spare; one that can't be removed is left without a lock, like that
-        of a process that was killed.
+        An entry that was taken over stays as a spare file. One that can't be removed is left without a lock,
+        like that of a process that was killed.
         """
         if not self.name:
             return
--- a/umberlead/handover/quota_division.py
+++ b/umberlead/handover/quota_division.py
@@ -1,19 +1,22 @@
-"""The rule by which the processes of a front divide its descriptors while more than one runs.
+"""The rule by which the processes of a front divide its file descriptors while more than one runs.
 
-Each process applies it to its own claim and to those that its siblings published, while it alone may publish.
-It lowers its quotas at any time and raises them only by what no claim covers, so that the claims never add up
-to more than the front's descriptors. Only a process that starts adds the minimum that it can't do without.
+Each process applies the rule to its own claim and to the claims that its siblings published, in a critical
+section in which no sibling can publish. It may lower its quotas at any time, and raises them only by
+descriptors that no claim covers, so that the claims never add up to more than the front's descriptors. The
+one exception is a process that starts: it adds the minimum that it needs.
 """
 
 from collections.abc import Sequence
 
 from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim
 
-MIN_QUOTA_COUNT = 2  # of a kind: one connection, and a surplus one that is rejected
-IDLE_HEADROOM_DIVISOR_COUNT = 8  # idle connections leave siblings this fraction of a kind's descriptors
+MIN_QUOTA_COUNT = 2  # of each kind: one connection, and a surplus one to reject
+IDLE_HEADROOM_DIVISOR_COUNT = 8  # idle connections leave 1/8 of a kind's descriptors to siblings
 
 Quotas = tuple[int, ...]  # descriptors by kind of connection
-SiblingClaims = Sequence[DescriptorClaim | None]  # None where a process published none, as older versions
+SiblingClaims = Sequence[
+    DescriptorClaim | None
+]  # None for a process without a claim, such as an older version
 
 
 def divide_quota(
@@ -22,10 +25,10 @@
     """Return the quotas that this process has from now on.
 
     Args:
-        descriptors: of the front.
+        descriptors: the number of file descriptors of the front.
         single_quota: by kind, the quota of a process without siblings.
-        own: this process's claim as it is.
-        siblings: their claims.
+        own: this process's current claim.
+        siblings: the claims of the siblings.
     """
     siblings = _started(siblings)
     equal_share = descriptors // (1 + len(siblings))
@@ -44,13 +47,13 @@
 def target_quota(
     descriptors: int, single_quota: Sequence[int], own: DescriptorClaim, siblings: SiblingClaims
 ) -> Quotas:
-    """Return the quotas that this process should have once its siblings released theirs."""
+    """Return the quotas that this process should have once its siblings have lowered theirs."""
     siblings = _started(siblings)
     if not siblings:
         return tuple(single_quota)
     kinds = len(own.connection_uses)
     published = [claim for claim in siblings if claim is not None and len(claim.connection_uses) == kinds]
-    if len(published) < len(siblings):  # one of another version takes an equal share, whatever is claimed
+    if len(published) < len(siblings):  # a sibling of another version gets an equal share
         equal_share = descriptors // (1 + len(siblings))
         totals = _totals_by_kind(equal_share - own.fixed_descriptors, single_quota)
         return tuple(max(total, MIN_QUOTA_COUNT) for total in totals)
@@ -63,7 +66,7 @@
 def has_fair_quota(
     descriptors: int, single_quota: Sequence[int], own: DescriptorClaim, siblings: SiblingClaims
 ) -> bool:
-    """Tell whether siblings released what this process needs to start serving clients."""
+    """Return whether this process has the quotas that it needs to start serving clients."""
     targets = target_quota(descriptors, single_quota, own, siblings)
     needed = (
         min(target, total // IDLE_HEADROOM_DIVISOR_COUNT)
@@ -73,20 +76,21 @@
 
 
 def _started(siblings: SiblingClaims) -> list[DescriptorClaim | None]:
-    """Leave out siblings that just registered: a claim without kinds precedes a process's first division."""
+    """Leave out siblings that just registered, whose claims have no kinds until their first division."""
     return [claim for claim in siblings if claim is None or claim.connection_uses]
 
 
 def _totals_by_kind(descriptors: int, single_quota: Sequence[int]) -> list[int]:
-    """Divide descriptors among the kinds, in the proportions of a process without siblings."""
+    """Divide descriptors among the kinds in the same proportions as for a process without siblings."""
     return [max(descriptors, 0) * quota // max(sum(single_quota), 1) for quota in single_quota]
 
 
 def _target(total: int, own: ConnectionUse, siblings: Sequence[ConnectionUse]) -> int:
-    """Return one kind's quota: what is required and a share of what nobody requires, as far as it is wanted.
+    """Return the quota of one kind: the required descriptors and a share of those that no process requires.
 
-    One more such share is left unclaimed: whichever process is short first takes of it at once. Idle
-    connections stay open beyond that as long as siblings have headroom.
+    The share is limited to what the process may still come to require, and includes part of what siblings
+    don't need of theirs. One more equal share is left unclaimed, for the first process with a shortage. Idle
+    connections that are open beyond that are kept as long as siblings have headroom.
     """
     free = max(total - own.required - sum(use.required for use in siblings), 0)
     equal_share = free // (2 + len(siblings))
--- a/umberlead/handover/shared_state.py
+++ b/umberlead/handover/shared_state.py
@@ -1,9 +1,9 @@
-"""What this process and the one that replaces it share, as files in a folder under $TMPDIR.
+"""State that the processes of a front share, stored as files in a folder under $TMPDIR.
 
-Which processes serve the front's addresses, which descriptors each claims, which endpoints operators drained,
-and whether an agent answers for lists. Beside list snapshots it is all that a front writes. The folder may
-take no writes for a while: its contents hold, and what this process could not write is retried with each
-refresh.
+It consists of the running processes, the file descriptors that each claims, the endpoints that operators
+drained, clock offsets, and whether an agent serves the endpoint lists. A front writes no other files but list
+snapshots. While the folder is not writable, its contents stay valid, and what this process could not write is
+retried with each refresh.
 """
 
 import contextlib
@@ -18,9 +18,11 @@
 from umberlead.handover.process_claims import DescriptorClaim, parse_claim
 from umberlead.handover.process_registry import FILE_MODE, PERMANENT_ERRNOS, ProcessRegistry, write_all
 
-CLAIM_BYTES = 256  # of a claim's file, whose size never changes, so that it always has its disk space
-DISK_ERRNOS = frozenset((errno.ENOSPC, errno.EDQUOT, errno.EIO))  # no process can write to the folder
-# Names within the folder, which processes of other versions read too.
+CLAIM_BYTES = 256  # the constant size of a claim file, so that its disk space stays allocated
+DISK_ERRNOS = frozenset(
+    (errno.ENOSPC, errno.EDQUOT, errno.EIO)
+)  # with which no process can write to the folder
+# File names within the folder. Processes of other versions read them too.
 REGISTRY_FOLDER = "fronts"
 DRAINS_FOLDER = "offline"
 CLAIMS_FOLDER = "claims"
@@ -33,13 +35,13 @@
     """The front's folder as one of its processes sees it.
 
     Attributes:
-        root: the folder; None where there is none, so that this process counts as the only one.
-        error: why nothing is shared, or could be written so far; "" without an error.
-        clock_anchors: offsets of the wall clock that the processes saw.
+        root: the folder; None if there is none, in which case this process counts as the only one.
+        error: why no state can be shared, or why registration has failed so far; "" without an error.
+        clock_anchors: the stored offsets of the wall clock.
     """
 
     def __init__(self, root: Path | None) -> None:
-        """Register among the processes of the front; where the folder can't be written, later or never."""
+        """Register this process; if that fails, retry with each refresh unless it can never succeed."""
         self.error = "" if root is None else self._make_folders(root)
         self.root = None if self.error else root
         self._published_text = ""
@@ -54,7 +56,7 @@
 
     @staticmethod
     def _make_folders(root: Path) -> str:
-        """Create missing folders; return why nothing can ever be shared, or "" where it can, now or later."""
+        """Create missing folders; return the error if that can never succeed, else ""."""
         for name in FOLDERS:
             try:
                 (root / name).mkdir(parents=True, exist_ok=True)
@@ -64,9 +66,10 @@
         return ""
 
     def _register(self, registry: ProcessRegistry) -> None:
-        """Become visible to siblings, which then divide with this process; retried where that failed.
+        """Register if that has not succeeded yet, so that siblings divide the descriptors with this process.
 
-        Not after `deregister`: a periodic look that comes later would leave an entry that nobody removes.
+        It does nothing after `deregister`: a periodic refresh that comes later would leave an entry that is
+        never removed.
         """
         if registry.name or self._has_ended:
             return
@@ -79,34 +82,35 @@
             self.error = str(error)
 
     def count_siblings(self) -> int:
-        """Return how many siblings run, or ran at the latest refresh that succeeded."""
+        """Return how many siblings run; if that can't be read now, how many ran at the latest refresh."""
         if self._registry is None:
             return 0
         self._register(self._registry)
         return self._registry.refresh()
 
     def share(self) -> float:
-        """Return this process's share of what its front may send, as of the latest refresh.
+        """Return this process's share of the front's rate limits, as of the latest refresh.
 
-        A process that leaves lowers its own before siblings know, so the shares never add up to more than 1.
+        A process that shuts down lowers its own share before siblings raise theirs, so that the shares never
+        add up to more than 1.
         """
         return 1.0 if self._registry is None else self._registry.share()
 
     def changed(self) -> bool:
-        """Tell whether a process started or ended since the latest refresh."""
+        """Return whether a process started or ended since the latest refresh."""
         return self._registry is not None and self._registry.changed()
 
     def publish(self, decide: Callable[[list[DescriptorClaim | None]], DescriptorClaim]) -> bool:
         """Publish the claim that `decide` returns for the siblings' claims.
 
-        No sibling decides meanwhile.
+        No sibling can publish meanwhile.
 
         Args:
-            decide: gets None for each sibling that has published no claim.
+            decide: called with the siblings' claims, None for each sibling that has published none.
 
         Returns:
-            False where nothing was published: a sibling decides now, or there is no descriptor for it.
-            `decide` may have been called then.
+            False if nothing was published, because a sibling publishes now or no descriptor is free; `decide`
+            may have been called then.
         """
         registry = self._registry
         if registry is None:
@@ -120,16 +124,16 @@
                 is_alone = not registry.siblings
                 claim = decide([self._claim_of(name) for name in registry.siblings])
                 if not self._has_published:
-                    # Else a start within one tick of the file system's clock would go unnoticed.
+                    # Else siblings would miss a start within the granularity of file timestamps.
                     now_ns = time.time_ns()
                     os.utime(folder, ns=(now_ns, now_ns))
                     self._has_published = True
                 self._write_claim(claim)
-        except FileNotFoundError:  # the folder could not be created so far: no sibling can be in it
+        except FileNotFoundError:  # the folder was never created, so that there are no siblings
             decide([])
             return True
         except OSError as error:
-            # No sibling has to know, or no process can publish now, so that no claim rises meanwhile.
+            # Without siblings no process reads the claim; on a disk error no process can raise its claim.
             return is_alone or error.errno in DISK_ERRNOS
         return True
 
@@ -148,7 +152,7 @@
         return parse_claim(data.decode("ascii", "replace")) if len(data) == CLAIM_BYTES else None
 
     def _prepare_claim(self, name: str) -> None:
-        """Let siblings see a process that will divide with them."""
+        """Write an empty claim, which tells siblings that the process takes part in the division."""
         self._write(name, DescriptorClaim(0, ()).to_text())
 
     def _write_claim(self, claim: DescriptorClaim) -> None:
@@ -156,7 +160,7 @@
         text = claim.to_text()
         if text == self._published_text or not self._registry.name:
             return
-        self._published_text = ""  # until all of it is written
+        self._published_text = ""  # until the write is complete
         self._write(self._registry.name, text)
         self._published_text = text
 
@@ -170,28 +174,28 @@
             os.close(descriptor)
 
     def announce_leaving(self) -> None:
-        """Let siblings know that this process was told to end."""
+        """Tell siblings that this process shuts down."""
         if self._registry is not None:
             self._registry.announce_leaving()
 
     def drain_overrides(self) -> dict[str, int]:
-        """Return the manually drained endpoints, and since when in microseconds of Unix time."""
+        """Return the manually drained endpoints, and since when, in microseconds of Unix time."""
         return self._overrides.read()
 
     def set_drain_override(self, endpoint: str, is_drained: bool) -> None:
-        """Drain an endpoint by hand, or take that back.
+        """Start or end the manual drain of an endpoint.
 
         Raises:
-            OSError: it can't be stored.
+            OSError: the change can't be stored.
         """
         self._overrides.set(endpoint, is_drained)
 
     def agent_seen_before(self) -> bool | None:
-        """Tell whether an earlier process found an agent in discovery's place; None where it is not known."""
+        """Return True if an earlier process found an agent at the discovery address; None if unknown."""
         return True if self.root is not None and (self.root / AGENT_FILE).exists() else None
 
     def record_agent(self, is_agent: bool) -> None:
-        """Store it for the next process: a hint, which that learns anew where it can't be stored."""
+        """Store whether an agent was found, as a hint for the next process; ignore errors of the folder."""
         if self.root is None:
             return
         with contextlib.suppress(OSError):
@@ -201,7 +205,7 @@
                 (self.root / AGENT_FILE).unlink(missing_ok=True)
 
     def deregister(self) -> None:
-        """Give up the entry and the claim for good: the process ends."""
+        """Release the entry and the claim for good, as the process ends."""
         self._has_ended = True
         registry = self._registry
         if registry is None or not registry.name:
