--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -96,7 +96,7 @@
     ("limits: fewer fronts hold at once", VOLUMES, "            if now_us - self._lower_since_us < hold_us:", "            if False:"),
     ("limits: a further attempt is free whatever came of the first", VOLUMES, "        pending.charged_attempt = None\n", "        pass\n"),
     ("limits: a volume is forgotten before its store is full", VOLUMES, "            and not volume.limit.wait_us(now_us, volume.limit.capacity_units)\n", ""),
-    ("limits: a process that can't be seen is gone", SHARED, "        with contextlib.suppress(OSError):\n            listed_ns", "        self.siblings, self._weights = [], []\n        with contextlib.suppress(OSError):\n            listed_ns"),
+    ("limits: a process that can't be seen is gone", SHARED, "        with contextlib.suppress(OSError):\n            folder_mtime_ns", "        self.siblings, self._sibling_weights = [], []\n        with contextlib.suppress(OSError):\n            folder_mtime_ns"),
 )  # fmt: skip
 
 if __name__ == "__main__":
--- a/tests/planted_soak.py
+++ b/tests/planted_soak.py
@@ -140,12 +140,12 @@
         (
             Replacement(
                 "handover/quota_division.py",
-                "    siblings = _started(siblings)\n    if not siblings:",
+                "    siblings = _started_siblings(siblings)\n    if not siblings:",
                 "    siblings = []\n    if not siblings:",
             ),
             Replacement(
                 "handover/quota_division.py",
-                "    siblings = _started(siblings)\n    equal_share",
+                "    siblings = _started_siblings(siblings)\n    equal_share",
                 "    siblings = []\n    equal_share",
             ),
         ),
--- a/tests/test_quota_division.py
+++ b/tests/test_quota_division.py
@@ -8,10 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from umberlead.handover.descriptor_quota import SHORTAGE_REFRESH_INTERVAL_US, UNBOUNDED_COUNT
+from umberlead.handover.descriptor_quota import SHORTAGE_REFRESH_INTERVAL_US, UNBOUNDED
 from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim, parse_claim
 from umberlead.handover.process_registry import SPARE_FILES_COUNT
-from umberlead.handover.quota_division import MIN_QUOTA_COUNT, divide_quota, has_fair_quota
+from umberlead.handover.quota_division import MIN_QUOTA, divide_quota, has_fair_quota
 from umberlead.handover.shared_state import SharedState
 from umberlead.resource_limits import (
     RESERVED_DESCRIPTORS_COUNT,
@@ -122,7 +122,7 @@
         uses = []
         for kind, quota in enumerate(self.quotas):
             needed = self.active[kind] if kind == 2 else with_surplus(self.active[kind])
-            bound = UNBOUNDED_COUNT
+            bound = UNBOUNDED
             if self.closed and kind:
                 bound = max(self.open_connections(1), needed)
             uses.append(ConnectionUse(quota, self.open_connections(kind), needed, bound))
@@ -196,7 +196,7 @@
         elif event == "start" and len(models) < 3:
             models.append(ProcessModel(descriptors, DESCRIPTORS_IN_USE + at))
             models[-1].update(models[:-1])
-            before += models[-1].fixed + 3 * MIN_QUOTA_COUNT
+            before += models[-1].fixed + 3 * MIN_QUOTA
         elif event == "kill" and len(models) > 1:
             models.remove(model)
         for _ in range(times):
--- a/umberlead/handover/descriptor_quota.py
+++ b/umberlead/handover/descriptor_quota.py
@@ -12,7 +12,7 @@
 from umberlead.resource_limits import connections_within, with_surplus
 
 SHORTAGE_REFRESH_INTERVAL_US = 5_000  # minimum between updates on a shortage of connections
-UNBOUNDED_COUNT = 1_000_000  # more than the descriptors of any front
+UNBOUNDED = 1_000_000  # more than the descriptors of any front
 
 
 class DescriptorQuota:
@@ -59,12 +59,14 @@
         if self.has_siblings and elapsed_us >= SHORTAGE_REFRESH_INTERVAL_US:
             self._request_update()
 
-    def update(self, descriptors: int, fixed: int, single_quota: Sequence[int], open_requests: int) -> None:
+    def update(
+        self, descriptors: int, fixed_descriptors: int, single_quota: Sequence[int], open_requests: int
+    ) -> None:
         """Recompute the quotas; none is raised if the siblings' claims can't be read now.
 
         Args:
             descriptors: the number of file descriptors of the front.
-            fixed: the number of this process's descriptors that are not connections.
+            fixed_descriptors: the number of this process's descriptors that are not connections.
             single_quota: by kind, the quota of a process without siblings.
             open_requests: the number of open requests of this process.
         """
@@ -77,7 +79,7 @@
             """Apply the quotas that decrease, and return the claim of this process from now on."""
             nonlocal quotas
             self.has_siblings = bool(siblings)
-            claim = self._divide(descriptors, fixed, single_quota, open_requests, siblings)
+            claim = self._divide(descriptors, fixed_descriptors, single_quota, open_requests, siblings)
             quotas = tuple(use.quota for use in claim.connection_uses)
             if has_fair_quota(descriptors, single_quota, claim, siblings):
                 self.settled.set()
@@ -89,45 +91,46 @@
     def _divide(
         self,
         descriptors: int,
-        fixed: int,
+        fixed_descriptors: int,
         single_quota: Sequence[int],
         open_requests: int,
         siblings: SiblingClaims,
     ) -> DescriptorClaim:
         """Apply the quotas that decrease, and return this process's new claim."""
-        own = self._claim(fixed, self._quotas, open_requests)
-        quotas = divide_quota(descriptors, single_quota, own, siblings)
+        own_claim = self._claim(fixed_descriptors, self._quotas, open_requests)
+        quotas = divide_quota(descriptors, single_quota, own_claim, siblings)
         lowered = tuple(map(min, quotas, self._quotas))
         if lowered != self._quotas:
             self._apply(lowered)
-            own = self._claim(fixed, quotas, open_requests)  # idle connections above the quota are closed now
+            # Idle connections above the quota are closed now.
+            own_claim = self._claim(fixed_descriptors, quotas, open_requests)
         uses = (
             ConnectionUse(quota, use.open_connections, use.required, use.max_required)
-            for quota, use in zip(quotas, own.connection_uses, strict=True)
+            for quota, use in zip(quotas, own_claim.connection_uses, strict=True)
         )
-        return DescriptorClaim(fixed, tuple(uses))
+        return DescriptorClaim(fixed_descriptors, tuple(uses))
 
     def _all_groups(self) -> list[ClientGroup]:
         return [*(group for _, group in self.admin_listeners), *self.client_groups]
 
-    def _claim(self, fixed: int, quotas: Sequence[int], open_requests: int) -> DescriptorClaim:
+    def _claim(self, fixed_descriptors: int, quotas: Sequence[int], open_requests: int) -> DescriptorClaim:
         *group_quotas, endpoint_quota = quotas
-        uses = [self._group_use(*kind) for kind in zip(self._all_groups(), group_quotas, strict=True)]
+        uses = [self._use_of_group(*kind) for kind in zip(self._all_groups(), group_quotas, strict=True)]
         active = self.pool.active_count()
-        max_required = max(active, open_requests) if self._is_closed() else UNBOUNDED_COUNT
+        max_required = max(active, open_requests) if self._has_stopped_accepting() else UNBOUNDED
         uses.append(ConnectionUse(endpoint_quota, len(self.pool.slots), active, max_required))
-        return DescriptorClaim(fixed, tuple(uses))
+        return DescriptorClaim(fixed_descriptors, tuple(uses))
 
-    def _group_use(self, group: ClientGroup, quota: int) -> ConnectionUse:
+    def _use_of_group(self, group: ClientGroup, quota: int) -> ConnectionUse:
         listeners = [*self.listeners, *(listener for listener, _ in self.admin_listeners)]
         pending = sum(listener.pending_count() for listener in listeners if listener.clients is group)
         open_connections = len(group.slots) + pending
         required = with_surplus(group.active_count())
-        takes_no_more = self._is_closed() and group in self.client_groups
-        max_required = max(open_connections, required) if takes_no_more else UNBOUNDED_COUNT
+        accepts_no_more = self._has_stopped_accepting() and group in self.client_groups
+        max_required = max(open_connections, required) if accepts_no_more else UNBOUNDED
         return ConnectionUse(quota, open_connections, required, max_required)
 
-    def _is_closed(self) -> bool:
+    def _has_stopped_accepting(self) -> bool:
         """Return whether this process no longer accepts client connections."""
         accepts = any(listener.is_open or listener.accepting_count for listener in self.listeners)
         return bool(self.listeners) and not accepts
--- a/umberlead/handover/process_claims.py
+++ b/umberlead/handover/process_claims.py
@@ -68,8 +68,8 @@
         return None
     try:
         numbers = [tuple(map(_parse_number, field.split("/"))) for field in fields]
-        (fixed,), *kinds = numbers
-        return DescriptorClaim(fixed, tuple(ConnectionUse(*kind) for kind in kinds))
+        (fixed_descriptors,), *kinds = numbers
+        return DescriptorClaim(fixed_descriptors, tuple(ConnectionUse(*kind) for kind in kinds))
     except (TypeError, ValueError):
         return None
 
--- a/umberlead/handover/process_registry.py
+++ b/umberlead/handover/process_registry.py
@@ -42,7 +42,7 @@
         folder: the folder of the entries.
         name: the name of this process's entry; "" while it has none.
         siblings: the names of the entries of the other running processes.
-        listed_ns: the folder's modification time at the latest refresh.
+        folder_mtime_ns: the folder's modification time at the latest refresh.
         taken_over: whether this process took over an existing entry.
     """
 
@@ -51,10 +51,10 @@
         self.folder = folder
         self.name = ""
         self.siblings: list[str] = []
-        self.listed_ns = 0
+        self.folder_mtime_ns = 0
         self.taken_over = False
         self._weight = 1.0
-        self._weights: list[float] = []
+        self._sibling_weights: list[float] = []
         self._descriptor = -1
 
     def register(self, prepare: Callable[[str], None]) -> None:
@@ -124,12 +124,12 @@
     def refresh(self) -> int:
         """Scan for running siblings and return their number; if that fails, that of the latest refresh."""
         with contextlib.suppress(OSError):
-            listed_ns = os.stat(self.folder).st_mtime_ns
+            folder_mtime_ns = os.stat(self.folder).st_mtime_ns
             names = [name for name in os.listdir(self.folder) if name != self.name]
             weights = {name: weight for name in names if (weight := self._weight_of(name))}
             self.siblings = list(weights)
-            self._weights = list(weights.values())
-            self.listed_ns = listed_ns
+            self._sibling_weights = list(weights.values())
+            self.folder_mtime_ns = folder_mtime_ns
         return len(self.siblings)
 
     def _weight_of(self, name: str) -> float:
@@ -152,13 +152,13 @@
     def changed(self) -> bool:
         """Return whether entries were added or removed since the latest refresh; kills don't show here."""
         try:
-            return os.stat(self.folder).st_mtime_ns != self.listed_ns
+            return os.stat(self.folder).st_mtime_ns != self.folder_mtime_ns
         except OSError:
             return False
 
     def share(self) -> float:
         """Return this process's share of its front's limits, above 0 to 1, as of the latest refresh."""
-        return self._weight / (self._weight + sum(self._weights))
+        return self._weight / (self._weight + sum(self._sibling_weights))
 
     def announce_leaving(self) -> None:
         """Mark this process as shutting down, so that siblings no longer count it with an equal share."""
--- a/umberlead/handover/shared_state.py
+++ b/umberlead/handover/shared_state.py
@@ -46,7 +46,7 @@
         self.root = None if self.error else root
         self._published_text = ""
         self._has_published = False
-        self._has_ended = False
+        self._is_deregistered = False
         root = self.root
         self._registry = None if root is None else ProcessRegistry(root / REGISTRY_FOLDER)
         self.clock_anchors = ClockAnchors(None if root is None else root / CLOCK_FILE)
@@ -71,12 +71,12 @@
         It does nothing after `deregister`: a periodic refresh that comes later would leave an entry that is
         never removed.
         """
-        if registry.name or self._has_ended:
+        if registry.name or self._is_deregistered:
             return
         try:
             assert self.root is not None
             self._make_folders(self.root)
-            registry.register(self._prepare_claim)
+            registry.register(self._write_empty_claim)
             self.error = ""
         except OSError as error:
             self.error = str(error)
@@ -122,7 +122,7 @@
                 if registry.changed():
                     self.count_siblings()
                 is_alone = not registry.siblings
-                claim = decide([self._claim_of(name) for name in registry.siblings])
+                claim = decide([self._read_claim(name) for name in registry.siblings])
                 if not self._has_published:
                     # Else siblings would miss a start within the granularity of file timestamps.
                     now_ns = time.time_ns()
@@ -137,7 +137,7 @@
             return is_alone or error.errno in DISK_ERRNOS
         return True
 
-    def _claim_of(self, name: str) -> DescriptorClaim | None:
+    def _read_claim(self, name: str) -> DescriptorClaim | None:
         assert self.root is not None
         try:
             descriptor = os.open(self.root / CLAIMS_FOLDER / name, os.O_RDONLY)
@@ -151,9 +151,9 @@
             os.close(descriptor)
         return parse_claim(data.decode("ascii", "replace")) if len(data) == CLAIM_BYTES else None
 
-    def _prepare_claim(self, name: str) -> None:
+    def _write_empty_claim(self, name: str) -> None:
         """Write an empty claim, which tells siblings that the process takes part in the division."""
-        self._write(name, DescriptorClaim(0, ()).to_text())
+        self._write_claim_file(name, DescriptorClaim(0, ()).to_text())
 
     def _write_claim(self, claim: DescriptorClaim) -> None:
         assert self._registry is not None
@@ -161,10 +161,10 @@
         if text == self._published_text or not self._registry.name:
             return
         self._published_text = ""  # until the write is complete
-        self._write(self._registry.name, text)
+        self._write_claim_file(self._registry.name, text)
         self._published_text = text
 
-    def _write(self, name: str, text: str) -> None:
+    def _write_claim_file(self, name: str, text: str) -> None:
         assert self.root is not None
         path = self.root / CLAIMS_FOLDER / name
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
@@ -206,14 +206,14 @@
 
     def deregister(self) -> None:
         """Release the entry and the claim for good, as the process ends."""
-        self._has_ended = True
+        self._is_deregistered = True
         registry = self._registry
         if registry is None or not registry.name:
             return
         assert self.root is not None
         with contextlib.suppress(OSError):
             if registry.taken_over:
-                self._prepare_claim(registry.name)
+                self._write_empty_claim(registry.name)
             else:
                 (self.root / CLAIMS_FOLDER / registry.name).unlink(missing_ok=True)
         registry.close()
