--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,5 +1,4 @@
-"""Gossip between fronts: a network that loses, repeats, reorders and is split; restarts, forgeries and
-repeats."""
+"""Gossip between fronts under datagram loss, reordering, replays, forgeries, partitions and restarts."""
 
 import asyncio
 import os
@@ -30,13 +29,13 @@
 
 
 class Net:
-    """Members by address, and the datagrams between them."""
+    """A simulated network: the members by address, and the datagrams in flight between them."""
 
     def __init__(self, count: int, seed: int = 1, loss: float = 0.0, octets: int = 20_000) -> None:
         self.chance, self.loss, self.now = random.Random(seed), loss, 0
         self.octets, self.born = octets, 0
         self.members: dict[str, Gossip] = {}
-        self.wires: list[tuple[int, str, str, bytes]] = []  # due, from, to, data
+        self.wires: list[tuple[int, str, str, bytes]] = []  # due time, sender, destination, data
         self.split: dict[str, int] = {}
         self.kept: list[tuple[str, bytes]] = []
         self.sent: dict[str, int] = {}
@@ -99,7 +98,7 @@
 def test_all_find_all_through_the_two_that_the_file_names(count: int, loss: float) -> None:
     net = Net(count, loss=loss)
     net.run(40)
-    net.loss = 0.0  # with losses, somebody is in doubt at any moment
+    net.loss = 0.0  # with losses, some member is a suspect at any moment
     net.run(10 if loss else 0)
     assert net.whole()
 
@@ -131,7 +130,7 @@
     net.run(30)
     net.left.clear()
     net.run(60)
-    assert len(net.left) <= 2  # one in a while may be doubted in vain; it comes back by its next life
+    assert len(net.left) <= 2  # a few false deaths are expected, and refuted
     net.loss = 0.0
     net.run(20)
     assert net.whole()
@@ -205,7 +204,7 @@
     message = GossipMessage(0, "a", "a:1", 1, 1, 1)
     assert old.open(both.seal(message)) == message
     assert both.open(new.seal(message)) == message
-    assert old.open(new.seal(message)) is None  # the new one must be everywhere before it signs
+    assert old.open(new.seal(message)) is None  # a new key must be on all fronts before it signs
     assert GossipKeys([OTHER]).open(new.seal(message)) == message
 
 
@@ -238,7 +237,7 @@
     other._apply_update(net.now, MemberUpdate("f1", "f1:1", other.incarnation, MemberState.DEAD))
     assert other.incarnation == 1
     of._apply_update(net.now, MemberUpdate("f1", "f1:1", 0, MemberState.SUSPECT))
-    assert of.peers["f1"].state == MemberState.DEAD  # no better word of the same life
+    assert of.peers["f1"].state == MemberState.DEAD  # the better state of the same incarnation is ignored
     of._apply_update(net.now, MemberUpdate("f1", "f1:1", 1, 0))
     assert of.peers["f1"].state == 0
 
@@ -252,7 +251,7 @@
 @settings(max_examples=MILLION, deadline=None)
 @given(st.binary(max_size=400))
 def test_any_body_under_a_sound_digest_is_a_sound_message_or_none(body: bytes) -> None:
-    """Whoever has a key may still err: the decoder is reached, and bounds hold."""
+    """A front with a valid key may be faulty: the body is decoded, and its values are checked."""
     keys = GossipKeys([KEY])
     head = bytes((1,)) + keys.signing_key_id
     got = keys.open(head + keys._digest(KEY, head + body) + body)
@@ -294,8 +293,11 @@
 
 
 class Wild(RuleBasedStateMachine):
-    """Members that come and go in a network that loses, repeats, delays and splits. What is heard was said;
-    and left alone, all find each other again."""
+    """Members restart in a network with losses, replays, corruption, delays and partitions.
+
+    Every observation that is received was made by its sender, and all members find each other again once the
+    faults end.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -403,9 +405,8 @@
         while told.get("f0", (ZoneState.HEALTHY, 0))[0] is not ZoneState.DOWN:
             assert loop.time() < end
             await asyncio.sleep(0.05)
-        assert (
-            hands[1].rooms.router.zone_health.state("a") is ZoneState.HEALTHY
-        )  # a word alone decides nothing
+        # One peer's observation alone does not change the zone's state.
+        assert hands[1].rooms.router.zone_health.state("a") is ZoneState.HEALTHY
         for gossip in made:
             gossip.close()
 
