--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""One process replaces another: what they share, who answers pending connections, and manual drains."""
+"""Handover between processes: shared state, connections in the backlog of the old one, manual drains."""
 
 import asyncio
 import errno
@@ -57,7 +57,7 @@
 
 class TestLimits(unittest.TestCase):
     def test_two_processes_share_the_limits_of_one_front(self) -> None:
-        """Their memory and descriptors count together, and the older one must release some."""
+        """Memory and descriptors are divided between them, and the older process has to release some."""
         front = mock.Mock(
             process_count=1,
             client_groups=[],
@@ -91,11 +91,11 @@
 
 class TestClosingListener(unittest.TestCase):
     def test_connections_in_the_backlog_are_answered_by_the_process_that_closes(self) -> None:
-        """A connection that is closed with its listener is reset, and its request lost."""
+        """Otherwise connections in the backlog of the closed listener are reset, and their requests lost."""
         asyncio.Runner(loop_factory=uvloop.new_event_loop).run(self._close())
 
     def test_a_failed_accept_does_not_affect_other_connections(self) -> None:
-        """If the first failed accept closed the listener, connections behind it would be reset."""
+        """If a failed accept closed the listener, the connections behind it in the backlog would be reset."""
         for code in (errno.ECONNABORTED, errno.EMFILE):
             asyncio.Runner(loop_factory=uvloop.new_event_loop).run(self._close(code))
 
@@ -139,7 +139,7 @@
         self.assertEqual(sends(feed(h, T0 + 4, ManualDrain("n0", False, 0))), ["a"])
 
     def test_an_endpoint_put_back_is_in_slow_start_until_the_list_reports_its_start(self) -> None:
-        """It was restarted while it was drained, and the list reports that seconds late."""
+        """The endpoint restarted while it was drained, and the list reports its start seconds late."""
         h = head(
             T0, up("n0", 0), warm_up_us=10_000_000, slow_start_units=20.0, slow_start_window_us=3_000_000
         )
--- a/tests/test_handover_processes.py
+++ b/tests/test_handover_processes.py
@@ -1,4 +1,4 @@
-"""Two whole processes of a front, one of which replaces the other under open requests."""
+"""A process of a front replaces another one that has open requests; both are real processes."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class OneByOne(FakeServers):
-    """An endpoint that answers its oldest request each time it is told to."""
+    """An endpoint that answers a request only when the test releases it, the oldest one first."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,14 +39,14 @@
         writer.close()
 
 
-HANDOVER_RATE = 300  # requests a second at most, both processes together
-OPEN_REQUESTS = 120  # requests, all the time: below a third of the descriptors
+HANDOVER_RATE = 300  # maximum of both processes together, in requests per second
+OPEN_REQUESTS = 120  # constant number, below a third of the descriptors
 
 
 class Handover:
-    """A front of one process with OPEN_REQUESTS requests, and the process that replaces it.
+    """A process of a front with OPEN_REQUESTS open requests, and the process that replaces it.
 
-    Each client asks its next request, on a connection of its own, once the one before it was answered.
+    Each client sends its next request, on a new connection, once its previous one is answered.
     """
 
     def __init__(self, root: Path, node: int) -> None:
@@ -64,7 +64,7 @@
         self.tasks = list[asyncio.Task[None]]()
 
     async def fill(self, servers: OneByOne) -> None:
-        """All requests are open at the old process, and the new one runs beside it."""
+        """Open all requests at the old process, then start the new one."""
         self.servers = servers
         await self.old.until("limits")
         address = self.old.address("listening")
@@ -81,7 +81,7 @@
                 return
 
     async def hand_over(self) -> int:
-        """The old process stops, and requests are answered one by one; how many were."""
+        """Stop the old process, answer requests one by one, and return how many were answered."""
         assert self.new is not None
         watch = asyncio.create_task(watch_descriptors(self.seen, self.old, self.new))
         self.old.child.send_signal(signal.SIGTERM)
@@ -94,7 +94,7 @@
             await wait_until(lambda: self._goes_on(passed), self.new.log.read_text)  # noqa: B023
             assert not _rejected(self.ends), (passed, _rejected(self.ends), await self.new.counters())
             if self.old.child.poll() is not None:
-                watch.cancel()  # there is nothing more to be counted
+                watch.cancel()  # the old process has ended
         watch.cancel()
         return passed
 
@@ -113,7 +113,7 @@
 
 
 def test_open_requests_are_handed_over_to_the_new_process_and_none_is_rejected(tmp_path: Path) -> None:
-    """With half of the descriptors each, whatever was in use, the new process would reject some."""
+    """If each process had half of the descriptors whatever is in use, the new one would reject some."""
 
     async def test() -> None:
         servers = OneByOne()
@@ -125,7 +125,7 @@
                 assert front.new is not None
                 assert front.seen and max(front.seen) <= MAX_DESCRIPTORS
                 for counters in (front.old.logged("counters")[-1], await front.new.counters()):
-                    assert "bad_requests_503" not in counters  # and all had their answers
+                    assert "bad_requests_503" not in counters  # so all were answered
             finally:
                 front.end()
 
--- a/tests/test_object_manifests.py
+++ b/tests/test_object_manifests.py
@@ -1,4 +1,4 @@
-"""What the object API stores and sends by name stays as it was, whatever the code calls it."""
+"""The stored form of manifests and the hashed names stay compatible, even if fields are renamed."""
 
 import json
 from dataclasses import fields
--- a/tests/test_quota_division.py
+++ b/tests/test_quota_division.py
@@ -1,4 +1,4 @@
-"""How the processes of a front divide its descriptors: the rule over drawn events, and what they publish."""
+"""Division of a front's descriptors among its processes: published claims, and the rule itself."""
 
 import random
 from pathlib import Path
@@ -21,7 +21,7 @@
     with_surplus,
 )
 
-DESCRIPTORS_IN_USE = 15  # descriptors of a process at its start
+DESCRIPTORS_IN_USE = 15  # by a process at its start
 MAX_DESCRIPTORS = 384
 
 
@@ -97,7 +97,7 @@
 
 
 class ProcessModel:
-    """A process: how many connections of clients and to endpoints it has, active and idle."""
+    """A model of a process: its active and idle connections of admin calls, of clients and to endpoints."""
 
     def __init__(self, descriptors: int, in_use: int) -> None:
         limits = divide_resources(descriptors, 64 << 20, in_use, 0)
@@ -115,7 +115,7 @@
         return self.active[kind] + self.idle[kind]
 
     def max_connections(self) -> list[int]:
-        """Connections that may be open, without the surplus that is only rejected."""
+        """Return the limits by kind, without the surplus connections, which are only rejected."""
         return [connections_within(self.quotas[0]), connections_within(self.quotas[1]), self.quotas[2]]
 
     def claim(self) -> DescriptorClaim:
@@ -146,7 +146,7 @@
         return self.fixed + sum(map(self.open_connections, range(3)))
 
     def connect(self, kind: int, is_active: bool) -> bool:
-        """Return False where the quota is used up."""
+        """Open a connection, closing an idle one if needed; return False if the quota is used up."""
         if self.open_connections(kind) >= self.max_connections()[kind]:
             if not self.idle[kind]:
                 return False
@@ -182,7 +182,7 @@
 def test_claims_never_exceed_the_descriptors_in_any_order_of_events(
     descriptors: int, events: list[tuple[str, int, int, bool, int]]
 ) -> None:
-    """Only a start adds descriptors: those that a process opens before its siblings update theirs."""
+    """Except at a start: a new process opens descriptors before its siblings update their claims."""
     models = [ProcessModel(descriptors, DESCRIPTORS_IN_USE)]
     models[0].update([])
     before = sum(m.published.total() for m in models)
@@ -216,7 +216,7 @@
 def test_claims_stay_within_the_descriptors_once_the_first_process_saw_the_new_one(
     descriptors: int, active: int, idle: int
 ) -> None:
-    """As long as clients use at most a third of the descriptors for requests."""
+    """This holds as long as clients use at most a third of the descriptors for requests."""
     first, second = (
         ProcessModel(descriptors, DESCRIPTORS_IN_USE),
         ProcessModel(descriptors, DESCRIPTORS_IN_USE),
@@ -256,9 +256,9 @@
     assert MAX_DESCRIPTORS // 2 - 3 <= first.fixed + sum(new) <= MAX_DESCRIPTORS // 2
 
 
-UPDATE_INTERVAL_MS = 20  # between updates
-MIN_UPDATE_INTERVAL_MS = SHORTAGE_REFRESH_INTERVAL_US // 1000  # where the quota is used up
-NEW_CONNECTIONS_PER_MS = 0.15  # at each process that accepts them
+UPDATE_INTERVAL_MS = 20
+MIN_UPDATE_INTERVAL_MS = SHORTAGE_REFRESH_INTERVAL_US // 1000  # when the quota is used up
+NEW_CONNECTIONS_PER_MS = 0.15  # at each process that accepts connections
 ACCEPTS_FOR_MS = 550  # after SIGTERM
 
 
@@ -269,10 +269,12 @@
 def test_requests_that_are_handed_over_one_by_one_are_never_rejected(
     seed: int, first_phase: int, second_phase: int
 ) -> None:
-    """A third of the descriptors has requests, each on its own connection; after one that ended comes
-    another on a new connection, at either process while both accept them: 150 a second at each, in drawn
-    intervals. Updates are 20 ms apart, and sooner where the quota is used up. A connection that
-    ended stays open for up to 300 ms more."""
+    """A handover under constant load: requests use a third of the descriptors, each on its own connection.
+
+    When a request ends, the next one opens a new connection, at either process while both accept connections:
+    150 per second at each process, at random intervals. Quotas are updated every 20 ms, and sooner if one is
+    used up. The connection of an ended request stays open, idle, for up to 300 ms.
+    """
     rng, total = random.Random(seed), MAX_DESCRIPTORS // 3
     first, second = (
         ProcessModel(MAX_DESCRIPTORS, DESCRIPTORS_IN_USE),
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -1,4 +1,4 @@
-"""The state folder while it can't be written or read: its contents hold, and every process is seen."""
+"""While the state folder can't be written or read, its contents stay valid and every process is counted."""
 
 import contextlib
 import errno
@@ -19,7 +19,7 @@
 
 
 def published(state: SharedState) -> Seen:
-    """Publish `CLAIM`; return the siblings' claims that were read."""
+    """Publish `CLAIM`; return the siblings' claims that each call of `decide` was given."""
     seen: Seen = []
 
     def decide(siblings: list[DescriptorClaim | None]) -> DescriptorClaim:
@@ -32,7 +32,7 @@
 
 @contextlib.contextmanager
 def disk_takes_no_writes(code: int) -> Iterator[None]:
-    """Files can be opened and read; none can be created, written, removed or touched."""
+    """Simulate a disk whose files can be opened and read, but not created, written, removed or touched."""
     real = os.open
 
     def open_(path: Any, flags: int, *more: Any, **named: Any) -> int:
@@ -101,7 +101,7 @@
 def test_drains_and_siblings_stay_as_they_were_while_the_folder_can_t_be_read(
     tmp_path: Path, code: int
 ) -> None:
-    """Else a drained endpoint would return, and each of two processes would count itself as the only one."""
+    """Else a drained endpoint would get requests, and each process would count itself as the only one."""
     one, other = SharedState(tmp_path), SharedState(tmp_path)
     one.set_drain_override("n0", True)
     seen = one.count_siblings(), one.share(), one.drain_overrides()
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
 def test_a_process_ends_without_an_error_while_nothing_can_be_written(tmp_path: Path, code: int) -> None:
-    """A buffered write would be repeated at the close, and end the process with 1."""
+    """A buffered write would be repeated when the file is closed, and fail the process with exit code 1."""
     state, other = SharedState(tmp_path), SharedState(tmp_path)
     with disk_takes_no_writes(code):
         state.announce_leaving()
@@ -136,7 +136,7 @@
 
 
 def test_partial_writes_are_completed(tmp_path: Path) -> None:
-    """A claim that is written in part would be read as other numbers."""
+    """A claim that is only written in part would be parsed as different numbers."""
     real = os.pwrite
     with mock.patch("os.pwrite", lambda file, data, at: real(file, bytes(data)[:7], at)):
         one, other = SharedState(tmp_path), SharedState(tmp_path)
@@ -145,7 +145,7 @@
     assert other.count_siblings() == 1 and other.share() == 1 / (1 + LEAVING_PROCESS_SHARE)
     assert published(other) == [[CLAIM]]
     path = tmp_path / "claims" / other._registry.siblings[0]  # type: ignore[union-attr]
-    path.write_bytes(path.read_bytes()[:100])  # a kill in the middle of it
+    path.write_bytes(path.read_bytes()[:100])  # as if the process was killed during the write
     assert published(other) == [[None]]
     for process in (one, other):
         process.deregister()
