--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -30,16 +30,16 @@
             (Path(folder) / "u" / "fronts" / "killed").touch()
             self.assertEqual((old.count_siblings(), new.count_siblings()), (1, 1))
             old.set_drain_override("s/1", True)
-            since = old.drain_overrides()["s/1"]
+            drained_us = old.drain_overrides()["s/1"]
             new.set_drain_override("s/1", True)
             old.deregister()
-            self.assertEqual((new.count_siblings(), new.drain_overrides()), (0, {"s/1": since}))
+            self.assertEqual((new.count_siblings(), new.drain_overrides()), (0, {"s/1": drained_us}))
             new.set_drain_override("s/1", False)
             new.set_drain_override("s/1", False)
             self.assertEqual(new.drain_overrides(), {})
             new.deregister()
 
-    def test_a_process_that_has_ended_leaves_no_entry_by_a_later_look_at_its_siblings(self) -> None:
+    def test_counting_siblings_after_deregistering_adds_no_entry(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             root = Path(folder) / "u"
             ended = SharedState(root)
@@ -48,11 +48,11 @@
             ended.count_siblings()
             self.assertEqual(sorted(path.name for path in (root / "fronts").iterdir()), entries)
 
-    def test_manual_drains_hold_without_a_folder(self) -> None:
+    def test_manual_drains_work_without_a_state_folder(self) -> None:
         for root in (None, Path("/dev/null/u")):
-            alone = SharedState(root)
-            alone.set_drain_override("s", True)
-            self.assertEqual((list(alone.drain_overrides()), alone.count_siblings()), (["s"], 0))
+            state = SharedState(root)
+            state.set_drain_override("s", True)
+            self.assertEqual((list(state.drain_overrides()), state.count_siblings()), (["s"], 0))
 
 
 class TestLimits(unittest.TestCase):
@@ -90,7 +90,7 @@
 
 
 class TestClosingListener(unittest.TestCase):
-    def test_connections_in_the_backlog_are_answered_by_the_process_that_closes(self) -> None:
+    def test_connections_in_the_backlog_of_a_closing_listener_are_answered(self) -> None:
         """Otherwise connections in the backlog of the closed listener are reset, and their requests lost."""
         asyncio.Runner(loop_factory=uvloop.new_event_loop).run(self._close())
 
@@ -99,7 +99,7 @@
         for code in (errno.ECONNABORTED, errno.EMFILE):
             asyncio.Runner(loop_factory=uvloop.new_event_loop).run(self._close(code))
 
-    async def _close(self, code: int = 0) -> None:
+    async def _close(self, error_number: int = 0) -> None:
         loop = asyncio.get_running_loop()
         clients = ClientGroup(9, lambda: T0, Counters(), 0, 0, print)
         handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
@@ -109,50 +109,56 @@
         sockets = [socket.create_connection(old.address) for _ in range(3)]
         clients.close_after_response = True
         new = Listener(handler, clients, old.address, loop, reuse_port=True)
-        if code:
-            real = old.socket
-            errors = [OSError(code, "")]
-            old.socket = mock.Mock(wraps=real)
-            old.socket.accept.side_effect = lambda: _raise(errors.pop()) if errors else real.accept()
+        if error_number:
+            real_socket = old.socket
+            errors = [OSError(error_number, "")]
+            old.socket = mock.Mock(wraps=real_socket)
+            old.socket.accept.side_effect = lambda: _raise(errors.pop()) if errors else real_socket.accept()
         old.close()
         for sock in sockets:
             sock.setblocking(False)
             await loop.sock_sendall(sock, b"GET /a HTTP/1.1\r\n\r\n")
-            got = b""
-            while piece := await asyncio.wait_for(loop.sock_recv(sock, 1000), 5):
-                got += piece
-            self.assertRegex(got, rb"^HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx$")
+            response = b""
+            while chunk := await asyncio.wait_for(loop.sock_recv(sock, 1000), 5):
+                response += chunk
+            self.assertRegex(
+                response, rb"^HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx$"
+            )
             sock.close()
         new.close()
 
 
 class TestManualDrain(unittest.TestCase):
-    def test_a_manually_drained_endpoint_gets_nothing_whatever_the_list_says(self) -> None:
-        h = head(T0, up("n0", 0))
-        feed(h, T0, ManualDrain("n0", True, T0), ask("a"), nodes(up("n0", 0, T0)))
+    def test_a_manually_drained_endpoint_gets_no_requests_whatever_the_list_reports(self) -> None:
+        front_scheduler = head(T0, up("n0", 0))
+        feed(front_scheduler, T0, ManualDrain("n0", True, T0), ask("a"), nodes(up("n0", 0, T0)))
         self.assertEqual(
-            (sends(feed(h, T0 + 1)), RequestLifecycle.endpoint_summary(mock.Mock(scheduler=h))), ([], (1, 1))
+            (
+                sends(feed(front_scheduler, T0 + 1)),
+                RequestLifecycle.endpoint_summary(mock.Mock(scheduler=front_scheduler)),
+            ),
+            ([], (1, 1)),
         )
-        gone = Endpoint("n0", EndpointStatus.GONE, 0)
-        feed(h, T0 + 2, nodes(gone, whole=False))
-        self.assertEqual(sends(feed(h, T0 + 3, nodes(up("n0", 0, T0 + 3)))), [])
-        self.assertEqual(sends(feed(h, T0 + 4, ManualDrain("n0", False, 0))), ["a"])
+        removed = Endpoint("n0", EndpointStatus.GONE, 0)
+        feed(front_scheduler, T0 + 2, nodes(removed, whole=False))
+        self.assertEqual(sends(feed(front_scheduler, T0 + 3, nodes(up("n0", 0, T0 + 3)))), [])
+        self.assertEqual(sends(feed(front_scheduler, T0 + 4, ManualDrain("n0", False, 0))), ["a"])
 
-    def test_an_endpoint_put_back_is_in_slow_start_until_the_list_reports_its_start(self) -> None:
+    def test_an_endpoint_after_a_drain_is_in_slow_start_until_the_list_reports_its_start(self) -> None:
         """The endpoint restarted while it was drained, and the list reports its start seconds late."""
-        h = head(
+        front_scheduler = head(
             T0, up("n0", 0), warm_up_us=10_000_000, slow_start_units=20.0, slow_start_window_us=3_000_000
         )
-        feed(h, T0, ManualDrain("n0", True, T0))
-        back = T0 + 5_000_000
-        feed(h, back, ManualDrain("n0", False, 0))
-        started = [h.directory.endpoints["n0"].endpoint.started_us]
-        for told in (0, T0 + 3_000_000):
-            feed(h, back + 1, nodes(up("n0", 0, told)))
-            started.append(h.directory.endpoints["n0"].endpoint.started_us)
-        self.assertEqual(started, [back, back, T0 + 3_000_000])
-        self.assertEqual(sends(feed(h, back + 2, ask("a", back + 2))), ["a"])
-        feed(h, back + 3, end("a"))
+        feed(front_scheduler, T0, ManualDrain("n0", True, T0))
+        undrained_us = T0 + 5_000_000
+        feed(front_scheduler, undrained_us, ManualDrain("n0", False, 0))
+        started_us_seen = [front_scheduler.directory.endpoints["n0"].endpoint.started_us]
+        for reported_us in (0, T0 + 3_000_000):
+            feed(front_scheduler, undrained_us + 1, nodes(up("n0", 0, reported_us)))
+            started_us_seen.append(front_scheduler.directory.endpoints["n0"].endpoint.started_us)
+        self.assertEqual(started_us_seen, [undrained_us, undrained_us, T0 + 3_000_000])
+        self.assertEqual(sends(feed(front_scheduler, undrained_us + 2, ask("a", undrained_us + 2))), ["a"])
+        feed(front_scheduler, undrained_us + 3, end("a"))
 
 
 if __name__ == "__main__":
--- a/tests/test_handover_processes.py
+++ b/tests/test_handover_processes.py
@@ -22,24 +22,24 @@
 MAX_DESCRIPTORS = 384
 
 
-class OneByOne(FakeServers):
+class StepwiseServers(FakeServers):
     """An endpoint that answers a request only when the test releases it, the oldest one first."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.waiting = deque[asyncio.Event]()
+        self.releases = deque[asyncio.Event]()
 
     async def node(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             self.held += 1
-            self.waiting.append(may_answer := asyncio.Event())
-            await may_answer.wait()
+            self.releases.append(release := asyncio.Event())
+            await release.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx")
         writer.close()
 
 
-HANDOVER_RATE = 300  # maximum of both processes together, in requests per second
+MAX_ANSWER_RATE = 300  # maximum of both processes together, in requests per second
 OPEN_REQUESTS = 120  # constant number, below a third of the descriptors
 
 
@@ -53,57 +53,63 @@
         for name in ("old", "new"):
             (root / name).mkdir()
         endpoints = ",".join(ENDPOINT_ENTRY % (n, node) for n in range(40))
-        self.root, self.text = (
+        self.root, self.config_text = (
             root,
             CONFIG_TEXT.format(sockets=MAX_DESCRIPTORS, discovery="", endpoints=endpoints),
         )
-        self.servers: OneByOne
-        self.old = FrontUnderLimit(root / "old", self.text, MAX_DESCRIPTORS)
+        self.servers: StepwiseServers
+        self.old = FrontUnderLimit(root / "old", self.config_text, MAX_DESCRIPTORS)
         self.new: FrontUnderLimit | None = None
-        self.ends, self.seen = list[bytes](), list[int]()
+        self.responses, self.descriptor_counts = list[bytes](), list[int]()
         self.tasks = list[asyncio.Task[None]]()
 
-    async def fill(self, servers: OneByOne) -> None:
+    async def start(self, servers: StepwiseServers) -> None:
         """Open all requests at the old process, then start the new one."""
         self.servers = servers
         await self.old.until("limits")
         address = self.old.address("listening")
-        self.tasks = [asyncio.create_task(self._asks(address, client)) for client in range(OPEN_REQUESTS)]
+        self.tasks = [
+            asyncio.create_task(self._run_client(address, client)) for client in range(OPEN_REQUESTS)
+        ]
         await wait_until(lambda: servers.held == OPEN_REQUESTS, self.old.log.read_text)
-        text = self.text.replace("127.0.0.1:0", f"127.0.0.1:{address[1]}", 1)
-        self.new = FrontUnderLimit(self.root / "new", text, MAX_DESCRIPTORS)
+        config_text = self.config_text.replace("127.0.0.1:0", f"127.0.0.1:{address[1]}", 1)
+        self.new = FrontUnderLimit(self.root / "new", config_text, MAX_DESCRIPTORS)
         await self.new.until("limits")
 
-    async def _asks(self, address: tuple[str, int], client: int) -> None:
+    async def _run_client(self, address: tuple[str, int], client: int) -> None:
         for number in range(1_000_000):
-            self.ends.append(await call(address, *read_request(f"r{client}-{number}")))
-            if not self.ends[-1].startswith(b"HTTP/1.1 200"):
+            self.responses.append(await call(address, *read_request(f"r{client}-{number}")))
+            if not self.responses[-1].startswith(b"HTTP/1.1 200"):
                 return
 
-    async def hand_over(self) -> int:
+    async def run_handover(self) -> int:
         """Stop the old process, answer requests one by one, and return how many were answered."""
         assert self.new is not None
-        watch = asyncio.create_task(watch_descriptors(self.seen, self.old, self.new))
+        watcher = asyncio.create_task(watch_descriptors(self.descriptor_counts, self.old, self.new))
         self.old.child.send_signal(signal.SIGTERM)
-        due, passed = time.monotonic(), 0
-        while self.old.child.poll() is None or passed < 3 * OPEN_REQUESTS:
-            due = max(due + 1 / HANDOVER_RATE, time.monotonic())
-            await asyncio.sleep(due - time.monotonic())
-            self.servers.waiting.popleft().set()
-            passed += 1
-            await wait_until(lambda: self._goes_on(passed), self.new.log.read_text)  # noqa: B023
-            assert not _rejected(self.ends), (passed, _rejected(self.ends), await self.new.counters())
+        due_s, answered_count = time.monotonic(), 0
+        while self.old.child.poll() is None or answered_count < 3 * OPEN_REQUESTS:
+            due_s = max(due_s + 1 / MAX_ANSWER_RATE, time.monotonic())
+            await asyncio.sleep(due_s - time.monotonic())
+            self.servers.releases.popleft().set()
+            answered_count += 1
+            await wait_until(lambda: self._next_request_arrived(answered_count), self.new.log.read_text)  # noqa: B023
+            assert not _rejected(self.responses), (
+                answered_count,
+                _rejected(self.responses),
+                await self.new.counters(),
+            )
             if self.old.child.poll() is not None:
-                watch.cancel()  # the old process has ended
-        watch.cancel()
-        return passed
+                watcher.cancel()  # the old process has ended
+        watcher.cancel()
+        return answered_count
 
-    def _goes_on(self, passed: int) -> bool:
-        return self.servers.held >= OPEN_REQUESTS + passed or bool(_rejected(self.ends))
+    def _next_request_arrived(self, answered_count: int) -> bool:
+        return self.servers.held >= OPEN_REQUESTS + answered_count or bool(_rejected(self.responses))
 
     def end(self) -> None:
-        for may_answer in self.servers.waiting:
-            may_answer.set()
+        for release in self.servers.releases:
+            release.set()
         for task in self.tasks:
             task.cancel()
         for process in (self.old, self.new):
@@ -116,14 +122,14 @@
     """If each process had half of the descriptors whatever is in use, the new one would reject some."""
 
     async def test() -> None:
-        servers = OneByOne()
+        servers = StepwiseServers()
         async with servers.listen() as (node, _):
             front = Handover(tmp_path, node)
             try:
-                await front.fill(servers)
-                assert await front.hand_over() >= 3 * OPEN_REQUESTS
+                await front.start(servers)
+                assert await front.run_handover() >= 3 * OPEN_REQUESTS
                 assert front.new is not None
-                assert front.seen and max(front.seen) <= MAX_DESCRIPTORS
+                assert front.descriptor_counts and max(front.descriptor_counts) <= MAX_DESCRIPTORS
                 for counters in (front.old.logged("counters")[-1], await front.new.counters()):
                     assert "bad_requests_503" not in counters  # so all were answered
             finally:
@@ -132,5 +138,5 @@
     run_on_uvloop(test())
 
 
-def _rejected(ends: list[bytes]) -> list[bytes]:
-    return [end for end in ends if not end.startswith(b"HTTP/1.1 200")]
+def _rejected(responses: list[bytes]) -> list[bytes]:
+    return [response for response in responses if not response.startswith(b"HTTP/1.1 200")]
--- a/tests/test_object_manifests.py
+++ b/tests/test_object_manifests.py
@@ -16,7 +16,7 @@
 GOLDEN = Path(__file__).parent / "golden" / "manifests.jsonl"
 
 
-def test_each_field_has_a_stored_name_of_its_own() -> None:
+def test_each_field_has_its_own_stored_name() -> None:
     assert list(STORED_NAMES) == [field.name for field in fields(Manifest)]
     assert len(set(STORED_NAMES.values())) == len(STORED_NAMES)
 
@@ -27,13 +27,13 @@
 
 
 @pytest.mark.parametrize("change", [{"v": 2}, {"size_bytes": 1}, {"parts": None}, {"parts": [["p"]]}])
-def test_a_manifest_of_another_form_is_an_error(change: dict[str, object]) -> None:
+def test_a_malformed_manifest_is_rejected(change: dict[str, object]) -> None:
     stored = json.loads(GOLDEN.read_bytes().splitlines()[0]) | change
     with pytest.raises((ValueError, KeyError, TypeError)):
         Manifest.from_bytes(json.dumps(stored).encode())
 
 
-def test_a_manifest_without_a_name_is_an_error() -> None:
+def test_a_manifest_with_a_missing_field_is_rejected() -> None:
     for name in ("v", "bucket", "size", "block", "parts"):
         stored = json.loads(GOLDEN.read_bytes().splitlines()[0])
         del stored[name]
@@ -41,7 +41,7 @@
             Manifest.from_bytes(json.dumps(stored).encode())
 
 
-def test_names_of_blocks_volumes_and_shards_stay() -> None:
+def test_hashed_names_are_stable() -> None:
     assert hashed_name("manifest", "scans", "k") == "372bd27540b47f03"
     assert hashed_name("volume", "scans") == "f140264f48892b4e"
     assert hashed_name("shard", "scans", "a/b") == "163636367f03035f"
--- a/tests/test_quota_division.py
+++ b/tests/test_quota_division.py
@@ -26,9 +26,9 @@
 
 
 @given(st.integers(2, 100_000))
-def test_connections_and_their_surplus_are_as_many_as_the_descriptors_allow(quotas: int) -> None:
-    count = connections_within(quotas)
-    assert count + surplus_connections(count) <= quotas < with_surplus(count + 1)
+def test_connections_and_their_surplus_use_up_the_quota(quota: int) -> None:
+    count = connections_within(quota)
+    assert count + surplus_connections(count) <= quota < with_surplus(count + 1)
 
 
 # Published claims
@@ -42,23 +42,23 @@
 
 
 @given(CLAIMS)
-def test_a_claim_is_read_as_it_was_written(claim: DescriptorClaim) -> None:
+def test_a_claim_is_parsed_as_it_was_written(claim: DescriptorClaim) -> None:
     assert parse_claim(claim.to_text()) == parse_claim(claim.to_text().ljust(256)) == claim
 
 
 @pytest.mark.parametrize(
     "text", ["", " ", "v1", "v2 5", "v1 x", "v1 -5", "v1 5 1/2/3", "v1 5 1/2/3/4/5", "v1 5 1/2/3/", "v1 5/6"]
 )
-def test_a_text_that_is_no_claim_counts_as_none_published(text: str) -> None:
+def test_a_malformed_claim_counts_as_not_published(text: str) -> None:
     assert parse_claim(text) is None
 
 
-def test_processes_read_each_other_s_claims_and_a_dead_one_s_no_longer(tmp_path: Path) -> None:
-    first, second, seen = SharedState(tmp_path), SharedState(tmp_path), list[list[DescriptorClaim | None]]()
+def test_processes_read_the_claims_of_running_siblings_only(tmp_path: Path) -> None:
+    first, second, calls = SharedState(tmp_path), SharedState(tmp_path), list[list[DescriptorClaim | None]]()
     claim = DescriptorClaim(26, (ConnectionUse(170, 9, 3, 384),))
 
     def decide(siblings: list[DescriptorClaim | None]) -> DescriptorClaim:
-        seen.append(siblings)
+        calls.append(siblings)
         return claim
 
     assert first.publish(decide) and second.publish(decide) and first.publish(decide)
@@ -69,16 +69,16 @@
     assert second.publish(decide)
     first.deregister()
     assert second.publish(decide)
-    assert seen == [[DescriptorClaim(0, ())], [claim], [claim], [None], [None], []]
+    assert calls == [[DescriptorClaim(0, ())], [claim], [claim], [None], [None], []]
     second.deregister()
     spares = [sorted(path.name for path in (tmp_path / kind).iterdir()) for kind in ("fronts", "claims")]
     assert spares[0] == spares[1] and len(spares[0]) == SPARE_FILES_COUNT and name not in spares[0]
     third = SharedState(tmp_path)
-    assert third.count_siblings() == 0 and third.publish(decide) and seen[-1] == []
+    assert third.count_siblings() == 0 and third.publish(decide) and calls[-1] == []
     third.deregister()
 
 
-def test_nothing_is_published_while_a_sibling_decides_or_without_a_descriptor(tmp_path: Path) -> None:
+def test_nothing_is_published_while_a_sibling_publishes_or_without_a_descriptor(tmp_path: Path) -> None:
     first, second = SharedState(tmp_path), SharedState(tmp_path)
     claim = DescriptorClaim(26, (ConnectionUse(170, 9, 3, 384),))
 
@@ -121,21 +121,21 @@
     def claim(self) -> DescriptorClaim:
         uses = []
         for kind, quota in enumerate(self.quotas):
-            needed = self.active[kind] if kind == 2 else with_surplus(self.active[kind])
-            bound = UNBOUNDED
+            required = self.active[kind] if kind == 2 else with_surplus(self.active[kind])
+            max_required = UNBOUNDED
             if self.closed and kind:
-                bound = max(self.open_connections(1), needed)
-            uses.append(ConnectionUse(quota, self.open_connections(kind), needed, bound))
+                max_required = max(self.open_connections(1), required)
+            uses.append(ConnectionUse(quota, self.open_connections(kind), required, max_required))
         return DescriptorClaim(self.fixed, tuple(uses))
 
     def update(self, siblings: list["ProcessModel"]) -> None:
         claims: list[DescriptorClaim | None] = [other.published for other in siblings]
-        new = divide_quota(self.descriptors, self.single_quota, self.claim(), claims)
-        self.quotas = list(map(min, new, self.quotas))
+        new_quotas = divide_quota(self.descriptors, self.single_quota, self.claim(), claims)
+        self.quotas = list(map(min, new_quotas, self.quotas))
         for kind, count in enumerate(self.max_connections()):
-            over = max(self.open_connections(kind) - count, 0)
-            self.idle[kind] -= min(over, self.idle[kind])
-        self.quotas = list(new)
+            excess = max(self.open_connections(kind) - count, 0)
+            self.idle[kind] -= min(excess, self.idle[kind])
+        self.quotas = list(new_quotas)
         self.published = self.claim()
 
     def has_fair_quota_beside(self, siblings: list["ProcessModel"]) -> bool:
@@ -154,10 +154,10 @@
         (self.active if is_active else self.idle)[kind] += 1
         return True
 
-    def end(self, kind: int, keep: bool) -> None:
+    def end(self, kind: int, keep_open: bool) -> None:
         if self.active[kind]:
             self.active[kind] -= 1
-            self.idle[kind] += keep
+            self.idle[kind] += keep_open
 
     def disconnect(self, kind: int) -> None:
         self.idle[kind] = max(self.idle[kind] - 1, 0)
@@ -185,35 +185,35 @@
     """Except at a start: a new process opens descriptors before its siblings update their claims."""
     models = [ProcessModel(descriptors, DESCRIPTORS_IN_USE)]
     models[0].update([])
-    before = sum(m.published.total() for m in models)
-    assert before <= descriptors
-    for event, at, kind, flag, times in events:
-        model = models[at % len(models)]
+    previous_total = sum(m.published.total() for m in models)
+    assert previous_total <= descriptors
+    for event, index, kind, is_set, repetitions in events:
+        model = models[index % len(models)]
         if event == "update":
             model.update([m for m in models if m is not model])
         elif event == "close":
             model.closed = True
         elif event == "start" and len(models) < 3:
-            models.append(ProcessModel(descriptors, DESCRIPTORS_IN_USE + at))
+            models.append(ProcessModel(descriptors, DESCRIPTORS_IN_USE + index))
             models[-1].update(models[:-1])
-            before += models[-1].fixed + 3 * MIN_QUOTA
+            previous_total += models[-1].fixed + 3 * MIN_QUOTA
         elif event == "kill" and len(models) > 1:
             models.remove(model)
-        for _ in range(times):
+        for _ in range(repetitions):
             if event == "connect":
-                model.connect(kind, flag)
+                model.connect(kind, is_set)
             elif event == "end":
-                model.end(kind, flag)
+                model.end(kind, is_set)
             elif event == "disconnect":
                 model.disconnect(kind)
-        now = sum(m.published.total() for m in models)
-        assert now <= max(descriptors, before), event
+        total_claims = sum(m.published.total() for m in models)
+        assert total_claims <= max(descriptors, previous_total), event
         assert all(m.open_descriptors() <= m.published.total() for m in models), event
-        before = now
+        previous_total = total_claims
 
 
 @given(st.integers(128, 1000), st.integers(0, 1000), st.integers(0, 1000))
-def test_claims_stay_within_the_descriptors_once_the_first_process_saw_the_new_one(
+def test_claims_stay_within_the_descriptors_after_the_older_process_s_update(
     descriptors: int, active: int, idle: int
 ) -> None:
     """This holds as long as clients use at most a third of the descriptors for requests."""
@@ -222,9 +222,9 @@
         ProcessModel(descriptors, DESCRIPTORS_IN_USE),
     )
     first.update([])
-    for number, flag in ((min(active, descriptors // 3), True), (idle, False)):
+    for number, is_active in ((min(active, descriptors // 3), True), (idle, False)):
         for _ in range(min(number, first.max_connections()[1] - first.open_connections(1))):
-            first.connect(1, flag)
+            first.connect(1, is_active)
     second.update([first])
     first.update([second])
     assert first.published.total() + second.published.total() <= descriptors
@@ -235,7 +235,7 @@
     assert second.has_fair_quota_beside([first])
 
 
-def test_a_killed_process_s_quota_is_free_at_the_next_update() -> None:
+def test_the_quota_of_a_killed_process_is_released_at_the_next_update() -> None:
     first, second = (
         ProcessModel(MAX_DESCRIPTORS, DESCRIPTORS_IN_USE),
         ProcessModel(MAX_DESCRIPTORS, DESCRIPTORS_IN_USE),
@@ -249,11 +249,11 @@
     assert first.quotas == list(first.single_quota)
 
 
-def test_beside_a_process_without_a_claim_each_has_half() -> None:
+def test_a_process_takes_half_beside_a_sibling_without_a_claim() -> None:
     first = ProcessModel(MAX_DESCRIPTORS, DESCRIPTORS_IN_USE)
     first.update([])
-    new = divide_quota(MAX_DESCRIPTORS, first.single_quota, first.claim(), [None])
-    assert MAX_DESCRIPTORS // 2 - 3 <= first.fixed + sum(new) <= MAX_DESCRIPTORS // 2
+    quotas = divide_quota(MAX_DESCRIPTORS, first.single_quota, first.claim(), [None])
+    assert MAX_DESCRIPTORS // 2 - 3 <= first.fixed + sum(quotas) <= MAX_DESCRIPTORS // 2
 
 
 UPDATE_INTERVAL_MS = 20
@@ -266,7 +266,7 @@
 @given(
     st.integers(0, 1 << 32), st.integers(0, UPDATE_INTERVAL_MS - 1), st.integers(0, UPDATE_INTERVAL_MS - 1)
 )
-def test_requests_that_are_handed_over_one_by_one_are_never_rejected(
+def test_no_request_is_rejected_during_a_handover_under_load(
     seed: int, first_phase: int, second_phase: int
 ) -> None:
     """A handover under constant load: requests use a third of the descriptors, each on its own connection.
@@ -275,48 +275,48 @@
     150 per second at each process, at random intervals. Quotas are updated every 20 ms, and sooner if one is
     used up. The connection of an ended request stays open, idle, for up to 300 ms.
     """
-    rng, total = random.Random(seed), MAX_DESCRIPTORS // 3
+    rng, request_count = random.Random(seed), MAX_DESCRIPTORS // 3
     first, second = (
         ProcessModel(MAX_DESCRIPTORS, DESCRIPTORS_IN_USE),
         ProcessModel(MAX_DESCRIPTORS, DESCRIPTORS_IN_USE),
     )
     first.update([])
-    for _ in range(total):
+    for _ in range(request_count):
         assert first.connect(1, True)
-    lingering, short = list[tuple[int, ProcessModel]](), dict[ProcessModel, int]()
-    started_at, stop = -1, 500
-    for now in range(3000):
-        if now % UPDATE_INTERVAL_MS == first_phase:
+    lingering, last_shortage = list[tuple[int, ProcessModel]](), dict[ProcessModel, int]()
+    started_at, stopped_at = -1, 500
+    for now_ms in range(3000):
+        if now_ms % UPDATE_INTERVAL_MS == first_phase:
             first.update([second])
-        if now % UPDATE_INTERVAL_MS == second_phase:
+        if now_ms % UPDATE_INTERVAL_MS == second_phase:
             second.update([first])
             if started_at < 0 and second.has_fair_quota_beside([first]):
-                started_at = now
-        first.closed = now > stop + ACCEPTS_FOR_MS
-        open_ones = [
+                started_at = now_ms
+        first.closed = now_ms > stopped_at + ACCEPTS_FOR_MS
+        accepting = [
             m
             for m in (first, second)
             if (m is first and not first.closed) or (m is second and started_at >= 0)
         ]
-        for model in open_ones:
+        for model in accepting:
             if rng.random() >= NEW_CONNECTIONS_PER_MS:
                 continue
-            ends = rng.choice([first] * first.active[1] + [second] * second.active[1])
-            ends.end(1, True)
-            lingering.append((now + rng.randrange(300), ends))
+            ending = rng.choice([first] * first.active[1] + [second] * second.active[1])
+            ending.end(1, True)
+            lingering.append((now_ms + rng.randrange(300), ending))
             if (
                 model.max_connections()[1] <= model.open_connections(1)
-                and now >= short.get(model, -MIN_UPDATE_INTERVAL_MS) + MIN_UPDATE_INTERVAL_MS
+                and now_ms >= last_shortage.get(model, -MIN_UPDATE_INTERVAL_MS) + MIN_UPDATE_INTERVAL_MS
             ):
-                short[model] = now
+                last_shortage[model] = now_ms
                 model.update([m for m in (first, second) if m is not model])
-            assert model.connect(1, True), (now, first.claim(), second.claim())
-        for _, model in [pair for pair in lingering if pair[0] <= now]:
+            assert model.connect(1, True), (now_ms, first.claim(), second.claim())
+        for _, model in [pair for pair in lingering if pair[0] <= now_ms]:
             model.disconnect(1)
-        lingering = [pair for pair in lingering if pair[0] > now]
+        lingering = [pair for pair in lingering if pair[0] > now_ms]
         assert (
             first.published.total() + second.published.total() <= MAX_DESCRIPTORS
-            or now < 2 * UPDATE_INTERVAL_MS
+            or now_ms < 2 * UPDATE_INTERVAL_MS
         )
     assert 0 <= started_at <= 3 * UPDATE_INTERVAL_MS
-    assert second.active[1] > total / 2
+    assert second.active[1] > request_count / 2
