--- a/umberlead/gossip/members.py
+++ b/umberlead/gossip/members.py
@@ -45,7 +45,7 @@
         return MemberUpdate(self.name, self.address, self.incarnation, self.state)
 
     def begin_session(self, session: int) -> None:
-        """Accept a session as verified, and expect its first sequence number."""
+        """Mark a session as verified, and start over with its sequence numbers."""
         self.session = session
         self.highest_sequence = -1
         self.seen_bits = 0
