--- a/tests/test_quota_division.py
+++ b/tests/test_quota_division.py
@@ -83,12 +83,12 @@
     claim = DescriptorClaim(26, (ConnectionUse(170, 9, 3, 384),))
 
     def decide(_: list[DescriptorClaim | None]) -> DescriptorClaim:
-        assert not second.publish(lambda _: pytest.fail("both decide"))
+        assert not second.publish(lambda _: pytest.fail("two processes decide at once"))
         return claim
 
     assert first.publish(decide)
     with mock.patch("os.open", side_effect=OSError(24, "")):
-        assert not second.publish(lambda _: pytest.fail("it has no descriptor"))
+        assert not second.publish(lambda _: pytest.fail("decide was called without a free descriptor"))
     first.deregister()
     second.deregister()
 
