--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -17,6 +17,7 @@
     "DEVELOPERS.md",
     "docs/ARCHITECTURE.md",
     "docs/ROADMAP.md",
+    "docs/glossary.md",
     *sorted(str(path.relative_to(ROOT)) for path in (ROOT / "docs" / "incidents").glob("*.md")),
 )
 QUOTED = re.compile(r"(?<!`)`([^`\n]+)`(?!`)")
