--- a/tests/both_builds.py
+++ b/tests/both_builds.py
@@ -121,7 +121,8 @@
     async def start(self, name: str) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self._open[name].add(writer)
-            with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
+            ends = (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError)
+            with contextlib.suppress(*ends):
                 while True:
                     await reader.readuntil(b"\r\n\r\n")
                     self.counts[name] += 1
@@ -192,6 +193,16 @@
     return [_without_own_times(inner) for inner in value] if isinstance(value, list) else value
 
 
+def _documents(text: str) -> list[Any]:
+    """The JSON documents of a file that holds several, one after the other."""
+    found, position = [], 0
+    while position < len(text.rstrip()):
+        value, length = json.JSONDecoder().raw_decode(text[position:].lstrip())
+        position = len(text) - len(text[position:].lstrip()) + length
+        found.append(value)
+    return found
+
+
 def verdicts_are_the_same(before: Build, after: Build, folder: Path) -> None:
     """Routing tests and rehearsals in virtual time."""
     for suite in SUITES:
@@ -206,7 +217,7 @@
             out = folder / f"{build.name}-{script}.json"
             words = ("rehearse", f"deploy/rehearsals/{script}.script", "--out", str(out))
             build.run("-m", "umberlead", *words, accepted=(0, 1))
-            results.append(json.loads(out.read_bytes()))
+            results.append(_documents(out.read_text()))
         assert _without_own_times(results[0]) == _without_own_times(results[1]), script
 
 
@@ -375,11 +386,12 @@
                 newer.kill()
 
 
-def _gossip_config(
-    folder: Path, name: str, zones: dict[str, tuple[str, ...]], servers: Servers, peers: tuple[int, ...]
-) -> str:
+ZONES = {"a": ("n0", "n1", "n2"), "b": ("n3", "n4", "n5"), "c": ("n6", "n7", "n8")}
+
+
+def _gossip_config(folder: Path, name: str, servers: Servers, peers: tuple[int, ...]) -> str:
     rows = ["format 1", "version 1"]
-    for zone, names in zones.items():
+    for zone, names in ZONES.items():
         rows += [f"server {n} address 127.0.0.1:{servers.ports[n]} shard 0 room {zone}" for n in names]
     (folder / "main.list").write_text("\n".join([*rows, f"end {len(rows)}", ""]))
     (folder / "peers.keys").write_text("11" * 16 + "\n")
@@ -388,7 +400,7 @@
     tables = f"""[membership]
 list = "main.list"
 [rooms]
-near = [{", ".join(f'"{zone}"' for zone in zones)}]
+near = [{", ".join(f'"{zone}"' for zone in ZONES)}]
 [rooms.peers]
 listen = {own}
 join = [{", ".join(others)}]
@@ -398,15 +410,17 @@
     return re.sub(r"\[known\]\nendpoints = .*\n", tables, text)
 
 
-async def fronts_of_both_builds_agree_on_a_zone(first: Build, second: Build, folder: Path) -> None:
-    """Three fronts, one of them of the other build, see a zone fail and recover, and hear of each other."""
-    zones = {zone: tuple(f"n{i}" for i in range(3 * k, 3 * k + 3)) for k, zone in enumerate(("a", "b", "c"))}
-    async with servers_running(*(name for names in zones.values() for name in names)) as servers:
-        ports = [_free_port() for _ in range(3)]
+@contextlib.asynccontextmanager
+async def gossiping_fronts(
+    builds: tuple[Build, ...], folder: Path
+) -> AsyncIterator[tuple[Servers, list[tuple[str, int]]]]:
+    """Fronts that gossip, under load; yields the zones' servers and the addresses of the admin APIs."""
+    async with servers_running(*(name for names in ZONES.values() for name in names)) as servers:
+        ports = [_free_port() for _ in builds]
         fronts = []
-        for number, build in enumerate((first, second, second)):
+        for number, build in enumerate(builds):
             peers = (*ports[number:], *ports[:number])
-            text = _gossip_config(folder, f"f{number}", zones, servers, peers)
+            text = _gossip_config(folder, f"f{number}", servers, peers)
             fronts.append(Front(build, folder, f"f{number}", text))
         stopped = asyncio.Event()
 
@@ -424,12 +438,7 @@
                 address = await front.address()
                 tasks += [asyncio.create_task(client(address, f"g{number}-{k}")) for k in range(4)]
             await asyncio.sleep(2)
-            for name in zones["b"]:
-                servers.stop(name)
-            await _until_zone(admins, "b", ("lost",), 30)
-            for name in zones["b"]:
-                await servers.start(name)
-            await _until_zone(admins, "b", ("return", "well"), 60)
+            yield servers, admins
         finally:
             stopped.set()
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -437,17 +446,38 @@
                 front.kill()
 
 
-async def _until_zone(
+async def fronts_of_both_builds_see_a_zone_fail_alike(first: Build, second: Build, folder: Path) -> None:
+    """Three fronts, one of them of the other build, see a zone fail, and hear the others say so."""
+    async with gossiping_fronts((first, second, second), folder) as (servers, admins):
+        for name in ZONES["b"]:
+            servers.stop(name)
+        await until_zone(admins, "b", ("lost",), 30)
+
+
+async def fronts_of_both_builds_see_a_zone_recover_alike(first: Build, second: Build, folder: Path) -> None:
+    """The same with the zone's recovery; fails while tests/test_zone_recovery.py is in KNOWN-RED.txt."""
+    async with gossiping_fronts((first, second, second), folder) as (servers, admins):
+        for name in ZONES["b"]:
+            servers.stop(name)
+        await until_zone(admins, "b", ("lost",), 30)
+        for name in ZONES["b"]:
+            await servers.start(name)
+        await until_zone(admins, "b", ("return", "well"), 30)
+
+
+async def until_zone(
     admins: list[tuple[str, int]], zone: str, states: tuple[str, ...], seconds: float
 ) -> None:
-    """All fronts have the zone in one of the states, and each has heard the other two say the same."""
+    """All fronts have the zone in one of the states, and each has heard all others say the same."""
     end = time.monotonic() + seconds
     while True:
         rows = [
             json.loads(await admin(address, "GET", "/control/rooms"))["rooms"][zone] for address in admins
         ]
         agree = all(row["state"] in states for row in rows)
-        heard = all(len(row["peers"]) == 2 and set(row["peers"].values()) <= set(states) for row in rows)
+        heard = all(
+            len(row["peers"]) == len(admins) - 1 and set(row["peers"].values()) <= set(states) for row in rows
+        )
         if agree and heard:
             return
         assert time.monotonic() < end, rows
@@ -461,7 +491,8 @@
     a_snapshot_is_restored_by_the_other_build,
     objects_are_read_by_the_other_build,
     a_handover_under_load_loses_no_request,
-    fronts_of_both_builds_agree_on_a_zone,
+    fronts_of_both_builds_see_a_zone_fail_alike,
+    fronts_of_both_builds_see_a_zone_recover_alike,
 )
 
 
