--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -3,7 +3,7 @@
 import asyncio
 from pathlib import Path
 
-from tests.both_builds import ROOT, ZONES, Build, gossiping_fronts, until_zone
+from tests.build_processes import ROOT, ZONES, Build, gossiping_fronts, until_zone
 
 # A zone stays down for 2.5 s at most (`hold_s`, with jitter), then gets a trial a second (`trial_s`, with
 # jitter) until an endpoint answers, and further ones at once: 5 s in all.
