--- a/umberlead/routing_tests/language.py
+++ b/umberlead/routing_tests/language.py
@@ -307,7 +307,7 @@
     if lines.pop():
         of.bad(
             FilePosition(file, len(lines) + 1),
-            "the last line has no line end: perhaps half written",
+            "the last line has no newline: the file may be half written",
             code="E103",
         )
     for number, row in enumerate(lines, 1):
@@ -317,7 +317,7 @@
         of.count += 1
         place = FilePosition(file, number, len(row) - len(row.lstrip()) + 1)
         if of.closed:
-            of.bad(place, "something stands behind the closing line")
+            of.bad(place, "something stands after the closing line")
             continue
         try:
             for line in expand_foreach(plain):
@@ -339,7 +339,7 @@
     if not of.closed:
         of.bad(
             FilePosition(file, len(lines) + 1),
-            "there is no closing line 'end N': perhaps half written",
+            "there is no closing line 'end N': the file may be half written",
             code="E102",
         )
     return of.suite, of.problems
