--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -92,7 +92,7 @@
     if look == "without":
         from umberlead.requests.lifecycle import RequestLifecycle
 
-        RequestLifecycle.client_waits = lambda self, ticket: True  # type: ignore[method-assign]
+        RequestLifecycle.is_client_connected = lambda self, ticket: True  # type: ignore[method-assign]
     from umberlead.__main__ import main as run
 
     return run()
--- a/benchmarks/news.py
+++ b/benchmarks/news.py
@@ -49,7 +49,7 @@
 """
 
 
-class Before(WatchPacing):
+class PreviousPacing(WatchPacing):
     """The pacing as it was at c66d2e7, for comparison. It kept nothing for the next process."""
 
     def __init__(
@@ -68,10 +68,10 @@
             return 600_000 if call.connected_us is None else 2_500_000
         return 600_000 if self.is_agent else 5_000_000
 
-    def keeps_listening(self, call: WatchCall, now: int) -> bool:
+    def is_still_read(self, call: WatchCall, now_us: int) -> bool:
         return False
 
-    def next_call_delay_us(self, call: WatchCall, now: int, silent: bool) -> int:
+    def next_call_delay_us(self, call: WatchCall, now_us: int, silent: bool) -> int:
         chance, of = self.backoff.rng, self.backoff
         if silent and not call.answered and self.is_agent is None:
             self.is_agent = True
@@ -97,7 +97,7 @@
     fronts: int
     rate: float = 0.0
     pushed: bool = False
-    failing: str = "refused"
+    failure: str = "refused"
     down: int = 8 * SECOND
     restarted: float = 0.0
     retry_after: int = 0
@@ -115,14 +115,14 @@
 
 
 class Fleet:
-    """One fleet through one failure. `told`: us after discovery could be reached; `calls`: by second since
-    then; `downs`: by second before it."""
+    """One fleet through one failure. `notification_delays_us`: us after discovery could be reached; `calls`:
+    by second since then; `downs`: by second before it."""
 
     def __init__(self, world: World, made: Callable[..., WatchPacing] = WatchPacing, seed: int = 0) -> None:
         self.world, self.chance = world, random.Random(seed)
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.number = self.now = self.free = 0
-        self.back = 10 * SECOND + (0 if world.failing in ("reset", "silent") else world.down)
+        self.back = 10 * SECOND + (0 if world.failure in ("reset", "silent") else world.down)
         self.calls = Counter[int]()
         self.downs = Counter[int]()
         ours = world.pushed or not world.rate
@@ -140,7 +140,7 @@
             self.now, _, what = heapq.heappop(self.queue)
             what()
 
-    def told(self) -> list[int]:
+    def notification_delays_us(self) -> list[int]:
         """Ascending; one never told counts as the end of the time that was looked at."""
         end = self.back + self.world.until
         return sorted((end if f.told is None else f.told) - self.back for f in self.fronts)
@@ -163,10 +163,10 @@
         call.connected_us = call.started_us = 0
         call.answered = call.list_received = True
         call.status = 200
-        if self.world.failing in ("silent", "half a list"):
-            call.partial = self.world.failing == "half a list"
+        if self.world.failure in ("silent", "half a list"):
+            call.partial = self.world.failure == "half a list"
             call.last_activity_us = fell - (0 if call.partial else self.chance.randrange(2 * SECOND))
-            self._at(max(pacing.gives_up_at_us(call), fell), lambda: self._due(front, call))
+            self._at(max(pacing.timeout_at_us(call), fell), lambda: self._due(front, call))
         else:
             call.last_activity_us = fell
             self._at(fell, lambda: self._ends(front, call, silent=False))
@@ -180,7 +180,7 @@
             call.connected_us = self.now
         if kind in ("list", "no", "refused"):
             self._at(at, lambda: self._comes(front, call, kind))
-        self._at(front.pacing.gives_up_at_us(call), lambda: self._due(front, call))
+        self._at(front.pacing.timeout_at_us(call), lambda: self._due(front, call))
 
     def _served(self) -> tuple[str, int]:
         if not self.world.rate:
@@ -194,8 +194,8 @@
         )
 
     def _failed(self) -> tuple[str, int]:
-        if self.world.failing in ("no", "refused", "hung dial") and self.world.rate:
-            return self.world.failing, self.now + 1000
+        if self.world.failure in ("no", "refused", "hung dial") and self.world.rate:
+            return self.world.failure, self.now + 1000
         return "hung", 0
 
     def _comes(self, front: _Front, call: WatchCall, kind: str) -> None:
@@ -218,10 +218,10 @@
     def _due(self, front: _Front, call: WatchCall) -> None:
         if call is not front.call or front.told is not None:
             return
-        due = front.pacing.gives_up_at_us(call)
+        due = front.pacing.timeout_at_us(call)
         if self.now < due:
             return self._at(due, lambda: self._due(front, call))
-        if front.late is None and front.pacing.keeps_listening(call, self.now):
+        if front.late is None and front.pacing.is_still_read(call, self.now):
             front.late = call
             self._at(call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US, lambda: self._left(front, call))
         self._ends(front, call, silent=True)
@@ -245,13 +245,13 @@
     """Over all seeds: p50 and p99 of all fronts, the last of all; the busiest second's calls since discovery
     could be reached; the part of plays with every front told in 6 s."""
     plays = [Fleet(world, made, seed) for seed in range(seeds)]
-    times = sorted(t for play in plays for t in play.told())
+    times = sorted(t for play in plays for t in play.notification_delays_us())
     return {
         "p50": part(times, 0.5),
         "p99": part(times, 0.99),
         "last": times[-1] / SECOND,
         "calls": max(max(play.calls.values(), default=0) for play in plays),
-        "held": sum(play.told()[-1] <= 6 * SECOND for play in plays) / seeds,
+        "held": sum(play.notification_delays_us()[-1] <= 6 * SECOND for play in plays) / seeds,
     }
 
 
@@ -269,23 +269,23 @@
 
 def row(world: World, seeds: int) -> str:
     way = "agent" if not world.rate else "service, pushed" if world.pushed else "service"
-    failing = world.failing + (", Retry-After 30 s" if world.retry_after else "")
+    failing = world.failure + (", Retry-After 30 s" if world.retry_after else "")
     failing += f", {world.restarted:.0%} restarted" if world.restarted else ""
     failing += ", met an agent before" if world.known else ""
-    down = "-" if world.failing in ("reset", "silent") else f"{world.down / SECOND:g} s"
+    down = "-" if world.failure in ("reset", "silent") else f"{world.down / SECOND:g} s"
     text = f"| {world.fronts} | {way} | {f'{world.rate:g}' if world.rate else '-'} | {failing} | {down} | "
-    text += f"{cell(figures(world, Before, seeds), world.until)} | "
+    text += f"{cell(figures(world, PreviousPacing, seeds), world.until)} | "
     return text + f"{cell(figures(world, WatchPacing, seeds), world.until)} |\n"
 
 
 def least(fronts: int, failing: str, seeds: int, made: Callable[..., WatchPacing]) -> float | None:
     """The least rate, in whole calls a second, at which each play has every front told in 6 s."""
     low, high = 0, 400
-    if figures(World(fronts, high, failing=failing, until=20 * SECOND), made, seeds)["held"] < 1:
+    if figures(World(fronts, high, failure=failing, until=20 * SECOND), made, seeds)["held"] < 1:
         return None
     while high - low > 1:
         middle = (low + high) // 2
-        good = figures(World(fronts, middle, failing=failing, until=20 * SECOND), made, seeds)["held"] == 1
+        good = figures(World(fronts, middle, failure=failing, until=20 * SECOND), made, seeds)["held"] == 1
         low, high = (low, middle) if good else (middle, high)
     return high
 
@@ -298,14 +298,14 @@
     base = World(1)
     for fronts in (1, 30, 200):
         for failing in ("hung", "silent"):
-            text += row(replace(base, fronts=fronts, failing=failing), seeds)
+            text += row(replace(base, fronts=fronts, failure=failing), seeds)
         for known in (False, True):
-            text += row(replace(base, fronts=fronts, failing="hung", restarted=0.7, known=known), seeds)
+            text += row(replace(base, fronts=fronts, failure="hung", restarted=0.7, known=known), seeds)
     for fronts, rate in ((1, 7), (2, 7), (5, 7), (30, 7), (40, 7), (200, 7), (200, 25), (200, 40), (200, 80)):
         for failing in FAILURES:
-            text += row(replace(base, fronts=fronts, rate=rate, failing=failing), seeds)
+            text += row(replace(base, fronts=fronts, rate=rate, failure=failing), seeds)
     for fronts, rate in ((5, 7), (30, 7), (200, 80)):
-        text += row(World(fronts, rate, failing="no", retry_after=30 * SECOND), seeds)
+        text += row(World(fronts, rate, failure="no", retry_after=30 * SECOND), seeds)
         text += row(World(fronts, rate, down=60 * SECOND), seeds)
     text += row(World(200, 3, until=900 * SECOND), 2)
     for fronts, rate in ((5, 7), (28, 7), (40, 7), (200, 20), (200, 80)):
@@ -316,7 +316,9 @@
     text += "watch fell silent.\n\n| fronts | failing | before | after |\n|---|---|---|---|\n"
     for fronts in (1, 2, 5, 30, 40, 100, 200):
         for failing in ("refused", "hung", "silent", "reset"):
-            rates = [least(fronts, failing, max(seeds // 2, 1), made) for made in (Before, WatchPacing)]
+            rates = [
+                least(fronts, failing, max(seeds // 2, 1), made) for made in (PreviousPacing, WatchPacing)
+            ]
             told = ["none up to 400" if rate is None else f"{rate:g}" for rate in rates]
             text += f"| {fronts} | {failing} | {told[0]} | {told[1]} |\n"
     return text + CHOSEN
--- a/benchmarks/virtual_time.py
+++ b/benchmarks/virtual_time.py
@@ -68,7 +68,7 @@
     def start(self, attempt: Attempt) -> None:
         self.out.append(attempt)
 
-    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
+    def stop(self, attempt: Attempt, result: AttemptResult) -> None:
         raise AssertionError("nothing is late here")
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
--- a/tests/golden/exported.py
+++ b/tests/golden/exported.py
@@ -95,8 +95,8 @@
         if attempt.request.attempt is attempt:
             self.engine.attempt_ended(attempt, result)
 
-    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
-        self.loop.soon(lambda: self.end(attempt, why))
+    def stop(self, attempt: Attempt, result: AttemptResult) -> None:
+        self.loop.soon(lambda: self.end(attempt, result))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False
@@ -147,7 +147,7 @@
 
         ticket = engine.accept(request, done)
         if left:
-            loop.at(loop.now + 50_000, lambda: engine.client_left(ticket))
+            loop.at(loop.now + 50_000, lambda: engine.on_client_disconnected(ticket))
 
     for number in range(400):
         loop.at(loop.now + number * 10_000, lambda number=number: ask(number))  # type: ignore[misc]
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -157,7 +157,7 @@
             reply = Reply(200, self.blocks[block]) if block in self.blocks else Reply(404)
         asyncio.get_running_loop().call_soon(self.engine.attempt_ended, attempt, AttemptResult.OK, reply)
 
-    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
+    def stop(self, attempt: Attempt, result: AttemptResult) -> None:
         raise AssertionError("nothing is stopped here")
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
--- a/tests/planted_soak.py
+++ b/tests/planted_soak.py
@@ -83,15 +83,15 @@
             Replacement(
                 "requests/lifecycle.py",
                 "        if request.answered:\n            return\n        request.answered = True\n"
-                "        request.client_left_us",
+                "        request.client_disconnected_us",
                 "        if True:\n            return\n        request.answered = True\n"
-                "        request.client_left_us",
+                "        request.client_disconnected_us",
             ),
             Replacement(
                 "requests/lifecycle.py",
                 "        if request.answered or request.abandoned:\n            return False\n"
-                "        client_has_left",
-                "        return not request.answered\n        client_has_left",
+                "        check_disconnect",
+                "        return not request.answered\n        check_disconnect",
             ),
         ),
     ),
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -166,7 +166,7 @@
 
         with mock.patch.object(ServerConnection, "is_evictable", look):
             listener._accept_batch()
-        assert (len(looked), listener.accepting_count, clients.evicting_count) == (
+        assert (len(looked), listener.accepting_count, clients.evicted_slot_count) == (
             800,
             ACCEPT_BATCH_SIZE,
             ACCEPT_BATCH_SIZE,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -310,14 +310,14 @@
 def test_detected_agent_is_stored_for_the_next_process(tmp_path: Any) -> None:
     async def test(discovery: Discovery) -> None:
         shared = SharedState(tmp_path)
-        assert shared.agent_seen_before() is None and SharedState(None).agent_seen_before() is None
+        assert shared.found_agent_before() is None and SharedState(None).found_agent_before() is None
         # The hint is stored or removed when a list is received; a rejection leaves it unchanged.
         for response, agent in ((NEW_LIST, True), (REJECTION, True), (NEW_LIST, None)):
             harness = WatchHarness(
                 discovery,
                 fleet_size=40,
                 expects_agent=True,
-                is_agent=shared.agent_seen_before(),
+                is_agent=shared.found_agent_before(),
                 on_agent_detected=shared.record_agent,
             )
             if (response, agent) == (NEW_LIST, None):
@@ -325,7 +325,7 @@
             discovery.response = response
             harness.watch.open()
             await harness.settle()
-            assert shared.agent_seen_before() is agent
+            assert shared.found_agent_before() is agent
             harness.watch.close()
 
     _run(test)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -51,8 +51,8 @@
     def start(self, attempt: Attempt) -> None:
         self.sent.append(attempt)
 
-    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
-        self.stopped.append((attempt, why))
+    def stop(self, attempt: Attempt, result: AttemptResult) -> None:
+        self.stopped.append((attempt, result))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -67,7 +67,7 @@
     assert len(seen) == 2 and set(seen) == {stored.CLAIM, DescriptorClaim(0, ())}
     assert state.share() == 1 / 2.25  # one stands, one leaves
     assert sorted(state.drain_overrides()) == sorted(stored.DRAINED)
-    assert state.agent_seen_before() is True
+    assert state.found_agent_before() is True
     for descriptor in held:
         os.close(descriptor)
     state.deregister()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -135,7 +135,7 @@
         self.assertEqual(
             (
                 sends(feed(front_scheduler, T0 + 1)),
-                RequestLifecycle.endpoint_summary(mock.Mock(scheduler=front_scheduler)),
+                RequestLifecycle.endpoint_counts(mock.Mock(scheduler=front_scheduler)),
             ),
             ([], (1, 1)),
         )
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -31,7 +31,7 @@
 
 
 class TestGuard:
-    def guard(self, endpoint_ready: bool = True, client_waits: bool = True) -> SendGuard:
+    def guard(self, endpoint_ready: bool = True, is_client_connected: bool = True) -> SendGuard:
         self.clock = Clock()
         limits = settings()
         classes = {request_class.name: request_class for request_class in limits.classes}
@@ -40,7 +40,7 @@
             limits.max_attempts,
             self.clock,
             lambda endpoint: endpoint_ready,
-            lambda in_flight: client_waits,
+            lambda in_flight: is_client_connected,
         )
 
     @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
         in_flight = request()
         in_flight.attempt = Attempt(in_flight, 0, "n0", T0, T0 + SECOND)
         assert self.guard().may_begin(in_flight) is Denial.IN_FLIGHT
-        assert self.guard(client_waits=False).may_begin(request()) is Denial.CLIENT_LEFT
+        assert self.guard(is_client_connected=False).may_begin(request()) is Denial.CLIENT_LEFT
         guard = self.guard()
         self.clock.now = T0 + SECOND
         assert guard.may_begin(request()) is Denial.OUT_OF_TIME
@@ -74,7 +74,7 @@
         attempt = Attempt(request(), 0, "n0", T0, T0 + SECOND)
         assert self.guard().may_write(attempt) is None
         assert self.guard(endpoint_ready=False).may_write(attempt) is Denial.ENDPOINT_OUT_OF_SERVICE
-        assert self.guard(client_waits=False).may_write(attempt) is Denial.CLIENT_LEFT
+        assert self.guard(is_client_connected=False).may_write(attempt) is Denial.CLIENT_LEFT
         guard = self.guard()
         self.clock.now = T0 + SECOND
         assert guard.may_write(attempt) is Denial.OUT_OF_TIME
@@ -100,7 +100,7 @@
         attempt = Attempt(
             in_flight, in_flight.attempt_count, endpoint, self.clock.now, in_flight.incoming.deadline_us
         )
-        self.checker.written(attempt, budget_us)
+        self.checker.check_written(attempt, budget_us)
         return attempt
 
     def violated_invariants(self) -> set[str]:
@@ -113,8 +113,8 @@
             self.checker.record_outcome(self.write_attempt(in_flight), result)
         self.write_attempt(in_flight, "n1")
         self.checker.record_answer(in_flight)
-        self.checker.closed(False, "announced", "")
-        self.checker.listening(True)
+        self.checker.check_close(False, "announced", "")
+        self.checker.check_listening(True)
         assert self.violated_invariants() == set() and not self.log_lines
 
     def test_violations_are_counted_by_name_and_logged_with_the_call_id(self) -> None:
@@ -133,10 +133,10 @@
     def test_reconnected_attempt_is_no_second_attempt(self) -> None:
         in_flight = request("once")
         attempt = self.write_attempt(in_flight)
-        self.checker.written(attempt, 0)
+        self.checker.check_written(attempt, 0)
         assert self.violated_invariants() == set()
         self.checker.record_outcome(attempt, AttemptResult.RESET)
-        self.checker.written(attempt, 0)
+        self.checker.check_written(attempt, 0)
         assert self.violated_invariants() == {"never_twice"}
 
     def test_attempt_beyond_the_limit_is_a_violation(self) -> None:
@@ -149,7 +149,7 @@
 
     def test_attempt_after_disconnect_after_deadline_or_over_budget_is_a_violation(self) -> None:
         self.clock.now = T0 + 200_000
-        self.write_attempt(request(client_left_us=T0 + 50_000), budget_us=0)
+        self.write_attempt(request(client_disconnected_us=T0 + 50_000), budget_us=0)
         assert self.violated_invariants() == {"client_waits"}
         self.counters.clear()
         self.write_attempt(request(id="0.2"), budget_us=SECOND - 200_000 + 150_001)
@@ -187,8 +187,8 @@
 
     def test_second_answer_early_close_and_early_listening_are_violations(self) -> None:
         self.checker.record_answer(request(answered=True))
-        self.checker.closed(True, "evicted", "call")
-        self.checker.listening(False)
+        self.checker.check_close(True, "evicted", "call")
+        self.checker.check_listening(False)
         names = {invariant.value for invariant in (Invariant.ONE_ANSWER, Invariant.ANSWERED_BEFORE_CLOSE)}
         assert self.violated_invariants() == names | {"ready_before_listening"}
 
--- a/tests/test_lists_front.py
+++ b/tests/test_lists_front.py
@@ -18,7 +18,7 @@
 from click.testing import CliRunner
 
 from umberlead.commands import command
-from umberlead.handover.process_registry import SPARE_FILES_COUNT, ProcessRegistry
+from umberlead.handover.process_registry import SPARE_ENTRY_COUNT, ProcessRegistry
 from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
 ROOT = Path(__file__).parent.parent
@@ -297,7 +297,7 @@
             assert await fixture.end() == 0
             # Only the spare files are left, which no process uses.
             registry = ProcessRegistry(tmp_path / "state" / "fronts")
-            assert registry.refresh() == 0 and len(os.listdir(registry.folder)) == SPARE_FILES_COUNT
+            assert registry.refresh() == 0 and len(os.listdir(registry.folder)) == SPARE_ENTRY_COUNT
 
     run_async(test)
 
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -16,7 +16,7 @@
 from umberlead.scheduling.actions import Send
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointStatus, Outcome
 from umberlead.scheduling.weighted_round_robin import SmoothWeightedRoundRobin
-from umberlead.testing.explore import A, B, C, World, explore, listing, server
+from umberlead.testing.explore import A, B, C, World, checked_list, endpoint_spec, explore
 
 DEPTH = 3
 SECOND = 1_000_000
@@ -63,24 +63,24 @@
     # The files become invalid.
     @rule()
     def broken(self) -> None:
-        self.world.refused()
+        self.world.reject_files()
 
-    @precondition(lambda self: self.world.machine.pending is not None)
+    @precondition(lambda self: self.world.membership.pending is not None)
     @rule(cut=st.sampled_from([3, 8, 64]))
     def confirm(self, cut: int) -> None:
-        pending = self.world.machine.pending
+        pending = self.world.membership.pending
         assert pending is not None
         self.world.confirm(pending.checked_list.digest[:cut])
 
     @rule(whole=st.booleans(), servers=st.lists(SERVERS, max_size=3), gone=st.lists(NAMES, max_size=2))
     def discovery(self, whole: bool, servers: list[EndpointSpec], gone: list[str]) -> None:
-        told = {s.name: s for s in servers} | {n: server(n, 1, 0, EndpointStatus.GONE) for n in gone}
+        told = {s.name: s for s in servers} | {n: endpoint_spec(n, 1, 0, EndpointStatus.GONE) for n in gone}
         self.world.discovery(whole, *told.values())
 
     # An operator sets or removes a manual drain.
     @rule(name=NAMES, out=st.booleans())
     def mark(self, name: str, out: bool) -> None:
-        self.world.mark(name, out)
+        self.world.set_manual_drain(name, out)
 
     @rule(by=st.sampled_from([1, SECOND, 12 * SECOND, 50 * SECOND]))
     def wait(self, by: int) -> None:
@@ -106,8 +106,8 @@
 
 def test_a_pending_list_is_applied_only_with_its_own_digest() -> None:
     membership = Membership(MembershipSettings())
-    membership.apply_files(1, listing("11111111", A, B, C))
-    smaller_list = listing("22222222", A)
+    membership.apply_files(1, checked_list("11111111", A, B, C))
+    smaller_list = checked_list("22222222", A)
     assert not membership.apply_files(2, smaller_list) and set(membership.active_endpoints) == {"a", "b", "c"}
     assert [problem.code for problem in membership.rejection_problems] == ["L301"]
     for wrong_digest in ("2222222", "11111111", ""):
@@ -123,11 +123,11 @@
 
 def test_a_name_with_a_new_address_gets_a_new_id_even_after_its_removal() -> None:
     membership = Membership(MembershipSettings(1.0, 60 * SECOND))
-    membership.apply_files(1, listing("11111111", A, B))
+    membership.apply_files(1, checked_list("11111111", A, B))
     first_id = membership.active_endpoints["a"].id
-    membership.apply_files(2, listing("22222222", B))
-    moved = membership.apply_files(3, listing("33333333", server("a", 7), B)).added[0]
-    returned = membership.apply_files(4, listing("44444444", A, B))
+    membership.apply_files(2, checked_list("22222222", B))
+    moved = membership.apply_files(3, checked_list("33333333", endpoint_spec("a", 7), B)).added[0]
+    returned = membership.apply_files(4, checked_list("44444444", A, B))
     ids = {first_id, moved.id, returned.added[0].id}
     assert first_id == "a" and len(ids) == 3 and [endpoint.id for endpoint in returned.removed] == [moved.id]
 
@@ -135,9 +135,9 @@
 def test_a_delta_against_another_list_is_not_used() -> None:
     """An operator can confirm a pending list, which changes the list in force, while another list loads."""
     membership = Membership(MembershipSettings(1.0))
-    membership.apply_files(1, listing("11111111", A, B))
+    membership.apply_files(1, checked_list("11111111", A, B))
     other_delta = diff_endpoints({}, {"a": A})
-    change = membership.apply_files(2, listing("22222222", A), other_delta, "somewhere else")
+    change = membership.apply_files(2, checked_list("22222222", A), other_delta, "somewhere else")
     assert [endpoint.id for endpoint in change.removed] == ["b"]
 
 
@@ -173,7 +173,7 @@
     assert [
         endpoint.suppressed for _, endpoint in membership.set_manual_drain(now_us, "b", False).changed
     ] == [True]
-    removal = membership.apply_discovery(now_us, False, [server("b", 2, state=EndpointStatus.GONE)])
+    removal = membership.apply_discovery(now_us, False, [endpoint_spec("b", 2, state=EndpointStatus.GONE)])
     assert (
         [endpoint.id for endpoint in removal.removed],
         [endpoint.suppressed for _, endpoint in removal.changed],
@@ -188,7 +188,9 @@
     membership, now_us = Membership(MembershipSettings()), 0
     for index in range(50):
         state = EndpointStatus.UP if index % 2 else EndpointStatus.DRAINING
-        membership.apply_discovery(now_us := now_us + SECOND, True, [server(f"s{index}", index, state=state)])
+        membership.apply_discovery(
+            now_us := now_us + SECOND, True, [endpoint_spec(f"s{index}", index, state=state)]
+        )
     membership.advance_time(now_us + 200 * SECOND)
     assert (
         len(membership._identities) == 1
--- a/tests/test_quota_division.py
+++ b/tests/test_quota_division.py
@@ -10,7 +10,7 @@
 
 from umberlead.handover.descriptor_quota import SHORTAGE_REFRESH_INTERVAL_US, UNBOUNDED
 from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim, parse_claim
-from umberlead.handover.process_registry import SPARE_FILES_COUNT
+from umberlead.handover.process_registry import SPARE_ENTRY_COUNT
 from umberlead.handover.quota_division import MIN_QUOTA, divide_quota, has_fair_quota
 from umberlead.handover.shared_state import SharedState
 from umberlead.resource_limits import (
@@ -72,7 +72,7 @@
     assert calls == [[DescriptorClaim(0, ())], [claim], [claim], [None], [None], []]
     second.deregister()
     spares = [sorted(path.name for path in (tmp_path / kind).iterdir()) for kind in ("fronts", "claims")]
-    assert spares[0] == spares[1] and len(spares[0]) == SPARE_FILES_COUNT and name not in spares[0]
+    assert spares[0] == spares[1] and len(spares[0]) == SPARE_ENTRY_COUNT and name not in spares[0]
     third = SharedState(tmp_path)
     assert third.count_siblings() == 0 and third.publish(decide) and calls[-1] == []
     third.deregister()
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -500,7 +500,7 @@
     watch.start()
     assert watch.stream is not None and waits[-1] <= 800_000  # it is not even established
     watch.stream.connection_made(mock.Mock())
-    assert watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 2_500_000
+    assert watch.pacing.timeout_at_us(watch.stream.call) - T0 <= 2_500_000
     watch.stream.call.started_us -= 2_500_000
     waits.clear()
     watch.stream.end("silent")
@@ -509,7 +509,7 @@
     assert watch.stream is not None
     watch.stream.connection_made(mock.Mock())
     assert (
-        watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 800_000
+        watch.pacing.timeout_at_us(watch.stream.call) - T0 <= 800_000
     )  # one that is established is an agent's now
 
 
@@ -528,7 +528,7 @@
         watch.open()
         assert watch.stream is not None and waits[-1] >= 1_999_000
         watch.stream.connection_made(mock.Mock())
-        assert 3_000_000 <= watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 3_850_000
+        assert 3_000_000 <= watch.pacing.timeout_at_us(watch.stream.call) - T0 <= 3_850_000
     assert max(waited) > 1_000_000 and len(set(waited)) > 10
 
 
@@ -568,7 +568,7 @@
                 b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b'{"index":1,"endpoints":[]}\n'
             )
             front = await starting
-            assert front.lifecycle.endpoint_summary() == (0, 0) and len(front.listeners) == 2
+            assert front.lifecycle.endpoint_counts() == (0, 0) and len(front.listeners) == 2
         finally:
             exchange.patches.close()
             exchange.task.cancel()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -208,7 +208,7 @@
         self.assertEqual(sum(conn.evicted for conn in idle), 3)
         for conn in idle + conns:
             conn.connection_lost(None)
-        self.assertEqual((self.clients.evicting_count, len(self.clients.slots)), (0, 0))
+        self.assertEqual((self.clients.evicted_slot_count, len(self.clients.slots)), (0, 0))
 
     def test_first_response_closes_its_connection_while_many_are_established(self) -> None:
         """Otherwise the connections of clients that send one request would occupy all slots until their idle
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -315,8 +315,8 @@
                 self.spent[ask.volume] = have + ask.units, at
             self.engine.attempt_ended(attempt, result)
 
-    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
-        self.loop.soon(lambda: self._end(attempt, why))
+    def stop(self, attempt: Attempt, result: AttemptResult) -> None:
+        self.loop.soon(lambda: self._end(attempt, result))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
         if waits := self.loop.now < attempt.transport_state[0]:
@@ -374,7 +374,7 @@
     def _leave(self, ticket: InFlightRequest, name: bytes) -> None:
         if not ticket.answered:
             self.gone.add(name)
-            self.engine.client_left(ticket)
+            self.engine.on_client_disconnected(ticket)
 
     def play(self) -> None:
         """Six seconds of requests of all classes and plans, while servers come, drain and go."""
--- a/tests/test_shutdown_times.py
+++ b/tests/test_shutdown_times.py
@@ -46,7 +46,7 @@
     told_us = virtual.now
     kill_us = told_us + min(deadline_us, 3 * SECOND_US) + 700_000
     answered: list[int] = []
-    with mock.patch.object(process.lifecycle, "finish", lambda: answered.append(virtual.now)):
+    with mock.patch.object(process.lifecycle, "shut_down", lambda: answered.append(virtual.now)):
         process.shutdown.start()
         virtual.run(kill_us + SECOND_US, over=process.done.is_set)
     assert answered and answered[0] <= kill_us - HOLD_UP_US
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.helpers import T0, head, settings, up
-from umberlead.handover.clock_anchors import MAX_ANCHORS_COUNT, ClockAnchors
+from umberlead.handover.clock_anchors import MAX_ANCHOR_COUNT, ClockAnchors
 from umberlead.recovery.start_times import MAX_REPORT_DELAY_US, MAX_STEPS_COUNT, StartTimes
 from umberlead.scheduling.events import ProcessShare
 from umberlead.scheduling.slow_start import max_window_units
@@ -85,9 +85,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     anchors = ClockAnchors(tmp_path / "clock")
-    for anchor in range(MAX_ANCHORS_COUNT + 3):
+    for anchor in range(MAX_ANCHOR_COUNT + 3):
         anchors.add(-anchor)
-    stored = [-anchor for anchor in range(3, MAX_ANCHORS_COUNT + 3)]
+    stored = [-anchor for anchor in range(3, MAX_ANCHOR_COUNT + 3)]
     assert anchors.read() == stored
     data = (tmp_path / "clock").read_bytes()
     (tmp_path / "clock").write_bytes(data[:-2])
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -11,7 +11,7 @@
 import pytest
 
 from umberlead.handover.process_claims import ConnectionUse, DescriptorClaim
-from umberlead.handover.process_registry import LEAVING_PROCESS_SHARE, ProcessRegistry, write_all
+from umberlead.handover.process_registry import LEAVING_PROCESS_WEIGHT, ProcessRegistry, write_all
 from umberlead.handover.shared_state import SharedState
 
 CLAIM = DescriptorClaim(20, (ConnectionUse(10, 5, 3, 100),))
@@ -140,7 +140,7 @@
         one, other = SharedState(tmp_path), SharedState(tmp_path)
         assert one.publish(lambda _: CLAIM)
         one.announce_leaving()
-    assert other.count_siblings() == 1 and other.share() == 1 / (1 + LEAVING_PROCESS_SHARE)
+    assert other.count_siblings() == 1 and other.share() == 1 / (1 + LEAVING_PROCESS_WEIGHT)
     assert publish_and_collect(other) == [[CLAIM]]
     path = tmp_path / "claims" / other._registry.siblings[0]  # type: ignore[union-attr]
     path.write_bytes(path.read_bytes()[:100])  # as if the process was killed during the write
--- a/tests/test_volumes.py
+++ b/tests/test_volumes.py
@@ -15,7 +15,7 @@
 
 from tests.exchange import Exchange
 from tests.helpers import READ, T0, ask, end, feed, head, settings, up
-from umberlead.handover.process_registry import LEAVING_PROCESS_SHARE
+from umberlead.handover.process_registry import LEAVING_PROCESS_WEIGHT
 from umberlead.handover.shared_state import SharedState
 from umberlead.scheduling.events import AttemptResult, Outcome
 from umberlead.scheduling.pending_request import PendingRequest
@@ -269,10 +269,10 @@
     old, new = SharedState(tmp_path), SharedState(tmp_path)
     assert [(s.count_siblings(), s.share()) for s in (old, new)] == [(1, 0.5), (1, 0.5)]
     old.announce_leaving()
-    assert (old.share(), new.share()) == (LEAVING_PROCESS_SHARE / (1 + LEAVING_PROCESS_SHARE), 0.5)
-    assert (new.count_siblings(), new.share()) == (1, 1 / (1 + LEAVING_PROCESS_SHARE))
+    assert (old.share(), new.share()) == (LEAVING_PROCESS_WEIGHT / (1 + LEAVING_PROCESS_WEIGHT), 0.5)
+    assert (new.count_siblings(), new.share()) == (1, 1 / (1 + LEAVING_PROCESS_WEIGHT))
     with mock.patch("builtins.open", side_effect=OSError(24, "")):  # no free file descriptor
-        assert (new.count_siblings(), new.share()) == (1, 1 / (1 + LEAVING_PROCESS_SHARE))
+        assert (new.count_siblings(), new.share()) == (1, 1 / (1 + LEAVING_PROCESS_WEIGHT))
     old.deregister()
     assert (new.count_siblings(), new.share()) == (0, 1.0)
     new.deregister()
--- a/tests/test_zones_front.py
+++ b/tests/test_zones_front.py
@@ -196,9 +196,9 @@
         attempt.transport_state = self
         self.in_flight.append(attempt)
 
-    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
+    def stop(self, attempt: Attempt, result: AttemptResult) -> None:
         self.stopped_attempts.append(attempt)
-        self.loop.soon(lambda: self.end_attempt(attempt, why))
+        self.loop.soon(lambda: self.end_attempt(attempt, result))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False
--- a/umberlead/configuration/rooms_table.py
+++ b/umberlead/configuration/rooms_table.py
@@ -6,7 +6,7 @@
 from umberlead.configuration.keys import Address, Keys
 
 SPILLOVER_MODES = {name: name for name in ("learnt", "all", "never")}
-MICROSECONDS_PER_SECOND_FACTOR = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 MIN_TIME_SECONDS = 0.05
 MAX_TIME_SECONDS = 3600
 # The field that each key of a time in seconds gives, in the order in which they are read.
@@ -107,9 +107,9 @@
     defaults = ZoneConfig()
     times_us = {}
     for key, field in TIME_FIELDS.items():
-        default_seconds = getattr(defaults, field) / MICROSECONDS_PER_SECOND_FACTOR
+        default_seconds = getattr(defaults, field) / MICROSECONDS_PER_SECOND
         seconds = keys.number(key, default_seconds, MIN_TIME_SECONDS, MAX_TIME_SECONDS)
-        times_us[field] = int(seconds * MICROSECONDS_PER_SECOND_FACTOR)
+        times_us[field] = int(seconds * MICROSECONDS_PER_SECOND)
     if times_us["max_down_us"] < times_us["min_down_us"]:
         raise keys.error("hold_most_s", "must not be below hold_s")
     return times_us
--- a/umberlead/daemon/assembly.py
+++ b/umberlead/daemon/assembly.py
@@ -133,7 +133,7 @@
         )
         self.lifecycle.transport = pool
         pool.write_denial = self.lifecycle.guard.may_write
-        pool.on_write = self.lifecycle.invariants.written
+        pool.on_write = self.lifecycle.invariants.check_written
         return pool
 
     def _new_zones(self) -> "ZoneIntegration | None":
--- a/umberlead/daemon/frontends.py
+++ b/umberlead/daemon/frontends.py
@@ -80,7 +80,7 @@
         return ClientGroup(0, components.clock, components.counters, idle_timeout_us, 0, components.log.error)
 
     def _client_closed(self, owed: bool, reason: str, calls: str) -> None:
-        self._components.lifecycle.invariants.closed(owed, reason, calls)
+        self._components.lifecycle.invariants.check_close(owed, reason, calls)
         if self._components.trace is not None:
             self._components.trace("client_closed", reason=reason, calls=calls)
 
@@ -92,7 +92,7 @@
         """
         components = self._components
         has_capacity = frontend.clients.max_connections > 0 and components.pool.max_connections > 0
-        components.lifecycle.invariants.listening(has_capacity)
+        components.lifecycle.invariants.check_listening(has_capacity)
         # Also where the state folder can't be written now: another process may run beside this one.
         reuse_port = components.config.state_folder is not None
         listener = Listener(frontend.handler, frontend.clients, frontend.address, components.loop, reuse_port)
--- a/umberlead/daemon/limits.py
+++ b/umberlead/daemon/limits.py
@@ -49,7 +49,7 @@
         components.pool.max_header_bytes = limits.max_header_bytes
         components.pool.max_response_bytes = limits.max_response_bytes
         components.pool.idle_timeout_us = int(conf.keepalive_us * IDLE_KEEPALIVE_RATIO)
-        components.lifecycle.open_requests.call_ids.max_remembered = limits.remembered_call_ids
+        components.lifecycle.open_requests.call_ids.max_ids_per_span = limits.remembered_call_ids
         components.syslog.max_queued_lines = limits.queued_log_lines
         if conf.object_api is None:  # its clients have several requests open on one connection
             components.lifecycle.set_open_limit(limits.open_requests)
@@ -96,13 +96,13 @@
 
     def update_quota_periodically(self) -> None:
         """Update the quota while another process runs, and where one came or went."""
-        if self.descriptor_quota.has_siblings or self._components.shared_state.changed():
+        if self.descriptor_quota.has_siblings or self._components.shared_state.has_changed():
             self.update_quota()
         self._components.wheel.call_after(QUOTA_UPDATE_INTERVAL_US, self.update_quota_periodically)
 
     async def wait_for_quota(self) -> None:
         """Wait until another process has given up its part: clients accepted sooner find no capacity."""
-        settled = self.descriptor_quota.settled
+        settled = self.descriptor_quota.quota_available
         timeout = self._components.wheel.call_after(FIRST_QUOTA_TIMEOUT_US, settled.set)
         await settled.wait()
         timeout.cancel()
--- a/umberlead/daemon/process.py
+++ b/umberlead/daemon/process.py
@@ -160,7 +160,7 @@
             self.endpoint_list_sync.apply_discovery_message,
             conf.settings.front_count,
             not conf.settings.polls_endpoint_list,
-            self.shared_state.agent_seen_before(),
+            self.shared_state.found_agent_before(),
             self.shared_state.record_agent,
         )
         self.discovery_watch.start()
--- a/umberlead/daemon/shutdown.py
+++ b/umberlead/daemon/shutdown.py
@@ -74,7 +74,7 @@
         """Answer all requests that are still open: their clients would wait in vain."""
         for clients in self._components.client_groups:
             clients.reject_new_requests()
-        self._components.lifecycle.finish()
+        self._components.lifecycle.shut_down()
         self._components.wheel.call_after(LAST_WRITES_US, self._components.done.set)
 
     def end_if_idle(self) -> None:
--- a/umberlead/emulator/virtual_front.py
+++ b/umberlead/emulator/virtual_front.py
@@ -149,7 +149,7 @@
 
     def _left(self, of: Try, ticket: Any) -> None:
         if not ticket.answered:
-            self.engine.client_left(ticket)
+            self.engine.on_client_disconnected(ticket)
         self.world.left(of)
 
     # Links
--- a/umberlead/frontends/admin_api.py
+++ b/umberlead/frontends/admin_api.py
@@ -77,12 +77,12 @@
         for name in lifecycle.classes
         for kind, counter_name in COUNTER_NAMES_BY_KIND
     ]
-    endpoint_count, avoided_count = lifecycle.endpoint_summary()
+    endpoint_count, unavailable_count = lifecycle.endpoint_counts()
     lines += [
         f"svc.tries:{lifecycle.counters['attempts_written']}|c",
         f"svc.active:{lifecycle.unanswered_count}|g",
         f"svc.pool_size:{endpoint_count}|g",
-        f"svc.pool_ejected:{avoided_count}|g",
+        f"svc.pool_ejected:{unavailable_count}|g",
     ]
     return "\n".join([*lines, ""]).encode()
 
--- a/umberlead/frontends/object_api/blocks.py
+++ b/umberlead/frontends/object_api/blocks.py
@@ -199,7 +199,7 @@
         try:
             return await answered
         except asyncio.CancelledError:
-            self.lifecycle.client_left(in_flight)
+            self.lifecycle.on_client_disconnected(in_flight)
             raise
         finally:
             request.open_block_requests.discard(in_flight)
@@ -242,5 +242,5 @@
             deadline_us=min(deadline_us, self.lifecycle.clock() + request_class.timeout_us),
             payload=outgoing,
             volume_front_count=settings.front_count,
-            client_has_left=request.conn.check_disconnected,
+            check_disconnect=request.conn.check_disconnected,
         )
--- a/umberlead/frontends/platform.py
+++ b/umberlead/frontends/platform.py
@@ -229,7 +229,7 @@
             conn.send_response(400, (), f"{error}\n".encode())
             return
         conn.handler_context = None
-        incoming.client_has_left = conn.check_disconnected
+        incoming.check_disconnect = conn.check_disconnected
         try:
             in_flight = self.lifecycle.accept(incoming, lambda answer: self._answer(conn, request, answer))
         except DuplicateRequestError as error:
@@ -265,7 +265,7 @@
 
     def _stream_ended(self, conn: ServerConnection, streamed: StreamedAnswer, complete: bool) -> None:
         conn.handler_context = None
-        self.lifecycle.stream_ended(streamed.class_name, complete)
+        self.lifecycle.count_streamed_answer(streamed.class_name, complete)
 
     def reply_rejected(self, conn: ServerConnection, retry_after_us: int, reason: str) -> None:
         """Send a 503 response that says when the client may retry.
@@ -284,15 +284,15 @@
         context = conn.handler_context
         conn.handler_context = None
         if isinstance(context, InFlightRequest):
-            self.lifecycle.client_left(context)
+            self.lifecycle.on_client_disconnected(context)
         elif isinstance(context, StreamedAnswer):
-            self.lifecycle.stream_ended(context.class_name, None)
+            self.lifecycle.count_streamed_answer(context.class_name, None)
 
     def reject(self, conn: ServerConnection, status: int, reason: str) -> None:
         """Answer a request that is malformed, or that the connection rejects for another reason."""
         if status == 503:
             class_name = class_name_of(conn.rejected_target, self.lifecycle.classes)
-            self.lifecycle.count_unread_rejection(class_name)
+            self.lifecycle.count_early_rejection(class_name)
             self.reply_rejected(conn, 0, reason)
         else:
             conn.send_response(status, (), f"{reason}\n".encode())
--- a/umberlead/handover/clock_anchors.py
+++ b/umberlead/handover/clock_anchors.py
@@ -11,7 +11,7 @@
 import re
 from pathlib import Path
 
-MAX_ANCHORS_COUNT = 16  # in the file; the oldest is dropped first
+MAX_ANCHOR_COUNT = 16  # in the file; the oldest is dropped first
 MAX_FILE_BYTES = 4096
 ANCHOR_PATTERN = re.compile(rb"(-?[0-9]{1,18})\n")
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
@@ -36,13 +36,13 @@
             return []
         if boot_id != self._boot_id():
             return []
-        return [int(anchor) for anchor in ANCHOR_PATTERN.findall(lines)][-MAX_ANCHORS_COUNT:]
+        return [int(anchor) for anchor in ANCHOR_PATTERN.findall(lines)][-MAX_ANCHOR_COUNT:]
 
     def add(self, anchor_us: int) -> None:
         """Store another anchor; ignore file system errors."""
         if self._path is None:
             return
-        anchors = [*self.read(), anchor_us][-MAX_ANCHORS_COUNT:]
+        anchors = [*self.read(), anchor_us][-MAX_ANCHOR_COUNT:]
         lines = [b"%d\n" % anchor for anchor in anchors]
         temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         with contextlib.suppress(OSError):
--- a/umberlead/handover/descriptor_quota.py
+++ b/umberlead/handover/descriptor_quota.py
@@ -25,7 +25,7 @@
         admin_listeners: the admin API's listeners, each with the group of its connections.
         listeners: the client listeners.
         clock: returns microseconds.
-        settled: set once siblings have released the descriptors that this process needs to start.
+        quota_available: set once siblings have released the descriptors that this process needs to start.
         has_siblings: whether other processes of the front ran at the latest update.
     """
 
@@ -46,7 +46,7 @@
         self.admin_listeners = admin_listeners
         self.listeners = listeners
         self.clock = clock
-        self.settled = asyncio.Event()
+        self.quota_available = asyncio.Event()
         self.has_siblings = True
         self._request_update = request_update
         self._updated_us = 0
@@ -82,7 +82,7 @@
             claim = self._divide(descriptors, fixed_descriptors, single_quota, open_requests, siblings)
             quotas = tuple(use.quota for use in claim.connection_uses)
             if has_fair_quota(descriptors, single_quota, claim, siblings):
-                self.settled.set()
+                self.quota_available.set()
             return claim
 
         if self.shared.publish(decide):
--- a/umberlead/handover/process_registry.py
+++ b/umberlead/handover/process_registry.py
@@ -18,8 +18,8 @@
 ENTRY_LEAVING = b"leaving "
 # The weight of a process that shuts down, relative to a running one: its clients move to the other processes
 # with their next response.
-LEAVING_PROCESS_SHARE = 0.25
-SPARE_FILES_COUNT = 2  # for processes that can't create a file
+LEAVING_PROCESS_WEIGHT = 0.25
+SPARE_ENTRY_COUNT = 2  # for processes that can't create a file
 FILE_MODE = 0o644
 PERMANENT_ERRNOS = frozenset((errno.EROFS, errno.EACCES, errno.EPERM, errno.ENOTDIR, errno.ENOENT))
 
@@ -112,7 +112,7 @@
         """Create spare entries up to their number, for processes that can't create one."""
         names = [name for name in os.listdir(self.folder) if name != self.name]
         unlocked = [name for name in names if not self._weight_of(name)]
-        for _ in range(SPARE_FILES_COUNT - len(unlocked)):
+        for _ in range(SPARE_ENTRY_COUNT - len(unlocked)):
             name = secrets.token_hex(8)
             prepare(name)
             descriptor = os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL, FILE_MODE)
@@ -144,12 +144,12 @@
                     fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
                 except BlockingIOError:
                     is_leaving = file.read(len(ENTRY_LEAVING)) == ENTRY_LEAVING
-                    return LEAVING_PROCESS_SHARE if is_leaving else 1.0
+                    return LEAVING_PROCESS_WEIGHT if is_leaving else 1.0
         except FileNotFoundError:
             pass
         return 0.0
 
-    def changed(self) -> bool:
+    def has_changed(self) -> bool:
         """Return whether entries were added or removed since the latest refresh; kills don't show here."""
         try:
             return os.stat(self.folder).st_mtime_ns != self.folder_mtime_ns
@@ -162,7 +162,7 @@
 
     def announce_leaving(self) -> None:
         """Mark this process as shutting down, so that siblings no longer count it with an equal share."""
-        self._weight = LEAVING_PROCESS_SHARE
+        self._weight = LEAVING_PROCESS_WEIGHT
         if self.name:
             with contextlib.suppress(OSError):
                 write_all(self._descriptor, ENTRY_LEAVING)
--- a/umberlead/handover/shared_state.py
+++ b/umberlead/handover/shared_state.py
@@ -96,9 +96,9 @@
         """
         return 1.0 if self._registry is None else self._registry.share()
 
-    def changed(self) -> bool:
+    def has_changed(self) -> bool:
         """Return whether a process started or ended since the latest refresh."""
-        return self._registry is not None and self._registry.changed()
+        return self._registry is not None and self._registry.has_changed()
 
     def publish(self, decide: Callable[[list[DescriptorClaim | None]], DescriptorClaim]) -> bool:
         """Publish the claim that `decide` returns for the siblings' claims.
@@ -119,7 +119,7 @@
         is_alone = False
         try:
             with registry.exclusive() as folder:
-                if registry.changed():
+                if registry.has_changed():
                     self.count_siblings()
                 is_alone = not registry.siblings
                 claim = decide([self._read_claim(name) for name in registry.siblings])
@@ -190,7 +190,7 @@
         """
         self._overrides.set(endpoint, is_drained)
 
-    def agent_seen_before(self) -> bool | None:
+    def found_agent_before(self) -> bool | None:
         """Return True if an earlier process found an agent at the discovery address; None if unknown."""
         return True if self.root is not None and (self.root / AGENT_FILE).exists() else None
 
--- a/umberlead/membership/integration.py
+++ b/umberlead/membership/integration.py
@@ -20,7 +20,7 @@
 
 MIN_IDENTITY_RETENTION_US = 60_000_000
 IDENTITY_RETENTION_TIMEOUTS_FACTOR = 2
-MICROSECONDS_PER_SECOND_FACTOR = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class MembershipHost(Protocol):
@@ -157,8 +157,8 @@
     return WatchedListSettings(
         main_path=list_config.main_path,
         snapshot_path=list_config.snapshot_path,
-        settle_seconds=list_config.settle_us / MICROSECONDS_PER_SECOND_FACTOR,
-        poll_interval_seconds=list_config.poll_interval_us / MICROSECONDS_PER_SECOND_FACTOR,
+        settle_seconds=list_config.settle_us / MICROSECONDS_PER_SECOND,
+        poll_interval_seconds=list_config.poll_interval_us / MICROSECONDS_PER_SECOND,
         membership=MembershipSettings(list_config.max_withdrawn_ratio, retention_us, flap_damping),
         gate=gate,
     )
--- a/umberlead/membership/status.py
+++ b/umberlead/membership/status.py
@@ -7,13 +7,13 @@
 from umberlead.membership.pending_list import SHOWN_DIGEST_SIZE, PendingList
 from umberlead.scheduling.events import EndpointStatus
 
-MICROSECONDS_PER_SECOND_FACTOR = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 
 JsonObject = dict[str, Any]
 
 
 def _age_seconds(now_us: int, since_us: int) -> float:
-    return round((now_us - since_us) / MICROSECONDS_PER_SECOND_FACTOR, 3)
+    return round((now_us - since_us) / MICROSECONDS_PER_SECOND, 3)
 
 
 def list_status(membership: Membership, now_us: int, is_polling: bool) -> JsonObject:
--- a/umberlead/net/client_connections.py
+++ b/umberlead/net/client_connections.py
@@ -90,7 +90,8 @@
         on_capacity_shortage: is called when all slots are in use, and requests a higher connection limit.
         on_close: is called when a connection closes, with whether a response is still owed on it, the reason
             for the close, and the call ids of its open requests.
-        evicting_count: number of evicted connections; each keeps its slot for one more event-loop iteration.
+        evicted_slot_count: number of evicted connections; each keeps its slot for one more event-loop
+            iteration.
         stopping: the process is stopping; established connections are still served.
         close_after_response: another process takes over, so each connection closes after its next response.
         rejecting: the process is about to exit; further requests are rejected without being handled.
@@ -124,7 +125,7 @@
         self.buffered_bytes = 0
         self.max_header_bytes = MAX_HEADER_BYTES
         self.slots: SlotTable[ClientConnection] = SlotTable()
-        self.evicting_count = 0
+        self.evicted_slot_count = 0
         self.on_capacity_shortage: Callable[[], None] = lambda: None
         self.on_close: Callable[[bool, str, str], None] | None = None
         self.stopping = self.close_after_response = self.rejecting = False
@@ -132,7 +133,7 @@
     @property
     def count(self) -> int:
         """The number of connections that have a slot, not counting evicted ones."""
-        return len(self.slots) - self.evicting_count
+        return len(self.slots) - self.evicted_slot_count
 
     def close_expired(self) -> None:
         """End connections that exceed the timeout of their present state.
@@ -256,4 +257,4 @@
     def _mark_evicted(self, victim: ClientConnection) -> None:
         self.counters.add("clients_evicted")
         victim.evicted = True
-        self.evicting_count += 1
+        self.evicted_slot_count += 1
--- a/umberlead/net/discovery.py
+++ b/umberlead/net/discovery.py
@@ -87,7 +87,7 @@
         if stream.silence_timer is not None:
             stream.silence_timer.cancel()
         if not stream.ended and stream is not self.late_stream:
-            delay_us = max(self.pacing.gives_up_at_us(stream.call) - self.clock(), 0)
+            delay_us = max(self.pacing.timeout_at_us(stream.call) - self.clock(), 0)
             stream.silence_timer = self.wheel.call_after(delay_us, self._check_silence, stream)
 
     async def _dial(self, stream: WatchStream) -> None:
@@ -101,13 +101,13 @@
         if stream.ended or stream is self.late_stream:
             return
         now_us = self.clock()
-        if now_us >= self.pacing.gives_up_at_us(stream.call):
+        if now_us >= self.pacing.timeout_at_us(stream.call):
             stream.read_unread_bytes()
             if stream.ended or stream is self.late_stream:
                 return
-        if now_us < self.pacing.gives_up_at_us(stream.call):
+        if now_us < self.pacing.timeout_at_us(stream.call):
             self.arm_silence_timer(stream)
-        elif self.late_stream is None and self.pacing.keeps_listening(stream.call, now_us):
+        elif self.late_stream is None and self.pacing.is_still_read(stream.call, now_us):
             self.stream_ended(stream, "silent")
             self.late_stream = stream
             delay_us = stream.call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US - now_us
--- a/umberlead/net/listener.py
+++ b/umberlead/net/listener.py
@@ -94,7 +94,7 @@
         max_excess = surplus_connections(clients.max_connections)
         for accepted in range(min(max_excess, ACCEPT_BATCH_SIZE)):
             # The descriptor of an evicted connection is closed one iteration later.
-            if excess + clients.evicting_count >= max_excess:
+            if excess + clients.evicted_slot_count >= max_excess:
                 if excess >= max_excess and not clients.evict(evictable):
                     self._pause()
                 return
@@ -177,7 +177,7 @@
         max_excess = surplus_connections(clients.max_connections)
         limit = 0 if excess < 0 else max_excess
         try:
-            while excess < limit and excess + clients.evicting_count < max_excess:
+            while excess < limit and excess + clients.evicted_slot_count < max_excess:
                 self._connect(self.socket.accept()[0])
                 excess += 1
         except BlockingIOError:
--- a/umberlead/net/server_connection.py
+++ b/umberlead/net/server_connection.py
@@ -74,7 +74,7 @@
         self.closed = True
         self.record_close(CloseReason.CLIENT_DISCONNECTED)
         self.clients.slots.free(self.slot)
-        self.clients.evicting_count -= self.evicted
+        self.clients.evicted_slot_count -= self.evicted
         self.resume_writing()
         self.disconnect()
 
--- a/umberlead/recovery/discovery_pacing.py
+++ b/umberlead/recovery/discovery_pacing.py
@@ -126,7 +126,7 @@
         """Record that calls go to another address, to which earlier rejections do not apply."""
         self.backoff.record_success()
 
-    def gives_up_at_us(self, call: WatchCall) -> int:
+    def timeout_at_us(self, call: WatchCall) -> int:
         """Return when `call` times out if nothing more comes."""
         return call.last_activity_us + self._timeout_us(call)
 
@@ -146,7 +146,7 @@
             return UNKNOWN_RESPONSE_TIMEOUT_US  # a service that is up accepts the connection
         return AGENT_RESPONSE_TIMEOUT_US
 
-    def keeps_listening(self, call: WatchCall, now_us: int) -> bool:
+    def is_still_read(self, call: WatchCall, now_us: int) -> bool:
         """Return whether a call that timed out is still read while the next one is made.
 
         If the server is a service, it answers the call, or rejects it, only after the timeout for an agent.
@@ -172,7 +172,7 @@
             silent: whether `call` timed out, instead of ending by itself.
         """
         hung = silent and not call.answered
-        if hung and not self.keeps_listening(call, now_us):
+        if hung and not self.is_still_read(call, now_us):
             self.record_no_response(call)
         if self.is_agent or (self.is_agent is None and hung):
             return self.backoff.agent_delay_us()
--- a/umberlead/requests/call_ids.py
+++ b/umberlead/requests/call_ids.py
@@ -15,12 +15,12 @@
     """The call ids of recent requests, in two time spans, of which the older one is dropped as a whole.
 
     Attributes:
-        max_remembered: number of ids in a span beyond which the next span begins early.
+        max_ids_per_span: number of ids in a span beyond which the next span begins early.
     """
 
     def __init__(self, clock: Callable[[], int]) -> None:
         """Start without reserved ids; `clock` returns microseconds."""
-        self.max_remembered = DEFAULT_MAX_REMEMBERED_COUNT
+        self.max_ids_per_span = DEFAULT_MAX_REMEMBERED_COUNT
         self._clock = clock
         self._current: set[bytes] = set()
         self._previous: set[bytes] = set()
@@ -37,7 +37,7 @@
             DuplicateRequestError: another request that is open or recent has this id.
         """
         now_us = self._clock()
-        if now_us - self._span_began_us >= RETENTION_US or len(self._current) > self.max_remembered:
+        if now_us - self._span_began_us >= RETENTION_US or len(self._current) > self.max_ids_per_span:
             self._previous = self._current
             self._current = set()
             self._span_began_us = now_us
--- a/umberlead/requests/invariants.py
+++ b/umberlead/requests/invariants.py
@@ -164,14 +164,14 @@
 
     # Attempts
 
-    def written(self, attempt: Attempt, budget_us: int) -> None:
+    def check_written(self, attempt: Attempt, budget_us: int) -> None:
         """Check an attempt whose first byte is written now; `budget_us` is the time budget sent with it."""
         request = attempt.request
         now_us = self._clock()
         record = self._requests.setdefault(request.id, _RequestRecord())
         log_fields = {**_log_fields_of(request), "node": attempt.endpoint}
         self._check_repetition(attempt, record, log_fields)
-        left_for_us = now_us - request.client_left_us if request.client_left_us else 0
+        left_for_us = now_us - request.client_disconnected_us if request.client_disconnected_us else 0
         is_in_grace = left_for_us <= CLIENT_LEFT_GRACE_US
         self.check(is_in_grace, Invariant.CLIENT_WAITS, late_us=left_for_us, **log_fields)
         self.check(now_us < request.incoming.deadline_us, Invariant.IN_TIME, **log_fields)
@@ -233,17 +233,17 @@
         """Forget a request that is answered and has no attempt in flight."""
         self._requests.pop(request.id, None)
 
-    def closed(self, owed: bool, reason: str, calls: str) -> None:
+    def check_close(self, has_unanswered_request: bool, reason: str, call_ids: str) -> None:
         """Check that the front closes a client's connection only after answering every request read on it.
 
         Args:
-            owed: whether a request on it is still owed an answer.
+            has_unanswered_request: whether a request on it is still owed an answer.
             reason: why the connection is closed.
-            calls: the call ids of the requests on it.
+            call_ids: the call ids of the requests on it.
         """
-        self.check(not owed, Invariant.ANSWERED_BEFORE_CLOSE, reason=reason, calls=calls)
+        self.check(not has_unanswered_request, Invariant.ANSWERED_BEFORE_CLOSE, reason=reason, calls=call_ids)
 
-    def listening(self, ready: bool) -> None:
+    def check_listening(self, ready: bool) -> None:
         """Check that clients are accepted only once the process can serve them."""
         self.check(ready, Invariant.READY_BEFORE_LISTENING)
 
--- a/umberlead/requests/lifecycle.py
+++ b/umberlead/requests/lifecycle.py
@@ -105,7 +105,7 @@
         self.stopping = False
         self.answer_counts = {(kind, cls.name): 0 for kind in AnswerKind for cls in settings.classes}
         self.guard = SendGuard(
-            self.classes, settings.max_attempts, clock, self.accepts_new_requests, self.client_waits
+            self.classes, settings.max_attempts, clock, self.accepts_new_requests, self.is_client_connected
         )
         self.invariants = InvariantChecker(settings, clock, counters, log)
         self.decision_loop = DecisionLoop(
@@ -151,7 +151,7 @@
             return None
         return reason if isinstance(reason, Rejection) else Rejection(reason or "no time left")
 
-    def client_left(self, request: InFlightRequest) -> None:
+    def on_client_disconnected(self, request: InFlightRequest) -> None:
         """Record that a request's client disconnected, so that no answer is owed.
 
         An attempt in flight continues: a cancel would not stop the endpoint's work, and the scheduler learns
@@ -160,7 +160,7 @@
         if request.answered:
             return
         request.answered = True
-        request.client_left_us = request.client_left_us or self.clock()
+        request.client_disconnected_us = request.client_disconnected_us or self.clock()
         self.unanswered_count -= 1
         self.counters.add("clients_gone")
         if request.attempt is not None and self.transport is not None:
@@ -168,7 +168,7 @@
         self._post(ClientDisconnected(request.id))
         self._release(request)
 
-    def client_waits(self, request: InFlightRequest) -> bool:
+    def is_client_connected(self, request: InFlightRequest) -> bool:
         """Check whether a request's client is connected at this moment, and handle its disconnect if not.
 
         Where a front is busy or was paused, the event loop reports the disconnect only after the turn in
@@ -176,11 +176,11 @@
         """
         if request.answered or request.abandoned:
             return False
-        client_has_left = request.incoming.client_has_left
-        if client_has_left is None or not client_has_left():
+        check_disconnect = request.incoming.check_disconnect
+        if check_disconnect is None or not check_disconnect():
             return True
-        if not request.abandoned:  # by the frontend, within `client_has_left`
-            self.client_left(request)
+        if not request.abandoned:  # by the frontend, within `check_disconnect`
+            self.on_client_disconnected(request)
         return False
 
     def abandon(self, request: InFlightRequest) -> None:
@@ -191,7 +191,7 @@
         if request.answered or request.abandoned:
             return
         request.abandoned = True
-        request.client_left_us = request.client_left_us or self.clock()
+        request.client_disconnected_us = request.client_disconnected_us or self.clock()
         self.counters.add("clients_gone")
         if request.attempt is None:
             self._answer_abandoned(request)
@@ -203,12 +203,12 @@
         kind = AnswerKind.REJECTED if self.guard.may_repeat(request) else AnswerKind.FAILED
         self._answer(request, Answer(kind, None, 0, request.may_have_run, "its client left"))
 
-    def count_unread_rejection(self, class_name: str) -> None:
+    def count_early_rejection(self, class_name: str) -> None:
         """Count the rejection of a request that a frontend rejected without passing it to `accept`."""
         if class_name in self.classes:
             self.answer_counts[AnswerKind.REJECTED, class_name] += 1
 
-    def stream_ended(self, class_name: str, complete: bool | None) -> None:
+    def count_streamed_answer(self, class_name: str, complete: bool | None) -> None:
         """Count a streamed answer at its end.
 
         Args:
@@ -260,10 +260,10 @@
         """Return whether the current endpoint list and operators let an endpoint get new requests."""
         return self.scheduler.directory.accepts_new_requests(endpoint)
 
-    def endpoint_summary(self) -> tuple[int, int]:
+    def endpoint_counts(self) -> tuple[int, int]:
         """Return the number of listed endpoints, and of those that are manually drained or ejected."""
         directory = self.scheduler.directory
-        return len(directory.endpoints), directory.avoided_count(self.scheduler.now_us)
+        return len(directory.endpoints), directory.unavailable_count(self.scheduler.now_us)
 
     def knows_endpoint(self, endpoint: str) -> bool:
         """Return whether an endpoint is listed or manually drained."""
@@ -355,7 +355,7 @@
 
     # Deadlines, answers and shutdown
 
-    def finish(self) -> None:
+    def shut_down(self) -> None:
         """Shut down: answer all open requests by what is known of them, and reject new ones."""
         self.stopping = True
         for request in self.open_requests:
--- a/umberlead/requests/send_guard.py
+++ b/umberlead/requests/send_guard.py
@@ -35,7 +35,7 @@
         max_attempts: int,
         clock: Callable[[], int],
         accepts_new_requests: Callable[[str], bool],
-        client_waits: Callable[[InFlightRequest], bool],
+        is_client_connected: Callable[[InFlightRequest], bool],
     ) -> None:
         """Set up the rules.
 
@@ -45,14 +45,14 @@
             clock: returns microseconds.
             accepts_new_requests: returns whether an endpoint accepts new requests according to the current
                 endpoint list and to operators.
-            client_waits: checks whether the client is connected at this moment; called last, as it costs a
-                system call.
+            is_client_connected: checks whether the client is connected at this moment; called last, as it
+                costs a system call.
         """
         self._classes = classes
         self._max_attempts = max_attempts
         self._clock = clock
         self._accepts_new_requests = accepts_new_requests
-        self._client_waits = client_waits
+        self._is_client_connected = is_client_connected
 
     def may_repeat(self, request: InFlightRequest) -> bool:
         """Return whether a repeat does no harm: no attempt may have run, or the class is idempotent."""
@@ -85,4 +85,4 @@
             return Denial.CLIENT_LEFT
         if self._clock() >= request.incoming.deadline_us:
             return Denial.OUT_OF_TIME
-        return None if self._client_waits(request) else Denial.CLIENT_LEFT
+        return None if self._is_client_connected(request) else Denial.CLIENT_LEFT
--- a/umberlead/requests/types.py
+++ b/umberlead/requests/types.py
@@ -41,7 +41,7 @@
         is_client_retry: whether its client marked it as a retry.
         call_id: the id that its client gave it; only one request at a time may have it.
         accepts_stream: whether the frontend can forward a long answer while it is being received.
-        client_has_left: checks whether its client has disconnected; the frontend handles that at once.
+        check_disconnect: checks whether its client has disconnected; the frontend handles that at once.
     """
 
     class_name: str
@@ -56,7 +56,7 @@
     is_client_retry: bool = False
     call_id: bytes = b""
     accepts_stream: bool = False
-    client_has_left: Callable[[], bool] | None = None
+    check_disconnect: Callable[[], bool] | None = None
 
     def to_event(self, request_id: str) -> Request:
         """Return the scheduler's event for this request."""
@@ -86,7 +86,7 @@
             unknown.
         units_elsewhere: units that the endpoint served for the volume through other fronts.
         stream: the transport's object from which the rest of the body is read; None without one. The frontend
-            calls `RequestLifecycle.stream_ended` at its end.
+            calls `RequestLifecycle.count_streamed_answer` at its end.
         body_length: the length of the complete body in bytes; None if unknown.
     """
 
@@ -135,7 +135,7 @@
         annotations: the annotations of plug-ins, by name.
         abandoned: whether its client disconnected while its frontend needs to know what ran; no further
             attempt is begun.
-        client_left_us: when its client was found to have disconnected; 0 before that.
+        client_disconnected_us: when its client was found to have disconnected; 0 before that.
         accepted_us: when it was accepted.
         timer: the timer of its deadline.
     """
@@ -151,7 +151,7 @@
     answered: bool = False
     annotations: dict[str, str] = field(default_factory=dict)
     abandoned: bool = False
-    client_left_us: int = 0
+    client_disconnected_us: int = 0
     accepted_us: int = 0
     timer: Timer | None = None
 
@@ -204,8 +204,8 @@
     def start(self, attempt: Attempt) -> None:
         """Send an attempt, and call `RequestLifecycle.attempt_ended` once at its end."""
 
-    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
-        """Stop an attempt with the result `why`; `RequestLifecycle.attempt_ended` must still be called."""
+    def stop(self, attempt: Attempt, result: AttemptResult) -> None:
+        """Stop an attempt with `result`; `RequestLifecycle.attempt_ended` must still be called."""
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
         """Cancel an attempt whose result is no longer needed, unless the whole request was already written.
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -294,9 +294,9 @@
             life.steps.append(TraceStep(self.loop.now - START_US, "ended", name, word))
             self.lifecycle.attempt_ended(attempt, result)
 
-    def stop(self, attempt: Attempt, why: AttemptResult) -> None:
+    def stop(self, attempt: Attempt, result: AttemptResult) -> None:
         """Ends an attempt early."""
-        self.loop.soon(lambda: self._end(attempt, why))
+        self.loop.soon(lambda: self._end(attempt, result))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
         """Always false: an attempt is sent at once."""
--- a/umberlead/scheduling/endpoint_directory.py
+++ b/umberlead/scheduling/endpoint_directory.py
@@ -136,7 +136,7 @@
         """Return whether an endpoint is listed or manually drained."""
         return name in self.endpoints or name in self.manual_drains
 
-    def avoided_count(self, now_us: int) -> int:
+    def unavailable_count(self, now_us: int) -> int:
         """Return how many listed endpoints are manually drained or ejected."""
         return sum(
             name in self.manual_drains or state.ejected_until_us > now_us
@@ -159,8 +159,8 @@
 
         The shard's part of this front's units is divided by an even part (1 / `shard_count`) and multiplied
         by the front's even share (1 / `front_count`), so in the mean of all shards the front has its even
-        part. Where it seldom asks it leaves its part to others. Each process of a front has its share of the
-        result.
+        part. To a shard that it rarely uses the front sends less than its part, which leaves capacity to
+        other fronts. Each process of a front has its share of the result.
         """
         settings = self._settings
         own_units = self.demand_by_shard.get(shard, 0.0) + PRIOR_DEMAND_UNITS
--- a/umberlead/testing/explore.py
+++ b/umberlead/testing/explore.py
@@ -21,80 +21,80 @@
 RULES = MembershipSettings(0.5, 40 * SECOND, FlapDampingSettings(10 * SECOND, 1500.0, 1000.0, 4000.0))
 
 
-def server(
+def endpoint_spec(
     name: str, port: int, shard: int = 0, state: EndpointStatus = UP, started: int = 0
 ) -> EndpointSpec:
     return EndpointSpec(name, ("127.0.0.1", port), shard, state, started_us=started)
 
 
-def listing(digest: str, *servers: EndpointSpec) -> CheckedList:
+def checked_list(digest: str, *servers: EndpointSpec) -> CheckedList:
     return CheckedList(1, digest * 16, {s.name: s for s in servers}, ("l",))
 
 
-A, B, C = server("a", 1), server("b", 2), server("c", 3)
+A, B, C = endpoint_spec("a", 1), endpoint_spec("b", 2), endpoint_spec("c", 3)
 LISTS = {
-    "both": listing("11111111", A, B),
-    "a": listing("22222222", A),
-    "a drains": listing("33333333", server("a", 1, state=DRAINING), B),
-    "a moved": listing("44444444", server("a", 9), B),
-    "a other shard": listing("55555555", server("a", 1, 1), B, C),
-    "none of them": listing("66666666", C),
+    "both": checked_list("11111111", A, B),
+    "a": checked_list("22222222", A),
+    "a drains": checked_list("33333333", endpoint_spec("a", 1, state=DRAINING), B),
+    "a moved": checked_list("44444444", endpoint_spec("a", 9), B),
+    "a other shard": checked_list("55555555", endpoint_spec("a", 1, 1), B, C),
+    "none of them": checked_list("66666666", C),
 }
 
 
 @dataclass
 class World:
-    machine: Membership
+    membership: Membership
     reference: Reference
     follower: Follower
     now: int = SECOND
 
     @classmethod
     def new(cls, rules: MembershipSettings = RULES) -> "World":
-        machine = Membership(rules)
-        return cls(machine, Reference(machine), Follower())
+        membership = Membership(rules)
+        return cls(membership, Reference(membership), Follower())
 
     def copy(self) -> "World":
-        machine = copy.deepcopy(self.machine)
-        reference = Reference(machine)
+        membership = copy.deepcopy(self.membership)
+        reference = Reference(membership)
         reference.facts = self.reference.facts.copy()
-        return World(machine, reference, self.follower.copy(), self.now)
+        return World(membership, reference, self.follower.copy(), self.now)
 
-    def told(self, change: MembershipChange) -> None:
-        self.follower.take(change, self.now, self.machine.settings.identity_retention_us)
+    def apply_change(self, change: MembershipChange) -> None:
+        self.follower.take(change, self.now, self.membership.settings.identity_retention_us)
 
     # Each event goes to the machine and, as a fact, to the reference.
 
     def files(self, of: CheckedList) -> None:
-        facts, machine = self.reference.facts, self.machine
+        facts, membership = self.reference.facts, self.membership
         allowed = self.reference.allows(of)
         same = facts.listing is not None and facts.listing.digest == of.digest
-        self.told(machine.apply_files(self.now, of))
+        self.apply_change(membership.apply_files(self.now, of))
         if allowed or same:
             facts.listing = of
-            if machine.pending is not None or machine.rejection_problems:
+            if membership.pending is not None or membership.rejection_problems:
                 raise Broken("a list was taken, and is complained of")
         elif (
-            machine.pending is None
-            or machine.pending.checked_list is not of
-            or not machine.rejection_problems
+            membership.pending is None
+            or membership.pending.checked_list is not of
+            or not membership.rejection_problems
         ):
             raise Broken("a list that takes away too much is not held")
 
-    def refused(self) -> None:
-        before = dict(self.machine.active_endpoints)
-        self.machine.reject_files([ListProblem("L102", FilePosition("l", 1), "half written")])
+    def reject_files(self) -> None:
+        before = dict(self.membership.active_endpoints)
+        self.membership.reject_files([ListProblem("L102", FilePosition("l", 1), "half written")])
         if (
-            self.machine.active_endpoints != before
-            or self.machine.pending is not None
-            or not self.machine.rejection_problems
+            self.membership.active_endpoints != before
+            or self.membership.pending is not None
+            or not self.membership.rejection_problems
         ):
             raise Broken("a broken file changed the list, or was not complained of")
 
     def confirm(self, digest: str) -> None:
-        pending = self.machine.pending
+        pending = self.membership.pending
         try:
-            change = self.machine.confirm(self.now, digest)
+            change = self.membership.confirm(self.now, digest)
         except NoPendingListError:
             if pending is not None and len(digest) >= 8 and pending.checked_list.digest.startswith(digest):
                 raise Broken("the list that is held was not taken when confirmed") from None
@@ -102,7 +102,7 @@
         if pending is None or len(digest) < 8 or not pending.checked_list.digest.startswith(digest):
             raise Broken("a list was confirmed that is not held")
         self.reference.facts.listing = pending.checked_list
-        self.told(change)
+        self.apply_change(change)
 
     def discovery(self, whole: bool, *servers: EndpointSpec) -> None:
         known = self.reference.facts.discovered
@@ -113,33 +113,33 @@
                 known.pop(s.name, None)
             else:
                 known[s.name] = s
-        self.told(self.machine.apply_discovery(self.now, whole, servers))
+        self.apply_change(self.membership.apply_discovery(self.now, whole, servers))
 
-    def mark(self, name: str, out: bool) -> None:
+    def set_manual_drain(self, name: str, out: bool) -> None:
         (self.reference.facts.marks.add if out else self.reference.facts.marks.discard)(name)
-        self.told(self.machine.set_manual_drain(self.now, name, out, self.now))
+        self.apply_change(self.membership.set_manual_drain(self.now, name, out, self.now))
 
     def wait(self, by: int) -> None:
         self.now += by
         self.reference.pass_time(self.now)
-        self.told(self.machine.advance_time(self.now))
+        self.apply_change(self.membership.advance_time(self.now))
 
     def settle(self) -> None:
         self.reference.settle(self.now)
-        compare(self.machine, self.reference, self.follower)
+        compare(self.membership, self.reference, self.follower)
         self._held()
 
     def _held(self) -> None:
         """A held server is let in by `longest` at the latest, and `next` tells when something is due."""
-        due = self.machine.next_change_us()
+        due = self.membership.next_change_us()
         if due is None and self.reference.facts.held:
             raise Broken("somebody is held, and nothing will ever let it in")
-        if due is not None and due > self.now + self.machine.settings.flap_damping.max_suppression_us:
+        if due is not None and due > self.now + self.membership.settings.flap_damping.max_suppression_us:
             raise Broken("a server is held for longer than the rules allow")
 
     def key(self) -> object:
         """What decides what may still come. Ids and generations are left out: they only grow."""
-        m, facts = self.machine, self.reference.facts
+        m, facts = self.membership, self.reference.facts
         ages = sorted((n, round(v), self.now - at) for n, (v, at) in facts.penalty.items())
         return (
             m.file_list.digest if m.file_list else None,
@@ -161,18 +161,18 @@
 def alphabet() -> Iterator[Event]:
     for name, of in LISTS.items():
         yield f"files: {name}", lambda w, of=of: w.files(of)  # type: ignore[misc]
-    yield "files: broken", World.refused
+    yield "files: broken", World.reject_files
     for name in ("a", "none of them"):
         digest = LISTS[name].digest
         yield f"confirm: {name}", lambda w, d=digest: w.confirm(d[:8])  # type: ignore[misc]
     yield "confirm: too short", lambda w: w.confirm("6")
     yield "discovery: a ready", lambda w: w.discovery(False, replace_started(A, w.now))
-    yield "discovery: a drains", lambda w: w.discovery(False, server("a", 1, state=DRAINING))
-    yield "discovery: a gone", lambda w: w.discovery(False, server("a", 1, state=GONE))
-    yield "discovery: all is b elsewhere", lambda w: w.discovery(True, server("b", 8))
-    yield "hand: a out", lambda w: w.mark("a", True)
-    yield "hand: b out", lambda w: w.mark("b", True)
-    yield "hand: a back", lambda w: w.mark("a", False)
+    yield "discovery: a drains", lambda w: w.discovery(False, endpoint_spec("a", 1, state=DRAINING))
+    yield "discovery: a gone", lambda w: w.discovery(False, endpoint_spec("a", 1, state=GONE))
+    yield "discovery: all is b elsewhere", lambda w: w.discovery(True, endpoint_spec("b", 8))
+    yield "hand: a out", lambda w: w.set_manual_drain("a", True)
+    yield "hand: b out", lambda w: w.set_manual_drain("b", True)
+    yield "hand: a back", lambda w: w.set_manual_drain("a", False)
     yield "time: 1 s", lambda w: w.wait(SECOND)
     yield "time: 15 s", lambda w: w.wait(15 * SECOND)
     yield "time: 60 s", lambda w: w.wait(60 * SECOND)
