--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Short ways to build settings, requests and heads for the tests."""
+"""Short functions that build settings, requests, endpoints, outcomes and schedulers for the tests."""
 
 from typing import Any
 
@@ -16,8 +16,8 @@
 from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings
 
 T0 = 1_000_000
-READ = RequestClass("read", latency_objective_us=300_000, timeout_us=2_000_000, priority_weight=2.0)
-WRITE = RequestClass(
+READ_CLASS = RequestClass("read", latency_objective_us=300_000, timeout_us=2_000_000, priority_weight=2.0)
+WRITE_CLASS = RequestClass(
     "write",
     400_000,
     2_000_000,
@@ -26,15 +26,16 @@
     deduplication_window_us=1_000_000,
     priority_weight=2.0,
 )
-ONCE = RequestClass("once", 400_000, 2_000_000, Repeatability.AT_MOST_ONCE)
-TURN = RequestClass(
+AT_MOST_ONCE_CLASS = RequestClass("once", 400_000, 2_000_000, Repeatability.AT_MOST_ONCE)
+ORDERED_CLASS = RequestClass(
     "turn", 400_000, 2_000_000, Repeatability.IDEMPOTENT_BY_KEY, "cell", 1_000_000, ordered=True
 )
 
 
-def settings(**more: Any) -> Settings:
-    base: dict[str, Any] = {
-        "classes": (READ, WRITE, ONCE, TURN),
+def settings(**changes: Any) -> Settings:
+    """Return settings with four classes and two plans, with `changes` applied."""
+    fields: dict[str, Any] = {
+        "classes": (READ_CLASS, WRITE_CLASS, AT_MOST_ONCE_CLASS, ORDERED_CLASS),
         "plans": (Plan("gold", 2.0), Plan("plain", 1.0)),
         "max_attempts": 3,
         "mean_request_units": 2.0,
@@ -42,60 +43,67 @@
         "connect_timeout_us": 250_000,
         "cancellation_allowed": True,
     }
-    return Settings(**(base | more))
+    return Settings(**(fields | changes))
 
 
-def up(name: str = "n0", shard: int = 0, started: int = 0) -> Endpoint:
-    return Endpoint(name, EndpointStatus.UP, shard, started)
+def up_endpoint(name: str = "n0", shard: int = 0, started_us: int = 0) -> Endpoint:
+    return Endpoint(name, EndpointStatus.UP, shard, started_us)
 
 
-def nodes(*items: Endpoint, whole: bool = True) -> EndpointList:
-    return EndpointList(whole, items)
+def endpoint_list(*endpoints: Endpoint, complete: bool = True) -> EndpointList:
+    return EndpointList(complete, endpoints)
 
 
-def ask(name: str, now: int = T0, cls: str = "read", **more: Any) -> Request:
-    base: dict[str, Any] = {
+def new_request(name: str, now_us: int = T0, cls: str = "read", **changes: Any) -> Request:
+    """Return a request without a key, with 2 s until its deadline, with `changes` applied."""
+    fields: dict[str, Any] = {
         "key": None,
         "volume": "v",
-        "deadline_us": now + 2_000_000,
+        "deadline_us": now_us + 2_000_000,
         "shard": 0,
         "units": 2.0,
         "plan": "gold",
     }
-    return Request(request_id=name, class_name=cls, **(base | more))
+    return Request(request_id=name, class_name=cls, **(fields | changes))
 
 
-def end(
+def new_outcome(
     name: str,
     result: AttemptResult = AttemptResult.OK,
     attempt: int = 0,
-    node: str = "n0",
-    elapsed: int = 20_000,
+    endpoint: str = "n0",
+    elapsed_us: int = 20_000,
 ) -> Outcome:
-    return Outcome(name, node, attempt, result, elapsed, final=result is AttemptResult.OK)
-
-
-def head(now: int = T0, *listed: Endpoint, **more: Any) -> Scheduler:
-    made = Scheduler(settings(**more), 7, now)
-    made.handle(now, [nodes(*(listed or (up(),)))])
-    return made
-
-
-def sends(acts: list[Action]) -> list[str]:
-    return [a.request_id for a in acts if isinstance(a, Send)]
-
-
-def run_until(h: Scheduler, acts: list[Action], now: int, until: int) -> list[tuple[int, Action]]:
-    """Fire the head's timers up to `until`; the actions with their times."""
-    log = [(now, a) for a in acts]
-    due = sorted(now + a.delay_us for a in acts if isinstance(a, SetTimer))
-    while due and due[0] <= until:
-        now = due.pop(0)
-        fresh = h.handle(now, [])
-        log += [(now, a) for a in fresh]
-        due = sorted(due + [now + a.delay_us for a in fresh if isinstance(a, SetTimer)])
+    """Return an attempt's outcome; it is final only if the result is OK."""
+    return Outcome(name, endpoint, attempt, result, elapsed_us, final=result is AttemptResult.OK)
+
+
+def new_scheduler(now_us: int = T0, *endpoints: Endpoint, **changes: Any) -> Scheduler:
+    """Return a scheduler that has received a complete list, by default of the endpoint `n0` alone."""
+    scheduler = Scheduler(settings(**changes), 7, now_us)
+    scheduler.handle(now_us, [endpoint_list(*(endpoints or (up_endpoint(),)))])
+    return scheduler
+
+
+def sent_request_ids(actions: list[Action]) -> list[str]:
+    return [action.request_id for action in actions if isinstance(action, Send)]
+
+
+def run_until(
+    scheduler: Scheduler, actions: list[Action], now_us: int, until_us: int
+) -> list[tuple[int, Action]]:
+    """Fire the timers set by `actions` and by later actions, and return all actions with their times."""
+    log = [(now_us, action) for action in actions]
+    due_us = sorted(now_us + action.delay_us for action in actions if isinstance(action, SetTimer))
+    while due_us and due_us[0] <= until_us:
+        now_us = due_us.pop(0)
+        new_actions = scheduler.handle(now_us, [])
+        log += [(now_us, action) for action in new_actions]
+        due_us = sorted(
+            due_us + [now_us + action.delay_us for action in new_actions if isinstance(action, SetTimer)]
+        )
     return log
 
 
-def feed(h: Scheduler, now: int, *events: Event) -> list[Action]:
-    return h.handle(now, list(events))
+def handle_events(scheduler: Scheduler, now_us: int, *events: Event) -> list[Action]:
+    return scheduler.handle(now_us, list(events))
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tests.exchange import PATIENCE, Exchange, Peer
-from tests.helpers import T0, ask, end, feed, head, up
+from tests.helpers import T0, handle_events, new_outcome, new_request, new_scheduler, up_endpoint
 from umberlead.daemon.process import FrontProcess
 from umberlead.net.endpoint_connection import EndpointConnection
 from umberlead.net.server_connection import ServerConnection
@@ -641,11 +641,11 @@
     """Both orders within one batch; where it may have run, it stays charged."""
     limited = (Plan("gold", limit_units_per_second=1.0, limit_burst_units=16.0, limit_slack_units=16.0),)
     for result in (AttemptResult.NOT_SENT, AttemptResult.RESET):
-        h = head(T0, up(), plans=limited)
-        feed(h, T0, ask("a"))
+        h = new_scheduler(T0, up_endpoint(), plans=limited)
+        handle_events(h, T0, new_request("a"))
         before = h.rate_limits["v"].limit.available_units
-        news: list[Event] = [ClientDisconnected("a"), replace(end("a", result), final=True)]
-        feed(h, T0, *(news if order == "left first" else news[::-1]))
+        news: list[Event] = [ClientDisconnected("a"), replace(new_outcome("a", result), final=True)]
+        handle_events(h, T0, *(news if order == "left first" else news[::-1]))
         given = 2.0 if result is AttemptResult.NOT_SENT else 0.0
         assert h.rate_limits["v"].limit.available_units == before + given and not h.requests
         assert h.directory.endpoints["n0"].units_in_flight == 0
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -3,7 +3,7 @@
 import numpy as np
 import pytest
 
-from tests.helpers import READ, T0, ask, end, feed, head, up
+from tests.helpers import READ_CLASS, T0, handle_events, new_outcome, new_request, new_scheduler, up_endpoint
 from umberlead.scheduling import matrices
 from umberlead.scheduling.controller import (
     CONTROL_COST_WEIGHT,
@@ -107,14 +107,21 @@
 def test_interval_is_extended_until_it_has_enough_answers() -> None:
     """A front of a large fleet gets only a few answers in one control interval. Answers are added up over
     several intervals until there are enough, and only then the shares change."""
-    scheduler = head(T0, up(), front_count=100)
+    scheduler = new_scheduler(T0, up_endpoint(), front_count=100)
     initial_share = list(scheduler.controller.share)
     for k in range(3):
         now_us = T0 + 100_000 + k * 500_000
-        feed(scheduler, now_us, ask(f"a{k}", now_us), ask(f"b{k}", now_us, plan="plain", volume="w"))
-        feed(scheduler, now_us + 10_000, end(f"a{k}"), end(f"b{k}", elapsed=90_000))
-        feed(scheduler, now_us + 390_000, end(f"b{k}", elapsed=90_000))
-        feed(scheduler, T0 + (k + 1) * 500_000)
+        handle_events(
+            scheduler,
+            now_us,
+            new_request(f"a{k}", now_us),
+            new_request(f"b{k}", now_us, plan="plain", volume="w"),
+        )
+        handle_events(
+            scheduler, now_us + 10_000, new_outcome(f"a{k}"), new_outcome(f"b{k}", elapsed_us=90_000)
+        )
+        handle_events(scheduler, now_us + 390_000, new_outcome(f"b{k}", elapsed_us=90_000))
+        handle_events(scheduler, T0 + (k + 1) * 500_000)
         assert (scheduler.controller.share == initial_share) == (k < 2)
     assert scheduler.latency_ratio_counts == [0, 0]
 
@@ -127,7 +134,7 @@
     for k, (volume, plan) in enumerate(
         [("a", 0), ("b", 1), ("c", 1), ("a", 0), ("a", 0), ("b", 1), ("c", 1)]
     ):
-        pending = PendingRequest(ask(f"r{k}", volume=volume), READ, plan, 0, 1000 + k, k)
+        pending = PendingRequest(new_request(f"r{k}", volume=volume), READ_CLASS, plan, 0, 1000 + k, k)
         is_first = volume not in queue.waiting
         queue.push(pending)
         if is_first:
@@ -151,8 +158,8 @@
     look slow, and a sixth of the requests are rejected at low load."""
     means = []
     for units, elapsed in ((2.0, 120_000), (6.0, 360_000)):
-        scheduler = head()
-        feed(scheduler, T0, ask("r", units=units))
-        feed(scheduler, T0 + 400_000, end("r", elapsed=elapsed))
+        scheduler = new_scheduler()
+        handle_events(scheduler, T0, new_request("r", units=units))
+        handle_events(scheduler, T0 + 400_000, new_outcome("r", elapsed_us=elapsed))
         means.append(scheduler.directory.endpoints["n0"].relative_latency.read(T0 + 400_000))
     assert np.isclose(means[0], means[1])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,7 +11,16 @@
 
 import uvloop
 
-from tests.helpers import T0, ask, end, feed, head, nodes, sends, up
+from tests.helpers import (
+    T0,
+    endpoint_list,
+    handle_events,
+    new_outcome,
+    new_request,
+    new_scheduler,
+    sent_request_ids,
+    up_endpoint,
+)
 from umberlead.common.counters import Counters
 from umberlead.daemon.limits import LimitControl
 from umberlead.daemon.shared_state_sync import SharedStateSync
@@ -130,35 +139,57 @@
 
 class TestManualDrain(unittest.TestCase):
     def test_a_manually_drained_endpoint_gets_no_requests_whatever_the_list_reports(self) -> None:
-        front_scheduler = head(T0, up("n0", 0))
-        feed(front_scheduler, T0, ManualDrain("n0", True, T0), ask("a"), nodes(up("n0", 0, T0)))
+        front_scheduler = new_scheduler(T0, up_endpoint("n0", 0))
+        handle_events(
+            front_scheduler,
+            T0,
+            ManualDrain("n0", True, T0),
+            new_request("a"),
+            endpoint_list(up_endpoint("n0", 0, T0)),
+        )
         self.assertEqual(
             (
-                sends(feed(front_scheduler, T0 + 1)),
+                sent_request_ids(handle_events(front_scheduler, T0 + 1)),
                 RequestLifecycle.endpoint_counts(mock.Mock(scheduler=front_scheduler)),
             ),
             ([], (1, 1)),
         )
         removed = Endpoint("n0", EndpointStatus.GONE, 0)
-        feed(front_scheduler, T0 + 2, nodes(removed, whole=False))
-        self.assertEqual(sends(feed(front_scheduler, T0 + 3, nodes(up("n0", 0, T0 + 3)))), [])
-        self.assertEqual(sends(feed(front_scheduler, T0 + 4, ManualDrain("n0", False, 0))), ["a"])
+        handle_events(front_scheduler, T0 + 2, endpoint_list(removed, complete=False))
+        self.assertEqual(
+            sent_request_ids(
+                handle_events(front_scheduler, T0 + 3, endpoint_list(up_endpoint("n0", 0, T0 + 3)))
+            ),
+            [],
+        )
+        self.assertEqual(
+            sent_request_ids(handle_events(front_scheduler, T0 + 4, ManualDrain("n0", False, 0))), ["a"]
+        )
 
     def test_an_endpoint_after_a_drain_is_in_slow_start_until_the_list_reports_its_start(self) -> None:
         """The endpoint restarted while it was drained, and the list reports its start seconds late."""
-        front_scheduler = head(
-            T0, up("n0", 0), warm_up_us=10_000_000, slow_start_units=20.0, slow_start_window_us=3_000_000
+        front_scheduler = new_scheduler(
+            T0,
+            up_endpoint("n0", 0),
+            warm_up_us=10_000_000,
+            slow_start_units=20.0,
+            slow_start_window_us=3_000_000,
         )
-        feed(front_scheduler, T0, ManualDrain("n0", True, T0))
+        handle_events(front_scheduler, T0, ManualDrain("n0", True, T0))
         undrained_us = T0 + 5_000_000
-        feed(front_scheduler, undrained_us, ManualDrain("n0", False, 0))
+        handle_events(front_scheduler, undrained_us, ManualDrain("n0", False, 0))
         started_us_seen = [front_scheduler.directory.endpoints["n0"].endpoint.started_us]
         for reported_us in (0, T0 + 3_000_000):
-            feed(front_scheduler, undrained_us + 1, nodes(up("n0", 0, reported_us)))
+            handle_events(front_scheduler, undrained_us + 1, endpoint_list(up_endpoint("n0", 0, reported_us)))
             started_us_seen.append(front_scheduler.directory.endpoints["n0"].endpoint.started_us)
         self.assertEqual(started_us_seen, [undrained_us, undrained_us, T0 + 3_000_000])
-        self.assertEqual(sends(feed(front_scheduler, undrained_us + 2, ask("a", undrained_us + 2))), ["a"])
-        feed(front_scheduler, undrained_us + 3, end("a"))
+        self.assertEqual(
+            sent_request_ids(
+                handle_events(front_scheduler, undrained_us + 2, new_request("a", undrained_us + 2))
+            ),
+            ["a"],
+        )
+        handle_events(front_scheduler, undrained_us + 3, new_outcome("a"))
 
 
 if __name__ == "__main__":
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.helpers import T0, settings, up
+from tests.helpers import T0, settings, up_endpoint
 from umberlead.common.counters import Counters
 from umberlead.requests.invariants import Invariant, InvariantChecker, slow_start_bound
 from umberlead.requests.send_guard import Denial, SendGuard
@@ -92,7 +92,7 @@
         self.checker = InvariantChecker(
             self.settings, self.clock, self.counters, lambda event, **details: self.log_lines.append(details)
         )
-        self.checker.record_endpoint_list(EndpointList(True, (up("n0"), up("n1"))))
+        self.checker.record_endpoint_list(EndpointList(True, (up_endpoint("n0"), up_endpoint("n1"))))
 
     def write_attempt(
         self, in_flight: InFlightRequest, endpoint: str = "n0", budget_us: int = SECOND
@@ -161,7 +161,7 @@
 
     def test_attempt_at_an_endpoint_out_of_service_is_a_violation(self) -> None:
         self.checker.record_endpoint_list(
-            EndpointList(False, (up("n0").__class__("n0", EndpointStatus.DRAINING, 0),))
+            EndpointList(False, (up_endpoint("n0").__class__("n0", EndpointStatus.DRAINING, 0),))
         )
         self.checker.record_manual_drain("n1", True)
         self.clock.now = T0 + 900_000
@@ -179,7 +179,7 @@
         assert self.violated_invariants() == set()
 
     def test_too_many_requests_to_a_cold_endpoint_are_a_violation(self) -> None:
-        self.checker.record_endpoint_list(EndpointList(False, (up("n0", started=T0),)))
+        self.checker.record_endpoint_list(EndpointList(False, (up_endpoint("n0", started_us=T0),)))
         max_count = int(slow_start_bound(20.0 / self.settings.mean_request_units))
         for number in range(max_count + 1):
             self.write_attempt(request(id=f"0.{number}"))
--- a/tests/test_lists_machine.py
+++ b/tests/test_lists_machine.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tests.helpers import T0, ask, feed, head, nodes, sends
+from tests.helpers import T0, endpoint_list, handle_events, new_request, new_scheduler, sent_request_ids
 from umberlead.membership.flap_damping import FlapDamper, FlapDampingSettings
 from umberlead.membership.list_merge import Membership, MembershipSettings
 from umberlead.membership.model import CheckedList, EndpointSpec, diff_endpoints
@@ -223,28 +223,32 @@
 
 
 def test_weights_divide_new_objects_and_do_not_affect_reads() -> None:
-    scheduler = head(T0, _weighted("n0", 0, 3.0), _weighted("n1", 1, 1.0), _weighted("n2", 2, 0.0))
+    scheduler = new_scheduler(T0, _weighted("n0", 0, 3.0), _weighted("n1", 1, 1.0), _weighted("n2", 2, 0.0))
     sent = []
     for index in range(40):
-        actions = feed(scheduler, T0 + index, ask(f"w{index}", T0 + index, "once", shard=-1, key=f"k{index}"))
+        actions = handle_events(
+            scheduler, T0 + index, new_request(f"w{index}", T0 + index, "once", shard=-1, key=f"k{index}")
+        )
         sent += [action.endpoint for action in actions if isinstance(action, Send)]
         for action in actions:
             if isinstance(action, Send):
-                feed(
+                handle_events(
                     scheduler,
                     T0 + index,
                     Outcome(action.request_id, action.endpoint, 0, AttemptResult.OK, 9_000, True),
                 )
     assert (sent.count("n0"), sent.count("n1"), sent.count("n2")) == (30, 10, 0)
     # Weight 0 does not affect reads.
-    assert sends(feed(scheduler, T0 + 99, ask("r", T0 + 99, shard=2))) == ["r"]
+    assert sent_request_ids(handle_events(scheduler, T0 + 99, new_request("r", T0 + 99, shard=2))) == ["r"]
 
 
 def test_weights_apply_among_endpoints_with_free_capacity() -> None:
     """If the endpoint of higher weight is full, requests go to the other one and do not wait."""
-    scheduler = head(T0, _weighted("n0", 0, 9.0, max_units=2.0), _weighted("n1", 1, 1.0))
-    actions = feed(
-        scheduler, T0, *[ask(f"w{index}", cls="once", shard=-1, key=f"k{index}") for index in range(4)]
+    scheduler = new_scheduler(T0, _weighted("n0", 0, 9.0, max_units=2.0), _weighted("n1", 1, 1.0))
+    actions = handle_events(
+        scheduler,
+        T0,
+        *[new_request(f"w{index}", cls="once", shard=-1, key=f"k{index}") for index in range(4)],
     )
     assert sorted(action.endpoint for action in actions if isinstance(action, Send)) == [
         "n0",
@@ -255,7 +259,10 @@
 
 
 def test_an_endpoints_listed_limit_lowers_its_concurrency_limit_at_once() -> None:
-    scheduler = head(T0, _weighted("n0", 0, None))
-    assert len(sends(feed(scheduler, T0, *[ask(f"a{index}") for index in range(3)]))) == 3
-    feed(scheduler, T0 + 1, nodes(_weighted("n0", 0, None, max_units=4.0), whole=False))
-    assert sends(feed(scheduler, T0 + 2, ask("b", T0 + 2))) == []
+    scheduler = new_scheduler(T0, _weighted("n0", 0, None))
+    assert (
+        len(sent_request_ids(handle_events(scheduler, T0, *[new_request(f"a{index}") for index in range(3)])))
+        == 3
+    )
+    handle_events(scheduler, T0 + 1, endpoint_list(_weighted("n0", 0, None, max_units=4.0), complete=False))
+    assert sent_request_ids(handle_events(scheduler, T0 + 2, new_request("b", T0 + 2))) == []
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -7,7 +7,17 @@
 from typing import Any
 from unittest import mock
 
-from tests.helpers import T0, ask, end, feed, head, nodes, sends, settings, up
+from tests.helpers import (
+    T0,
+    endpoint_list,
+    handle_events,
+    new_outcome,
+    new_request,
+    new_scheduler,
+    sent_request_ids,
+    settings,
+    up_endpoint,
+)
 from umberlead.common.counters import Counters
 from umberlead.net.client_connections import ClientGroup
 from umberlead.net.server_connection import ServerConnection
@@ -23,8 +33,8 @@
         for n in range(40):
             now += VOLUME_RETENTION_US // 10
             removed_endpoints = [Endpoint(f"n{n - 1}", EndpointStatus.GONE, 0)] if n else []
-            scheduler.handle(now, [nodes(up(f"n{n}"), *removed_endpoints, whole=False)])
-            for action in scheduler.handle(now, [ask(f"r{n}", now, volume=f"v{n}")]):
+            scheduler.handle(now, [endpoint_list(up_endpoint(f"n{n}"), *removed_endpoints, complete=False)])
+            for action in scheduler.handle(now, [new_request(f"r{n}", now, volume=f"v{n}")]):
                 if isinstance(action, Send):
                     outcome = Outcome(action.request_id, action.endpoint, 0, AttemptResult.OK, 10_000, True)
                     scheduler.handle(now + 10_000, [outcome])
@@ -37,29 +47,45 @@
         self.assertEqual(scheduler.requests, {})
 
     def test_reset_during_a_request_does_not_eject_the_endpoint(self) -> None:
-        scheduler = head(T0, up())
-        feed(scheduler, T0, ask("a"), ask("b"))
-        self.assertEqual(sends(feed(scheduler, T0 + 1000, end("a", AttemptResult.RESET))), ["a"])
+        scheduler = new_scheduler(T0, up_endpoint())
+        handle_events(scheduler, T0, new_request("a"), new_request("b"))
+        self.assertEqual(
+            sent_request_ids(handle_events(scheduler, T0 + 1000, new_outcome("a", AttemptResult.RESET))),
+            ["a"],
+        )
 
     def test_new_object_goes_to_the_fastest_endpoint(self) -> None:
-        scheduler = head(T0, up("n0", 0), up("n1", 1))
+        scheduler = new_scheduler(T0, up_endpoint("n0", 0), up_endpoint("n1", 1))
         for number, (shard, elapsed_us) in enumerate([(0, 200_000), (1, 5_000)] * 3):
-            feed(scheduler, T0 + number, ask(f"r{number}", T0 + number, shard=shard))
-            feed(scheduler, T0 + number, end(f"r{number}", node=f"n{shard}", elapsed=elapsed_us))
-        actions = feed(
-            scheduler, T0 + 9, *[ask(f"w{number}", T0 + 9, "once", shard=-1) for number in range(3)]
+            handle_events(scheduler, T0 + number, new_request(f"r{number}", T0 + number, shard=shard))
+            handle_events(
+                scheduler, T0 + number, new_outcome(f"r{number}", endpoint=f"n{shard}", elapsed_us=elapsed_us)
+            )
+        actions = handle_events(
+            scheduler, T0 + 9, *[new_request(f"w{number}", T0 + 9, "once", shard=-1) for number in range(3)]
         )
         self.assertEqual([action.endpoint for action in actions if isinstance(action, Send)], ["n1"] * 3)
 
     def test_misdirected_request_goes_to_the_endpoint_of_its_object_or_is_rejected(self) -> None:
         """A response to a misdirected request must neither lower the endpoint's concurrency limit to one
         request nor eject the endpoint for half a second."""
-        scheduler = head(T0, up("n0", 0), up("n1", 1))
-        feed(scheduler, T0, ManualDrain("n0", True, T0), ask("w", cls="once", shard=-1, key="k"))
-        feed(scheduler, T0, end("w", node="n1"), ManualDrain("n0", False, T0))
-        feed(scheduler, T0, ask("a", shard=0, key="k"), ask("b", shard=0, key="other", volume="v2"))
-        misdirected_outcomes = [replace(end(r, AttemptResult.NOT_SENT), misdirected=True) for r in "ab"]
-        actions = feed(scheduler, T0 + 1, *misdirected_outcomes, ask("c", T0 + 1, shard=0, volume="v3"))
+        scheduler = new_scheduler(T0, up_endpoint("n0", 0), up_endpoint("n1", 1))
+        handle_events(
+            scheduler, T0, ManualDrain("n0", True, T0), new_request("w", cls="once", shard=-1, key="k")
+        )
+        handle_events(scheduler, T0, new_outcome("w", endpoint="n1"), ManualDrain("n0", False, T0))
+        handle_events(
+            scheduler,
+            T0,
+            new_request("a", shard=0, key="k"),
+            new_request("b", shard=0, key="other", volume="v2"),
+        )
+        misdirected_outcomes = [
+            replace(new_outcome(r, AttemptResult.NOT_SENT), misdirected=True) for r in "ab"
+        ]
+        actions = handle_events(
+            scheduler, T0 + 1, *misdirected_outcomes, new_request("c", T0 + 1, shard=0, volume="v3")
+        )
         self.assertEqual(
             {action.request_id: action.endpoint for action in actions if isinstance(action, Send)},
             {"a": "n1", "c": "n0"},
@@ -68,16 +94,19 @@
 
     def test_rejection_of_late_requests_depends_on_their_size(self) -> None:
         """With little time left, a small read can still be served in time; a large one can't."""
-        scheduler = head(T0, up())
+        scheduler = new_scheduler(T0, up_endpoint())
         for number in range(20):
-            feed(scheduler, T0 + number, ask(f"r{number}", T0 + number))
-            feed(scheduler, T0 + number, end(f"r{number}", elapsed=150_000))
+            handle_events(scheduler, T0 + number, new_request(f"r{number}", T0 + number))
+            handle_events(scheduler, T0 + number, new_outcome(f"r{number}", elapsed_us=150_000))
         later = T0 + 100
         # With this timeout, the requests below have already lost 200 ms before they arrive.
         scheduler.admission.longest_timeouts_us["read"] = 2_200_000
-        small = feed(scheduler, later, ask("s", later, units=1.0))
-        self.assertEqual(sends(small), ["s"])
-        self.assertEqual(rejected_ids(feed(scheduler, later, ask("l", later, units=4.0, volume="w"))), ["l"])
+        small = handle_events(scheduler, later, new_request("s", later, units=1.0))
+        self.assertEqual(sent_request_ids(small), ["s"])
+        self.assertEqual(
+            rejected_ids(handle_events(scheduler, later, new_request("l", later, units=4.0, volume="w"))),
+            ["l"],
+        )
 
 
 SLOW_START_SETTINGS = {
@@ -97,14 +126,20 @@
 class TestWarmingEndpoints(unittest.TestCase):
     def _make_scheduler(self, units_by_shard: dict[int, int], **overrides: Any) -> Scheduler:
         """Return a scheduler 20 s after its start that has served so many units of each shard."""
-        scheduler = head(
-            T0, *[up(f"n{number}", number) for number in units_by_shard], **(SLOW_START_SETTINGS | overrides)
+        scheduler = new_scheduler(
+            T0,
+            *[up_endpoint(f"n{number}", number) for number in units_by_shard],
+            **(SLOW_START_SETTINGS | overrides),
         )
         now = T0 + 20_000_000
         for shard, units in units_by_shard.items():
             for number in range(units // 2):
-                feed(scheduler, now, ask(f"r{shard}.{number}", now, shard=shard, volume=f"v{shard}.{number}"))
-                feed(scheduler, now, end(f"r{shard}.{number}", node=f"n{shard}"))
+                handle_events(
+                    scheduler,
+                    now,
+                    new_request(f"r{shard}.{number}", now, shard=shard, volume=f"v{shard}.{number}"),
+                )
+                handle_events(scheduler, now, new_outcome(f"r{shard}.{number}", endpoint=f"n{shard}"))
         return scheduler
 
     def test_share_of_a_shard_follows_the_front_s_own_traffic(self) -> None:
@@ -143,7 +178,7 @@
         """If the delay were computed once, when the list is received, a restarted front, which knows no
         traffic yet, would send nothing to warming endpoints for up to 44 s."""
         now = T0 + 20_000_000
-        scheduler = head(T0, up("n0", 0, T0), **SLOW_START_SETTINGS)
+        scheduler = new_scheduler(T0, up_endpoint("n0", 0, T0), **SLOW_START_SETTINGS)
         scheduler.directory.endpoints["n0"].first_send_jitter = 1.0
         before = scheduler.directory.endpoints["n0"].ready_at_us(T0 + 3_000_000, 2.0)
         scheduler.directory.demand_by_shard[0] = 80.0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -6,7 +6,17 @@
 
 import pytest
 
-from tests.helpers import READ, T0, ask, end, feed, head, sends, settings, up
+from tests.helpers import (
+    READ_CLASS,
+    T0,
+    handle_events,
+    new_outcome,
+    new_request,
+    new_scheduler,
+    sent_request_ids,
+    settings,
+    up_endpoint,
+)
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointStatus
 from umberlead.scheduling.settings import Settings
 from umberlead.scheduling.slow_start import (
@@ -82,18 +92,30 @@
     cold_settings = settings(slow_start_units=cold_units, front_count=fronts, **COLD)
     start_us = T0 + WINDOW_US
     schedulers = [
-        head(T0, up("n0", started=start_us - 1), front_count=fronts, slow_start_units=cold_units, **COLD)
+        new_scheduler(
+            T0,
+            up_endpoint("n0", started_us=start_us - 1),
+            front_count=fronts,
+            slow_start_units=cold_units,
+            **COLD,
+        )
         for _ in range(fronts)
     ]
     sent = list[tuple[int, float]]()
     for now_us in range(start_us, start_us + 2 * WINDOW_US, 20_000):
         for k, scheduler in enumerate(schedulers):
-            sent_ids = sends(
-                feed(scheduler, now_us, ask(f"{k}-{now_us}", now_us, deadline_us=now_us + 300_000))
+            sent_ids = sent_request_ids(
+                handle_events(
+                    scheduler, now_us, new_request(f"{k}-{now_us}", now_us, deadline_us=now_us + 300_000)
+                )
             )
             while sent_ids:
                 sent.append((now_us, cold_settings.mean_request_units))
-                sent_ids += sends(feed(scheduler, now_us + 5_000, end(sent_ids.pop(), result, elapsed=5_000)))
+                sent_ids += sent_request_ids(
+                    handle_events(
+                        scheduler, now_us + 5_000, new_outcome(sent_ids.pop(), result, elapsed_us=5_000)
+                    )
+                )
     return [
         (
             sum(units for sent_us, units in sent if now_us - WINDOW_US < sent_us <= now_us),
@@ -129,13 +151,17 @@
     """Pacing would send the request many seconds later, and it would be rejected at its objective. So pacing
     ends when the endpoint is warm."""
     now_us, warm_at_us = START_US, START_US + 1_000_000
-    long_class = replace(READ, latency_objective_us=5_000_000, timeout_us=5_000_000)
+    long_class = replace(READ_CLASS, latency_objective_us=5_000_000, timeout_us=5_000_000)
     cold = {**COLD, "slow_start_units": 1.0, "front_count": 200}
-    scheduler = head(now_us, up("n0", started=warm_at_us - WARM_UP_US), classes=(long_class,), **cold)
-    assert not sends(feed(scheduler, now_us, ask("r", now_us, deadline_us=now_us + 5_000_000)))
+    scheduler = new_scheduler(
+        now_us, up_endpoint("n0", started_us=warm_at_us - WARM_UP_US), classes=(long_class,), **cold
+    )
+    assert not sent_request_ids(
+        handle_events(scheduler, now_us, new_request("r", now_us, deadline_us=now_us + 5_000_000))
+    )
     sent_us = [
         later_us
         for later_us in range(now_us + 100_000, now_us + 6_000_000, 100_000)
-        if sends(feed(scheduler, later_us))
+        if sent_request_ids(handle_events(scheduler, later_us))
     ]
     assert sent_us == [warm_at_us]
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -19,7 +19,7 @@
     read_request,
     run_on_uvloop,
 )
-from tests.helpers import T0, settings, up
+from tests.helpers import T0, settings, up_endpoint
 from tests.test_dialing import Dials, Wire
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
@@ -111,7 +111,7 @@
     def list_endpoints(self, names: list[str]) -> None:
         for lifecycle, pool in self.fronts:
             pool.addresses |= {name: (name, 1) for name in names}
-            lifecycle.apply_endpoint_list(EndpointList(False, tuple(up(name) for name in names)))
+            lifecycle.apply_endpoint_list(EndpointList(False, tuple(up_endpoint(name) for name in names)))
 
     def send_request(self, lifecycle: RequestLifecycle, name: str) -> None:
         payload = OutgoingRequest(b"GET", b"/read", [])
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.helpers import T0, head, settings, up
+from tests.helpers import T0, new_scheduler, settings, up_endpoint
 from umberlead.handover.clock_anchors import MAX_ANCHOR_COUNT, ClockAnchors
 from umberlead.recovery.start_times import MAX_REPORT_DELAY_US, MAX_STEPS_COUNT, StartTimes
 from umberlead.scheduling.events import ProcessShare
@@ -111,9 +111,9 @@
         "slow_start_window_us": 2 * SECOND,
         "warm_up_us": 10 * SECOND,
     }
-    single, one_of_two = (head(T0, up("n0", started=T0), **options) for _ in range(2))
+    single, one_of_two = (new_scheduler(T0, up_endpoint("n0", started_us=T0), **options) for _ in range(2))
     one_of_two.handle(T0, [ProcessShare(0.5)])
-    endpoint = up("n0", started=T0)
+    endpoint = up_endpoint("n0", started_us=T0)
     limits = settings(**options)
     single_max_units = max_window_units(limits, endpoint, T0, single.directory.traffic_share(0))
     assert 2 * max_window_units(limits, endpoint, T0, one_of_two.directory.traffic_share(0)) <= max(
--- a/tests/test_volumes.py
+++ b/tests/test_volumes.py
@@ -14,7 +14,16 @@
 from hypothesis import strategies as st
 
 from tests.exchange import Exchange
-from tests.helpers import READ, T0, ask, end, feed, head, settings, up
+from tests.helpers import (
+    READ_CLASS,
+    T0,
+    handle_events,
+    new_outcome,
+    new_request,
+    new_scheduler,
+    settings,
+    up_endpoint,
+)
 from umberlead.handover.process_registry import LEAVING_PROCESS_WEIGHT
 from umberlead.handover.shared_state import SharedState
 from umberlead.scheduling.events import AttemptResult, Outcome
@@ -84,12 +93,12 @@
         while self.queue and self.queue[0].request.deadline_us < now_us:
             self.queue.popleft()
         for _ in range(30 if surge and front_count and len(self.queue) < 30 else bool(front_count)):
-            incoming = ask(
+            incoming = new_request(
                 "r", now_us, units=min(min_units + self.rng.randrange(3), 6.0), volume_front_count=front_count
             )
             self.rate_limits.record_request(incoming, GOLD, now_us)
             if surge:
-                self.queue.append(PendingRequest(incoming, READ, 0, now_us, now_us, 0))
+                self.queue.append(PendingRequest(incoming, READ_CLASS, 0, now_us, now_us, 0))
         while self.queue and not self.rate_limits.wait_us(self.queue[0], now_us):
             pending = self.queue.popleft()
             if pending.charged_attempt is None:
@@ -224,26 +233,28 @@
     """An endpoint that rejects a misdirected request has received it, so its units are not returned."""
     slow = Plan("gold", limit_units_per_second=1e-9, limit_burst_units=16.0, limit_slack_units=16.0)
     long_class = RequestClass("read", 1_900_000, 2_000_000)
-    scheduler = head(T0, up(), plans=(slow,), classes=(long_class,))
-    feed(scheduler, T0, ask("a"))
-    feed(scheduler, T0 + 1000, replace(end("a", result), misdirected=is_misdirected))
-    feed(scheduler, T0 + 600_000)
+    scheduler = new_scheduler(T0, up_endpoint(), plans=(slow,), classes=(long_class,))
+    handle_events(scheduler, T0, new_request("a"))
+    handle_events(scheduler, T0 + 1000, replace(new_outcome("a", result), misdirected=is_misdirected))
+    handle_events(scheduler, T0 + 600_000)
     assert scheduler.rate_limits["v"].limit.available_units == pytest.approx(8.0 - charged_units, abs=1e-6)
     assert not scheduler.requests if is_misdirected else scheduler.requests["a"].attempt_count == 2
 
 
 def test_idle_volume_is_dropped_once_its_bucket_is_full_and_gains_no_units() -> None:
     slow = Plan("gold", limit_units_per_second=0.25, limit_burst_units=16.0, limit_slack_units=4.0)
-    scheduler = head(T0, up(), plans=(slow,))
+    scheduler = new_scheduler(T0, up_endpoint(), plans=(slow,))
     late_us = T0 + 80_000_000
-    feed(scheduler, late_us, ask("a", late_us, units=8.0))
-    feed(scheduler, late_us, replace(end("a"), final=True))
+    handle_events(scheduler, late_us, new_request("a", late_us, units=8.0))
+    handle_events(scheduler, late_us, replace(new_outcome("a"), final=True))
     known = []
     for k in range(1, 5):
-        feed(scheduler, late_us + k * VOLUME_RETENTION_US)
+        handle_events(scheduler, late_us + k * VOLUME_RETENTION_US)
         known.append("v" in scheduler.rate_limits)
     assert known == [True, True, True, False]  # idle for long enough after 20 s, and full after 32 s
-    feed(scheduler, late_us + 5 * VOLUME_RETENTION_US, ask("b", late_us + 5 * VOLUME_RETENTION_US))
+    handle_events(
+        scheduler, late_us + 5 * VOLUME_RETENTION_US, new_request("b", late_us + 5 * VOLUME_RETENTION_US)
+    )
     assert scheduler.rate_limits["v"].limit.available_units == 14.0
 
 
@@ -254,14 +265,16 @@
     shares = []
     steps = ((0, 1), (1, 2), (2, 1), (1_999_999, 2), (3_000_000, 1), (4_999_999, 1), (5_000_000, 1))
     for elapsed_us, front_count in steps:
-        rate_limits.record_request(ask("r", volume_front_count=front_count), GOLD, start_us + elapsed_us)
+        rate_limits.record_request(
+            new_request("r", volume_front_count=front_count), GOLD, start_us + elapsed_us
+        )
         limit = rate_limits["v"].limit
         limit.refill(start_us + elapsed_us)
         shares.append((limit.capacity_units, limit.available_units == limit.capacity_units))
     half, not_full = (BURST / 2, True), (BURST, False)
     assert shares == [(BURST, True), half, half, half, half, half, not_full]
     limit.available_units = 1.0
-    rate_limits.record_request(ask("r", volume_front_count=4), GOLD, start_us + elapsed_us)
+    rate_limits.record_request(new_request("r", volume_front_count=4), GOLD, start_us + elapsed_us)
     assert limit.available_units == 1.0 - BURST * 3 / 4
 
 
