--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -407,18 +407,18 @@
 
         for k, harness in enumerate(harnesses):
             config = configuration.GossipConfig(("127.0.0.1", 0), seed_addresses, tmp_path / "keys", 20_000)
-            gossip = await start_gossip(config, f"f{k}", k, harness.rooms.router.zone_health, clock)
+            gossip = await start_gossip(config, f"f{k}", k, harness.zones.router.zone_health, clock)
             host, _, port = gossip.address.rpartition(":")
             seed_addresses = ((host, int(port)),)
             services.append(gossip)
-        harnesses[0].lose()
+        harnesses[0].fail_zone()
         deadline = loop.time() + 20
-        states_by_peer = harnesses[1].rooms.router.zone_health.zones["a"].peer_states
+        states_by_peer = harnesses[1].zones.router.zone_health.zones["a"].peer_states
         while states_by_peer.get("f0", (ZoneState.HEALTHY, 0))[0] is not ZoneState.DOWN:
             assert loop.time() < deadline
             await asyncio.sleep(0.05)
         # One peer's observation alone does not change the zone's state.
-        assert harnesses[1].rooms.router.zone_health.state("a") is ZoneState.HEALTHY
+        assert harnesses[1].zones.router.zone_health.state("a") is ZoneState.HEALTHY
         for gossip in services:
             gossip.close()
 
--- a/tests/test_lists_front.py
+++ b/tests/test_lists_front.py
@@ -78,7 +78,7 @@
         self.program = [sys.executable, "-B", "-m", "umberlead", "run", str(self.folder / "front.toml")]
         self.process = await asyncio.create_subprocess_exec(*self.program, cwd=ROOT, stderr=subprocess.PIPE)
         self.reader = asyncio.create_task(self._read(self.process.stderr))
-        line = await self.said("listening", line_count)
+        line = await self.wait_for_log_line("listening", line_count)
         host, port = re.findall(r'address="([\d.]+):(\d+)"', line)[0]
         self.address = (host, int(port))
 
@@ -87,7 +87,7 @@
         while line := await stream.readline():
             self.lines.append(line.decode())
 
-    async def said(self, event: str, first_line: int = 0) -> str:
+    async def wait_for_log_line(self, event: str, first_line: int = 0) -> str:
         end = time.monotonic() + TIMEOUT_SECONDS
         while True:
             for line in self.lines[first_line:]:
@@ -120,7 +120,7 @@
     def request_times(self, server: str) -> list[int]:
         return [row["t"] for row in self.record.rows if row["server"] == server]
 
-    async def end(self) -> int:
+    async def terminate(self) -> int:
         self.process.terminate()
         code = await asyncio.wait_for(self.process.wait(), TIMEOUT_SECONDS)
         await self.reader
@@ -128,7 +128,7 @@
 
 
 @contextlib.asynccontextmanager
-async def world(folder: Path, unit_seconds: float = 0.001) -> AsyncIterator[FrontFixture]:
+async def running_front(folder: Path, unit_seconds: float = 0.001) -> AsyncIterator[FrontFixture]:
     fixture = FrontFixture(folder)
     await fixture.start(unit_seconds)
     try:
@@ -158,10 +158,10 @@
     """An upload in progress at a server that leaves the list is answered by that server, and sent once."""
 
     async def test() -> None:
-        async with world(tmp_path, unit_seconds=0.5) as fixture:
+        async with running_front(tmp_path, unit_seconds=0.5) as fixture:
             a, b = fixture.servers["a"], fixture.servers["b"]
             fixture.write_list("a")
-            await fixture.said(
+            await fixture.wait_for_log_line(
                 "endpoint_list_changed",
                 next(i for i, line in enumerate(fixture.lines) if "listening" in line),
             )
@@ -169,14 +169,14 @@
             await _wait_until(lambda: a.busy)
             line_count = len(fixture.lines)
             fixture.write_list("b")
-            await fixture.said("endpoint_list_changed", line_count)
+            await fixture.wait_for_log_line("endpoint_list_changed", line_count)
             reads = [asyncio.create_task(fixture.send_request(f"r{k}")) for k in range(2)]
             assert [await upload, *await asyncio.gather(*reads)] == [200, 200, 200]
             received = [(row["server"], row["id"]) for row in fixture.record.rows]
             assert sorted(received) == [("a", "up1"), ("b", "r0"), ("b", "r1")]
             await _wait_until(lambda: not a.connections)  # connections to the removed server are closed
             assert b.connections
-            assert await fixture.end() == 0
+            assert await fixture.terminate() == 0
 
     run_async(test)
 
@@ -185,12 +185,12 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with world(tmp_path) as fixture:
+        async with running_front(tmp_path) as fixture:
             assert await asyncio.gather(*[fixture.send_request(f"r{k}") for k in range(20)]) == [200] * 20
             removed = next(name for name in "ab" if fixture.servers[name].connections)
             line_count = len(fixture.lines)
             fixture.write_list("b" if removed == "a" else "a")
-            await fixture.said("endpoint_list_changed", line_count)
+            await fixture.wait_for_log_line("endpoint_list_changed", line_count)
             await _wait_until(lambda: not fixture.servers[removed].connections)
             removed_ns = time.monotonic_ns()
             assert await asyncio.gather(*[fixture.send_request(f"s{k}") for k in range(20)]) == [200] * 20
@@ -205,7 +205,7 @@
     newest list."""
 
     async def test() -> None:
-        async with world(tmp_path, unit_seconds=0.02) as fixture:
+        async with running_front(tmp_path, unit_seconds=0.02) as fixture:
             fixture.write_list("a")
             requests = [asyncio.create_task(fixture.send_request(f"r{k}")) for k in range(20)]
             requests += [asyncio.create_task(fixture.send_request(f"u{k}", "PUT")) for k in range(10)]
@@ -240,7 +240,7 @@
                         *[fixture.send_request(call_id) for call_id in call_ids]
                     )
                 assert len(fixture.request_times("a")) == requests_before
-                assert await fixture.end() == 0
+                assert await fixture.terminate() == 0
             else:
                 assert await asyncio.wait_for(fixture.process.wait(), TIMEOUT_SECONDS) == 0
 
@@ -253,7 +253,7 @@
     removed server more than a second after its removal."""
 
     async def test() -> None:
-        async with world(tmp_path, unit_seconds=0.01) as fixture:
+        async with running_front(tmp_path, unit_seconds=0.01) as fixture:
             fixture.write_list("a")
             old_process, old_reader, line_count = fixture.process, fixture.reader, len(fixture.lines)
             requests: list[asyncio.Task[int]] = []
@@ -294,7 +294,7 @@
                 if request_ns > last_change_ns + 1_000_000_000
             ]
             assert await asyncio.gather(*[fixture.send_request(f"s{k}") for k in range(10)]) == [200] * 10
-            assert await fixture.end() == 0
+            assert await fixture.terminate() == 0
             # Only the spare files are left, which no process uses.
             registry = ProcessRegistry(tmp_path / "state" / "fronts")
             assert registry.refresh() == 0 and len(os.listdir(registry.folder)) == SPARE_ENTRY_COUNT
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -20,7 +20,7 @@
     run_on_uvloop,
 )
 from tests.helpers import T0, settings, up_endpoint
-from tests.test_dialing import Dials, Wire
+from tests.test_dialing import FakeEventLoop, FakeTransport
 from umberlead.common.counters import Counters
 from umberlead.common.timer_wheel import TimerWheel
 from umberlead.net.endpoint_pool import EndpointPool
@@ -86,18 +86,18 @@
     """Request lifecycles and endpoint pools of all fronts over pending dials, with one manual clock."""
 
     def __init__(self) -> None:
-        self.dials = Dials(False)
+        self.event_loop = FakeEventLoop(False)
         self.fronts: list[tuple[RequestLifecycle, EndpointPool]] = []
         self.answers: list[Any] = []
         self.pending_calls: list[Any] = []
-        clock = lambda: self.dials.now  # noqa: E731
+        clock = lambda: self.event_loop.now_us  # noqa: E731
         for number in range(FRONTS):
-            wheel, counters = TimerWheel(clock, self.dials.alarm, 2000), Counters()
+            wheel, counters = TimerWheel(clock, self.event_loop.alarm, 2000), Counters()
             front_settings = settings(front_count=FRONTS, max_attempts=3)
             lifecycle = RequestLifecycle(
                 front_settings, number, clock, wheel, self.pending_calls.append, counters, print
             )
-            loop: Any = self.dials
+            loop: Any = self.event_loop
             pool = EndpointPool(lifecycle, loop, wheel, clock, counters, 100, 250_000, 15_000_000, "s", print)
             lifecycle.transport, pool.write_denial = pool, lifecycle.guard.may_write
             self.fronts.append((lifecycle, pool))
@@ -117,7 +117,15 @@
         payload = OutgoingRequest(b"GET", b"/read", [])
         lifecycle.accept(
             IncomingRequest(
-                "read", "gold", "v", None, 0, 2.0, self.dials.now + 2_000_000, payload, call_id=name.encode()
+                "read",
+                "gold",
+                "v",
+                None,
+                0,
+                2.0,
+                self.event_loop.now_us + 2_000_000,
+                payload,
+                call_id=name.encode(),
             ),
             self.answers.append,
         )
@@ -125,14 +133,14 @@
     def complete_connections(self) -> int:
         """Complete all pending connections; return their number."""
         completed = 0
-        for connection in self.dials.conns:
+        for connection in self.event_loop.conns:
             if connection.transport is None and not connection.closed:
                 completed, connection.has_no_unread_bytes = completed + 1, lambda: True
-                connection.connection_made(Wire())
+                connection.connection_made(FakeTransport())
         return completed
 
     def answer_requests(self) -> None:
-        for connection in self.dials.conns:
+        for connection in self.event_loop.conns:
             if connection.attempt is not None and connection.written:
                 connection.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
 
@@ -145,9 +153,9 @@
         fleet = Fleet()
         fleet.list_endpoints([f"n{k}" for k in range(8)])
         await fleet.run_pending_calls()
-        fleet.dials.until(fleet.dials.now + 3_000_000)
+        fleet.event_loop.run_until(fleet.event_loop.now_us + 3_000_000)
         await fleet.run_pending_calls()
-        assert fleet.dials.now > T0 and not fleet.dials.conns
+        assert fleet.event_loop.now_us > T0 and not fleet.event_loop.conns
         for wave in range(3):
             for number, (lifecycle, _) in enumerate(fleet.fronts):
                 fleet.send_request(lifecycle, f"w{wave}f{number}")
@@ -156,9 +164,9 @@
             fleet.answer_requests()
             await fleet.run_pending_calls()
             assert len(fleet.answers) == FRONTS * (wave + 1)
-            fleet.dials.until(fleet.dials.now + 100_000)
+            fleet.event_loop.run_until(fleet.event_loop.now_us + 100_000)
             await fleet.run_pending_calls()
-        assert len(fleet.dials.conns) == FRONTS
+        assert len(fleet.event_loop.conns) == FRONTS
         for _, pool in fleet.fronts:
             pool.close()
 
--- a/tests/test_zones_front.py
+++ b/tests/test_zones_front.py
@@ -170,7 +170,7 @@
         )
         self.lifecycle.transport = self
         settings = zone_settings(configuration.ZoneConfig(own_zone="a", nearby_zones=("b",)))
-        self.rooms = ZoneIntegration(
+        self.zones = ZoneIntegration(
             settings,
             self.lifecycle,
             1,
@@ -210,7 +210,7 @@
     def run(self, duration_us: int) -> None:
         for _ in range(max(duration_us // 100_000, 1)):
             self.loop.run(self.loop.now + min(duration_us, 100_000))
-            self.rooms.tick()
+            self.zones.tick()
 
     def send_request(self, name: str, class_name: str = "read", shard: int = 0) -> None:
         deadline_us = self.loop.now + (2_000_000 if class_name == "read" else 3_000_000)
@@ -218,20 +218,20 @@
         self.lifecycle.accept(incoming, lambda answer: self.answers.__setitem__(name, answer))
         self.run(0)
 
-    def lose(self) -> None:
+    def fail_zone(self) -> None:
         """Mark zone a as down by two broken attempts at each of its endpoints."""
         for name in ("a00", "a01", "a10", "a11", "only"):
             for number in range(2):
-                self.rooms.router.record_outcome(
+                self.zones.router.record_outcome(
                     self.loop.now, f"{name}{number}", name, AttemptResult.CONNECT_FAILED, 1
                 )
-        self.rooms.tick()
+        self.zones.tick()
         self.run(0)
 
 
 def test_a_transition_is_logged_with_its_evidence_and_counted() -> None:
     harness = ZoneHarness()
-    harness.lose()
+    harness.fail_zone()
     (event, fields) = harness.log_lines[0]
     assert (
         event == "room_verdict"
@@ -246,7 +246,7 @@
     harness.send_request("r")
     harness.send_request("u", "upload")
     assert {attempt.endpoint[0] for attempt in harness.in_flight} == {"a"}
-    harness.lose()
+    harness.fail_zone()
     # The upload may have run, so it stays there.
     assert [attempt.request.incoming.key for attempt in harness.stopped_attempts] == ["r"]
     assert [(attempt.request.incoming.key, attempt.endpoint[0]) for attempt in harness.in_flight] == [
@@ -262,7 +262,7 @@
     waiting = [name for name in (f"q{number}" for number in range(200)) if name not in harness.answers]
     sent = {attempt.request.incoming.key for attempt in harness.in_flight}
     assert len(sent) < len(waiting)
-    harness.lose()
+    harness.fail_zone()
     rejected = {request_name for request_name in waiting if request_name in harness.answers}
     assert rejected == set(waiting) - sent
     assert all(
@@ -276,12 +276,12 @@
 
 def test_an_evacuated_zone_is_left_at_once_and_used_again_when_cleared() -> None:
     harness = ZoneHarness()
-    assert harness.rooms.set_override("a", "evacuate") and not harness.rooms.set_override("x", "evacuate")
+    assert harness.zones.set_override("a", "evacuate") and not harness.zones.set_override("x", "evacuate")
     harness.run(0)
     harness.send_request("r")
     assert [attempt.endpoint[0] for attempt in harness.in_flight] == ["b"]
-    assert harness.rooms.status()["rooms"]["a"]["by_hand"] == "evacuate"
-    assert harness.rooms.set_override("a", "")
+    assert harness.zones.status()["rooms"]["a"]["by_hand"] == "evacuate"
+    assert harness.zones.set_override("a", "")
     harness.run(0)
     harness.send_request("s")
     assert harness.in_flight[-1].endpoint[0] == "a"
@@ -289,8 +289,8 @@
 
 def test_the_admin_api_shows_states_evidence_and_spillover() -> None:
     harness = ZoneHarness()
-    harness.lose()
-    zones_status = harness.rooms.status()
+    harness.fail_zone()
+    zones_status = harness.zones.status()
     assert zones_status["own"] == "a" and zones_status["rooms"]["a"]["state"] == "lost"
     assert sorted(zones_status["rooms"]["a"]["servers_down"]) == ["a00", "a01", "a10", "a11", "only"]
     assert zones_status["spill"]["mode"] == "learnt" and json.dumps(zones_status)
@@ -339,10 +339,10 @@
     """Over a running front: the state of zones, an evacuation, and unknown zones and overrides."""
     import asyncio
 
-    from tests.test_lists_front import world
+    from tests.test_lists_front import running_front
 
     async def test() -> None:
-        async with world(tmp_path) as front:
+        async with running_front(tmp_path) as front:
             front.process.terminate()
             await front.process.wait()
             path = tmp_path / "front.toml"
@@ -352,7 +352,7 @@
             )
             front.reader = asyncio.create_task(front._read(front.process.stderr))
             line_count = len(front.lines)
-            line = await front.said("admin_api_listening", line_count)
+            line = await front.wait_for_log_line("admin_api_listening", line_count)
             port = line.split('address="127.0.0.1:')[1].split('"')[0]
 
             def call(method: str, path: str) -> tuple[int, str]:
@@ -371,6 +371,6 @@
             status, body = await asyncio.to_thread(call, "GET", "/control/rooms")
             assert json.loads(body)["rooms"]["-"]["by_hand"] == "evacuate"
             assert (await asyncio.to_thread(call, "PUT", "/control/rooms//drop"))[0] == 404
-            assert await front.end() == 0
+            assert await front.terminate() == 0
 
     asyncio.run(test())
