--- a/tests/planted.py
+++ b/tests/planted.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-TESTS: tuple[str, ...] = ("tests/test_lists_machine.py", "tests/test_lists_files.py")
+TESTS: tuple[str, ...] = ("tests/test_list_merge.py", "tests/test_lists_files.py")
 
 LIST_MERGE, CHECKS = "umberlead/membership/list_merge.py", "umberlead/membership/checks.py"
 GRAMMAR, DAMPING = "umberlead/membership/grammar.py", "umberlead/membership/flap_damping.py"
--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -27,7 +27,7 @@
     "tests/test_streaming_race_conditions.py",
     "tests/test_standing.py",
     "tests/test_request_delivery.py",
-    "tests/test_volumes.py",
+    "tests/test_rate_limits.py",
 )
 planted.PLANTED = (  # type: ignore[assignment]
     ("shutdown: what is half read at the end is left open", SERVER, "if partial and self.active_request is None and not self.ended:\n            self.reject(503", "if False:\n            self.reject(503"),
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,5 +1,6 @@
 """What the renewed standing test asks of one front, each crossing forced on real sockets with a clock that
-moves by hand alone. docs/crossings.md has the table; kills and whole fleets are in test_standing_fleet.py."""
+moves by hand alone. docs/crossings.md has the table; kills and whole fleets are in
+test_fleet_connections.py."""
 
 import asyncio
 import os
