--- a/tests/planted_moments.py
+++ b/tests/planted_moments.py
@@ -27,7 +27,7 @@
     "tests/test_streaming_race_conditions.py",
     "tests/test_standing.py",
     "tests/test_request_delivery.py",
-    "tests/test_volumes.py",
+    "tests/test_rate_limits.py",
 )
 planted.PLANTED = (  # type: ignore[assignment]
     ("shutdown: what is half read at the end is left open", SERVER, "if partial and self.active_request is None and not self.ended:\n            self.reject(503", "if False:\n            self.reject(503"),
@@ -48,7 +48,7 @@
     ("client gone: a dial given up counts against the node", NODE, "                reason if self.written or reason is AttemptResult.NOT_SENT else AttemptResult.CONNECT_FAILED\n", "                reason if self.written else AttemptResult.CONNECT_FAILED\n"),
     ("client gone: blocks that were not begun are begun", BLOCKS, "        if request.client_has_left:\n", "        if False:\n"),
     ("client gone: a block that waits is sent", OBJECTS, "                self.lifecycle.abandon(in_flight)\n", "                pass\n"),
-    ("client gone: not looked for as an attempt is decided", GUARD, "return None if self._client_waits(request) else Denial.CLIENT_LEFT", "return None"),
+    ("client gone: not looked for as an attempt is decided", GUARD, "return None if self._is_client_connected(request) else Denial.CLIENT_LEFT", "return None"),
     ("client gone: not looked for as its connection is up", GUARD, "        return self._request_denial(attempt.request)\n", "        return None\n"),
     ("client gone: the rest of a request follows in that turn", NODE, "if self.write_paused and not self.written and self.is_open():", "if False:"),
     ("client gone: what was decided with it has no outcome", "umberlead/requests/decision_loop.py", "for action, request in [(action, self._request_of(action)) for action in actions]:", "for action, request in ((action, self._request_of(action)) for action in actions):"),
@@ -71,7 +71,7 @@
     ("watches: silent ones are opened over the whole spread", WATCHING, "since_us = call.last_activity_us if silent else", "since_us = now_us if silent else"),
     ("watches: what a call has hung is no part of the bound", WATCHING, "remaining_us = since_us + MAX_CALL_GAP_US - now_us", "remaining_us = MAX_CALL_GAP_US"),
     ("watches: a Retry-After is kept past the bound", "umberlead/recovery/backoff.py", "max(delay_us, min(retry_after_us, remaining_us))", "max(delay_us, retry_after_us)"),
-    ("watches: a call given up is not listened to", WATCH, "elif self.late_stream is None and self.pacing.keeps_listening(stream.call, now_us):", "elif False:"),
+    ("watches: a call given up is not listened to", WATCH, "elif self.late_stream is None and self.pacing.is_still_read(stream.call, now_us):", "elif False:"),
     ("watches: requests are taken before the list is here", PROCESS, "if self.discovery_watch is None or not self.discovery_watch.expects_agent:", "if True:"),
     ("retries: an interim answer begins the stall", PARSER, "self.started = False  # the final response", "pass  # the final response"),
     ("long answers: one that moves is cut off at its request's time", STREAM, "        if due_us <= now_us:\n            self.abort()", "        if min(due_us, due_us if self.paused else self.deadline_us) <= now_us:\n            self.abort()"),
