--- a/umberlead/daemon/__init__.py
+++ b/umberlead/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""One process of a front: assembly, start, reload, graceful shutdown, shared state, reporting."""
+"""One process of a front: assembly, start, reload, graceful shutdown, shared state and logging."""
--- a/umberlead/daemon/assembly.py
+++ b/umberlead/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""The components of a process, put together from its configuration; none of them has started yet."""
+"""Creates the components of a process from its configuration, without starting them."""
 
 import asyncio
 import time
@@ -22,7 +22,7 @@
 from umberlead.resource_limits import ReservedDescriptor, descriptors_and_memory_in_use, descriptors_to_come
 from umberlead.telemetry import SyslogWriter, make_logger
 
-if TYPE_CHECKING:  # loaded only by fronts whose configuration has them
+if TYPE_CHECKING:  # at run time imported only by fronts whose configuration enables them
     from umberlead.gossip.udp_transport import GossipService
     from umberlead.membership.service import WatchedListService
     from umberlead.zones.integration import ZoneIntegration
@@ -32,39 +32,41 @@
 
 
 def unix_anchored_clock() -> Callable[[], int]:
-    """Return a clock of whole microseconds that only moves forward.
+    """Return a monotonic clock that counts whole microseconds.
 
-    It is anchored once to Unix time, so that the times of discovery compare with it.
+    Its offset is set once, to Unix time, so that it can be compared with the timestamps in endpoint lists.
     """
     anchor_ns = time.time_ns() - time.monotonic_ns()
     return lambda: (time.monotonic_ns() + anchor_ns) // 1000
 
 
 class ProcessComponents:
-    """The components of one process that its tasks share.
+    """The components of one process, shared by the tasks of the process.
 
     Attributes:
         config: The configuration in force; a reload replaces it.
-        descriptors_in_use: Descriptors that are no connections, those to come included.
-        memory_in_use_bytes: The memory that the process took before its first connection.
-        trace: Logs single decisions, None unless the log's level is debug.
-        zones: The zones of endpoints, None where the configuration has none.
-        listeners: The listeners of clients, in the order of `client_groups` once all listen.
-        client_groups: The clients of each frontend.
-        handlers: The frontends.
-        admin_listeners: The listeners of the admin API with their clients; open to the end.
-        process_count: The processes of this front, this one included.
-        discovery_watch: The connection to discovery, None where the configuration has none.
-        watched_lists: The service of watched endpoint lists, None where the configuration has none.
-        gossip: The gossip with other fronts, None where the configuration has none.
-        done: Set when the process is to end.
+        descriptors_in_use: File descriptors used for anything but connections, including those that are not
+            open yet.
+        memory_in_use_bytes: The memory in use before the first connection.
+        trace: Logs individual decisions; None unless the log level is debug.
+        zones: The zone routing; None if the configuration has no zones.
+        listeners: The listeners for clients, in the order of `client_groups` once all of them listen.
+        client_groups: One group of client connections for each frontend.
+        handlers: The request handlers of the frontends.
+        admin_listeners: The listeners of the admin API with their clients; they stay open until the process
+            exits.
+        process_count: The number of running processes of this front, including this one.
+        discovery_watch: The connection to discovery; None if the configuration has no discovery.
+        watched_lists: The service of watched endpoint lists; None if the configuration has none.
+        gossip: The gossip with other fronts; None if the configuration has none.
+        done: Set when the process must exit.
     """
 
     def __init__(self, conf: configuration.Config, loop: asyncio.AbstractEventLoop) -> None:
         """Assemble the components.
 
         Raises:
-            ConfigError: A plugin can't be used.
+            ConfigError: A plugin cannot be loaded.
         """
         self.config = conf
         self.loop = loop
@@ -145,7 +147,7 @@
         return integrate_zones(conf.zones, self.lifecycle, conf.seed, self.clock, self.log.warning)
 
     def _new_start_times(self) -> StartTimes:
-        """Return the endpoints' start times, by the clock anchors of this front's processes so far."""
+        """Return the endpoints' start times, converted with the clock offsets that this front's processes stored."""
         anchor_us = self.clock() - time.monotonic_ns() // 1000
         clock_anchors = self.shared_state.clock_anchors
         anchors_us = clock_anchors.read()
--- a/umberlead/daemon/endpoint_list_sync.py
+++ b/umberlead/daemon/endpoint_list_sync.py
@@ -1,4 +1,4 @@
-"""Endpoint lists from discovery, on their way to the scheduler and the pool or to the watched lists."""
+"""Passes endpoint lists from discovery to the scheduler and the connection pool, or to the watched lists."""
 
 import time
 from dataclasses import replace
@@ -9,14 +9,14 @@
 
 
 class EndpointListSync:
-    """Applies what discovery says to a process's components."""
+    """Applies the endpoint lists of discovery to the components of a process."""
 
     def __init__(self, components: ProcessComponents) -> None:
-        """Begin without any endpoint."""
+        """Start without endpoints."""
         self._components = components
 
     def start_watched_lists(self) -> None:
-        """Start the service of watched lists, which replace discovery's, if the configuration has them."""
+        """Start the watched lists, which replace those of discovery, if the configuration has any."""
         list_config = self._components.config.watched_lists
         if list_config is not None:
             from umberlead.membership.integration import start_watched_lists
@@ -24,7 +24,12 @@
             self._components.watched_lists = start_watched_lists(list_config, self._components)
 
     def apply_discovery_message(self, message: configuration.DiscoveryMessage, is_new: bool = True) -> None:
-        """Apply an endpoint list, or a change of it; `is_new` unless the configuration knew it."""
+        """Apply a complete endpoint list or a list of changes.
+
+        Args:
+            message: The list or the changes.
+            is_new: False for the endpoints that the configuration itself lists.
+        """
         components = self._components
         message = self._with_local_start_times(message)
         if is_new:
@@ -41,9 +46,8 @@
         for listed in message.endpoints:
             name = listed.endpoint.name
             if listed.endpoint.status is EndpointStatus.GONE:
-                addresses.pop(
-                    name, None
-                )  # else they add up where lists replace all endpoints again and again
+                # Otherwise addresses would accumulate when lists repeatedly replace all endpoints.
+                addresses.pop(name, None)
             elif listed.address is not None:
                 addresses[name] = listed.address
         endpoints_in_list = tuple(listed.endpoint for listed in message.endpoints)
@@ -52,7 +56,7 @@
     def _with_local_start_times(
         self, message: configuration.DiscoveryMessage
     ) -> configuration.DiscoveryMessage:
-        """Return a message with start times by this process's clock: the wall clock may step."""
+        """Return the message with start times on this process's clock, because the wall clock may step."""
         self.observe_wall_clock()
         return replace(message, endpoints=tuple(map(self._with_local_start_time, message.endpoints)))
 
@@ -65,7 +69,7 @@
         return replace(listed, endpoint=replace(endpoint, started_us=started_us))
 
     def observe_wall_clock(self) -> None:
-        """Find out whether the wall clock has stepped."""
+        """Check whether the wall clock has stepped; if so, store the new clock offset and log it."""
         components = self._components
         if components.start_times.observe(components.clock(), time.time_ns() // 1000):
             components.shared_state.clock_anchors.add(time.time_ns() // 1000 - time.monotonic_ns() // 1000)
@@ -73,7 +77,7 @@
             components.log.warning("wall_clock_stepped")
 
     def knows_endpoint(self, endpoint: str) -> bool:
-        """Return whether the list in force has an endpoint of that name."""
+        """Return whether the current endpoint list has an endpoint of that name."""
         components = self._components
         if components.watched_lists is not None:
             return components.watched_lists.membership.knows_endpoint(endpoint)
--- a/umberlead/daemon/frontends.py
+++ b/umberlead/daemon/frontends.py
@@ -1,4 +1,4 @@
-"""The frontends and the admin API of a process, with their listeners and groups of clients."""
+"""Creates the frontends and the admin API of a process with their listeners and client groups."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frontend:
-    """A protocol for clients, and where it is to listen."""
+    """A request handler with its group of clients and the address that it listens on."""
 
     handler: RequestHandler
     clients: ClientGroup
@@ -23,15 +23,15 @@
 
 
 class FrontendAssembly:
-    """Creates the frontends that the configuration has, and lets them listen."""
+    """Creates the configured frontends and opens their listeners."""
 
     def __init__(self, components: ProcessComponents, limits: LimitControl) -> None:
-        """Begin without any frontend."""
+        """Start without frontends."""
         self._components = components
         self._limits = limits
 
     def create_all(self) -> list[Frontend]:
-        """Create all frontends; the object API's group of clients is the last one."""
+        """Create all frontends; the client group of the object API is the last one."""
         conf = self._components.config
         frontends: list[Frontend] = []
         if conf.listen is not None:
@@ -43,7 +43,7 @@
         return frontends
 
     def _new_object_api(self, object_config: configuration.ObjectApiConfig) -> Frontend:
-        # Loaded only by fronts that have it: others start sooner without it.
+        # Imported only where the object API is configured: without it, a front starts faster.
         from umberlead.frontends.object_api.handler import ObjectApi
         from umberlead.frontends.object_api.uploads import UploadRegistry
 
@@ -85,15 +85,15 @@
             self._components.trace("client_closed", reason=reason, calls=calls)
 
     def listen(self, frontend: Frontend) -> None:
-        """Let a frontend accept clients.
+        """Open a frontend's listener.
 
         Raises:
-            OSError: It can't listen at its address.
+            OSError: The frontend cannot listen on its address.
         """
         components = self._components
         has_capacity = frontend.clients.max_connections > 0 and components.pool.max_connections > 0
         components.lifecycle.invariants.listening(has_capacity)
-        # Also where the state folder can't be written now: another process may run beside this one.
+        # Set even if the state folder cannot be written now: another process of this front may be running.
         reuse_port = components.config.state_folder is not None
         listener = Listener(frontend.handler, frontend.clients, frontend.address, components.loop, reuse_port)
         components.listeners.append(listener)
@@ -105,10 +105,10 @@
         set_manual_drain: Callable[[str, bool], None],
         knows_endpoint: Callable[[str], bool],
     ) -> None:
-        """Let the admin API accept clients, where the configuration has it.
+        """Open the listener of the admin API if the configuration has one.
 
         Raises:
-            OSError: It can't listen at its address.
+            OSError: The admin API cannot listen on its address.
         """
         components = self._components
         address = components.config.admin_listen
--- a/umberlead/daemon/limits.py
+++ b/umberlead/daemon/limits.py
@@ -1,4 +1,4 @@
-"""Limits of descriptors, connections and memory, by the configuration and the number of processes."""
+"""Limits descriptors, connections and memory by the configuration and the number of processes."""
 
 from umberlead.daemon.assembly import ProcessComponents
 from umberlead.handover.descriptor_quota import DescriptorQuota
@@ -12,16 +12,17 @@
     with_surplus,
 )
 
-QUOTA_UPDATE_INTERVAL_US = 20_000  # while another process of this front runs
-# How long a start waits for its quota; after that the other process is taken to hang.
+# Interval of the checks for other processes of this front, and of quota updates while one of them runs.
+QUOTA_UPDATE_INTERVAL_US = 20_000
+# How long a starting process waits for its quota; after that, the other process is assumed to hang.
 FIRST_QUOTA_TIMEOUT_US = 200_000
 
 
 class LimitControl:
-    """Applies limits to a process's components."""
+    """Applies the limits to the components of a process."""
 
     def __init__(self, components: ProcessComponents) -> None:
-        """Begin without any connection allowed."""
+        """Start with no connections allowed."""
         self._components = components
         self.descriptor_quota = DescriptorQuota(
             components.shared_state,
@@ -34,10 +35,10 @@
         )
 
     def apply(self) -> None:
-        """Apply all limits: at the start, with each reload, and when the number of processes changes."""
+        """Apply all limits: at the start, on each reload, and when the number of processes changes."""
         components = self._components
         conf = components.config
-        # The processes of a front share its limits: each has an even part of its memory.
+        # The processes of a front share its limits: each gets an equal part of descriptors and memory.
         limits = divide_resources(
             granted_descriptors(conf.max_descriptors) // components.process_count,
             conf.memory_limit_bytes // components.process_count,
@@ -51,7 +52,7 @@
         components.pool.idle_timeout_us = int(conf.keepalive_us * IDLE_KEEPALIVE_RATIO)
         components.lifecycle.open_requests.call_ids.max_remembered = limits.remembered_call_ids
         components.syslog.max_queued_lines = limits.queued_log_lines
-        if conf.object_api is None:  # its clients have several requests open on one connection
+        if conf.object_api is None:  # the object API opens several requests for one client connection
             components.lifecycle.set_open_limit(limits.open_requests)
         self._limit_clients(limits)
         for handler in components.handlers:
@@ -68,14 +69,17 @@
         for _, admin_clients in components.admin_listeners:
             admin_clients.buffer_limit_bytes = MAX_BODY_BYTES
             admin_clients.max_header_bytes = limits.max_header_bytes
-        if conf.object_api is not None:  # the operator's own limit applies below that
+        if conf.object_api is not None:  # the configured limit applies if it is lower
             object_clients = components.client_groups[-1]
             object_clients.buffer_limit_bytes = min(
                 object_clients.buffer_limit_bytes, conf.object_api.memory_bytes
             )
 
     def update_quota(self) -> None:
-        """Apply the limits of connections: while another process of this front runs, by use."""
+        """Apply the connection limits.
+
+        While another process of this front runs, the connections are divided by how many each process uses.
+        """
         components = self._components
         max_descriptors = granted_descriptors(components.config.max_descriptors)
         limits = divide_resources(
@@ -95,13 +99,16 @@
         )
 
     def update_quota_periodically(self) -> None:
-        """Update the quota while another process runs, and where one came or went."""
+        """Update the quota while another process runs, and when one has started or ended."""
         if self.descriptor_quota.has_siblings or self._components.shared_state.changed():
             self.update_quota()
         self._components.wheel.call_after(QUOTA_UPDATE_INTERVAL_US, self.update_quota_periodically)
 
     async def wait_for_quota(self) -> None:
-        """Wait until another process has given up its part: clients accepted sooner find no capacity."""
+        """Wait until the other process of this front has released this process's part of the descriptors.
+
+        Clients that are accepted earlier would find no capacity.
+        """
         settled = self.descriptor_quota.settled
         timeout = self._components.wheel.call_after(FIRST_QUOTA_TIMEOUT_US, settled.set)
         await settled.wait()
--- a/umberlead/daemon/process.py
+++ b/umberlead/daemon/process.py
@@ -1,4 +1,4 @@
-"""One process of a front, from its assembly to its last answer."""
+"""One process of a front: start, periodic work, reload and exit."""
 
 import asyncio
 import gc
@@ -22,26 +22,27 @@
 from umberlead.net.discovery import DiscoveryWatch
 from umberlead.resource_limits import LOCAL_RESOURCE_ERRNOS
 
-# How long a start waits for discovery's list; after that discovery is taken for down, and the configured list
-# used.
+# How long a starting process waits for the first endpoint list from discovery. After that, discovery is
+# assumed to be down and the configured list is used.
 FIRST_LIST_TIMEOUT_US = 400_000
 SWEEP_INTERVAL_US = 100_000
 LISTEN_RETRY_SECONDS = 0.05
 LISTEN_RETRIES_COUNT = 100
-# Garbage collections of the first generation: one for so many bytes of free memory, within these bounds.
+# Threshold of Python's youngest garbage collection generation: one object for each of this many bytes of free
+# memory, within the two bounds.
 BYTES_PER_COLLECTION_THRESHOLD_UNITS = 4096
 MIN_COLLECTION_THRESHOLD = 700
 MAX_COLLECTION_THRESHOLD = 10_000
 
 
 class FrontProcess(ProcessComponents):
-    """The components of one process with the tasks that run them.
+    """The components of one process and the tasks that run them.
 
     Attributes:
-        limits: Applies limits of descriptors, connections and memory.
-        state_sync: Applies what sibling processes and operators change.
-        endpoint_list_sync: Applies what discovery says.
-        frontends: Creates the frontends.
+        limits: Applies the limits on descriptors, connections and memory.
+        state_sync: Applies changes made by sibling processes and by operators.
+        endpoint_list_sync: Applies the endpoint lists of discovery.
+        frontends: Creates the frontends and opens their listeners.
         shutdown: The graceful shutdown.
         reporting: Logs the counters.
     """
@@ -53,16 +54,16 @@
         stages: StartStages | None = None,
         early_reload_signals: Sequence[int] = (),
     ) -> None:
-        """Assemble a process that does not run yet.
+        """Create the components without starting them.
 
         Args:
             conf: The configuration.
-            loop: The event loop that it will run in.
-            stages: The stages of the start so far.
-            early_reload_signals: SIGHUPs that were received before this process could handle them.
+            loop: The event loop of the process.
+            stages: The stages of the start so far; None begins them now.
+            early_reload_signals: The SIGHUP signals received before this process installed its handler.
 
         Raises:
-            ConfigError: A file that the configuration names can't be used.
+            ConfigError: A file named in the configuration cannot be used.
         """
         super().__init__(conf, loop)
         self.limits = LimitControl(self)
@@ -77,11 +78,11 @@
     # Start
 
     async def run(self) -> None:
-        """Start all components and run until the shutdown is over.
+        """Start all components and run until the graceful shutdown has ended.
 
         Raises:
-            ConfigError: A file that the configuration names can't be used.
-            OSError: An address can't be listened at.
+            ConfigError: A file named in the configuration cannot be used.
+            OSError: A listener cannot be opened.
         """
         self._handle_signals()
         self._start_endpoint_lists()
@@ -106,7 +107,7 @@
             return
         for frontend in frontends:
             await self._listen_when_possible(partial(self.frontends.listen, frontend))
-        if not self.listeners:  # told to end meanwhile
+        if not self.listeners:  # SIGTERM was received while the listeners were opened
             return
         self.reporting.log_limits()
         self.sweep()
@@ -117,10 +118,10 @@
         await self.done.wait()
 
     async def _listen_when_possible(self, listen: Callable[[], None]) -> None:
-        """Listen; where the system lacks a resource for it now, try again, until the process is to end.
+        """Open a listener, and retry while the system lacks a resource for it and no shutdown has begun.
 
         Raises:
-            OSError: An address can't be listened at, or the lack lasts.
+            OSError: The listener cannot be opened, or the resource is still missing at the last retry.
         """
         for _ in range(LISTEN_RETRIES_COUNT):
             if self.shutdown.stop_requested:
@@ -140,7 +141,7 @@
         self.loop.add_signal_handler(signal.SIGINT, self.shutdown.start)
         self.loop.add_signal_handler(signal.SIGUSR1, self.reporting.log_counters)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
-        if self._early_reload_signals:  # received while the configuration was read, or after that
+        if self._early_reload_signals:  # received while the configuration was read or later
             self.loop.call_soon(self.reload)
 
     def _start_endpoint_lists(self) -> None:
@@ -169,7 +170,7 @@
         return bool(self.listeners) and not self.shutdown.stop_requested
 
     async def _start_gossip(self) -> None:
-        """Exchange what is known of zones with other fronts, where the configuration has gossip."""
+        """Start to exchange zone health with other fronts if the configuration has gossip."""
         if self.zones is None or self.config.zones is None or self.config.zones.gossip is None:
             return
         from umberlead.gossip.messages import GossipKeysError
@@ -189,7 +190,7 @@
         self.log.info("gossip_started", address=self.gossip.address)
 
     async def _wait_for_first_list(self) -> None:
-        """Wait for the list of a discovery agent: what that knows applies from a process's first moment."""
+        """Wait for the endpoint list of a discovery agent, so that it applies to the first request."""
         if self.discovery_watch is None or not self.discovery_watch.expects_agent:
             return
         received = self.discovery_watch.first_list_received
@@ -198,17 +199,17 @@
         timeout.cancel()
 
     def _set_up_garbage_collection(self) -> None:
-        """Collect cycles the less often, the more memory is free: requests leave few of them."""
+        """Collect reference cycles less often the more memory is free: requests leave few cycles."""
         free_bytes = self.config.memory_limit_bytes - self.memory_in_use_bytes
         threshold = min(MAX_COLLECTION_THRESHOLD, free_bytes // BYTES_PER_COLLECTION_THRESHOLD_UNITS)
         gc.set_threshold(max(MIN_COLLECTION_THRESHOLD, threshold), 20, 20)
         gc.collect()
-        gc.freeze()  # the objects of the start stay: later collections pass them by
+        gc.freeze()  # objects created so far live as long as the process: later collections skip them
 
     # Run
 
     def sweep(self) -> None:
-        """Do what is due periodically, each `SWEEP_INTERVAL_US`."""
+        """Do the periodic work, and schedule the next round after `SWEEP_INTERVAL_US`."""
         self.endpoint_list_sync.observe_wall_clock()
         self.state_sync.sync()
         if self.zones is not None:
@@ -222,13 +223,14 @@
         self.wheel.call_after(SWEEP_INTERVAL_US, self.sweep)
 
     def reload(self) -> None:
-        """Read the configuration anew (SIGHUP); one that can't be used leaves all as it was.
+        """Reload the configuration (SIGHUP); a configuration with an error changes nothing.
 
-        That is done during the shutdown, too: requests that are still sent must go by current drains.
+        A reload is also done during the shutdown: requests that are still being sent must respect the current
+        drains.
         """
         self.counters.add("reloads")
         try:
-            with self.reserved_descriptor.lent():  # a reload must not fail for want of a descriptor
+            with self.reserved_descriptor.lent():  # a reload must not fail because no descriptor is free
                 new_config = configuration.load()
         except configuration.ConfigError as error:
             self.counters.add("reloads_refused")
@@ -248,7 +250,7 @@
     # End
 
     def release_resources(self) -> None:
-        """Close all that is open, and log the counters a last time."""
+        """Close all connections, listeners and files, and log the counters a last time."""
         if self.discovery_watch is not None:
             self.discovery_watch.close()
         if self.watched_lists is not None:
@@ -267,11 +269,11 @@
 
 
 def serve(conf: configuration.Config, stages: StartStages, early_reload_signals: Sequence[int]) -> None:
-    """Run a front's process to its end.
+    """Run a process of a front until it exits.
 
     Raises:
-        ConfigError: A file that the configuration names can't be used.
-        OSError: An address can't be listened at.
+        ConfigError: A file named in the configuration cannot be used.
+        OSError: A listener cannot be opened.
     """
 
     async def run() -> None:
@@ -281,8 +283,8 @@
             await front.run()
         finally:
             front.release_resources()
-            # A signal at the very end must not end the process as if it crashed: blocked while defaults come
-            # back.
+            # The event loop restores the default signal handlers when it closes. The signals are blocked before
+            # that, so that a late signal does not end the process as if it had crashed.
             signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1))
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/umberlead/daemon/reporting.py
+++ b/umberlead/daemon/reporting.py
@@ -1,4 +1,4 @@
-"""What a process writes to its log about itself."""
+"""Logs the state of a process: its counters, limits, start and unexpected errors."""
 
 import os
 import time
@@ -12,10 +12,10 @@
 
 
 class Reporting:
-    """Logs the counters, the limits, the start and errors that nothing handles."""
+    """Logs the counters, the limits, the end of the start and unhandled errors."""
 
     def __init__(self, components: ProcessComponents) -> None:
-        """Begin without any report."""
+        """Log nothing yet."""
         self._components = components
 
     def log_counters(self) -> None:
@@ -26,12 +26,12 @@
         )
 
     def log_counters_periodically(self) -> None:
-        """Log all counters, and do so again each `REPORT_INTERVAL_US`."""
+        """Log all counters now and every `REPORT_INTERVAL_US`."""
         self.log_counters()
         self._components.wheel.call_after(REPORT_INTERVAL_US, self.log_counters_periodically)
 
     def log_limits(self) -> None:
-        """Log what the process may use, and how that is divided."""
+        """Log the resources that the process may use and the connection limits derived from them."""
         components = self._components
         components.log.info(
             "limits",
@@ -43,11 +43,11 @@
         )
 
     def log_start(self, stages: StartStages) -> None:
-        """Log the end of the start, with the CPU time that it took and the duration of its stages in us."""
+        """Log that the start has ended, with its CPU time and the duration of each stage in microseconds."""
         self._components.log.info("started", cpu=time.process_time_ns() // 1000, **stages.durations_us())
 
     def log_unexpected_error(self, context: dict[str, Any]) -> None:
-        """Log an exception that reached the event loop, as its exception handler."""
+        """Log an unhandled exception; this is the exception handler of the event loop."""
         self._components.counters.add("unexpected_errors")
         self._components.log.error(
             "unexpected_error",
--- a/umberlead/daemon/shared_state_sync.py
+++ b/umberlead/daemon/shared_state_sync.py
@@ -1,26 +1,27 @@
-"""What a front's processes share: their number, what each may send, and operators' drains of endpoints."""
+"""Applies the state shared by a front's processes: their number, their share of limits, manual drains."""
 
 from umberlead.daemon.assembly import ProcessComponents
 from umberlead.daemon.limits import LimitControl
 
 
 class SharedStateSync:
-    """Applies what sibling processes, and calls at the admin API, have changed.
+    """Applies changes made by sibling processes and by calls of the admin API.
 
     Attributes:
-        process_share: The part of a volume's limits that this process may use; 0 before the first sync.
-        manual_drains: The endpoints that operators have drained, and when (Unix time in us).
+        process_share: The part of each volume's limits that this process may use; 0 before the first sync.
+        manual_drains: The endpoints that operators have drained, with the time of each drain (Unix time in
+            us).
     """
 
     def __init__(self, components: ProcessComponents, limits: LimitControl) -> None:
-        """Begin without any siblings or drains."""
+        """Start with no siblings and no drains."""
         self._components = components
         self._limits = limits
         self.process_share = 0.0
         self.manual_drains: dict[str, int] = {}
 
     def sync(self) -> None:
-        """Read the shared state and apply what has changed."""
+        """Read the shared state and apply its changes."""
         components = self._components
         shared_state = components.shared_state
         process_count = 1 + shared_state.count_siblings()
@@ -54,10 +55,12 @@
         self.manual_drains = manual_drains
 
     def set_manual_drain(self, endpoint: str, is_drained: bool) -> None:
-        """Drain an endpoint for an operator, or end that; it is in force and stored once this returns.
+        """Drain an endpoint or end its drain, as an operator requests.
+
+        The change is stored and in force when this returns.
 
         Raises:
-            OSError: It can't be stored.
+            OSError: The change cannot be stored.
         """
         with self._components.reserved_descriptor.lent():
             self._components.shared_state.set_drain_override(endpoint, is_drained)
--- a/umberlead/daemon/shutdown.py
+++ b/umberlead/daemon/shutdown.py
@@ -1,21 +1,21 @@
-"""A process's graceful shutdown: all requests that were accepted are answered before it is killed."""
+"""The graceful shutdown of a process: it answers all accepted requests before SIGKILL."""
 
 from umberlead.daemon.assembly import ProcessComponents
 from umberlead.daemon.shared_state_sync import SharedStateSync
 
-ACCEPT_AFTER_SIGTERM_US = 550_000  # in which new connections are still accepted
-# SIGKILL follows SIGTERM by the longest timeout of a class, counted as 3 s at most, plus 0.7 s.
+ACCEPT_AFTER_SIGTERM_US = 550_000  # new connections are still accepted during this time
+# SIGKILL follows SIGTERM after the longest timeout of a request class, limited to 3 s, plus 0.7 s.
 MAX_KILL_DELAY_US = 3_000_000
 KILL_DELAY_MARGIN_US = 700_000
-# How long before that connections are drained, and open requests are answered.
+# How long before SIGKILL connections are drained and open requests are answered.
 DRAIN_BEFORE_KILL_US = 400_000
 FINISH_BEFORE_KILL_US = 200_000
-LAST_WRITES_US = 50_000  # for clients that never read, or never leave
-# So 0.15 s are left for the process to exit, as long as it may be held up on a busy machine.
+LAST_WRITES_US = 50_000  # time for the last answers; bounds clients that never read or never disconnect
+# This leaves 0.15 s for the process to exit, which is how long a busy machine may delay it.
 
 
 class GracefulShutdown:
-    """The way from SIGTERM to the end.
+    """Runs the steps between SIGTERM and the exit of the process.
 
     Attributes:
         stop_requested: Whether SIGTERM was received.
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, components: ProcessComponents, state_sync: SharedStateSync) -> None:
-        """Begin with a process that is to go on."""
+        """Start with no shutdown requested."""
         self._components = components
         self._state_sync = state_sync
         self.stop_requested = False
@@ -32,8 +32,8 @@
     def start(self) -> None:
         """Begin the shutdown (SIGTERM).
 
-        Clients are accepted for a moment longer, connections are served for as long as there is time to
-        answer them, and all requests that were accepted are answered.
+        New connections are accepted for `ACCEPT_AFTER_SIGTERM_US`, connections are served while there is time
+        to answer their requests, and all accepted requests are answered.
         """
         if self.stop_requested:
             return
@@ -41,12 +41,12 @@
         self.stop_requested = True
         components.log.info("stopping", open=len(components.lifecycle.open_requests))
         components.shared_state.announce_leaving()
-        if components.listeners:  # its share of the volumes' limits is smaller from here on
+        if components.listeners:  # from now on its share of the volumes' limits is smaller
             self._state_sync.sync()
         for listener in components.listeners:
             listener.disable_deferred_accept()
         for clients in components.client_groups:
-            # A client whose connection is closed here comes back to the other process.
+            # A client whose connection is closed here reconnects to the other process.
             clients.close_after_response = components.process_count > 1
             clients.stopping = True
         max_timeout_us = max(request_class.timeout_us for request_class in components.config.settings.classes)
@@ -64,21 +64,21 @@
                 listener.close()
 
     def drain_connections(self) -> None:
-        """Close idle connections, and others after their answers."""
+        """Close idle connections now, and the other connections after their responses."""
         self.stop_accepting()
         self.is_draining = True
         for clients in self._components.client_groups:
             clients.drain()
 
     def answer_open_requests(self) -> None:
-        """Answer all requests that are still open: their clients would wait in vain."""
+        """Answer all requests that are still open, because their clients would otherwise get no answer."""
         for clients in self._components.client_groups:
             clients.reject_new_requests()
         self._components.lifecycle.finish()
         self._components.wheel.call_after(LAST_WRITES_US, self._components.done.set)
 
     def end_if_idle(self) -> None:
-        """End the process once it accepts no clients any more and has neither clients nor open requests."""
+        """End the process if it no longer accepts clients and has no clients and no open requests."""
         components = self._components
         is_accepting = any(listener.is_open or listener.accepting_count for listener in components.listeners)
         if is_accepting and not self.is_draining:
