--- a/umberlead/daemon/assembly.py
+++ b/umberlead/daemon/assembly.py
@@ -147,7 +147,7 @@
         return integrate_zones(conf.zones, self.lifecycle, conf.seed, self.clock, self.log.warning)
 
     def _new_start_times(self) -> StartTimes:
-        """Return the endpoints' start times, converted with the clock offsets that this front's processes stored."""
+        """Return the start times of endpoints, converted with the clock offsets stored by this front."""
         anchor_us = self.clock() - time.monotonic_ns() // 1000
         clock_anchors = self.shared_state.clock_anchors
         anchors_us = clock_anchors.read()
--- a/umberlead/daemon/process.py
+++ b/umberlead/daemon/process.py
@@ -28,8 +28,8 @@
 SWEEP_INTERVAL_US = 100_000
 LISTEN_RETRY_SECONDS = 0.05
 LISTEN_RETRIES_COUNT = 100
-# Threshold of Python's youngest garbage collection generation: one object for each of this many bytes of free
-# memory, within the two bounds.
+# Threshold for collecting Python's youngest garbage collection generation: one allocated object for each of
+# this many bytes of free memory, within the two bounds below.
 BYTES_PER_COLLECTION_THRESHOLD_UNITS = 4096
 MIN_COLLECTION_THRESHOLD = 700
 MAX_COLLECTION_THRESHOLD = 10_000
@@ -283,8 +283,8 @@
             await front.run()
         finally:
             front.release_resources()
-            # The event loop restores the default signal handlers when it closes. The signals are blocked before
-            # that, so that a late signal does not end the process as if it had crashed.
+            # Closing the event loop restores the default signal handlers. Signals are blocked before that, so
+            # that a late signal does not end the process as if it had crashed.
             signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1))
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
