--- a/umberlead/common/__init__.py
+++ b/umberlead/common/__init__.py
@@ -1,1 +1,1 @@
-"""Parts that know nothing of requests: counters, a slot table, a timer wheel, the base of errors."""
+"""Utilities that do not depend on requests: counters, a slot table, a timer wheel, the base error class."""
--- a/umberlead/common/counters.py
+++ b/umberlead/common/counters.py
@@ -1,10 +1,10 @@
-"""Counters of a process: what it received, sent and answered, by exported name."""
+"""The counters of a process by exported name, for example of received, sent and answered requests."""
 
 from collections import Counter
 
 
 class Counters(Counter[str]):
-    """Counts by name; a name that was never counted is 0."""
+    """Counts by name; a name that was never added has the count 0."""
 
     def add(self, name: str, by: int = 1) -> None:
         """Add `by` to the counter `name`."""
--- a/umberlead/common/errors.py
+++ b/umberlead/common/errors.py
@@ -1,5 +1,5 @@
-"""The base of every error that the program raises on purpose."""
+"""The base class of the errors that the program defines."""
 
 
 class UmberleadError(Exception):
-    """Base of umberlead's own errors: the text says what went wrong, where, and what to do about it."""
+    """Base class of umberlead's errors; the message says what failed, where, and how to correct it."""
--- a/umberlead/common/loop_alarm.py
+++ b/umberlead/common/loop_alarm.py
@@ -1,4 +1,4 @@
-"""Alarms of an event loop whose timers count whole milliseconds, as uvloop's do."""
+"""Alarms on an event loop whose timers have millisecond resolution, such as uvloop."""
 
 import asyncio
 import time
@@ -13,9 +13,9 @@
 ) -> asyncio.TimerHandle:
     """Call `callback` in the first millisecond that begins after a delay, never before it.
 
-    The loop counts from the beginning of the present millisecond. It rounds a delay below half a millisecond
-    to none: an alarm that comes early, and is set again for what is left, would keep the loop turning without
-    sleep until its time.
+    The loop counts a delay from the beginning of the current millisecond, and rounds a delay below half a
+    millisecond to 0. An alarm that fires early and is set again for the rest would therefore keep the loop
+    busy, without sleep, until the alarm is due.
     """
     now_ns = time.monotonic_ns()
     due_ms = -(-(now_ns + delay_us * NS_PER_US) // NS_PER_MS)
--- a/umberlead/common/slot_table.py
+++ b/umberlead/common/slot_table.py
@@ -1,4 +1,4 @@
-"""A table of numbered slots: a number that was freed is the next to be reused."""
+"""A table of numbered slots that reuses the number freed last."""
 
 from collections.abc import Iterator
 from typing import Generic, TypeVar
@@ -9,11 +9,11 @@
 
 
 class SlotNotInUseError(UmberleadError, KeyError):
-    """A slot was freed that holds nothing."""
+    """The slot to be freed is empty."""
 
 
 class SlotTable(Generic[T]):
-    """Rows under small numbers, which stay the same for as long as a row is in the table."""
+    """Rows with small numbers; a row keeps its number for as long as it is in the table."""
 
     def __init__(self) -> None:
         """Start with an empty table."""
@@ -21,7 +21,7 @@
         self._free: list[int] = []
 
     def add(self, row: T) -> int:
-        """Store a row; return its number."""
+        """Store a row and return its number."""
         if self._free:
             number = self._free.pop()
             self._rows[number] = row
@@ -30,24 +30,24 @@
         return len(self._rows) - 1
 
     def get(self, number: int) -> T | None:
-        """Return the row under a number, or None where there is none."""
+        """Return the row with this number, or None if there is none."""
         return self._rows[number] if 0 <= number < len(self._rows) else None
 
     def free(self, number: int) -> None:
-        """Remove a row; its number is reused.
+        """Remove a row; its number can be reused.
 
         Raises:
-            SlotNotInUseError: there is no row under this number.
+            SlotNotInUseError: There is no row with this number.
         """
         if self._rows[number] is None:
-            raise SlotNotInUseError(f"slot {number} is free already")
+            raise SlotNotInUseError(f"slot {number} is already free")
         self._rows[number] = None
         self._free.append(number)
 
     def __len__(self) -> int:
-        """Return how many rows there are."""
+        """Return the number of rows."""
         return len(self._rows) - len(self._free)
 
     def __iter__(self) -> Iterator[T]:
-        """Iterate over a copy of the rows, so that rows may be freed meanwhile."""
+        """Iterate over a copy of the rows, so that rows can be freed during the iteration."""
         return iter([row for row in self._rows if row is not None])
--- a/umberlead/common/timer_wheel.py
+++ b/umberlead/common/timer_wheel.py
@@ -1,6 +1,6 @@
-"""All deadlines of a process in one ordered structure: by coarse tick, then by the order they were set.
+"""All timers of a process, ordered by tick and, within a tick, by the order in which they were set.
 
-A timer wheel after Varghese and Lauck, with a heap of the ticks in use in place of a ring.
+This is a timer wheel after Varghese and Lauck, with a heap of the ticks in use instead of a ring.
 """
 
 import heapq
@@ -9,23 +9,23 @@
 
 
 class Timer:
-    """A call that is due at a deadline, and can be cancelled until then."""
+    """A call that is due at a deadline and can be cancelled before it."""
 
     __slots__ = ("callback", "args")
 
     def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Hold `callback` and its arguments; it is None once it was called or cancelled."""
+        """Hold `callback` and its arguments; `callback` is None once it has been called or cancelled."""
         self.callback: Callable[..., None] | None = callback
         self.args = args
 
     def cancel(self) -> None:
-        """Drop the call, and with it all references that it holds."""
+        """Cancel the call and drop the references to its callback and arguments."""
         self.callback = None
         self.args = ()
 
 
 class TimerWheel:
-    """Deadlines in microseconds, of which one alarm of the event loop stands for the earliest."""
+    """Timers in microseconds, driven by one alarm of the event loop that is set for the earliest timer."""
 
     def __init__(
         self,
@@ -36,10 +36,10 @@
         """Start without timers.
 
         Args:
-            clock: returns the time in whole microseconds.
+            clock: Returns the time in whole microseconds.
             alarm: `alarm(delay_us, callback)` calls `callback` after a delay and returns a handle with
                 `cancel()`.
-            tick_us: the resolution; deadlines within one tick are due together, at its end.
+            tick_us: The resolution; timers within one tick are due together, at the end of the tick.
         """
         self._clock = clock
         self._alarm = alarm
@@ -67,24 +67,24 @@
 
     def _arm(self) -> None:
         if self._ticks and (self._armed_tick is None or self._ticks[0] < self._armed_tick):
-            if self._handle is not None:  # an alarm that is left alone would arm another one, for ever
+            if self._handle is not None:  # an alarm left set would set another one each time it fires
                 self._handle.cancel()
             self._armed_tick = self._ticks[0]
             delay_us = max(self._armed_tick * self._tick_us - self._clock(), 0)
             self._handle = self._alarm(delay_us, self.fire_due)
 
     def fire_due(self) -> None:
-        """Call what is due, in order."""
+        """Call the callbacks of all due timers, in order."""
         current_tick = self._clock() // self._tick_us
         try:
             while self._ticks and self._ticks[0] <= current_tick:
                 tick = self._ticks[0]
-                # A timer that is set from here on goes to a later bucket.
+                # Timers set by the callbacks below go to a later bucket.
                 self._last_fired_tick = max(self._last_fired_tick, tick)
                 self._fire_bucket(self._buckets[tick])
                 heapq.heappop(self._ticks)
                 del self._buckets[tick]
-        finally:  # an exception of one callback must not stop the others
+        finally:  # an exception in one callback must not stop the other timers
             self._armed_tick = None
             self._handle = None
             self._arm()
