--- a/umberlead/configuration/__init__.py
+++ b/umberlead/configuration/__init__.py
@@ -1,9 +1,9 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads and checks the configuration and applies its defaults.
 
-There are three sources: the platform's environment and JSON file (`EDGE_*`), an operator's TOML file
-(`UMBERLEAD_CONFIG`), and the settings on the simulator's wire. `sources` reads the first two into a
-`Config`; `request_settings` reads the settings that all three share. Each table of the operator's file has a
-module of its own. What can't be used is a `ConfigError` that names the key.
+There are three sources: the platform's environment variables and JSON file (`EDGE_*`), an operator's TOML
+file (`UMBERLEAD_CONFIG`), and the settings that the simulator sends. `sources` reads the first two into a
+`Config`; `request_settings` reads the settings that all three share. The larger tables of the operator's
+file each have their own module. A missing or invalid value raises a `ConfigError` that names the key.
 """
 
 from umberlead.configuration.discovery_message import (
--- a/umberlead/configuration/discovery_message.py
+++ b/umberlead/configuration/discovery_message.py
@@ -1,4 +1,4 @@
-"""The JSON form in which discovery tells of endpoints; the `known` table of a configuration has it too."""
+"""Parses the JSON messages of discovery; the `known` table of a configuration has the same form."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -20,8 +20,8 @@
     """An endpoint in a message of discovery.
 
     Attributes:
-        endpoint: What the scheduler is told of it.
-        address: Where it listens; None only for an endpoint that is not ready.
+        endpoint: The endpoint as the scheduler receives it.
+        address: The address that it listens on; None only for an endpoint that is not ready.
     """
 
     endpoint: Endpoint
@@ -33,7 +33,7 @@
     """One message of discovery.
 
     Attributes:
-        index: Discovery's own number of this state, for the next poll or watch.
+        index: Discovery's number for this state of the list, to be sent with the next poll or watch.
         complete: Whether it lists all endpoints (a snapshot) or only those that changed.
         endpoints: The endpoints, in the message's order.
     """
@@ -47,11 +47,11 @@
     """Return one entry of a message.
 
     Args:
-        value: The entry, as JSON gave it.
+        value: The parsed JSON of the entry.
         key: The entry's name in errors.
 
     Raises:
-        ConfigError: The entry, or one of its values, can't be used.
+        ConfigError: The entry or one of its values is invalid.
     """
     if not isinstance(value, dict):
         raise ConfigError(key, "must be a table")
@@ -74,13 +74,13 @@
     """Return a message of discovery.
 
     Args:
-        value: The message, as JSON gave it.
+        value: The parsed JSON of the message.
         key: The message's name in errors.
-        on_bad_entry: Called for each entry that can't be used; the others still count. Without it, the first
-            such entry is an error.
+        on_bad_entry: Called for each invalid entry; the valid entries are still used. Without it, the first
+            invalid entry is an error.
 
     Raises:
-        ConfigError: The message can't be used, or an entry can't and there is no `on_bad_entry`.
+        ConfigError: The message is invalid, or an entry is invalid and there is no `on_bad_entry`.
     """
     if not isinstance(value, dict):
         raise ConfigError(key, "must be a table")
--- a/umberlead/configuration/errors.py
+++ b/umberlead/configuration/errors.py
@@ -1,10 +1,10 @@
-"""The error for configuration that can't be used."""
+"""The error for an invalid configuration."""
 
 from umberlead.common.errors import UmberleadError
 
 
 class ConfigError(UmberleadError, ValueError):
-    """A key of the configuration is missing, unknown, or has a value that can't be used.
+    """A key of the configuration is missing or unknown, or has an invalid value.
 
     Attributes:
         key: The full dotted name of the key, or the name of the environment variable.
@@ -15,7 +15,7 @@
 
         Args:
             key: The full dotted name of the key.
-            reason: What is wrong with its value, as the rest of a sentence that the key begins.
+            reason: What is wrong with its value, as the rest of a sentence that begins with the key.
         """
         super().__init__(f"{key}: {reason}")
         self.key = key
--- a/umberlead/configuration/keys.py
+++ b/umberlead/configuration/keys.py
@@ -1,4 +1,4 @@
-"""Typed, checked reading of keys, the same for JSON, TOML and the wire's path=value pairs."""
+"""Reads typed, checked values by key, for JSON, TOML and the simulator's path=value pairs alike."""
 
 import re
 from collections.abc import Mapping
@@ -17,34 +17,34 @@
 class Keys:
     """A mapping of (dotted) keys that checks each value as it is read.
 
-    A value of None or "-" stands for a missing one. All readers raise `ConfigError` with the key's full name
-    where the value can't be used, and where it is missing without a default.
+    A value of None or "-" counts as missing. All readers raise `ConfigError` with the key's full name if the
+    value is invalid, or if it is missing and there is no default.
 
     Attributes:
         values: The values by key, unchecked.
-        prefix: The name of the table that the keys belong to; "" at the top.
+        prefix: The full name of the table that the keys belong to; "" for the top level.
     """
 
     def __init__(self, values: Mapping[str, Any], prefix: str = "") -> None:
-        """Read from `values`, which stand below `prefix`."""
+        """Read from `values`, the table named `prefix`."""
         self.values = values
         self.prefix = prefix
 
     def raw(self, key: str) -> Any:
-        """Return the value as it is, None where it is missing."""
+        """Return the unchecked value, or None if it is missing."""
         value = self.values.get(key)
         return None if value in (None, "-") else value
 
     def full_name(self, key: str) -> str:
-        """Return the key with the name of its table."""
+        """Return the key prefixed with the name of its table."""
         return f"{self.prefix}.{key}" if self.prefix else key
 
     def error(self, key: str, reason: str) -> ConfigError:
-        """Make the error that says why the key's value can't be used."""
+        """Return an error for the key; `reason` says why its value is invalid."""
         return ConfigError(self.full_name(key), reason)
 
     def number(self, key: str, default: float | None = None, low: float = 0.0, high: float = 1e18) -> float:
-        """Return a number from `low` to `high`; text that reads as one is taken."""
+        """Return a number from `low` to `high`; text that represents a number is accepted."""
         value = self.raw(key)
         if value is None:
             if default is None:
@@ -59,17 +59,20 @@
         return number
 
     def zero_or_number(self, key: str, low: float) -> float:
-        """Return 0, which stands for none, as does a missing value, or a number from `low`."""
+        """Return a number of at least `low`, or 0, which means "none" and is also the default."""
         return self.number(key, 0.0) and self.number(key, 0.0, low)
 
     def integer(
         self, key: str, default: int | None = None, low: int = 0, high: int = MAX_INTEGER_SIZE
     ) -> int:
-        """Return a number from `low` to `high` without its fraction."""
+        """Return a number from `low` to `high` with its fraction dropped."""
         return int(self.number(key, default, low, high))
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a value as text; without a default, it must not be empty, and "-" is text as any other."""
+        """Return a value as text.
+
+        Without a default, the text must not be empty, and "-" is ordinary text rather than a missing value.
+        """
         value = self.raw(key)
         if value is None and default is None:
             value = self.values.get(key)
@@ -84,7 +87,7 @@
         return str(value)
 
     def flag(self, key: str, default: bool = False) -> bool:
-        """Return a boolean; "true", "1", "false" and "0" are taken too."""
+        """Return a boolean; "true", "1", "false" and "0" are accepted too."""
         value = self.raw(key)
         if value is None:
             return default
@@ -95,14 +98,14 @@
         raise self.error(key, f"must be true or false, not {value!r}")
 
     def choice(self, key: str, choices: Mapping[str, Any], default: str) -> Any:
-        """Return what a text stands for in `choices`."""
+        """Return the entry of `choices` that a text selects."""
         text = self.text(key, default)
         if text not in choices:
             raise self.error(key, f"must be one of {', '.join(choices)}, not {text!r}")
         return choices[text]
 
     def table(self, key: str) -> "Keys":
-        """Return the keys of a table; none of them where it is missing."""
+        """Return the keys of a table; a missing table has no keys."""
         value = self.raw(key)
         if value is None:
             return Keys({}, self.full_name(key))
@@ -111,7 +114,7 @@
         return Keys(value, self.full_name(key))
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """Return the texts of a list, or, as on the wire, of one text with commas between them."""
+        """Return the texts of a list, or of one comma-separated text, as the simulator sends it."""
         value = self.raw(key)
         items = value.split(",") if isinstance(value, str) else [] if value is None else value
         if not isinstance(items, list) or not all(isinstance(item, str) for item in items):
@@ -119,14 +122,14 @@
         return tuple(item for item in items if item)
 
     def table_indexes(self, key: str) -> range:
-        """Return the indexes of a flattened list of tables, which must hold at least one."""
+        """Return the indexes of a flattened list of tables, which must have at least one table."""
         count = self.integer(f"{key}.count", 0, 0, MAX_TABLES_COUNT)
         if not count:
             raise self.error(key, "must be a list of tables, one at least")
         return range(count)
 
     def items(self, key: str) -> list[Any]:
-        """Return a list; an empty one where it is missing."""
+        """Return a list, or an empty list if it is missing."""
         value = self.raw(key)
         if value is None:
             return []
@@ -147,17 +150,17 @@
         return host, int(port)
 
     def reject_unknown(self, known: tuple[str, ...]) -> None:
-        """Raise `ConfigError` for the first key that is not in `known`, naming those that are, as ordered."""
+        """Raise `ConfigError` for the first key not in `known`; the message lists `known` in its order."""
         for key in self.values:
             if key not in known:
                 raise self.error(str(key), f"is unknown; known are {', '.join(known)}")
 
 
 def flatten(value: Any, path: str = "") -> dict[str, Any]:
-    """Return nested settings by the wire's dotted paths.
+    """Return nested settings by dotted path, as the simulator sends them.
 
-    A list of tables becomes `path.count` and one path for each index. What has parts also stands under its
-    own path, so that one that is read as a single value is an error, not a missing one.
+    A list of tables becomes `path.count` and one path for each index. Tables and lists are also kept under
+    their own path, so that reading one of them as a single value is an error instead of a missing value.
     """
     found: dict[str, Any] = {path: value} if path else {}
     if isinstance(value, dict):
--- a/umberlead/configuration/membership_table.py
+++ b/umberlead/configuration/membership_table.py
@@ -1,4 +1,4 @@
-"""The table `[membership]` of an operator's file: watched endpoint lists."""
+"""Parses the table `[membership]` of an operator's file: watched endpoint lists."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -21,19 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchedListConfig:
-    """Watched endpoint lists.
+    """The configuration of watched endpoint lists.
 
     Attributes:
         main_path: The main file of the list.
-        snapshot_path: Where the last good list is saved; None where it isn't.
-        settle_us: How long a burst of changes is waited for.
-        poll_interval_us: The time between two comparisons of the files with what was read.
-        max_withdrawn_ratio: The share of ready endpoints that one list may withdraw unconfirmed.
+        snapshot_path: The file in which the last valid list is saved; None to save none.
+        settle_us: How long a load is delayed after a change of the files, to let a burst of changes end.
+        poll_interval_us: The interval at which the files are compared with the list last read.
+        max_withdrawn_ratio: The share of ready endpoints that one list may withdraw without confirmation.
         flap_half_life_us: The time in which the penalty of a flapping endpoint halves.
-        flap_suppress_threshold: The number of returns above which an endpoint is suppressed.
-        flap_reuse_threshold: The number of returns below which it is used again.
-        gate_suite_path: A suite of routing tests that must hold under a new list.
-        gate_timeout_seconds: The time that this suite may take.
+        flap_suppress_threshold: The penalty, in returns of the endpoint, above which it is suppressed.
+        flap_reuse_threshold: The penalty below which a suppressed endpoint is used again.
+        gate_suite_path: A suite of routing tests that must pass with a new list.
+        gate_timeout_seconds: The time limit of this suite.
     """
 
     main_path: Path
@@ -49,10 +49,10 @@
 
 
 def parse_membership(keys: Keys, folder: Path) -> WatchedListConfig:
-    """Return the table `[membership]`; its paths are relative to `folder`.
+    """Parse the table `[membership]`; its paths are relative to `folder`.
 
     Raises:
-        ConfigError: A key is unknown, a value can't be used, or a file that must exist doesn't.
+        ConfigError: A key is unknown, a value is invalid, or a required file or folder does not exist.
     """
     keys.reject_unknown(KNOWN_KEYS)
     snapshot = keys.text("snapshot", "")
--- a/umberlead/configuration/objects_table.py
+++ b/umberlead/configuration/objects_table.py
@@ -1,4 +1,4 @@
-"""The table `[objects]` of an operator's file: the object API."""
+"""Parses the table `[objects]` of an operator's file: the object API."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectOperation:
-    """How the object API sends one kind of work.
+    """The request class and timeout of one operation of the object API.
 
     Attributes:
         class_name: The request class.
-        timeout_us: The time within which the response is due.
+        timeout_us: The time limit for the response.
     """
 
     class_name: str
@@ -26,27 +26,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectApiConfig:
-    """The object API.
+    """The configuration of the object API.
 
     Attributes:
-        listen: Where it listens.
-        shard_count: How many shards there are.
-        plan_by_bucket: The plan that a bucket's requests count against.
-        read: How objects are read.
-        write: How objects are written.
-        upload: How parts of multipart uploads are written.
+        listen: The address that it listens on.
+        shard_count: The number of shards.
+        plan_by_bucket: The plan whose limits apply to a bucket's requests.
+        read: The operation for reading objects.
+        write: The operation for writing objects.
+        upload: The operation for writing parts of multipart uploads.
         bulk_threshold_bytes: The size from which a read counts as bulk.
-        bulk: How objects of that size are read.
-        block_bytes: The size of the blocks that an object is stored in.
-        buffer_bytes: How much of one response is read ahead of its client.
-        max_object_bytes: The largest object.
-        max_part_bytes: The largest part of a multipart upload.
-        max_parts: The number of parts that an upload may have.
-        max_uploads: The number of uploads that may be open.
-        upload_idle_us: The time after which an upload that nobody uses is dropped.
+        bulk: The operation for bulk reads.
+        block_bytes: The size of the blocks in which an object is stored.
+        buffer_bytes: The maximum size of the part of a response that is read ahead of its client.
+        max_object_bytes: The maximum size of an object.
+        max_part_bytes: The maximum size of a part of a multipart upload.
+        max_parts: The maximum number of parts of an upload.
+        max_uploads: The maximum number of open uploads.
+        upload_idle_us: The time after which an unused upload is dropped.
         unit_bytes: The size of one unit of work.
-        max_parallel_blocks: How many blocks of one object are in flight.
-        memory_bytes: The memory that all blocks together may take.
+        max_parallel_blocks: The maximum number of blocks of one object in flight.
+        memory_bytes: The maximum memory of all blocks together.
     """
 
     listen: Address
@@ -70,15 +70,15 @@
 
 
 def parse_objects(keys: Keys, setting_values: Mapping[str, Any], settings: Settings) -> ObjectApiConfig:
-    """Return the table `[objects]`.
+    """Parse the table `[objects]`.
 
     Args:
         keys: The table.
-        setting_values: The settings by dotted path.
+        setting_values: The unparsed settings by dotted path.
         settings: The same settings, parsed.
 
     Raises:
-        ConfigError: A value can't be used, or it names a class or plan that the settings don't have.
+        ConfigError: A value is invalid, or names a class or plan that the settings do not define.
     """
     _check_retries_are_marked(settings)
     classes = {request_class.name: request_class for request_class in settings.classes}
@@ -113,8 +113,8 @@
 def _check_retries_are_marked(settings: Settings) -> None:
     """Check that clients mark retries.
 
-    The object API sends many blocks for one response, each with less time left: where retries are not marked,
-    the scheduler would take the later blocks for a client's retries.
+    The object API sends many block requests for one response, each with less time left than the one before.
+    If retries were not marked, the scheduler would mistake the later block requests for client retries.
     """
     if not settings.clients_mark_retries:
         raise ConfigError("settings.callers.marksRetry", "must be true with the object front")
--- a/umberlead/configuration/process_config.py
+++ b/umberlead/configuration/process_config.py
@@ -1,4 +1,4 @@
-"""All of a front process's configuration, from whichever source."""
+"""The complete configuration of a front process, independent of its source."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -17,28 +17,28 @@
 
     Attributes:
         name: The front's name in logs and towards endpoints.
-        seed: The seed of its random numbers.
+        seed: The seed of the random number generators.
         settings: The scheduler's settings.
         load_fields: The names of the fields of an endpoint's load report.
-        known_endpoints: The endpoints that are known from the start.
-        listen: Where the platform's protocol is served; None where it isn't.
-        discovery: Where discovery is watched; None where it isn't.
-        admin_listen: Where the admin API is served; None where it isn't.
-        state_folder: What this process shares with the one that replaces it; None for nothing.
+        known_endpoints: The endpoints known from the start.
+        listen: The address for clients of the platform's protocol; None to serve none.
+        discovery: The address of discovery; None to use no discovery.
+        admin_listen: The address of the admin API; None to serve none.
+        state_folder: The folder of the state that the processes of a front share; None to share none.
         object_api: The object API; None for none.
         watched_lists: The watched endpoint lists; None for none.
-        zones: What is decided by zones; None where nothing is.
-        max_descriptors: How many file descriptors the process may have open.
-        memory_limit_bytes: How much memory the process may take.
-        cores: How many processor cores it may use.
-        keepalive_us: How long a connection to an endpoint stays open unused.
-        tick_us: The time between two rounds of scheduling.
-        retry_after_us: The longest Retry-After that is sent.
-        answer_margin_us: The time before a request's timeout at which its client is answered.
-        client_idle_timeout_us: The time after which a silent client's connection is closed; 0 for never.
-        plugin_paths: The plugins' scripts.
-        plugin_timeout_us: The time that one call of a plugin may take.
-        log_collector: Where the log is sent, as tcp:// or unix://; "" for standard error alone.
+        zones: The routing by zones; None to ignore zones.
+        max_descriptors: The maximum number of open file descriptors of the process.
+        memory_limit_bytes: The maximum memory of the process.
+        cores: The number of processor cores that the process may use.
+        keepalive_us: How long an idle connection to an endpoint stays open.
+        tick_us: The tick of the timer wheel, which is the interval between two rounds of scheduling.
+        retry_after_us: The maximum Retry-After sent to clients.
+        answer_margin_us: How long before its client's timeout a request is answered.
+        client_idle_timeout_us: The time after which an idle client connection is closed; 0 for never.
+        plugin_paths: The scripts of the plugins.
+        plugin_timeout_us: The time limit for one call of a plugin.
+        log_collector: The collector that receives the log, as tcp:// or unix://; "" for standard error only.
         log_level: The lowest level that is logged.
     """
 
--- a/umberlead/configuration/reload.py
+++ b/umberlead/configuration/reload.py
@@ -1,4 +1,4 @@
-"""Which fields of a configuration a running process takes over, and which wait for its next start."""
+"""Decides which changed fields of a configuration a reload applies and which need a restart."""
 
 from dataclasses import fields
 from typing import NamedTuple
@@ -14,7 +14,7 @@
     "client_idle_timeout_us",
     "log_level",
 )
-# These matter at the start alone, so that another value is no change.
+# These are used only at the start, so a different value does not count as a change.
 START_ONLY_FIELDS = ("seed", "known_endpoints")
 
 
@@ -22,8 +22,8 @@
     """The names of the fields that differ between two configurations.
 
     Attributes:
-        reloadable: Those that a reload applies.
-        restart_needed: Those that wait for the next start.
+        reloadable: The fields that a reload applies.
+        restart_needed: The fields that take effect at the next start.
     """
 
     reloadable: list[str]
@@ -31,7 +31,7 @@
 
 
 def changed_fields(old: Config, new: Config) -> ChangedFields:
-    """Return which fields differ, without those that matter at the start alone."""
+    """Return the fields that differ, except those that are used only at the start."""
     names = [field.name for field in fields(Config) if getattr(old, field.name) != getattr(new, field.name)]
     not_restart = RELOADABLE_FIELDS + START_ONLY_FIELDS
     return ChangedFields(
--- a/umberlead/configuration/request_settings.py
+++ b/umberlead/configuration/request_settings.py
@@ -1,4 +1,4 @@
-"""The scheduler's settings, as the platform, an operator's file and the simulator's wire all give them."""
+"""Parses the scheduler's settings, which the platform, operators' files and the simulator all provide."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -15,19 +15,18 @@
 DEDUPLICATION_SCOPES = {name: name for name in ("all", "zone", "cell")}
 POLLS_ENDPOINT_LIST_BY_MODE = {"push": False, "ask": True}
 TABLES = ("bounds", "callers", "extra", "guarantees", "loadReport")
-# No response comes in less than this time, and shares of a shorter one round to nothing.
+# No response arrives in less than this time, and fractions of a shorter time round to 0.
 MIN_SPAN_US = 1000
-# The smallest value of what others are divided by, so that each quotient of two settings is bounded.
+# The smallest value of a setting used as a divisor, so that the quotient of two settings is bounded.
 MIN_DIVISOR_RATIO = 1e-9
 MAX_SHARD_COUNT = 1 << 20
 
 
 def parse_settings(values: Mapping[str, Any]) -> Settings:
-    """Return the settings given by the wire's dotted paths; unknown paths are ignored.
+    """Return the settings given by dotted paths; unknown paths are ignored.
 
     Raises:
-        ConfigError: A value is missing, of the wrong kind or out of its range, or the values contradict each
-            other.
+        ConfigError: A value is missing, of the wrong type or out of range, or values contradict each other.
     """
     keys = Keys(values, "settings")
     for name in TABLES:
@@ -60,10 +59,10 @@
 
 
 def _deduplication_window_us(keys: Keys, path: str) -> int:
-    """Return how long endpoints drop repeats of a class.
+    """Return how long endpoints deduplicate the requests of a class; 0 if the front must not rely on it.
 
-    Scheduling doesn't choose by zone: where only the endpoints of one zone drop repeats, and there are other
-    zones, nothing that may have run is sent again.
+    The scheduler does not choose endpoints by zone. If deduplication works only within one zone and there is
+    not exactly one zone, a request that may have run is therefore never sent again.
     """
     window_us = keys.integer(f"{path}.memorySpan", 0)
     within_one_zone = keys.raw(f"{path}.group") == "zone"
@@ -109,7 +108,7 @@
         polls_endpoint_list=keys.choice("discovery", POLLS_ENDPOINT_LIST_BY_MODE, "push"),
         answer_grace_us=keys.integer("guarantees.graceToAnswer", 0),
         shard_count=keys.integer("extra.nShards", 0, 0, MAX_SHARD_COUNT),
-        # Without an end to warming up, no endpoint counts as cold.
+        # Without a warm-up time, no endpoint counts as cold.
         slow_start_units=slow_start_units if warm_up_us else 0.0,
         initial_capacity_ratio=keys.number("guarantees.coldShare", 1, 0, 1),
         slow_start_overload_factor=keys.number("guarantees.fallMultiple", 1),
--- a/umberlead/configuration/rooms_table.py
+++ b/umberlead/configuration/rooms_table.py
@@ -1,4 +1,4 @@
-"""The table `[rooms]` of an operator's file: zones as failure domains, and the gossip between fronts."""
+"""Parses the table `[rooms]` of an operator's file: zones as failure domains, and gossip between fronts."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -9,7 +9,7 @@
 MICROSECONDS_PER_SECOND_FACTOR = 1_000_000
 MIN_TIME_SECONDS = 0.05
 MAX_TIME_SECONDS = 3600
-# The field that each key of a time in seconds gives, in the order in which they are read.
+# The field set by each key whose value is a time in seconds, in the order in which the keys are read.
 TIME_FIELDS = {
     "back_s": "recovery_us",
     "come_back_s": "retry_after_us",
@@ -25,13 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipConfig:
-    """The gossip with other fronts about zones; there is none on the platform.
+    """The gossip about zones with other fronts; the platform's configuration has none.
 
     Attributes:
-        listen: Where datagrams are received.
-        seed_addresses: The fronts that are contacted first.
-        keys_path: The file of the shared keys.
-        max_bytes_per_second: The most that is sent.
+        listen: The address on which datagrams are received.
+        seed_addresses: The addresses of the fronts contacted first.
+        keys_path: The file with the shared keys.
+        max_bytes_per_second: The maximum send rate.
     """
 
     listen: Address
@@ -42,22 +42,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneConfig:
-    """What is decided by zones; docs/rooms.md has an entry for each key.
+    """The configuration of routing by zones; docs/rooms.md describes each key.
 
     Attributes:
-        own_zone: This front's zone; "" where it has none.
+        own_zone: This front's zone; "" for none.
         nearby_zones: The other zones, the nearest first.
-        spillover_mode: "learnt", "all" or "never": how requests may go to other zones.
-        spillover_rate_factor: How far the learnt rate of spillover may grow, as a factor.
-        distance_factor: How much costlier the next zone is, as a factor.
+        spillover_mode: "learnt", "all" or "never": which requests may spill over to other zones.
+        spillover_rate_factor: The factor by which the learnt spillover rate may grow.
+        distance_factor: The factor by which each more distant zone costs more.
         silence_timeout_us: The time without any response after which an endpoint counts as silent.
-        evidence_window_us: The time that evidence is looked back over.
-        min_down_us: The shortest time that a zone is down.
-        max_down_us: The longest time that a zone is down without a trial.
-        trial_interval_us: The time between two trial requests to a zone that is down.
-        recovery_us: The time in which a zone that is back gets its full load.
-        retry_after_us: What clients are told to wait where no zone has capacity.
-        retry_budget_ratio: The retries allowed, as a share of first attempts in 10 s; 0 for no bound.
+        evidence_window_us: The period over which evidence of a zone failure is collected.
+        min_down_us: The minimum time for which a zone is down.
+        max_down_us: The maximum time for which a zone is down without a trial request.
+        trial_interval_us: The interval between trial requests to a zone that is down.
+        recovery_us: The time in which a recovered zone returns to its full load.
+        retry_after_us: The Retry-After for clients when no zone has capacity.
+        retry_budget_ratio: The allowed retries as a share of the first attempts in 10 s; 0 for no limit.
         gossip: The gossip with other fronts; None for none.
     """
 
@@ -78,10 +78,10 @@
 
 
 def parse_zones(keys: Keys, folder: Path | None = None) -> ZoneConfig:
-    """Return the table `[rooms]`; its paths are relative to `folder`, or to the working directory.
+    """Parse the table `[rooms]`; its paths are relative to `folder`, or to the working directory.
 
     Raises:
-        ConfigError: A key is unknown, a value can't be used, or the file of keys doesn't exist.
+        ConfigError: A key is unknown, a value is invalid, or the file with the keys does not exist.
     """
     keys.reject_unknown(KNOWN_KEYS)
     own_zone = keys.text("own", "")
@@ -103,7 +103,7 @@
 
 
 def _times_us(keys: Keys) -> dict[str, int]:
-    """Return the fields that are times."""
+    """Return the values of the fields in `TIME_FIELDS`."""
     defaults = ZoneConfig()
     times_us = {}
     for key, field in TIME_FIELDS.items():
--- a/umberlead/configuration/sources.py
+++ b/umberlead/configuration/sources.py
@@ -43,20 +43,21 @@
 COLLECTOR_SCHEMES = ("tcp://", "unix://")
 DEFAULT_MAX_RETRY_AFTER_US = 500_000
 DEFAULT_KEEPALIVE_US = 15_000_000
-# A response is due within 15 ms of its request's end here, which a coarser tick would miss.
+# A response must reach its client within 15 ms after the request's deadline here. A coarser tick would miss
+# that.
 MIN_TICK_US = 100
 MAX_TICK_US = 2000
 
 
 def load(environment: Mapping[str, str] | None = None) -> Config:
-    """Return the configuration that the environment names.
+    """Load the configuration file that the environment names.
 
     Args:
-        environment: The environment's variables; the process's own without it. `UMBERLEAD_CONFIG` goes before
-            `EDGE_CONFIG`.
+        environment: The environment variables; by default those of the process. `UMBERLEAD_CONFIG` has
+            precedence over `EDGE_CONFIG`.
 
     Raises:
-        ConfigError: The configuration can't be read or used, or it gives the process nothing to serve.
+        ConfigError: The configuration cannot be read, is invalid, or defines no listener or no endpoints.
     """
     environment = os.environ if environment is None else environment
     source = "UMBERLEAD_CONFIG" if environment.get("UMBERLEAD_CONFIG") else "EDGE_CONFIG"
@@ -87,20 +88,20 @@
 
 
 def load_platform(environment: Mapping[str, str]) -> Config:
-    """Return the configuration that the platform gives by its environment and the file it names.
+    """Load the configuration from the platform's environment variables and the JSON file they name.
 
     Raises:
-        ConfigError: The file can't be read, or a value can't be used.
+        ConfigError: The file cannot be read, or a value is invalid.
     """
     try:
-        # Bytes are read as UTF-8, whatever the locale is.
+        # json decodes bytes as UTF-8, regardless of the locale.
         values = json.loads(Path(environment["EDGE_CONFIG"]).read_bytes())
     except (OSError, ValueError) as error:
         raise ConfigError("EDGE_CONFIG", str(error)) from None
     if not isinstance(values, dict):
         raise ConfigError("EDGE_CONFIG", "must hold an object")
     for variable, key in PLATFORM_VARIABLES.items():
-        # The file goes before the environment: it may be replaced while the process runs.
+        # The file has precedence over the environment, because it can be replaced while the process runs.
         if variable in environment and values.get(key) is None:
             values[key] = environment[variable]
     keys = Keys(values)
@@ -121,12 +122,13 @@
 
 
 def load_operator_file(path: str) -> Config:
-    """Return the configuration of an operator's TOML file.
+    """Load the configuration from an operator's TOML file.
 
-    It has the same keys as the platform's JSON, and tables of its own. Its paths are relative to its folder.
+    The file has the keys of the platform's JSON file and additional tables. Paths in it are relative to its
+    folder.
 
     Raises:
-        ConfigError: The file can't be read, a table is unknown, or a value can't be used.
+        ConfigError: The file cannot be read, a table is unknown, or a value is invalid.
     """
     file = Path(path)
     values = _read_toml(file)
@@ -153,7 +155,7 @@
             parse_membership(keys.table("membership"), file.parent) if "membership" in values else None
         ),
         zones=parse_zones(keys.table("rooms"), file.parent) if "rooms" in values else None,
-        # Never taken from the environment: processes of other files may have the same $TMPDIR.
+        # Never taken from the environment: processes with other files may share the same $TMPDIR.
         state_folder=file.parent / keys.text("state", "") if "state" in values else None,
         plugin_paths=plugin_paths,
         plugin_timeout_us=int(plugins.number("limit_ms", 5, 0.1, 1000) * 1000),
@@ -163,7 +165,7 @@
 
 
 def _read_toml(file: Path) -> dict[str, Any]:
-    import tomllib  # Only here: each import delays the start of a process on the platform.
+    import tomllib  # imported here because each import delays the start of a process on the platform
 
     try:
         return tomllib.loads(file.read_text())
@@ -172,9 +174,9 @@
 
 
 def _common_config(keys: Keys, setting_values: dict[str, Any]) -> Config:
-    """Return what both sources give in the same way, under the default name."""
+    """Return the part of the configuration that both sources define alike, with the default name."""
     setting_keys = Keys(setting_values, "settings")
-    # 0 stands for the default as a missing value does.
+    # Like a missing value, 0 selects the default.
     retry_after_us = setting_keys.integer("bounds.maxRetryAfter", DEFAULT_MAX_RETRY_AFTER_US)
     known = keys.values.get("known")
     return Config(
@@ -187,7 +189,7 @@
         cores=keys.table("limits").number("cores", 1.0, 0.01, 1024),
         memory_limit_bytes=keys.table("limits").integer("memory_mb", 192, 16, 1 << 20) << 20,
         keepalive_us=setting_keys.integer("bounds.keepalive", DEFAULT_KEEPALIVE_US, 1),
-        # The setting is the simulator's interval between batches, which may be as coarse as it likes.
+        # The setting is the simulator's interval between batches, which can be arbitrarily coarse.
         tick_us=min(max(setting_keys.integer("tick", MAX_TICK_US, 1), MIN_TICK_US), MAX_TICK_US),
         retry_after_us=retry_after_us or DEFAULT_MAX_RETRY_AFTER_US,
     )
