--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,5 +1,8 @@
-"""What any customer may be told of a platform, drawn whole: it is taken, and all classes and plans are served
-under it by the rules. With one key broken, it is an error that names the key; a reload changes nothing."""
+"""The platform's configuration: random valid ones are served, and invalid ones are rejected.
+
+Under a random valid configuration, requests of all classes and plans are served without breaking a rule.
+With one invalid key, the error names that key, and a reload changes nothing.
+"""
 
 import asyncio
 import copy
@@ -35,12 +38,12 @@
 from umberlead.scheduling.settings import Repeatability
 
 ROOT = Path(__file__).parent.parent
-SEGMENT = "-._~!$&'()*+,;=:@"  # beside letters and digits, what a path's segment holds as it is (RFC 3986)
+SEGMENT = "-._~!$&'()*+,;=:@"  # allowed unescaped in a path segment, besides letters and digits (RFC 3986)
 NAMES = st.text("abXY019 %/?é|" + SEGMENT, min_size=1, max_size=9)
 MARGIN = 15_000
 SECOND = 1_000_000
 
-# Figures by path: least and most that is drawn. `*` stands for each of a list.
+# The smallest and the largest number drawn, by path. `*` stands for each item of a list.
 FIGURES: dict[str, tuple[float, float]] = {
     "settings.instances": (1, 200),
     "settings.tick": (1, 250_000),
@@ -82,7 +85,7 @@
     "known.endpoints.*.since_ms": (0, 2 * 10**12),
     "known.endpoints.*.group": (-1, 9),
 }
-ABOVE = {  # 0 is none
+ABOVE = {  # numbers that must not be 0
     "settings.instances",
     "settings.tick",
     "settings.bounds.maxAttempts",
@@ -111,7 +114,7 @@
     "settings.grades.*.sequential",
     "known.snapshot",
 )
-UNREAD = {  # told, and of no use here yet
+UNREAD = {  # keys that the platform sends and the program ignores
     "settings.bounds.probes": True,
     "settings.bounds.peers": True,
     "settings.bounds.secondCopies": True,
@@ -158,7 +161,7 @@
 
 @st.composite
 def platforms(draw: st.DrawFn) -> dict[str, Any]:
-    """A whole configuration; what may be missing is, now and then."""
+    """A random valid configuration, with some of the optional keys missing."""
     counts = {"grades": draw(st.integers(1, 6)), "plans": draw(st.integers(1, 8)), "endpoints": 2}
     conf: dict[str, Any] = {
         "name": "n3",
@@ -205,7 +208,7 @@
 
 
 def on_the_wire(told: dict[str, Any]) -> dict[str, str]:
-    """The same settings as the simulator writes them."""
+    """The same settings in the form in which the simulator sends them."""
 
     def word(value: Any) -> str:
         if isinstance(value, list):
@@ -219,8 +222,11 @@
 
 
 class Day:
-    """One front's engine in virtual time. What each attempt ends with, and when, is drawn. What is given to
-    chunk servers is judged as it comes, and so is each answer."""
+    """The request lifecycle of one front in virtual time.
+
+    The result of each attempt and the time at which it ends are random. Each attempt and each answer is
+    checked when it occurs.
+    """
 
     def __init__(self, made: configuration.Config, seed: int, zones: tuple[str, ...] = ("a", "b")) -> None:
         self.zones, self.s, self.loop, self.chance = zones, made.settings, Loop(), random.Random(seed)
@@ -239,7 +245,7 @@
         self.nodes: dict[str, Endpoint] = {}
         self.tries: dict[bytes, list[tuple[int, Endpoint, list[AttemptResult]]]] = defaultdict(
             list
-        )  # by request
+        )  # by call id
         self.answers, self.gone = dict[bytes, AnswerKind](), set[bytes]()
         self.effects: dict[bytes, Repeatability] = {}
         self.resent: list[int] = []
@@ -251,56 +257,60 @@
         self.loop.at(self.loop.now + delay, made)
         return made
 
-    # The list
+    # Endpoint list
 
     def told(self, *nodes: Endpoint, whole: bool = False) -> None:
         self.nodes |= {n.name: n for n in nodes}
         self.engine.apply_endpoint_list(EndpointList(whole, nodes))
 
-    # The carrier
+    # Transport
 
     def start(self, attempt: Attempt) -> None:
         ticket, now, s = attempt.request, self.loop.now, self.s
         cls, node = self.engine.classes[ticket.incoming.class_name], self.nodes[attempt.endpoint]
         tries = self.tries[ticket.incoming.call_id]
-        assert not ticket.answered and now < ticket.incoming.deadline_us, "after its answer or its time"
-        assert len(tries) < s.max_attempts and all(end for *_, end in tries), "too many, or two at once"
+        assert (
+            not ticket.answered and now < ticket.incoming.deadline_us
+        ), "attempt after the answer or the deadline"
+        assert len(tries) < s.max_attempts and all(
+            end for *_, end in tries
+        ), "too many attempts, or two at once"
         assert node.status is EndpointStatus.UP and ticket.incoming.shard in (
             -1,
             node.shard,
-        ), "no node for it"
+        ), "endpoint is not up or has another shard"
         ran = [(at, n) for at, n, end in tries if end[0] not in RESULTS_WITHOUT_EFFECT]
         if ran:
             at, first = ran[0]
-            assert cls.repeatability is not Repeatability.AT_MOST_ONCE, "may have run"
+            assert cls.repeatability is not Repeatability.AT_MOST_ONCE, "retried although it may have run"
             if cls.repeatability is Repeatability.IDEMPOTENT_BY_KEY:
-                assert now - at < cls.deduplication_window_us, "may have run, and is forgotten"
+                assert now - at < cls.deduplication_window_us, "retried after the deduplication window"
                 assert (
                     cls.deduplication_scope != "zone" or node.zone == first.zone
-                ), "where repeats are not dropped"
+                ), "retried in another zone, which does not deduplicate"
                 assert (
                     cls.deduplication_scope != "cell" or node.shard == first.shard
-                ), "where repeats are not dropped"
+                ), "retried in another cell, which does not deduplicate"
         if tries:
             self.resent.append(now)
             since = now - s.retry_budget_window_us
             most = s.retry_budget_min_retries + s.retry_budget_ratio * sum(at > since for at in self.asked)
             assert (
                 not s.retry_budget_window_us or sum(at > since for at in self.resent) <= most
-            ), "over the budget"
+            ), "over the retry budget"
         elif (plan := next(p for p in s.plans if p.name == ticket.incoming.plan)).limit_units_per_second:
             have, at = self.spent.get(ticket.incoming.volume, (plan.limit_burst_units, self.start_at))
             have = (
                 min(have + plan.limit_units_per_second * (now - at) / SECOND, plan.limit_burst_units)
                 - ticket.incoming.units
             )
-            assert have >= -plan.limit_slack_units - 1e-6, "over the limit"
+            assert have >= -plan.limit_slack_units - 1e-6, "over the rate limit"
             self.spent[ticket.incoming.volume] = have, now
         row: tuple[int, Endpoint, list[AttemptResult]] = (now, node, [])
         tries.append(row)
         attempt.transport_state = (now + self.chance.choice((0, 0, 5000, 300_000)), row)
         result = self.chance.choices(list(AttemptResult), weights=[50, 10, 8, 8, 8, 8, 0, 8])[0]
-        if result is not AttemptResult.TIMEOUT:  # silence: the engine stops it
+        if result is not AttemptResult.TIMEOUT:  # no response arrives: the lifecycle stops the attempt
             wait = int(self.chance.expovariate(1 / 60_000)) + 1
             self.loop.at(now + wait, lambda: self._end(attempt, result))
 
@@ -310,7 +320,7 @@
             ask = attempt.request.incoming
             if (
                 result is AttemptResult.NOT_SENT and not attempt.number and ask.volume in self.spent
-            ):  # it never came there
+            ):  # the request never reached the endpoint
                 have, at = self.spent[ask.volume]
                 self.spent[ask.volume] = have + ask.units, at
             self.engine.attempt_ended(attempt, result)
@@ -337,7 +347,7 @@
     def ask_for(
         self, class_name: str, plan: str, shard: int, leaves: bool, budget: float, units: str
     ) -> None:
-        """Ask with that budget in seconds, and the size as it is written."""
+        """Send a request with a budget in seconds and a size as written in the header."""
         name = b"r%d" % len(self.asked)
         cls = self.engine.classes[class_name]
         io = f"volume={[p.name for p in self.s.plans].index(plan):x},units={units}"
@@ -356,16 +366,18 @@
         self.effects[name] = cls.repeatability
 
         def done(answer: Answer) -> None:
-            assert name not in self.answers and name not in self.gone, "answered twice, or a client that left"
+            assert (
+                name not in self.answers and name not in self.gone
+            ), "answered twice, or after the client disconnected"
             self.answers[name] = answer.kind
-            # Its client waits for the margin longer than the front was told.
-            assert self.loop.now <= ask.deadline_us + MARGIN, "late"
+            # The client waits longer than the front's deadline by the answer margin.
+            assert self.loop.now <= ask.deadline_us + MARGIN, "answered late"
             ran = any(end and end[0] not in RESULTS_WITHOUT_EFFECT for *_, end in self.tries[name])
             assert (
                 answer.kind is not AnswerKind.REJECTED
                 or not ran
                 or cls.repeatability is Repeatability.IDEMPOTENT
-            ), "it may have run"
+            ), "rejected although it may have run"
 
         ticket = self.engine.accept(ask, done)
         if leaves and not ticket.answered:
@@ -377,7 +389,7 @@
             self.engine.client_left(ticket)
 
     def play(self) -> None:
-        """Six seconds of requests of all classes and plans, while servers come, drain and go."""
+        """Send requests of all classes and plans for 6 s while endpoints are added, drained and removed."""
         loop, chance, shards = self.loop, self.chance, min(self.s.shard_count or 3, 3)
         rooms = self.zones
         starts = (
@@ -386,7 +398,7 @@
             0,
             loop.now - 100_000,
             loop.now + 50_000,
-        )  # long ago, a moment ago, and by another clock
+        )  # long ago, shortly before, and in the future because clocks differ
         listed = [
             Endpoint(f"n{k}", EndpointStatus.UP, k % shards, chance.choice(starts), zone=chance.choice(rooms))
             for k in range(4)
@@ -415,14 +427,16 @@
 
 
 def _covers_all_ends(seen: Counts[Any]) -> bool:
-    """Whether enough requests ended in each way, and enough of each effect were sent once and again."""
+    """Return whether enough requests had each kind of answer, and enough of each effect were retried."""
     ends = all(seen[kind] > 500 for kind in AnswerKind)
     return ends and all(seen[effect, 1] > 200 and seen[effect, 2] > 50 for effect in Repeatability)
 
 
 def test_any_valid_configuration_is_accepted_and_served() -> None:
-    """Drawn in rounds of fixed seeds until all ends are covered: what one round covers varies with the
-    constants that hypothesis finds in the loaded modules."""
+    """Rounds with fixed seeds run until all outcomes are covered.
+
+    The coverage of one round varies with the constants that hypothesis finds in the loaded modules.
+    """
     seen: Counts[Any] = Counts()
     for round_number in range(MOST_ROUNDS):
 
@@ -430,8 +444,8 @@
         @settings(
             max_examples=EXAMPLES_PER_ROUND,
             database=None,
-            deadline=None,  # wall time of a busy machine
-            phases=(Phase.generate,),  # to make a case smaller takes minutes
+            deadline=None,  # the wall time depends on the load of the machine
+            phases=(Phase.generate,),  # shrinking a failing example takes minutes
             suppress_health_check=list(HealthCheck),
         )
         @given(platforms(), st.integers(0, 1 << 32))
@@ -458,12 +472,12 @@
     assert configuration.parse_settings(on_the_wire(told)) == made.settings
     day = Day(made, seed, tuple(told.get("azs", ("a", "b"))))
     day.play()
-    for line in format_counters(day.engine).decode().splitlines():  # whatever the classes are called
+    for line in format_counters(day.engine).decode().splitlines():  # for any class name
         assert len(line.split(":")) == 2 and len(line.split("|")) == 2 and line.isascii()
     return day
 
 
-# What is broken
+# Invalid configurations
 
 NO_FIGURE: tuple[Any, ...] = (
     "soon",
@@ -504,7 +518,7 @@
 
 
 def whole() -> dict[str, Any]:
-    """A sound configuration with every key."""
+    """A valid configuration with every key."""
     counts = {"grades": 2, "plans": 2, "endpoints": 2}
     rows = [{"name": "a", "address": "127.0.0.1:1"}, {"name": "b", "address": "127.0.0.1:2"}]
     conf: dict[str, Any] = {
@@ -530,18 +544,18 @@
 
 
 def broken() -> Iterator[tuple[str, Any]]:
-    """Keys and what can't stand there; None: missing."""
+    """Yield keys with an invalid value each; None stands for a missing key."""
     for path in FIGURES:
         yield from ((path, value) for value in NO_FIGURE)
         if path in ABOVE:
             yield path, 0
     yield from ((path, None) for path in MUST)
-    yield "settings.plans.*.neverOver", 1e-320  # halved, it would be none
+    yield "settings.plans.*.neverOver", 1e-320  # half of it would be 0
     yield from product(FLAGS, NO_FLAG)
     yield from product((p for p in WORDS if p != "settings.loadReport.how"), NO_WORD)
     names = "settings.grades.*.name", "settings.plans.*.name", "known.endpoints.*.name"
     yield from product(names, ("", None, *NO_TEXT))
-    yield from product(("settings.grades.*.name", "settings.plans.*.name"), ("a",))  # the first one's
+    yield from product(("settings.grades.*.name", "settings.plans.*.name"), ("a",))  # the first one's name
     tables = ("bounds", "callers", "extra", "guarantees", "loadReport")
     yield from product((*(f"settings.{t}" for t in tables), "settings", "limits", "known"), NO_TABLE)
     yield from product(("settings.grades", "settings.plans"), (None, {}, *NO_TABLE))
@@ -558,7 +572,7 @@
     "no object": b"[]",
     "too deep": b"[" * 100_000,
     "no text": b"\xff{}",
-    "deep": b'{"a":' * 900 + b"1" + b"}" * 900,  # it can be read, and has nothing that is needed
+    "deep": b'{"a":' * 900 + b"1" + b"}" * 900,  # can be parsed, but lacks all required keys
 }
 
 
@@ -592,7 +606,7 @@
         new = whole()
         put(new, ["settings", "bounds", "keepalive"], 31_000_000)
         path.write_text(json.dumps(new))
-        front.reload()  # and one that is sound is taken after all that
+        front.reload()  # a valid configuration is still applied afterwards
         assert front.config.keepalive_us == 31_000_000
         front.syslog.close()
     loop.close()
@@ -608,7 +622,10 @@
 
 
 def test_where_only_one_zone_drops_repeats_none_is_sent_to_another() -> None:
-    """Nor to the same one: decisions know no zones. Where there is one zone alone, repeats go on."""
+    """A retry in the same zone is not sent either, because the scheduler does not choose endpoints by zone.
+
+    With exactly one zone, retries are allowed.
+    """
     conf = whole()
     conf["settings"]["grades"][0] |= {"effect": "deduplicated", "group": "zone", "memorySpan": 5_000_000}
     memories = []
@@ -619,7 +636,10 @@
 
 
 def test_an_endpoint_that_starts_in_the_future_is_no_error_without_warm_up() -> None:
-    """Clocks differ: its start may lie ahead. It was divided by the time of the warm-up."""
+    """Guards against a division by a warm-up time of 0.
+
+    Clocks differ, so an endpoint's start time may be in the future.
+    """
     conf = whole()
     conf["settings"]["guarantees"]["warmUp"] = 0
     day = Day(load(conf), 1)
