--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -38,37 +38,38 @@
 from umberlead.scheduling.settings import Repeatability
 
 ROOT = Path(__file__).parent.parent
-SEGMENT = "-._~!$&'()*+,;=:@"  # allowed unescaped in a path segment, besides letters and digits (RFC 3986)
-NAMES = st.text("abXY019 %/?é|" + SEGMENT, min_size=1, max_size=9)
-MARGIN = 15_000
-SECOND = 1_000_000
+# Allowed unescaped in a path segment, besides letters and digits (RFC 3986).
+SEGMENT_PUNCTUATION = "-._~!$&'()*+,;=:@"
+NAMES = st.text("abXY019 %/?é|" + SEGMENT_PUNCTUATION, min_size=1, max_size=9)
+ANSWER_MARGIN_US = 15_000
+SECOND_US = 1_000_000
 
 # The smallest and the largest number drawn, by path. `*` stands for each item of a list.
-FIGURES: dict[str, tuple[float, float]] = {
+NUMBER_RANGES: dict[str, tuple[float, float]] = {
     "settings.instances": (1, 200),
     "settings.tick": (1, 250_000),
     "settings.bounds.maxAttempts": (1, 5),
-    "settings.bounds.dialTimeout": (0, 2 * SECOND),
-    "settings.bounds.keepalive": (50_000, 120 * SECOND),
-    "settings.bounds.maxRetryAfter": (0, 30 * SECOND),
+    "settings.bounds.dialTimeout": (0, 2 * SECOND_US),
+    "settings.bounds.keepalive": (50_000, 120 * SECOND_US),
+    "settings.bounds.maxRetryAfter": (0, 30 * SECOND_US),
     "settings.extra.meanUnits": (0.5, 9.0),
     "settings.extra.maxUnits": (1, 64),
     "settings.extra.nShards": (0, 40),
     "settings.extra.fairWorth": (0.0, 1.0),
     "settings.extra.idleWorth": (0.0, 1.0),
     "settings.extra.coldUnits": (0.0, 300.0),
-    "settings.guarantees.graceToAnswer": (0, SECOND),
+    "settings.guarantees.graceToAnswer": (0, SECOND_US),
     "settings.guarantees.coldShare": (0.0, 1.0),
     "settings.guarantees.fallMultiple": (1.0, 9.0),
-    "settings.guarantees.overloadFor": (0, 5 * SECOND),
-    "settings.guarantees.warmUp": (0, 30 * SECOND),
-    "settings.guarantees.orderPause": (0, SECOND),
-    "settings.guarantees.resendSpan": (0, 10 * SECOND),
+    "settings.guarantees.overloadFor": (0, 5 * SECOND_US),
+    "settings.guarantees.warmUp": (0, 30 * SECOND_US),
+    "settings.guarantees.orderPause": (0, SECOND_US),
+    "settings.guarantees.resendSpan": (0, 10 * SECOND_US),
     "settings.guarantees.freeResends": (0, 10),
     "settings.guarantees.resendRatio": (0.0, 0.5),
-    "settings.grades.*.aim": (50_000, 60 * SECOND),
-    "settings.grades.*.hardLimit": (50_000, 60 * SECOND),
-    "settings.grades.*.memorySpan": (0, 9 * SECOND),
+    "settings.grades.*.aim": (50_000, 60 * SECOND_US),
+    "settings.grades.*.hardLimit": (50_000, 60 * SECOND_US),
+    "settings.grades.*.memorySpan": (0, 9 * SECOND_US),
     "settings.grades.*.credit": (0.0, 9.0),
     "settings.grades.*.lateWorth": (0.0, 1.0),
     "settings.plans.*.weight": (0.01, 99.0),
@@ -85,7 +86,7 @@
     "known.endpoints.*.since_ms": (0, 2 * 10**12),
     "known.endpoints.*.group": (-1, 9),
 }
-ABOVE = {  # numbers that must not be 0
+NONZERO_PATHS = {  # numbers that must not be 0
     "settings.instances",
     "settings.tick",
     "settings.bounds.maxAttempts",
@@ -99,8 +100,8 @@
     "limits.sockets",
     "limits.memory_mb",
 }
-MUST = {"settings.grades.*.aim", "settings.grades.*.hardLimit"}
-WORDS = {
+REQUIRED_PATHS = {"settings.grades.*.aim", "settings.grades.*.hardLimit"}
+CHOICES = {
     "settings.discovery": ("push", "ask"),
     "settings.grades.*.group": ("all", "zone", "cell"),
     "settings.grades.*.effect": ("idempotent", "deduplicated", "at_most_once"),
@@ -114,7 +115,7 @@
     "settings.grades.*.sequential",
     "known.snapshot",
 )
-UNREAD = {  # keys that the platform sends and the program ignores
+IGNORED_VALUES = {  # keys that the platform sends and the program ignores
     "settings.bounds.probes": True,
     "settings.bounds.peers": True,
     "settings.bounds.secondCopies": True,
@@ -131,39 +132,41 @@
 }
 
 
-def places(path: str, counts: dict[str, int]) -> Iterator[list[str | int]]:
+def expand_path(path: str, counts: dict[str, int]) -> Iterator[list[str | int]]:
     parts = path.split(".")
     if "*" not in parts:
         yield [*parts]
         return
-    at = parts.index("*")
-    for n in range(counts[parts[at - 1]]):
-        yield [*parts[:at], n, *parts[at + 1 :]]
+    wildcard_index = parts.index("*")
+    for index in range(counts[parts[wildcard_index - 1]]):
+        yield [*parts[:wildcard_index], index, *parts[wildcard_index + 1 :]]
 
 
-def put(conf: Any, at: list[str | int], value: Any) -> None:
-    for part in at[:-1]:
-        conf = conf.setdefault(part, {}) if isinstance(conf, dict) else conf[part]
-    conf[at[-1]] = value
+def set_value(document: Any, keys: list[str | int], value: Any) -> None:
+    for key in keys[:-1]:
+        document = document.setdefault(key, {}) if isinstance(document, dict) else document[key]
+    document[keys[-1]] = value
 
 
-def spelt(figures: st.SearchStrategy[Any]) -> st.SearchStrategy[Any]:
-    return st.tuples(st.sampled_from((lambda v: v, float, str)), figures).map(lambda t: t[0](t[1]))
+def any_spelling(numbers: st.SearchStrategy[Any]) -> st.SearchStrategy[Any]:
+    return st.tuples(st.sampled_from((lambda number: number, float, str)), numbers).map(
+        lambda drawn: drawn[0](drawn[1])
+    )
 
 
-def figure(low: float, high: float) -> st.SearchStrategy[Any]:
-    whole = isinstance(low, int) and isinstance(high, int)
-    return spelt(st.integers(int(low), int(high)) if whole else st.floats(low, high))
+def number_strategy(low: float, high: float) -> st.SearchStrategy[Any]:
+    is_integer = isinstance(low, int) and isinstance(high, int)
+    return any_spelling(st.integers(int(low), int(high)) if is_integer else st.floats(low, high))
 
 
-DRAWN = {path: figure(*span) for path, span in FIGURES.items()}
+NUMBER_STRATEGIES = {path: number_strategy(*span) for path, span in NUMBER_RANGES.items()}
 
 
 @st.composite
-def platforms(draw: st.DrawFn) -> dict[str, Any]:
+def platform_configurations(draw: st.DrawFn) -> dict[str, Any]:
     """A random valid configuration, with some of the optional keys missing."""
     counts = {"grades": draw(st.integers(1, 6)), "plans": draw(st.integers(1, 8)), "endpoints": 2}
-    conf: dict[str, Any] = {
+    document: dict[str, Any] = {
         "name": "n3",
         "listen": "127.0.0.1:8080",
         "discovery": "127.0.0.1:8500",
@@ -173,263 +176,307 @@
         },
         "settings": {key: [{} for _ in range(counts[key])] for key in ("grades", "plans")},
     }
-    for key, kind in (("grades", NAMES), ("plans", NAMES.map(str.strip).filter(bool))):
-        names = draw(st.lists(kind, min_size=counts[key], max_size=counts[key], unique=True))
-        for row, name in zip(conf["settings"][key], names, strict=True):
+    for key, strategy in (("grades", NAMES), ("plans", NAMES.map(str.strip).filter(bool))):
+        names = draw(st.lists(strategy, min_size=counts[key], max_size=counts[key], unique=True))
+        for row, name in zip(document["settings"][key], names, strict=True):
             row["name"] = name
-    for path, kind in DRAWN.items():
-        for at in places(path, counts):
-            if path in MUST or draw(st.integers(0, 4)) > 0:
-                put(conf, at, draw(kind))
-    for path, words in WORDS.items():
-        for at in places(path, counts):
+    for path, strategy in NUMBER_STRATEGIES.items():
+        for keys in expand_path(path, counts):
+            if path in REQUIRED_PATHS or draw(st.integers(0, 4)) > 0:
+                set_value(document, keys, draw(strategy))
+    for path, choices in CHOICES.items():
+        for keys in expand_path(path, counts):
             if draw(st.integers(0, 4)) > 0:
-                put(conf, at, draw(st.sampled_from(words)))
+                set_value(document, keys, draw(st.sampled_from(choices)))
     for path in FLAGS:
-        for at in places(path, counts):
+        for keys in expand_path(path, counts):
             if draw(st.booleans()):
-                put(conf, at, draw(st.sampled_from((True, False, "true", "false", 1, 0))))
+                set_value(document, keys, draw(st.sampled_from((True, False, "true", "false", 1, 0))))
     if draw(st.booleans()):
         fields = draw(st.sampled_from((["depth"], "depth,tps", [], "")))
-        put(conf, ["settings", "loadReport", "fields"], fields)
+        set_value(document, ["settings", "loadReport", "fields"], fields)
     if draw(st.booleans()):
-        conf["settings"]["azs"] = draw(st.sampled_from((["one"], ["a", "b", "c"])))
+        document["settings"]["azs"] = draw(st.sampled_from((["one"], ["a", "b", "c"])))
     if draw(st.booleans()):
-        for path, value in UNREAD.items():
-            put(conf, [*path.split(".")], copy.deepcopy(value))
-    return conf
+        for path, value in IGNORED_VALUES.items():
+            set_value(document, [*path.split(".")], copy.deepcopy(value))
+    return document
 
 
-def load(conf: Any) -> configuration.Config:
+def load(document: Any) -> configuration.Config:
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        file.write(conf if isinstance(conf, str) else json.dumps(conf))
+        file.write(document if isinstance(document, str) else json.dumps(document))
         file.flush()
         return configuration.load({"EDGE_CONFIG": file.name})
 
 
-def on_the_wire(told: dict[str, Any]) -> dict[str, str]:
+def simulator_settings(values: dict[str, Any]) -> dict[str, str]:
     """The same settings in the form in which the simulator sends them."""
 
-    def word(value: Any) -> str:
+    def as_text(value: Any) -> str:
         if isinstance(value, list):
-            return ",".join(map(word, value))
+            return ",".join(map(as_text, value))
         return str(value).lower() if isinstance(value, bool) else str(value)
 
-    def nested(value: Any) -> bool:
-        return isinstance(value, dict) or isinstance(value, list) and any(map(nested, value))
+    def contains_table(value: Any) -> bool:
+        return isinstance(value, dict) or isinstance(value, list) and any(map(contains_table, value))
 
-    return {k: word(v) for k, v in configuration.flatten(told).items() if not nested(v)}
+    return {
+        path: as_text(setting)
+        for path, setting in configuration.flatten(values).items()
+        if not contains_table(setting)
+    }
 
 
-class Day:
+class FrontUnderTest:
     """The request lifecycle of one front in virtual time.
 
     The result of each attempt and the time at which it ends are random. Each attempt and each answer is
     checked when it occurs.
     """
 
-    def __init__(self, made: configuration.Config, seed: int, zones: tuple[str, ...] = ("a", "b")) -> None:
-        self.zones, self.s, self.loop, self.chance = zones, made.settings, Loop(), random.Random(seed)
-        self.start_at, self.faults, loop = self.loop.now, list[str](), self.loop
-        self.wheel = TimerWheel(lambda: loop.now, self._alarm, made.tick_us)
+    def __init__(self, config: configuration.Config, seed: int, zones: tuple[str, ...] = ("a", "b")) -> None:
+        self.zones, self.settings, self.loop, self.rng = zones, config.settings, Loop(), random.Random(seed)
+        self.start_us, self.logged_errors, loop = self.loop.now, list[str](), self.loop
+        self.wheel = TimerWheel(lambda: loop.now, self._alarm, config.tick_us)
         self.engine = RequestLifecycle(
-            made.settings,
+            config.settings,
             seed,
             lambda: loop.now,
             self.wheel,
             loop.soon,
             Counters(),
-            lambda event, **told: self.faults.append(f"{event} {told}"),
+            lambda event, **fields: self.logged_errors.append(f"{event} {fields}"),
         )
         self.engine.transport = self
-        self.nodes: dict[str, Endpoint] = {}
-        self.tries: dict[bytes, list[tuple[int, Endpoint, list[AttemptResult]]]] = defaultdict(
+        self.endpoints: dict[str, Endpoint] = {}
+        self.attempts: dict[bytes, list[tuple[int, Endpoint, list[AttemptResult]]]] = defaultdict(
             list
         )  # by call id
-        self.answers, self.gone = dict[bytes, AnswerKind](), set[bytes]()
-        self.effects: dict[bytes, Repeatability] = {}
-        self.resent: list[int] = []
-        self.asked: list[int] = []
-        self.spent: dict[str, tuple[float, int]] = {}
+        self.answers, self.disconnected = dict[bytes, AnswerKind](), set[bytes]()
+        self.repeatabilities: dict[bytes, Repeatability] = {}
+        self.retried_at_us: list[int] = []
+        self.sent_at_us: list[int] = []
+        self.token_buckets: dict[str, tuple[float, int]] = {}
 
-    def _alarm(self, delay: int, what: Any) -> Alarm:
-        made = Alarm(what)
-        self.loop.at(self.loop.now + delay, made)
-        return made
+    def _alarm(self, delay_us: int, callback: Any) -> Alarm:
+        alarm = Alarm(callback)
+        self.loop.at(self.loop.now + delay_us, alarm)
+        return alarm
 
     # Endpoint list
 
-    def told(self, *nodes: Endpoint, whole: bool = False) -> None:
-        self.nodes |= {n.name: n for n in nodes}
-        self.engine.apply_endpoint_list(EndpointList(whole, nodes))
+    def apply_endpoints(self, *endpoints: Endpoint, complete: bool = False) -> None:
+        self.endpoints |= {endpoint.name: endpoint for endpoint in endpoints}
+        self.engine.apply_endpoint_list(EndpointList(complete, endpoints))
 
     # Transport
 
     def start(self, attempt: Attempt) -> None:
-        ticket, now, s = attempt.request, self.loop.now, self.s
-        cls, node = self.engine.classes[ticket.incoming.class_name], self.nodes[attempt.endpoint]
-        tries = self.tries[ticket.incoming.call_id]
+        request, now_us, settings = attempt.request, self.loop.now, self.settings
+        request_class, endpoint = (
+            self.engine.classes[request.incoming.class_name],
+            self.endpoints[attempt.endpoint],
+        )
+        attempts = self.attempts[request.incoming.call_id]
         assert (
-            not ticket.answered and now < ticket.incoming.deadline_us
+            not request.answered and now_us < request.incoming.deadline_us
         ), "attempt after the answer or the deadline"
-        assert len(tries) < s.max_attempts and all(
-            end for *_, end in tries
+        assert len(attempts) < settings.max_attempts and all(
+            results for *_, results in attempts
         ), "too many attempts, or two at once"
-        assert node.status is EndpointStatus.UP and ticket.incoming.shard in (
+        assert endpoint.status is EndpointStatus.UP and request.incoming.shard in (
             -1,
-            node.shard,
+            endpoint.shard,
         ), "endpoint is not up or has another shard"
-        ran = [(at, n) for at, n, end in tries if end[0] not in RESULTS_WITHOUT_EFFECT]
-        if ran:
-            at, first = ran[0]
-            assert cls.repeatability is not Repeatability.AT_MOST_ONCE, "retried although it may have run"
-            if cls.repeatability is Repeatability.IDEMPOTENT_BY_KEY:
-                assert now - at < cls.deduplication_window_us, "retried after the deduplication window"
+        possibly_run = [
+            (at_us, earlier_endpoint)
+            for at_us, earlier_endpoint, results in attempts
+            if results[0] not in RESULTS_WITHOUT_EFFECT
+        ]
+        if possibly_run:
+            at_us, first_endpoint = possibly_run[0]
+            assert (
+                request_class.repeatability is not Repeatability.AT_MOST_ONCE
+            ), "retried although it may have run"
+            if request_class.repeatability is Repeatability.IDEMPOTENT_BY_KEY:
                 assert (
-                    cls.deduplication_scope != "zone" or node.zone == first.zone
+                    now_us - at_us < request_class.deduplication_window_us
+                ), "retried after the deduplication window"
+                assert (
+                    request_class.deduplication_scope != "zone" or endpoint.zone == first_endpoint.zone
                 ), "retried in another zone, which does not deduplicate"
                 assert (
-                    cls.deduplication_scope != "cell" or node.shard == first.shard
+                    request_class.deduplication_scope != "cell" or endpoint.shard == first_endpoint.shard
                 ), "retried in another cell, which does not deduplicate"
-        if tries:
-            self.resent.append(now)
-            since = now - s.retry_budget_window_us
-            most = s.retry_budget_min_retries + s.retry_budget_ratio * sum(at > since for at in self.asked)
+        if attempts:
+            self.retried_at_us.append(now_us)
+            window_start_us = now_us - settings.retry_budget_window_us
+            max_retries = settings.retry_budget_min_retries + settings.retry_budget_ratio * sum(
+                at_us > window_start_us for at_us in self.sent_at_us
+            )
             assert (
-                not s.retry_budget_window_us or sum(at > since for at in self.resent) <= most
+                not settings.retry_budget_window_us
+                or sum(at_us > window_start_us for at_us in self.retried_at_us) <= max_retries
             ), "over the retry budget"
-        elif (plan := next(p for p in s.plans if p.name == ticket.incoming.plan)).limit_units_per_second:
-            have, at = self.spent.get(ticket.incoming.volume, (plan.limit_burst_units, self.start_at))
-            have = (
-                min(have + plan.limit_units_per_second * (now - at) / SECOND, plan.limit_burst_units)
-                - ticket.incoming.units
+        elif (
+            plan := next(candidate for candidate in settings.plans if candidate.name == request.incoming.plan)
+        ).limit_units_per_second:
+            available_units, at_us = self.token_buckets.get(
+                request.incoming.volume, (plan.limit_burst_units, self.start_us)
             )
-            assert have >= -plan.limit_slack_units - 1e-6, "over the rate limit"
-            self.spent[ticket.incoming.volume] = have, now
-        row: tuple[int, Endpoint, list[AttemptResult]] = (now, node, [])
-        tries.append(row)
-        attempt.transport_state = (now + self.chance.choice((0, 0, 5000, 300_000)), row)
-        result = self.chance.choices(list(AttemptResult), weights=[50, 10, 8, 8, 8, 8, 0, 8])[0]
+            available_units = (
+                min(
+                    available_units + plan.limit_units_per_second * (now_us - at_us) / SECOND_US,
+                    plan.limit_burst_units,
+                )
+                - request.incoming.units
+            )
+            assert available_units >= -plan.limit_slack_units - 1e-6, "over the rate limit"
+            self.token_buckets[request.incoming.volume] = available_units, now_us
+        record: tuple[int, Endpoint, list[AttemptResult]] = (now_us, endpoint, [])
+        attempts.append(record)
+        attempt.transport_state = (now_us + self.rng.choice((0, 0, 5000, 300_000)), record)
+        result = self.rng.choices(list(AttemptResult), weights=[50, 10, 8, 8, 8, 8, 0, 8])[0]
         if result is not AttemptResult.TIMEOUT:  # no response arrives: the lifecycle stops the attempt
-            wait = int(self.chance.expovariate(1 / 60_000)) + 1
-            self.loop.at(now + wait, lambda: self._end(attempt, result))
+            delay_us = int(self.rng.expovariate(1 / 60_000)) + 1
+            self.loop.at(now_us + delay_us, lambda: self._end(attempt, result))
 
     def _end(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.request.attempt is attempt:
             attempt.transport_state[1][2].append(result)
-            ask = attempt.request.incoming
+            incoming = attempt.request.incoming
             if (
-                result is AttemptResult.NOT_SENT and not attempt.number and ask.volume in self.spent
+                result is AttemptResult.NOT_SENT
+                and not attempt.number
+                and incoming.volume in self.token_buckets
             ):  # the request never reached the endpoint
-                have, at = self.spent[ask.volume]
-                self.spent[ask.volume] = have + ask.units, at
+                available_units, updated_us = self.token_buckets[incoming.volume]
+                self.token_buckets[incoming.volume] = available_units + incoming.units, updated_us
             self.engine.attempt_ended(attempt, result)
 
     def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         self.loop.soon(lambda: self._end(attempt, why))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
-        if waits := self.loop.now < attempt.transport_state[0]:
+        if is_unsent := self.loop.now < attempt.transport_state[0]:
             self.stop(attempt, AttemptResult.NOT_SENT)
-        return waits
+        return is_unsent
 
     # Clients
 
-    def ask(self, class_name: str, plan: str, shard: int, leaves: bool) -> None:
-        cls = self.engine.classes[class_name]
-        budget = self.chance.choice((*[cls.timeout_us] * 6, cls.timeout_us // 3 + 1, 16_000)) / SECOND
-        most = max(self.s.max_request_units, 1)
-        units = self.chance.choice((most, *[min(most, self.s.mean_request_units)] * 3)) * self.chance.uniform(
-            0.1, 1
+    def send_random_request(self, class_name: str, plan: str, shard: int, disconnects: bool) -> None:
+        request_class = self.engine.classes[class_name]
+        budget_seconds = (
+            self.rng.choice((*[request_class.timeout_us] * 6, request_class.timeout_us // 3 + 1, 16_000))
+            / SECOND_US
         )
-        self.ask_for(class_name, plan, shard, leaves, budget, f"{units:.4f}")
-
-    def ask_for(
-        self, class_name: str, plan: str, shard: int, leaves: bool, budget: float, units: str
+        max_units = max(self.settings.max_request_units, 1)
+        units = self.rng.choice(
+            (max_units, *[min(max_units, self.settings.mean_request_units)] * 3)
+        ) * self.rng.uniform(0.1, 1)
+        self.send_request(class_name, plan, shard, disconnects, budget_seconds, f"{units:.4f}")
+
+    def send_request(
+        self, class_name: str, plan: str, shard: int, disconnects: bool, budget_seconds: float, units: str
     ) -> None:
         """Send a request with a budget in seconds and a size as written in the header."""
-        name = b"r%d" % len(self.asked)
-        cls = self.engine.classes[class_name]
-        io = f"volume={[p.name for p in self.s.plans].index(plan):x},units={units}"
+        call_id = b"r%d" % len(self.sent_at_us)
+        request_class = self.engine.classes[class_name]
+        io_fields = f"volume={[p.name for p in self.settings.plans].index(plan):x},units={units}"
         headers = {
-            b"x-call-id": name,
+            b"x-call-id": call_id,
             b"x-plan": plan.encode(),
-            b"x-budget": f"{budget:.6f}".encode(),
-            b"x-io": f"{io},shard={shard},hosts={self.chance.randint(1, 4)}".encode(),
+            b"x-budget": f"{budget_seconds:.6f}".encode(),
+            b"x-io": f"{io_fields},shard={shard},hosts={self.rng.randint(1, 4)}".encode(),
         }
-        target = f"/{quote(class_name, safe=SEGMENT)}?block={self.chance.randrange(9):016x}"
-        ask = parse_request(
-            HttpRequest(b"PUT", target.encode(), headers, received_us=self.loop.now), self.engine, MARGIN
+        target = f"/{quote(class_name, safe=SEGMENT_PUNCTUATION)}?block={self.rng.randrange(9):016x}"
+        incoming = parse_request(
+            HttpRequest(b"PUT", target.encode(), headers, received_us=self.loop.now),
+            self.engine,
+            ANSWER_MARGIN_US,
         )
-        assert (ask.class_name, ask.plan) == (class_name, plan)
-        self.asked.append(self.loop.now)
-        self.effects[name] = cls.repeatability
+        assert (incoming.class_name, incoming.plan) == (class_name, plan)
+        self.sent_at_us.append(self.loop.now)
+        self.repeatabilities[call_id] = request_class.repeatability
 
-        def done(answer: Answer) -> None:
+        def on_answer(answer: Answer) -> None:
             assert (
-                name not in self.answers and name not in self.gone
+                call_id not in self.answers and call_id not in self.disconnected
             ), "answered twice, or after the client disconnected"
-            self.answers[name] = answer.kind
+            self.answers[call_id] = answer.kind
             # The client waits longer than the front's deadline by the answer margin.
-            assert self.loop.now <= ask.deadline_us + MARGIN, "answered late"
-            ran = any(end and end[0] not in RESULTS_WITHOUT_EFFECT for *_, end in self.tries[name])
+            assert self.loop.now <= incoming.deadline_us + ANSWER_MARGIN_US, "answered late"
+            may_have_run = any(
+                results and results[0] not in RESULTS_WITHOUT_EFFECT for *_, results in self.attempts[call_id]
+            )
             assert (
                 answer.kind is not AnswerKind.REJECTED
-                or not ran
-                or cls.repeatability is Repeatability.IDEMPOTENT
+                or not may_have_run
+                or request_class.repeatability is Repeatability.IDEMPOTENT
             ), "rejected although it may have run"
 
-        ticket = self.engine.accept(ask, done)
-        if leaves and not ticket.answered:
-            self.loop.at(self.loop.now + self.chance.randrange(100_000), lambda: self._leave(ticket, name))
+        request = self.engine.accept(incoming, on_answer)
+        if disconnects and not request.answered:
+            self.loop.at(
+                self.loop.now + self.rng.randrange(100_000), lambda: self._disconnect(request, call_id)
+            )
 
-    def _leave(self, ticket: InFlightRequest, name: bytes) -> None:
-        if not ticket.answered:
-            self.gone.add(name)
-            self.engine.client_left(ticket)
+    def _disconnect(self, request: InFlightRequest, call_id: bytes) -> None:
+        if not request.answered:
+            self.disconnected.add(call_id)
+            self.engine.client_left(request)
 
-    def play(self) -> None:
+    def run_requests(self) -> None:
         """Send requests of all classes and plans for 6 s while endpoints are added, drained and removed."""
-        loop, chance, shards = self.loop, self.chance, min(self.s.shard_count or 3, 3)
-        rooms = self.zones
-        starts = (
+        loop, rng, shard_count = self.loop, self.rng, min(self.settings.shard_count or 3, 3)
+        zones = self.zones
+        start_times_us = (
             0,
             0,
             0,
             loop.now - 100_000,
             loop.now + 50_000,
         )  # long ago, shortly before, and in the future because clocks differ
-        listed = [
-            Endpoint(f"n{k}", EndpointStatus.UP, k % shards, chance.choice(starts), zone=chance.choice(rooms))
-            for k in range(4)
+        endpoints = [
+            Endpoint(
+                f"n{number}",
+                EndpointStatus.UP,
+                number % shard_count,
+                rng.choice(start_times_us),
+                zone=rng.choice(zones),
+            )
+            for number in range(4)
         ]
-        self.told(*listed, whole=True)
-        for k, (cls, plan) in enumerate([*product(self.s.classes, self.s.plans)] * 3):
-            at = loop.now + chance.randrange(6 * SECOND)
-            words = cls.name, plan.name, chance.randrange(-1, shards), k % 9 == 8
-            loop.at(at, lambda words=words: self.ask(*words))  # type: ignore[misc]
-
-        def later(wait: int, node: Endpoint) -> None:
-            loop.at(loop.now + wait, lambda: self.told(node))
-
-        later(2_000_000, Endpoint("n0", EndpointStatus.DRAINING, 0))
-        later(2_700_000, Endpoint("n9", EndpointStatus.UP, 0, loop.now + 2_690_000, zone=rooms[-1]))
-        later(3_500_000, Endpoint("n0", EndpointStatus.GONE, 0))
-        loop.run(loop.now + 7 * SECOND + max(c.timeout_us for c in self.s.classes))
-        assert not self.faults, self.faults[0]
-        assert len(self.asked) == 3 * len(self.s.classes) * len(self.s.plans)
-        assert len(self.answers) + len(self.gone) == len(self.asked)
+        self.apply_endpoints(*endpoints, complete=True)
+        for number, (request_class, plan) in enumerate(
+            [*product(self.settings.classes, self.settings.plans)] * 3
+        ):
+            at_us = loop.now + rng.randrange(6 * SECOND_US)
+            arguments = request_class.name, plan.name, rng.randrange(-1, shard_count), number % 9 == 8
+            loop.at(at_us, lambda arguments=arguments: self.send_random_request(*arguments))  # type: ignore[misc]
+
+        def update_later(delay_us: int, endpoint: Endpoint) -> None:
+            loop.at(loop.now + delay_us, lambda: self.apply_endpoints(endpoint))
+
+        update_later(2_000_000, Endpoint("n0", EndpointStatus.DRAINING, 0))
+        update_later(2_700_000, Endpoint("n9", EndpointStatus.UP, 0, loop.now + 2_690_000, zone=zones[-1]))
+        update_later(3_500_000, Endpoint("n0", EndpointStatus.GONE, 0))
+        loop.run(loop.now + 7 * SECOND_US + max(c.timeout_us for c in self.settings.classes))
+        assert not self.logged_errors, self.logged_errors[0]
+        assert len(self.sent_at_us) == 3 * len(self.settings.classes) * len(self.settings.plans)
+        assert len(self.answers) + len(self.disconnected) == len(self.sent_at_us)
         assert not len(self.engine.open_requests) and not self.engine.scheduler.requests
 
 
 EXAMPLES_PER_ROUND = 150
-LEAST_ROUNDS, MOST_ROUNDS = 2, 8
+MIN_ROUNDS, MAX_ROUNDS = 2, 8
 
 
-def _covers_all_ends(seen: Counts[Any]) -> bool:
+def _covers_all_outcomes(seen: Counts[Any]) -> bool:
     """Return whether enough requests had each kind of answer, and enough of each effect were retried."""
-    ends = all(seen[kind] > 500 for kind in AnswerKind)
-    return ends and all(seen[effect, 1] > 200 and seen[effect, 2] > 50 for effect in Repeatability)
+    all_kinds_seen = all(seen[kind] > 500 for kind in AnswerKind)
+    return all_kinds_seen and all(seen[effect, 1] > 200 and seen[effect, 2] > 50 for effect in Repeatability)
 
 
 def test_any_valid_configuration_is_accepted_and_served() -> None:
@@ -438,7 +485,7 @@
     The coverage of one round varies with the constants that hypothesis finds in the loaded modules.
     """
     seen: Counts[Any] = Counts()
-    for round_number in range(MOST_ROUNDS):
+    for round_number in range(MAX_ROUNDS):
 
         @with_seed(round_number)
         @settings(
@@ -448,38 +495,46 @@
             phases=(Phase.generate,),  # shrinking a failing example takes minutes
             suppress_health_check=list(HealthCheck),
         )
-        @given(platforms(), st.integers(0, 1 << 32))
-        def drawn(conf: dict[str, Any], seed: int) -> None:
-            day = served_under(conf, seed)
-            seen.update(day.answers.values())
-            seen.update((day.effects[name], min(len(tries), 2)) for name, tries in day.tries.items())
+        @given(platform_configurations(), st.integers(0, 1 << 32))
+        def drawn(document: dict[str, Any], seed: int) -> None:
+            front = check_served(document, seed)
+            seen.update(front.answers.values())
+            seen.update(
+                (front.repeatabilities[name], min(len(attempts), 2))
+                for name, attempts in front.attempts.items()
+            )
 
         drawn()
-        if round_number + 1 >= LEAST_ROUNDS and _covers_all_ends(seen):
+        if round_number + 1 >= MIN_ROUNDS and _covers_all_outcomes(seen):
             break
-    assert _covers_all_ends(seen), dict(seen)
-
-
-def served_under(conf: dict[str, Any], seed: int) -> Day:
-    made = load(conf)
-    told = conf["settings"]
-    assert [(c.name, c.latency_objective_us, c.timeout_us) for c in made.settings.classes] == [
-        (g["name"], int(float(g["aim"])), int(float(g["hardLimit"]))) for g in told["grades"]
+    assert _covers_all_outcomes(seen), dict(seen)
+
+
+def check_served(document: dict[str, Any], seed: int) -> FrontUnderTest:
+    config = load(document)
+    settings_table = document["settings"]
+    assert [
+        (request_class.name, request_class.latency_objective_us, request_class.timeout_us)
+        for request_class in config.settings.classes
+    ] == [
+        (grade["name"], int(float(grade["aim"])), int(float(grade["hardLimit"])))
+        for grade in settings_table["grades"]
     ]
-    assert [(p.name, p.weight, p.limit_units_per_second) for p in made.settings.plans] == [
-        (p["name"], float(p.get("weight", 1)), float(p.get("neverOver", 0))) for p in told["plans"]
+    assert [(plan.name, plan.weight, plan.limit_units_per_second) for plan in config.settings.plans] == [
+        (plan["name"], float(plan.get("weight", 1)), float(plan.get("neverOver", 0)))
+        for plan in settings_table["plans"]
     ]
-    assert configuration.parse_settings(on_the_wire(told)) == made.settings
-    day = Day(made, seed, tuple(told.get("azs", ("a", "b"))))
-    day.play()
-    for line in format_counters(day.engine).decode().splitlines():  # for any class name
+    assert configuration.parse_settings(simulator_settings(settings_table)) == config.settings
+    front = FrontUnderTest(config, seed, tuple(settings_table.get("azs", ("a", "b"))))
+    front.run_requests()
+    for line in format_counters(front.engine).decode().splitlines():  # for any class name
         assert len(line.split(":")) == 2 and len(line.split("|")) == 2 and line.isascii()
-    return day
+    return front
 
 
 # Invalid configurations
 
-NO_FIGURE: tuple[Any, ...] = (
+INVALID_NUMBERS: tuple[Any, ...] = (
     "soon",
     "",
     [],
@@ -496,11 +551,11 @@
     -2,
     10**400,
 )
-NO_FLAG: tuple[Any, ...] = ("maybe", "", 2, -1, [], {}, [True], float("nan"))
-NO_TEXT: tuple[Any, ...] = ([], {}, True, [""], [{}])
-NO_WORD: tuple[Any, ...] = ("often", "", 5, *NO_TEXT)
-NO_TABLE: tuple[Any, ...] = (5, 0, "", "x", [], [1], True)
-NO_ADDRESS = (
+INVALID_FLAGS: tuple[Any, ...] = ("maybe", "", 2, -1, [], {}, [True], float("nan"))
+INVALID_TEXTS: tuple[Any, ...] = ([], {}, True, [""], [{}])
+INVALID_CHOICES: tuple[Any, ...] = ("often", "", 5, *INVALID_TEXTS)
+INVALID_TABLES: tuple[Any, ...] = (5, 0, "", "x", [], [1], True)
+INVALID_ADDRESSES = (
     "here",
     "",
     ":80",
@@ -513,7 +568,7 @@
     "é:80",
     5,
     f"h:{'9' * 5000}",
-    *NO_TEXT,
+    *INVALID_TEXTS,
 )
 
 
@@ -521,7 +576,7 @@
     """A valid configuration with every key."""
     counts = {"grades": 2, "plans": 2, "endpoints": 2}
     rows = [{"name": "a", "address": "127.0.0.1:1"}, {"name": "b", "address": "127.0.0.1:2"}]
-    conf: dict[str, Any] = {
+    document: dict[str, Any] = {
         "name": "n3",
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:8500",
@@ -530,44 +585,44 @@
         "known": {"endpoints": copy.deepcopy(rows)},
         "settings": {key: [{"name": "a"}, {"name": "b"}] for key in ("grades", "plans")},
     }
-    for path, (low, high) in FIGURES.items():
-        for at in places(path, counts):
-            put(conf, at, (low + high) // 2)
-    for path, words in WORDS.items():
-        for at in places(path, counts):
-            put(conf, at, words[0])
+    for path, (low, high) in NUMBER_RANGES.items():
+        for keys in expand_path(path, counts):
+            set_value(document, keys, (low + high) // 2)
+    for path, choices in CHOICES.items():
+        for keys in expand_path(path, counts):
+            set_value(document, keys, choices[0])
     for path in FLAGS:
-        for at in places(path, counts):
-            put(conf, at, True)
-    put(conf, ["settings", "loadReport", "fields"], ["depth"])
-    return conf
+        for keys in expand_path(path, counts):
+            set_value(document, keys, True)
+    set_value(document, ["settings", "loadReport", "fields"], ["depth"])
+    return document
 
 
-def broken() -> Iterator[tuple[str, Any]]:
+def invalid_values() -> Iterator[tuple[str, Any]]:
     """Yield keys with an invalid value each; None stands for a missing key."""
-    for path in FIGURES:
-        yield from ((path, value) for value in NO_FIGURE)
-        if path in ABOVE:
+    for path in NUMBER_RANGES:
+        yield from ((path, value) for value in INVALID_NUMBERS)
+        if path in NONZERO_PATHS:
             yield path, 0
-    yield from ((path, None) for path in MUST)
+    yield from ((path, None) for path in REQUIRED_PATHS)
     yield "settings.plans.*.neverOver", 1e-320  # half of it would be 0
-    yield from product(FLAGS, NO_FLAG)
-    yield from product((p for p in WORDS if p != "settings.loadReport.how"), NO_WORD)
+    yield from product(FLAGS, INVALID_FLAGS)
+    yield from product((p for p in CHOICES if p != "settings.loadReport.how"), INVALID_CHOICES)
     names = "settings.grades.*.name", "settings.plans.*.name", "known.endpoints.*.name"
-    yield from product(names, ("", None, *NO_TEXT))
+    yield from product(names, ("", None, *INVALID_TEXTS))
     yield from product(("settings.grades.*.name", "settings.plans.*.name"), ("a",))  # the first one's name
     tables = ("bounds", "callers", "extra", "guarantees", "loadReport")
-    yield from product((*(f"settings.{t}" for t in tables), "settings", "limits", "known"), NO_TABLE)
-    yield from product(("settings.grades", "settings.plans"), (None, {}, *NO_TABLE))
+    yield from product((*(f"settings.{t}" for t in tables), "settings", "limits", "known"), INVALID_TABLES)
+    yield from product(("settings.grades", "settings.plans"), (None, {}, *INVALID_TABLES))
     yield from product(("known.endpoints",), (5, 0, "", "x", {}, True))
-    yield from product(("listen", "discovery", "known.endpoints.*.address"), (None, *NO_ADDRESS))
-    yield from product(("management",), NO_ADDRESS)
-    yield from product(("seed",), ("xyz", 1.5, *NO_TEXT))
-    yield from product(("name",), NO_TEXT)
+    yield from product(("listen", "discovery", "known.endpoints.*.address"), (None, *INVALID_ADDRESSES))
+    yield from product(("management",), INVALID_ADDRESSES)
+    yield from product(("seed",), ("xyz", 1.5, *INVALID_TEXTS))
+    yield from product(("name",), INVALID_TEXTS)
     yield from product(("settings.loadReport.fields",), (5, {}, True, [1], [[]], [{}]))
 
 
-TEXTS = {
+INVALID_FILES = {
     "no json": b"{",
     "no object": b"[]",
     "too deep": b"[" * 100_000,
@@ -576,36 +631,38 @@
 }
 
 
-def test_an_invalid_key_is_named_and_its_reload_changes_nothing(tmp_path: Path) -> None:
-    path, loop, count, missed = tmp_path / "c.json", asyncio.new_event_loop(), 0, []
+def test_error_names_the_invalid_key_and_reload_changes_nothing(tmp_path: Path) -> None:
+    path, loop, reload_count, missed_cases = tmp_path / "c.json", asyncio.new_event_loop(), 0, []
     with mock.patch.dict(os.environ, {"EDGE_CONFIG": str(path)}, clear=True):
         path.write_text(json.dumps(whole()))
         front = FrontProcess(configuration.load(), loop)
         front.log = mock.Mock()
-        sound, before = front.config, front.pool.addresses.copy()
-        cases = [(key, key.replace("*", "1"), value) for key, value in broken()]
+        valid_config, addresses_before = front.config, front.pool.addresses.copy()
+        cases = [(key, key.replace("*", "1"), value) for key, value in invalid_values()]
         for _, key, value in cases:
-            conf = whole()
-            put(conf, [int(p) if p.isdigit() else p for p in key.split(".")], value)
-            path.write_text(json.dumps(conf))
+            document = whole()
+            set_value(document, [int(p) if p.isdigit() else p for p in key.split(".")], value)
+            path.write_text(json.dumps(document))
             front.reload()
-            count += 1
-            told = front.log.error.call_args
-            if told is None or told.kwargs["key"] != key:
-                missed.append((key, value, told and told.kwargs["why"]))
+            reload_count += 1
+            error_call = front.log.error.call_args
+            if error_call is None or error_call.kwargs["key"] != key:
+                missed_cases.append((key, value, error_call and error_call.kwargs["why"]))
             front.log.error.reset_mock()
-        for name, text in TEXTS.items():
+        for name, text in INVALID_FILES.items():
             path.write_bytes(text)
             front.reload()
-            count += 1
+            reload_count += 1
             if name != "deep" and front.log.error.call_args.kwargs["key"] != "EDGE_CONFIG":
-                missed.append((name, text[:9], front.log.error.call_args))
-        assert not missed, (len(missed), missed[:20])
-        assert front.config is sound and front.pool.addresses == before and not front.listeners
-        assert front.counters["reloads_refused"] == front.counters["reloads"] == count > 800
-        new = whole()
-        put(new, ["settings", "bounds", "keepalive"], 31_000_000)
-        path.write_text(json.dumps(new))
+                missed_cases.append((name, text[:9], front.log.error.call_args))
+        assert not missed_cases, (len(missed_cases), missed_cases[:20])
+        assert (
+            front.config is valid_config and front.pool.addresses == addresses_before and not front.listeners
+        )
+        assert front.counters["reloads_refused"] == front.counters["reloads"] == reload_count > 800
+        changed_document = whole()
+        set_value(changed_document, ["settings", "bounds", "keepalive"], 31_000_000)
+        path.write_text(json.dumps(changed_document))
         front.reload()  # a valid configuration is still applied afterwards
         assert front.config.keepalive_us == 31_000_000
         front.syslog.close()
@@ -613,7 +670,7 @@
 
 
 @pytest.mark.parametrize("plan", ['["gold"]', "7", '{ a = "gold" }', '"none"'])
-def test_a_bucket_of_no_plan_is_named(tmp_path: Path, plan: str) -> None:
+def test_error_names_a_bucket_without_a_known_plan(tmp_path: Path, plan: str) -> None:
     text = (ROOT / "tests/exchanges/base.toml").read_text().replace('scans = "gold"', f"scans = {plan}")
     (tmp_path / "f.toml").write_text(text)
     with pytest.raises(configuration.ConfigError) as caught:
@@ -621,29 +678,29 @@
     assert caught.value.key == "objects.buckets.scans"
 
 
-def test_where_only_one_zone_drops_repeats_none_is_sent_to_another() -> None:
+def test_no_retry_after_possible_execution_if_deduplication_is_per_zone() -> None:
     """A retry in the same zone is not sent either, because the scheduler does not choose endpoints by zone.
 
     With exactly one zone, retries are allowed.
     """
-    conf = whole()
-    conf["settings"]["grades"][0] |= {"effect": "deduplicated", "group": "zone", "memorySpan": 5_000_000}
-    memories = []
+    document = whole()
+    document["settings"]["grades"][0] |= {"effect": "deduplicated", "group": "zone", "memorySpan": 5_000_000}
+    deduplication_windows_us = []
     for zones in (None, ["a", "b"], ["a"]):
-        conf["settings"]["azs"] = zones
-        memories.append(load(conf).settings.classes[0].deduplication_window_us)
-    assert memories == [0, 0, 5_000_000]
+        document["settings"]["azs"] = zones
+        deduplication_windows_us.append(load(document).settings.classes[0].deduplication_window_us)
+    assert deduplication_windows_us == [0, 0, 5_000_000]
 
 
-def test_an_endpoint_that_starts_in_the_future_is_no_error_without_warm_up() -> None:
+def test_endpoint_start_time_in_the_future_is_accepted_without_warm_up() -> None:
     """Guards against a division by a warm-up time of 0.
 
     Clocks differ, so an endpoint's start time may be in the future.
     """
-    conf = whole()
-    conf["settings"]["guarantees"]["warmUp"] = 0
-    day = Day(load(conf), 1)
-    day.told(Endpoint("n0", EndpointStatus.UP, 0, day.loop.now + 9 * SECOND), whole=True)
-    day.ask("a", "a", 0, False)
-    day.loop.run(day.loop.now + SECOND)
-    assert not day.faults and "n0" in day.engine.scheduler.directory.endpoints
+    document = whole()
+    document["settings"]["guarantees"]["warmUp"] = 0
+    front = FrontUnderTest(load(document), 1)
+    front.apply_endpoints(Endpoint("n0", EndpointStatus.UP, 0, front.loop.now + 9 * SECOND_US), complete=True)
+    front.send_random_request("a", "a", 0, False)
+    front.loop.run(front.loop.now + SECOND_US)
+    assert not front.logged_errors and "n0" in front.engine.scheduler.directory.endpoints
--- a/tests/test_settings_extremes.py
+++ b/tests/test_settings_extremes.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.test_settings import FIGURES, MARGIN, SECOND, Day, load, put
+from tests.test_settings import ANSWER_MARGIN_US, NUMBER_RANGES, SECOND_US, FrontUnderTest, load, set_value
 from umberlead import configuration
 from umberlead.frontends.platform import PlatformFrontend
 from umberlead.scheduling.actions import Action, Reject, SetTimer
@@ -27,7 +27,7 @@
 MAX_BUDGET_US = 500_000
 MAX_UNITS = 999_999.0  # the most that the header field has digits for
 MIN_UNITS = 1e-9
-PLAYED_US = SECOND
+PLAYED_US = SECOND_US
 # A plan without a limit has a bucket that never empties.
 UNBOUNDED_FIELDS = ("limit.capacity_units", "limit.available_units")
 
@@ -43,7 +43,7 @@
             "bounds": {
                 "maxAttempts": 3,
                 "dialTimeout": 250_000,
-                "keepalive": 15 * SECOND,
+                "keepalive": 15 * SECOND_US,
                 "retryAfter": True,
                 "maxRetryAfter": 500_000,
                 "cancel": True,
@@ -61,9 +61,9 @@
                 "coldShare": 0.2,
                 "fallMultiple": 4,
                 "overloadFor": 200_000,
-                "warmUp": 8 * SECOND,
+                "warmUp": 8 * SECOND_US,
                 "orderPause": 100_000,
-                "resendSpan": 2 * SECOND,
+                "resendSpan": 2 * SECOND_US,
                 "freeResends": 5,
                 "resendRatio": 0.2,
             },
@@ -73,7 +73,7 @@
                     "aim": 400_000,
                     "hardLimit": 500_000,
                     "effect": "idempotent",
-                    "memorySpan": SECOND,
+                    "memorySpan": SECOND_US,
                     "credit": 2,
                     "lateWorth": 0.5,
                 },
@@ -84,7 +84,7 @@
                     "effect": "deduplicated",
                     "group": "all",
                     "sequential": True,
-                    "memorySpan": SECOND,
+                    "memorySpan": SECOND_US,
                 },
             ],
             "plans": [
@@ -104,7 +104,7 @@
 
 PATHS = [
     path.replace("grades.*", "grades.0").replace("plans.*", "plans.1")
-    for path in FIGURES
+    for path in NUMBER_RANGES
     if path.startswith("settings.")
 ]
 
@@ -121,7 +121,7 @@
 def configured(values: dict[str, Any]) -> dict[str, Any]:
     document = base_configuration()
     for path, value in values.items():
-        put(document, [int(part) if part.isdigit() else part for part in path.split(".")], value)
+        set_value(document, [int(part) if part.isdigit() else part for part in path.split(".")], value)
     return document
 
 
@@ -141,7 +141,7 @@
     return list(dict.fromkeys((accepted[0], smallest, accepted[-1])))
 
 
-class OneSecond(Day):
+class OneSecond(FrontUnderTest):
     """One second of requests under a configuration, checked for NaN and infinite values."""
 
     def __init__(self, config: configuration.Config) -> None:
@@ -155,28 +155,28 @@
             if isinstance(action, Reject):
                 assert isinstance(action.retry_after_us, int), action
 
-    def play(self) -> None:
+    def run_requests(self) -> None:
         now = self.loop.now
-        self.told(
+        self.apply_endpoints(
             Endpoint("warm", EndpointStatus.UP, 0),
             Endpoint("also warm", EndpointStatus.UP, 1),
             Endpoint("cold", EndpointStatus.UP, 2, now - 100_000),
             Endpoint("ahead", EndpointStatus.UP, 2, now + 50_000),
-            whole=True,
+            complete=True,
         )
-        combinations = itertools.product(self.s.classes, self.s.plans, (0, 1, -1, 2))
+        combinations = itertools.product(self.settings.classes, self.settings.plans, (0, 1, -1, 2))
         for number, (cls, plan, shard) in enumerate(itertools.islice(combinations, 16)):
             self.loop.at(
                 now + number * 20_000,
-                lambda cls=cls, plan=plan, shard=shard, number=number: self.ask_one(  # type: ignore[misc]
+                lambda cls=cls, plan=plan, shard=shard, number=number: self.send_one(  # type: ignore[misc]
                     cls.name, plan.name, shard, number
                 ),
             )
         self.loop.run(now + PLAYED_US)
-        assert not self.faults, self.faults[0]
+        assert not self.logged_errors, self.logged_errors[0]
         assert self.engine.counters["module_errors"] == 0
         assert self.engine.counters["answered_for_module"] == 0
-        assert len(self.answers) == len(self.asked)
+        assert len(self.answers) == len(self.sent_at_us)
         unusable = [*unusable_figures(self.engine.scheduler, "")]
         assert not unusable, unusable[:5]
 
@@ -189,13 +189,13 @@
             row[0] for row in scheduler._timers if row[0] > last_deadline_us and row[2] in dispatch_callbacks
         ]
 
-    def ask_one(self, class_name: str, plan: str, shard: int, number: int) -> None:
+    def send_one(self, class_name: str, plan: str, shard: int, number: int) -> None:
         timeout_us = self.engine.classes[class_name].timeout_us
-        max_units = min(max(self.s.max_request_units, 1), MAX_UNITS)
-        mean = max(self.s.mean_request_units, MIN_UNITS)
+        max_units = min(max(self.settings.max_request_units, 1), MAX_UNITS)
+        mean = max(self.settings.mean_request_units, MIN_UNITS)
         units = min((2.0, MAX_UNITS if number > 8 else 8.0, mean, MIN_UNITS)[number % 4], max_units)
-        budget = min(timeout_us, MAX_BUDGET_US) / SECOND
-        self.ask_for(class_name, plan, shard, False, budget, f"{units:.9f}")
+        budget = min(timeout_us, MAX_BUDGET_US) / SECOND_US
+        self.send_request(class_name, plan, shard, False, budget, f"{units:.9f}")
 
 
 def unusable_figures(value: Any, path: str, seen: set[int] | None = None) -> Iterator[str]:
@@ -229,7 +229,7 @@
 
 
 def serve(values: dict[str, Any]) -> None:
-    OneSecond(load(configured(values))).play()
+    OneSecond(load(configured(values))).run_requests()
 
 
 def failures(cases: Iterator[dict[str, Any]]) -> list[str]:
@@ -244,8 +244,8 @@
 
 def test_usual_configuration_sends_at_least_half_of_the_requests() -> None:
     second = OneSecond(load(base_configuration()))
-    second.play()
-    assert sum(len(tries) > 0 for tries in second.tries.values()) >= len(second.asked) / 2
+    second.run_requests()
+    assert sum(len(attempts) > 0 for attempts in second.attempts.values()) >= len(second.sent_at_us) / 2
 
 
 @pytest.mark.parametrize("path", PATHS)
@@ -266,7 +266,7 @@
     for path in PATHS:
         for value in extremes(path):
             second = OneSecond(load(configured({path: value})))
-            second.play()
+            second.run_requests()
             found += [
                 f"{path} = {value}: {late_timers_us[0]}"
                 for late_timers_us in [second.late_dispatch_timers()]
@@ -293,7 +293,7 @@
     """Values from a million seconds on must not be written with an exponent, which clients don't parse."""
     config = load(configured({"settings.bounds.maxRetryAfter": max_retry_after}))
     second = OneSecond(config)
-    frontend = PlatformFrontend(second.engine, config.retry_after_us, MARGIN)
+    frontend = PlatformFrontend(second.engine, config.retry_after_us, ANSWER_MARGIN_US)
     connection = mock.Mock()
     for retry_after_us in (0, config.settings.max_retry_after_us, 1, 999, 1_234_567_890):
         frontend.reply_rejected(connection, retry_after_us, "busy")
