--- a/umberlead/common/timer_wheel.py
+++ b/umberlead/common/timer_wheel.py
@@ -45,7 +45,7 @@
         self._alarm = alarm
         self._tick_us = tick_us
         self._buckets: dict[int, list[Timer]] = {}
-        self._ticks: list[int] = []
+        self._tick_heap: list[int] = []
         self._last_fired_tick = clock() // tick_us
         self._armed_tick: int | None = None
         self._handle: Any = None
@@ -56,7 +56,7 @@
         timer = Timer(callback, args)
         if tick not in self._buckets:
             self._buckets[tick] = []
-            heapq.heappush(self._ticks, tick)
+            heapq.heappush(self._tick_heap, tick)
         self._buckets[tick].append(timer)
         self._arm()
         return timer
@@ -66,10 +66,10 @@
         return self.call_at(self._clock() + delay_us, callback, *args)
 
     def _arm(self) -> None:
-        if self._ticks and (self._armed_tick is None or self._ticks[0] < self._armed_tick):
+        if self._tick_heap and (self._armed_tick is None or self._tick_heap[0] < self._armed_tick):
             if self._handle is not None:  # an alarm left set would set another one each time it fires
                 self._handle.cancel()
-            self._armed_tick = self._ticks[0]
+            self._armed_tick = self._tick_heap[0]
             delay_us = max(self._armed_tick * self._tick_us - self._clock(), 0)
             self._handle = self._alarm(delay_us, self.fire_due)
 
@@ -77,12 +77,12 @@
         """Call the callbacks of all due timers, in order."""
         current_tick = self._clock() // self._tick_us
         try:
-            while self._ticks and self._ticks[0] <= current_tick:
-                tick = self._ticks[0]
+            while self._tick_heap and self._tick_heap[0] <= current_tick:
+                tick = self._tick_heap[0]
                 # Timers set by the callbacks below go to a later bucket.
                 self._last_fired_tick = max(self._last_fired_tick, tick)
                 self._fire_bucket(self._buckets[tick])
-                heapq.heappop(self._ticks)
+                heapq.heappop(self._tick_heap)
                 del self._buckets[tick]
         finally:  # an exception in one callback must not stop the other timers
             self._armed_tick = None
--- a/umberlead/configuration/keys.py
+++ b/umberlead/configuration/keys.py
@@ -11,7 +11,7 @@
 HOST_PATTERN = re.compile(r"[!-~]{1,255}")
 PORT_PATTERN = re.compile(r"[0-9]{1,5}")
 MAX_TABLES_COUNT = 1000
-MAX_INTEGER_SIZE = 1 << 62
+MAX_INTEGER = 1 << 62
 
 
 class Keys:
@@ -62,9 +62,7 @@
         """Return a number of at least `low`, or 0, which means "none" and is also the default."""
         return self.number(key, 0.0) and self.number(key, 0.0, low)
 
-    def integer(
-        self, key: str, default: int | None = None, low: int = 0, high: int = MAX_INTEGER_SIZE
-    ) -> int:
+    def integer(self, key: str, default: int | None = None, low: int = 0, high: int = MAX_INTEGER) -> int:
         """Return a number from `low` to `high` with its fraction dropped."""
         return int(self.number(key, default, low, high))
 
@@ -162,12 +160,12 @@
     A list of tables becomes `path.count` and one path for each index. Tables and lists are also kept under
     their own path, so that reading one of them as a single value is an error instead of a missing value.
     """
-    found: dict[str, Any] = {path: value} if path else {}
+    flattened: dict[str, Any] = {path: value} if path else {}
     if isinstance(value, dict):
         for key, inner in value.items():
-            found |= flatten(inner, f"{path}.{key}" if path else str(key))
+            flattened |= flatten(inner, f"{path}.{key}" if path else str(key))
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
-        found[f"{path}.count"] = len(value)
+        flattened[f"{path}.count"] = len(value)
         for index, inner in enumerate(value):
-            found |= flatten(inner, f"{path}.{index}")
-    return found
+            flattened |= flatten(inner, f"{path}.{index}")
+    return flattened
--- a/umberlead/configuration/reload.py
+++ b/umberlead/configuration/reload.py
@@ -32,9 +32,11 @@
 
 def changed_fields(old: Config, new: Config) -> ChangedFields:
     """Return the fields that differ, except those that are used only at the start."""
-    names = [field.name for field in fields(Config) if getattr(old, field.name) != getattr(new, field.name)]
-    not_restart = RELOADABLE_FIELDS + START_ONLY_FIELDS
+    changed_names = [
+        field.name for field in fields(Config) if getattr(old, field.name) != getattr(new, field.name)
+    ]
+    fields_without_restart = RELOADABLE_FIELDS + START_ONLY_FIELDS
     return ChangedFields(
-        reloadable=[name for name in names if name in RELOADABLE_FIELDS],
-        restart_needed=[name for name in names if name not in not_restart],
+        reloadable=[name for name in changed_names if name in RELOADABLE_FIELDS],
+        restart_needed=[name for name in changed_names if name not in fields_without_restart],
     )
--- a/umberlead/configuration/request_settings.py
+++ b/umberlead/configuration/request_settings.py
@@ -14,9 +14,9 @@
 }
 DEDUPLICATION_SCOPES = {name: name for name in ("all", "zone", "cell")}
 POLLS_ENDPOINT_LIST_BY_MODE = {"push": False, "ask": True}
-TABLES = ("bounds", "callers", "extra", "guarantees", "loadReport")
+SETTINGS_TABLES = ("bounds", "callers", "extra", "guarantees", "loadReport")
 # No response arrives in less than this time, and fractions of a shorter time round to 0.
-MIN_SPAN_US = 1000
+MIN_DURATION_US = 1000
 # The smallest value of a setting used as a divisor, so that the quotient of two settings is bounded.
 MIN_DIVISOR_RATIO = 1e-9
 MAX_SHARD_COUNT = 1 << 20
@@ -29,7 +29,7 @@
         ConfigError: A value is missing, of the wrong type or out of range, or values contradict each other.
     """
     keys = Keys(values, "settings")
-    for name in TABLES:
+    for name in SETTINGS_TABLES:
         keys.table(name)
     classes = tuple(_request_class(keys, index) for index in keys.table_indexes("grades"))
     plans = tuple(_plan(keys, index) for index in keys.table_indexes("plans"))
@@ -47,8 +47,8 @@
     path = f"grades.{index}"
     return RequestClass(
         name=keys.text(f"{path}.name"),
-        latency_objective_us=keys.integer(f"{path}.aim", None, MIN_SPAN_US),
-        timeout_us=keys.integer(f"{path}.hardLimit", None, MIN_SPAN_US),
+        latency_objective_us=keys.integer(f"{path}.aim", None, MIN_DURATION_US),
+        timeout_us=keys.integer(f"{path}.hardLimit", None, MIN_DURATION_US),
         repeatability=keys.choice(f"{path}.effect", REPEATABILITY_BY_EFFECT, "at_most_once"),
         deduplication_scope=keys.choice(f"{path}.group", DEDUPLICATION_SCOPES, "cell"),
         deduplication_window_us=_deduplication_window_us(keys, path),
--- a/umberlead/daemon/assembly.py
+++ b/umberlead/daemon/assembly.py
@@ -62,23 +62,23 @@
         done: Set when the process must exit.
     """
 
-    def __init__(self, conf: configuration.Config, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, config: configuration.Config, loop: asyncio.AbstractEventLoop) -> None:
         """Assemble the components.
 
         Raises:
             ConfigError: A plugin cannot be loaded.
         """
-        self.config = conf
+        self.config = config
         self.loop = loop
         self.reserved_descriptor = ReservedDescriptor()
         descriptors, self.memory_in_use_bytes = descriptors_and_memory_in_use()
-        self.descriptors_in_use = descriptors + descriptors_to_come(conf)
+        self.descriptors_in_use = descriptors + descriptors_to_come(config)
         self.counters = Counters()
-        self.syslog = SyslogWriter(conf.log_collector, self.counters)
-        self.log = make_logger(conf.name, lambda: self.config.log_level, self.syslog)
-        self.trace = self.log.debug if conf.log_level == "debug" else None
+        self.syslog = SyslogWriter(config.log_collector, self.counters)
+        self.log = make_logger(config.name, lambda: self.config.log_level, self.syslog)
+        self.trace = self.log.debug if config.log_level == "debug" else None
         self.clock = unix_anchored_clock()
-        self.wheel = TimerWheel(self.clock, partial(call_after_us, loop), conf.tick_us)
+        self.wheel = TimerWheel(self.clock, partial(call_after_us, loop), config.tick_us)
         self.lifecycle = self._new_lifecycle()
         self.pool = self._new_pool()
         self.zones = self._new_zones()
@@ -86,7 +86,7 @@
         self.client_groups: list[ClientGroup] = []
         self.handlers: list[RequestHandler] = []
         self.admin_listeners: list[tuple[Listener, ClientGroup]] = []
-        self.shared_state = SharedState(conf.state_folder)
+        self.shared_state = SharedState(config.state_folder)
         self.process_count = 1
         self.start_times = self._new_start_times()
         if self.shared_state.error:
@@ -97,18 +97,18 @@
         self.done = asyncio.Event()
 
     def _new_lifecycle(self) -> RequestLifecycle:
-        conf = self.config
-        settings = conf.settings
-        if conf.zones is not None:
+        config = self.config
+        settings = config.settings
+        if config.zones is not None:
             from umberlead.zones.integration import with_retry_budget
 
-            settings = with_retry_budget(settings, conf.zones.retry_budget_ratio)
+            settings = with_retry_budget(settings, config.zones.retry_budget_ratio)
         hooks = PluginHooks(
-            conf.plugin_paths, conf.plugin_timeout_us, self.counters, self.log.warning, self.trace
+            config.plugin_paths, config.plugin_timeout_us, self.counters, self.log.warning, self.trace
         )
         lifecycle = RequestLifecycle(
             settings,
-            conf.seed,
+            config.seed,
             self.clock,
             self.wheel,
             self.loop.call_soon,
@@ -120,7 +120,7 @@
         return lifecycle
 
     def _new_pool(self) -> EndpointPool:
-        conf = self.config
+        config = self.config
         pool = EndpointPool(
             self.lifecycle,
             self.loop,
@@ -128,8 +128,8 @@
             self.clock,
             self.counters,
             0,
-            conf.settings.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US,
-            conf.keepalive_us,
+            config.settings.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US,
+            config.keepalive_us,
             ENDPOINT_HOST,
             self.log.info,
         )
@@ -139,12 +139,12 @@
         return pool
 
     def _new_zones(self) -> "ZoneIntegration | None":
-        conf = self.config
-        if conf.zones is None:
+        config = self.config
+        if config.zones is None:
             return None
         from umberlead.zones.integration import integrate_zones
 
-        return integrate_zones(conf.zones, self.lifecycle, conf.seed, self.clock, self.log.warning)
+        return integrate_zones(config.zones, self.lifecycle, config.seed, self.clock, self.log.warning)
 
     def _new_start_times(self) -> StartTimes:
         """Return the start times of endpoints, converted with the clock offsets stored by this front."""
--- a/umberlead/daemon/frontends.py
+++ b/umberlead/daemon/frontends.py
@@ -32,13 +32,15 @@
 
     def create_all(self) -> list[Frontend]:
         """Create all frontends; the client group of the object API is the last one."""
-        conf = self._components.config
+        config = self._components.config
         frontends: list[Frontend] = []
-        if conf.listen is not None:
-            handler = PlatformFrontend(self._components.lifecycle, conf.retry_after_us, conf.answer_margin_us)
-            frontends.append(Frontend(handler, self._new_client_group(), conf.listen))
-        if conf.object_api is not None:
-            frontends.append(self._new_object_api(conf.object_api))
+        if config.listen is not None:
+            handler = PlatformFrontend(
+                self._components.lifecycle, config.retry_after_us, config.answer_margin_us
+            )
+            frontends.append(Frontend(handler, self._new_client_group(), config.listen))
+        if config.object_api is not None:
+            frontends.append(self._new_object_api(config.object_api))
         self._components.handlers = [frontend.handler for frontend in frontends]
         return frontends
 
@@ -79,8 +81,8 @@
         idle_timeout_us = components.config.client_idle_timeout_us
         return ClientGroup(0, components.clock, components.counters, idle_timeout_us, 0, components.log.error)
 
-    def _client_closed(self, owed: bool, reason: str, calls: str) -> None:
-        self._components.lifecycle.invariants.closed(owed, reason, calls)
+    def _client_closed(self, is_response_owed: bool, reason: str, calls: str) -> None:
+        self._components.lifecycle.invariants.closed(is_response_owed, reason, calls)
         if self._components.trace is not None:
             self._components.trace("client_closed", reason=reason, calls=calls)
 
--- a/umberlead/daemon/limits.py
+++ b/umberlead/daemon/limits.py
@@ -37,11 +37,11 @@
     def apply(self) -> None:
         """Apply all limits: at the start, on each reload, and when the number of processes changes."""
         components = self._components
-        conf = components.config
+        config = components.config
         # The processes of a front share its limits: each gets an equal part of descriptors and memory.
         limits = divide_resources(
-            granted_descriptors(conf.max_descriptors) // components.process_count,
-            conf.memory_limit_bytes // components.process_count,
+            granted_descriptors(config.max_descriptors) // components.process_count,
+            config.memory_limit_bytes // components.process_count,
             components.descriptors_in_use,
             components.memory_in_use_bytes,
             max(len(components.client_groups), 1),
@@ -49,30 +49,30 @@
         components.pool.buffer_limit_bytes = limits.response_bytes
         components.pool.max_header_bytes = limits.max_header_bytes
         components.pool.max_response_bytes = limits.max_response_bytes
-        components.pool.idle_timeout_us = int(conf.keepalive_us * IDLE_KEEPALIVE_RATIO)
+        components.pool.idle_timeout_us = int(config.keepalive_us * IDLE_KEEPALIVE_RATIO)
         components.lifecycle.open_requests.call_ids.max_remembered = limits.remembered_call_ids
         components.syslog.max_queued_lines = limits.queued_log_lines
-        if conf.object_api is None:  # the object API opens several requests for one client connection
+        if config.object_api is None:  # the object API opens several requests for one client connection
             components.lifecycle.set_open_limit(limits.open_requests)
         self._limit_clients(limits)
         for handler in components.handlers:
-            handler.retry_after_us = conf.retry_after_us
+            handler.retry_after_us = config.retry_after_us
         self.update_quota()
 
     def _limit_clients(self, limits: Limits) -> None:
         components = self._components
-        conf = components.config
+        config = components.config
         for clients in components.client_groups:
-            clients.idle_timeout_us = conf.client_idle_timeout_us
+            clients.idle_timeout_us = config.client_idle_timeout_us
             clients.buffer_limit_bytes = limits.request_body_bytes // len(components.client_groups)
             clients.max_header_bytes = limits.max_header_bytes
         for _, admin_clients in components.admin_listeners:
             admin_clients.buffer_limit_bytes = MAX_BODY_BYTES
             admin_clients.max_header_bytes = limits.max_header_bytes
-        if conf.object_api is not None:  # the configured limit applies if it is lower
+        if config.object_api is not None:  # the configured limit applies if it is lower
             object_clients = components.client_groups[-1]
             object_clients.buffer_limit_bytes = min(
-                object_clients.buffer_limit_bytes, conf.object_api.memory_bytes
+                object_clients.buffer_limit_bytes, config.object_api.memory_bytes
             )
 
     def update_quota(self) -> None:
--- a/umberlead/daemon/process.py
+++ b/umberlead/daemon/process.py
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        conf: configuration.Config,
+        config: configuration.Config,
         loop: asyncio.AbstractEventLoop,
         stages: StartStages | None = None,
         early_reload_signals: Sequence[int] = (),
@@ -57,7 +57,7 @@
         """Create the components without starting them.
 
         Args:
-            conf: The configuration.
+            config: The configuration.
             loop: The event loop of the process.
             stages: The stages of the start so far; None begins them now.
             early_reload_signals: The SIGHUP signals received before this process installed its handler.
@@ -65,7 +65,7 @@
         Raises:
             ConfigError: A file named in the configuration cannot be used.
         """
-        super().__init__(conf, loop)
+        super().__init__(config, loop)
         self.limits = LimitControl(self)
         self.state_sync = SharedStateSync(self, self.limits)
         self.endpoint_list_sync = EndpointListSync(self)
@@ -145,22 +145,22 @@
             self.loop.call_soon(self.reload)
 
     def _start_endpoint_lists(self) -> None:
-        conf = self.config
+        config = self.config
         self.endpoint_list_sync.start_watched_lists()
-        self.endpoint_list_sync.apply_discovery_message(conf.known_endpoints, is_new=False)
-        if conf.discovery is None:
+        self.endpoint_list_sync.apply_discovery_message(config.known_endpoints, is_new=False)
+        if config.discovery is None:
             return
         self.discovery_watch = DiscoveryWatch(
-            conf.discovery,
-            conf.known_endpoints,
+            config.discovery,
+            config.known_endpoints,
             self.loop,
             self.wheel,
             self.clock,
             self.counters,
             self.log.warning,
             self.endpoint_list_sync.apply_discovery_message,
-            conf.settings.front_count,
-            not conf.settings.polls_endpoint_list,
+            config.settings.front_count,
+            not config.settings.polls_endpoint_list,
             self.shared_state.agent_seen_before(),
             self.shared_state.record_agent,
         )
@@ -268,7 +268,7 @@
         self.syslog.close()
 
 
-def serve(conf: configuration.Config, stages: StartStages, early_reload_signals: Sequence[int]) -> None:
+def serve(config: configuration.Config, stages: StartStages, early_reload_signals: Sequence[int]) -> None:
     """Run a process of a front until it exits.
 
     Raises:
@@ -277,7 +277,7 @@
     """
 
     async def run() -> None:
-        front = FrontProcess(conf, asyncio.get_running_loop(), stages, early_reload_signals)
+        front = FrontProcess(config, asyncio.get_running_loop(), stages, early_reload_signals)
         front.loop.set_exception_handler(lambda _, context: front.reporting.log_unexpected_error(context))
         try:
             await front.run()
