--- a/umberlead/configuration/request_settings.py
+++ b/umberlead/configuration/request_settings.py
@@ -18,7 +18,7 @@
 # No response arrives in less than this time, and fractions of a shorter time round to 0.
 MIN_DURATION_US = 1000
 # The smallest value of a setting used as a divisor, so that the quotient of two settings is bounded.
-MIN_DIVISOR_RATIO = 1e-9
+MIN_DIVISOR = 1e-9
 MAX_SHARD_COUNT = 1 << 20
 
 
@@ -73,11 +73,11 @@
     path = f"plans.{index}"
     return Plan(
         name=keys.text(f"{path}.name"),
-        weight=keys.number(f"{path}.weight", 1, MIN_DIVISOR_RATIO),
+        weight=keys.number(f"{path}.weight", 1, MIN_DIVISOR),
         usual_units_per_second=keys.number(f"{path}.usualRate", 0),
         reserved_units_per_second=keys.number(f"{path}.reservation", 0),
         priority_factor=keys.number(f"{path}.valueFactor", 1),
-        limit_units_per_second=keys.zero_or_number(f"{path}.neverOver", MIN_DIVISOR_RATIO),
+        limit_units_per_second=keys.zero_or_number(f"{path}.neverOver", MIN_DIVISOR),
         limit_burst_units=keys.number(f"{path}.mostAtOnce", 0),
         limit_slack_units=keys.number(f"{path}.capSlack", 0),
     )
@@ -96,8 +96,8 @@
         classes=classes,
         plans=plans,
         front_count=keys.integer("instances", 1, 1),
-        mean_request_units=keys.number("extra.meanUnits", 1, MIN_DIVISOR_RATIO),
-        max_request_units=keys.number("extra.maxUnits", 1, MIN_DIVISOR_RATIO),
+        mean_request_units=keys.number("extra.meanUnits", 1, MIN_DIVISOR),
+        max_request_units=keys.number("extra.maxUnits", 1, MIN_DIVISOR),
         within_share_factor=keys.number("extra.fairWorth", 1),
         beyond_share_factor=keys.number("extra.idleWorth", 1),
         max_attempts=keys.integer("bounds.maxAttempts", 1, 1),
--- a/umberlead/daemon/frontends.py
+++ b/umberlead/daemon/frontends.py
@@ -101,7 +101,7 @@
         components.listeners.append(listener)
         components.log.info("listening", address=":".join(map(str, listener.address)))
 
-    def listen_for_admins(
+    def listen_admin_api(
         self,
         is_ready: Callable[[], bool],
         set_manual_drain: Callable[[str, bool], None],
--- a/umberlead/daemon/process.py
+++ b/umberlead/daemon/process.py
@@ -89,7 +89,7 @@
         frontends = self.frontends.create_all()
         await self._listen_when_possible(
             partial(
-                self.frontends.listen_for_admins,
+                self.frontends.listen_admin_api,
                 self._is_ready,
                 self.state_sync.set_manual_drain,
                 self.endpoint_list_sync.knows_endpoint,
