--- a/umberlead/configuration/rooms_table.py
+++ b/umberlead/configuration/rooms_table.py
@@ -47,7 +47,7 @@
     Attributes:
         own_zone: This front's zone; "" for none.
         nearby_zones: The other zones, the nearest first.
-        spillover_mode: "learnt", "all" or "never": which requests may spill over to other zones.
+        spillover_mode: "learnt", "all" or "never": how requests may spill over to other zones.
         spillover_rate_factor: The factor by which the learnt spillover rate may grow.
         distance_factor: The factor by which each more distant zone costs more.
         silence_timeout_us: The time without any response after which an endpoint counts as silent.
--- a/umberlead/daemon/assembly.py
+++ b/umberlead/daemon/assembly.py
@@ -66,7 +66,7 @@
         """Assemble the components.
 
         Raises:
-            ConfigError: A plugin cannot be loaded.
+            ConfigError: A plugin cannot be used.
         """
         self.config = config
         self.loop = loop
