--- a/umberlead/configuration/reload.py
+++ b/umberlead/configuration/reload.py
@@ -1,4 +1,4 @@
-"""Which fields of a configuration a running process takes over, and which wait for its next start."""
+"""Decides which changed fields of a configuration a reload applies and which need a restart."""
 
 from dataclasses import fields
 from typing import NamedTuple
@@ -14,7 +14,7 @@
     "client_idle_timeout_us",
     "log_level",
 )
-# These matter at the start alone, so that another value is no change.
+# These are used only at the start, so a different value does not count as a change.
 START_ONLY_FIELDS = ("seed", "known_endpoints")
 
 
@@ -22,8 +22,8 @@
     """The names of the fields that differ between two configurations.
 
     Attributes:
-        reloadable: Those that a reload applies.
-        restart_needed: Those that wait for the next start.
+        reloadable: The fields that a reload applies.
+        restart_needed: The fields that take effect at the next start.
     """
 
     reloadable: list[str]
@@ -31,10 +31,12 @@
 
 
 def changed_fields(old: Config, new: Config) -> ChangedFields:
-    """Return which fields differ, without those that matter at the start alone."""
-    names = [field.name for field in fields(Config) if getattr(old, field.name) != getattr(new, field.name)]
-    not_restart = RELOADABLE_FIELDS + START_ONLY_FIELDS
+    """Return the fields that differ, except those that are used only at the start."""
+    changed_names = [
+        field.name for field in fields(Config) if getattr(old, field.name) != getattr(new, field.name)
+    ]
+    fields_without_restart = RELOADABLE_FIELDS + START_ONLY_FIELDS
     return ChangedFields(
-        reloadable=[name for name in names if name in RELOADABLE_FIELDS],
-        restart_needed=[name for name in names if name not in not_restart],
+        reloadable=[name for name in changed_names if name in RELOADABLE_FIELDS],
+        restart_needed=[name for name in changed_names if name not in fields_without_restart],
     )
--- a/umberlead/configuration/request_settings.py
+++ b/umberlead/configuration/request_settings.py
@@ -1,4 +1,4 @@
-"""The scheduler's settings, as the platform, an operator's file and the simulator's wire all give them."""
+"""Parses the scheduler's settings, which the platform, operators' files and the simulator all provide."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -14,23 +14,22 @@
 }
 DEDUPLICATION_SCOPES = {name: name for name in ("all", "zone", "cell")}
 POLLS_ENDPOINT_LIST_BY_MODE = {"push": False, "ask": True}
-TABLES = ("bounds", "callers", "extra", "guarantees", "loadReport")
-# No response comes in less than this time, and shares of a shorter one round to nothing.
-MIN_SPAN_US = 1000
-# The smallest value of what others are divided by, so that each quotient of two settings is bounded.
-MIN_DIVISOR_RATIO = 1e-9
+SETTINGS_TABLES = ("bounds", "callers", "extra", "guarantees", "loadReport")
+# No response arrives in less than this time, and fractions of a shorter time round to 0.
+MIN_DURATION_US = 1000
+# The smallest value of a setting used as a divisor, so that the quotient of two settings is bounded.
+MIN_DIVISOR = 1e-9
 MAX_SHARD_COUNT = 1 << 20
 
 
 def parse_settings(values: Mapping[str, Any]) -> Settings:
-    """Return the settings given by the wire's dotted paths; unknown paths are ignored.
+    """Return the settings given by dotted paths; unknown paths are ignored.
 
     Raises:
-        ConfigError: A value is missing, of the wrong kind or out of its range, or the values contradict each
-            other.
+        ConfigError: A value is missing, of the wrong type or out of range, or values contradict each other.
     """
     keys = Keys(values, "settings")
-    for name in TABLES:
+    for name in SETTINGS_TABLES:
         keys.table(name)
     classes = tuple(_request_class(keys, index) for index in keys.table_indexes("grades"))
     plans = tuple(_plan(keys, index) for index in keys.table_indexes("plans"))
@@ -48,8 +47,8 @@
     path = f"grades.{index}"
     return RequestClass(
         name=keys.text(f"{path}.name"),
-        latency_objective_us=keys.integer(f"{path}.aim", None, MIN_SPAN_US),
-        timeout_us=keys.integer(f"{path}.hardLimit", None, MIN_SPAN_US),
+        latency_objective_us=keys.integer(f"{path}.aim", None, MIN_DURATION_US),
+        timeout_us=keys.integer(f"{path}.hardLimit", None, MIN_DURATION_US),
         repeatability=keys.choice(f"{path}.effect", REPEATABILITY_BY_EFFECT, "at_most_once"),
         deduplication_scope=keys.choice(f"{path}.group", DEDUPLICATION_SCOPES, "cell"),
         deduplication_window_us=_deduplication_window_us(keys, path),
@@ -60,10 +59,10 @@
 
 
 def _deduplication_window_us(keys: Keys, path: str) -> int:
-    """Return how long endpoints drop repeats of a class.
+    """Return how long endpoints deduplicate the requests of a class; 0 if the front must not rely on it.
 
-    Scheduling doesn't choose by zone: where only the endpoints of one zone drop repeats, and there are other
-    zones, nothing that may have run is sent again.
+    The scheduler does not choose endpoints by zone. If deduplication works only within one zone and there is
+    not exactly one zone, a request that may have run is therefore never sent again.
     """
     window_us = keys.integer(f"{path}.memorySpan", 0)
     within_one_zone = keys.raw(f"{path}.group") == "zone"
@@ -74,11 +73,11 @@
     path = f"plans.{index}"
     return Plan(
         name=keys.text(f"{path}.name"),
-        weight=keys.number(f"{path}.weight", 1, MIN_DIVISOR_RATIO),
+        weight=keys.number(f"{path}.weight", 1, MIN_DIVISOR),
         usual_units_per_second=keys.number(f"{path}.usualRate", 0),
         reserved_units_per_second=keys.number(f"{path}.reservation", 0),
         priority_factor=keys.number(f"{path}.valueFactor", 1),
-        limit_units_per_second=keys.zero_or_number(f"{path}.neverOver", MIN_DIVISOR_RATIO),
+        limit_units_per_second=keys.zero_or_number(f"{path}.neverOver", MIN_DIVISOR),
         limit_burst_units=keys.number(f"{path}.mostAtOnce", 0),
         limit_slack_units=keys.number(f"{path}.capSlack", 0),
     )
@@ -97,8 +96,8 @@
         classes=classes,
         plans=plans,
         front_count=keys.integer("instances", 1, 1),
-        mean_request_units=keys.number("extra.meanUnits", 1, MIN_DIVISOR_RATIO),
-        max_request_units=keys.number("extra.maxUnits", 1, MIN_DIVISOR_RATIO),
+        mean_request_units=keys.number("extra.meanUnits", 1, MIN_DIVISOR),
+        max_request_units=keys.number("extra.maxUnits", 1, MIN_DIVISOR),
         within_share_factor=keys.number("extra.fairWorth", 1),
         beyond_share_factor=keys.number("extra.idleWorth", 1),
         max_attempts=keys.integer("bounds.maxAttempts", 1, 1),
@@ -109,7 +108,7 @@
         polls_endpoint_list=keys.choice("discovery", POLLS_ENDPOINT_LIST_BY_MODE, "push"),
         answer_grace_us=keys.integer("guarantees.graceToAnswer", 0),
         shard_count=keys.integer("extra.nShards", 0, 0, MAX_SHARD_COUNT),
-        # Without an end to warming up, no endpoint counts as cold.
+        # Without a warm-up time, no endpoint counts as cold.
         slow_start_units=slow_start_units if warm_up_us else 0.0,
         initial_capacity_ratio=keys.number("guarantees.coldShare", 1, 0, 1),
         slow_start_overload_factor=keys.number("guarantees.fallMultiple", 1),
--- a/umberlead/daemon/assembly.py
+++ b/umberlead/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""The components of a process, put together from its configuration; none of them has started yet."""
+"""Creates the components of a process from its configuration, without starting them."""
 
 import asyncio
 import time
@@ -22,7 +22,7 @@
 from umberlead.resource_limits import ReservedDescriptor, descriptors_and_memory_in_use, descriptors_to_come
 from umberlead.telemetry import SyslogWriter, make_logger
 
-if TYPE_CHECKING:  # loaded only by fronts whose configuration has them
+if TYPE_CHECKING:  # at run time imported only by fronts whose configuration enables them
     from umberlead.gossip.udp_transport import GossipService
     from umberlead.membership.service import WatchedListService
     from umberlead.zones.integration import ZoneIntegration
@@ -32,51 +32,53 @@
 
 
 def unix_anchored_clock() -> Callable[[], int]:
-    """Return a clock of whole microseconds that only moves forward.
+    """Return a monotonic clock that counts whole microseconds.
 
-    It is anchored once to Unix time, so that the times of discovery compare with it.
+    Its offset is set once, to Unix time, so that it can be compared with the timestamps in endpoint lists.
     """
     anchor_ns = time.time_ns() - time.monotonic_ns()
     return lambda: (time.monotonic_ns() + anchor_ns) // 1000
 
 
 class ProcessComponents:
-    """The components of one process that its tasks share.
+    """The components of one process, shared by the tasks of the process.
 
     Attributes:
         config: The configuration in force; a reload replaces it.
-        descriptors_in_use: Descriptors that are no connections, those to come included.
-        memory_in_use_bytes: The memory that the process took before its first connection.
-        trace: Logs single decisions, None unless the log's level is debug.
-        zones: The zones of endpoints, None where the configuration has none.
-        listeners: The listeners of clients, in the order of `client_groups` once all listen.
-        client_groups: The clients of each frontend.
-        handlers: The frontends.
-        admin_listeners: The listeners of the admin API with their clients; open to the end.
-        process_count: The processes of this front, this one included.
-        discovery_watch: The connection to discovery, None where the configuration has none.
-        watched_lists: The service of watched endpoint lists, None where the configuration has none.
-        gossip: The gossip with other fronts, None where the configuration has none.
-        done: Set when the process is to end.
+        descriptors_in_use: File descriptors used for anything but connections, including those that are not
+            open yet.
+        memory_in_use_bytes: The memory in use before the first connection.
+        trace: Logs individual decisions; None unless the log level is debug.
+        zones: The zone routing; None if the configuration has no zones.
+        listeners: The listeners for clients, in the order of `client_groups` once all of them listen.
+        client_groups: One group of client connections for each frontend.
+        handlers: The request handlers of the frontends.
+        admin_listeners: The listeners of the admin API with their clients; they stay open until the process
+            exits.
+        process_count: The number of running processes of this front, including this one.
+        discovery_watch: The connection to discovery; None if the configuration has no discovery.
+        watched_lists: The service of watched endpoint lists; None if the configuration has none.
+        gossip: The gossip with other fronts; None if the configuration has none.
+        done: Set when the process must exit.
     """
 
-    def __init__(self, conf: configuration.Config, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, config: configuration.Config, loop: asyncio.AbstractEventLoop) -> None:
         """Assemble the components.
 
         Raises:
-            ConfigError: A plugin can't be used.
+            ConfigError: A plugin cannot be used.
         """
-        self.config = conf
+        self.config = config
         self.loop = loop
         self.reserved_descriptor = ReservedDescriptor()
         descriptors, self.memory_in_use_bytes = descriptors_and_memory_in_use()
-        self.descriptors_in_use = descriptors + descriptors_to_come(conf)
+        self.descriptors_in_use = descriptors + descriptors_to_come(config)
         self.counters = Counters()
-        self.syslog = SyslogWriter(conf.log_collector, self.counters)
-        self.log = make_logger(conf.name, lambda: self.config.log_level, self.syslog)
-        self.trace = self.log.debug if conf.log_level == "debug" else None
+        self.syslog = SyslogWriter(config.log_collector, self.counters)
+        self.log = make_logger(config.name, lambda: self.config.log_level, self.syslog)
+        self.trace = self.log.debug if config.log_level == "debug" else None
         self.clock = unix_anchored_clock()
-        self.wheel = TimerWheel(self.clock, partial(call_after_us, loop), conf.tick_us)
+        self.wheel = TimerWheel(self.clock, partial(call_after_us, loop), config.tick_us)
         self.lifecycle = self._new_lifecycle()
         self.pool = self._new_pool()
         self.zones = self._new_zones()
@@ -84,7 +86,7 @@
         self.client_groups: list[ClientGroup] = []
         self.handlers: list[RequestHandler] = []
         self.admin_listeners: list[tuple[Listener, ClientGroup]] = []
-        self.shared_state = SharedState(conf.state_folder)
+        self.shared_state = SharedState(config.state_folder)
         self.process_count = 1
         self.start_times = self._new_start_times()
         if self.shared_state.error:
@@ -95,18 +97,18 @@
         self.done = asyncio.Event()
 
     def _new_lifecycle(self) -> RequestLifecycle:
-        conf = self.config
-        settings = conf.settings
-        if conf.zones is not None:
+        config = self.config
+        settings = config.settings
+        if config.zones is not None:
             from umberlead.zones.integration import with_retry_budget
 
-            settings = with_retry_budget(settings, conf.zones.retry_budget_ratio)
+            settings = with_retry_budget(settings, config.zones.retry_budget_ratio)
         hooks = PluginHooks(
-            conf.plugin_paths, conf.plugin_timeout_us, self.counters, self.log.warning, self.trace
+            config.plugin_paths, config.plugin_timeout_us, self.counters, self.log.warning, self.trace
         )
         lifecycle = RequestLifecycle(
             settings,
-            conf.seed,
+            config.seed,
             self.clock,
             self.wheel,
             self.loop.call_soon,
@@ -118,7 +120,7 @@
         return lifecycle
 
     def _new_pool(self) -> EndpointPool:
-        conf = self.config
+        config = self.config
         pool = EndpointPool(
             self.lifecycle,
             self.loop,
@@ -126,8 +128,8 @@
             self.clock,
             self.counters,
             0,
-            conf.settings.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US,
-            conf.keepalive_us,
+            config.settings.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US,
+            config.keepalive_us,
             ENDPOINT_HOST,
             self.log.info,
         )
@@ -137,15 +139,15 @@
         return pool
 
     def _new_zones(self) -> "ZoneIntegration | None":
-        conf = self.config
-        if conf.zones is None:
+        config = self.config
+        if config.zones is None:
             return None
         from umberlead.zones.integration import integrate_zones
 
-        return integrate_zones(conf.zones, self.lifecycle, conf.seed, self.clock, self.log.warning)
+        return integrate_zones(config.zones, self.lifecycle, config.seed, self.clock, self.log.warning)
 
     def _new_start_times(self) -> StartTimes:
-        """Return the endpoints' start times, by the clock anchors of this front's processes so far."""
+        """Return the start times of endpoints, converted with the clock offsets stored by this front."""
         anchor_us = self.clock() - time.monotonic_ns() // 1000
         clock_anchors = self.shared_state.clock_anchors
         anchors_us = clock_anchors.read()
