--- a/umberlead/commands/__init__.py
+++ b/umberlead/commands/__init__.py
@@ -1,7 +1,7 @@
-"""The command line, on click. Only what a command needs is imported, and only when it runs.
+"""The command line, built on click. Each command imports the modules that it needs only when it runs.
 
-Exit codes: 0 done; 1 the answer is no (a list with problems, lists that differ); 2 the call itself can't be
-carried out. Results go to standard output, errors to standard error.
+Exit codes: 0 for success; 1 for a negative result (a list with problems, lists that differ); 2 if the command
+can't be carried out. Results go to standard output, errors to standard error.
 """
 
 import os
@@ -25,7 +25,7 @@
 @command.command()
 @click.argument("config", required=False, type=click.Path(dir_okay=False, path_type=Path))
 def run(config: Path | None) -> None:
-    """Run one front: of CONFIG (TOML), or of the environment as `python -m umberlead` does."""
+    """Run one front, configured by the TOML file CONFIG or, as `python -m umberlead`, by the environment."""
     from umberlead.start import main
 
     if config is not None:
--- a/umberlead/commands/expect.py
+++ b/umberlead/commands/expect.py
@@ -1,7 +1,7 @@
-"""`umberlead expect`: routing tests of suites, without traffic.
+"""`umberlead expect`: runs suites of routing tests, without network traffic.
 
-Exit codes: 0 all held (or nothing differs), 1 something failed, differs, or the suite asks for what can't be
-told, 2 it can't be read.
+Exit codes: 0 if all expectations hold (or nothing differs); 1 if an expectation fails or can't be decided, or
+the configurations differ; 2 if an input can't be read.
 """
 
 import json
@@ -18,12 +18,17 @@
 @click.argument("suites", nargs=-1, type=FILE)
 @click.option("--config", "conf", type=FILE, help="Check against this configuration instead of the suite's.")
 @click.option("--list", "listed", type=FILE, help="Check against this list instead of the suite's.")
-@click.option("--scenario", default="", help="Play just this scenario.")
-@click.option("--workers", type=click.IntRange(0, 256), default=0, help="Processes; 0: one a core.")
+@click.option("--scenario", default="", help="Run only this scenario.")
+@click.option(
+    "--workers",
+    type=click.IntRange(0, 256),
+    default=0,
+    help="Number of worker processes; 0 for one per core.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
-@click.option("--junit", type=FILE, help="Write JUnit XML here.")
-@click.option("--smallest", type=FILE, help="Write the smallest scenario that still fails here, as a suite.")
-@click.option("--suggest", is_flag=True, help="Print a first suite for --config (and --list) instead.")
+@click.option("--junit", type=FILE, help="Write a JUnit XML report to this file.")
+@click.option("--smallest", type=FILE, help="Write the smallest failing scenario to this file, as a suite.")
+@click.option("--suggest", is_flag=True, help="Print an initial suite for --config (and --list) instead.")
 def expect(
     suites: tuple[Path, ...],
     conf: Path | None,
@@ -37,18 +42,18 @@
 ) -> None:
     """Check the expectations of SUITES against a configuration and a list.
 
-    `umberlead expect diff OLD NEW` tells what the configuration NEW alters in who may reach whom; `--list`
-    goes before the list that either names.
+    `umberlead expect diff OLD NEW` prints how the configurations OLD and NEW differ in the servers that each
+    request may reach; `--list` overrides the list that either of them names.
     """
     from umberlead.routing_tests import report, running
     from umberlead.routing_tests.suites import UnreadableSuiteError
 
     if suggest:
         return _suggest(suites, conf, listed)
-    if suites and str(suites[0]) == "diff":  # a suite of that name is ./diff
+    if suites and str(suites[0]) == "diff":  # a suite in a file named diff is given as ./diff
         return _diff(suites[1:], listed, as_json)
     if not suites:
-        raise click.UsageError("name a suite, or --suggest")
+        raise click.UsageError("give at least one suite, or --suggest")
 
     bad = False
     told = {}
@@ -66,7 +71,7 @@
         told[str(path)] = report.rows(played, left)
         bad |= bool(told[str(path)]["failed"] or told[str(path)]["error"])
         if smallest is not None and _smallest(smallest, path, conf, listed, ready, played):
-            smallest = None  # of the first that failed
+            smallest = None  # only the first suite that fails is reduced
         if junit is not None:
             report.junit(played, junit, path.stem)
         if not as_json:
@@ -89,7 +94,7 @@
     from umberlead.routing_tests.suites import UnreadableSuiteError, side
 
     if suites or conf is None:
-        raise click.UsageError("--suggest takes --config FILE, perhaps --list FILE, and no suites")
+        raise click.UsageError("--suggest requires --config FILE, accepts --list FILE, and takes no suites")
     try:
         settings, listing, where = side(conf, listed)
     except UnreadableSuiteError as fault:
@@ -126,7 +131,7 @@
 def _smallest(
     out: Path, path: Path, conf: Path | None, listed: Path | None, ready: Any, played: list[Any]
 ) -> bool:
-    """Write the first failure's smallest scenario; whether there was one."""
+    """Write the smallest scenario that reproduces the first failure; return whether one was found."""
     from umberlead.routing_tests.model import Outcome
     from umberlead.routing_tests.smallest import smallest, suite
 
@@ -139,7 +144,7 @@
         conf = conf.absolute() if conf is not None else folder / ready.suite.config[0]
         listed = listed.absolute() if listed is not None else folder / ready.suite.listed[0]
         out.write_text(suite(found, ready, conf, listed, folder))
-        more = f" (not searched to the end after {found.plays} plays)" if found.cut else ""
+        more = f" (the search stopped after {found.plays} plays)" if found.cut else ""
         click.echo(
             f"smallest: {found.requests} of {found.before} requests{more}; umberlead expect {out}", err=True
         )
@@ -148,7 +153,7 @@
 
 
 def _progress(done: int, of: int, played: Any) -> None:
-    """On a terminal alone, and in one line: what is written to files and pipes is the verdict."""
+    """Show the progress in one line of standard error if that is a terminal; files and pipes get none."""
     if sys.stderr.isatty():
         click.echo(
             f"\r\x1b[K{done} of {of}: {played.scenario}" + ("\r\x1b[K" if done == of else ""),
--- a/umberlead/commands/experiment.py
+++ b/umberlead/commands/experiment.py
@@ -1,4 +1,4 @@
-"""`umberlead experiment` and `umberlead report`: a matrix of rehearsals, its dataset, and its page."""
+"""`umberlead experiment` and `umberlead report`: a matrix of rehearsals, its dataset and its HTML report."""
 
 import json
 import os
@@ -14,12 +14,14 @@
 
 @click.command()
 @click.argument("path", metavar="FILE", type=FILE)
-@click.option("--out", type=FOLDER, help="Where the dataset and the report go [default: FILE without .toml].")
-@click.option("--workers", type=int, help="Cells side by side [default: the cores; on sockets 1].")
+@click.option(
+    "--out", type=FOLDER, help="Folder for the dataset and the report [default: FILE without .toml]."
+)
+@click.option("--workers", type=int, help="Cells run in parallel [default: the cores; on sockets 1].")
 def experiment(path: Path, out: Path | None, workers: int | None) -> None:
-    """Play the matrix of FILE, keep its measures as one dataset, and write the report.
+    """Run the matrix of rehearsals in FILE, store the measures as one dataset, and write the report.
 
-    Exit code 1: a cell gave no result, or a rule was broken.
+    Exit code 1: a cell has no result, or a rule was broken.
     """
     from umberlead.commands.progress import Bar
 
@@ -27,7 +29,7 @@
         from umberlead.experiments import dataset, matrix, report, running
         from umberlead.experiments.versions import UnknownVersionError
     except ModuleNotFoundError as fault:
-        click.echo(f"experiment: needs the group experiments ({fault.name})", err=True)
+        click.echo(f"experiment: packages of the group experiments are missing ({fault.name})", err=True)
         sys.exit(2)
 
     folder = out or path.with_suffix("")
@@ -79,12 +81,12 @@
 @click.command()
 @click.argument("folder", type=click.Path(file_okay=False, exists=True, path_type=Path))
 def report(folder: Path) -> None:
-    """Write the report of an experiment's FOLDER anew from its dataset."""
+    """Write the report again from the dataset in an experiment's FOLDER."""
     try:
         from umberlead.experiments import dataset
         from umberlead.experiments import report as page
     except ModuleNotFoundError as fault:
-        click.echo(f"report: needs the group experiments ({fault.name})", err=True)
+        click.echo(f"report: packages of the group experiments are missing ({fault.name})", err=True)
         sys.exit(2)
 
     try:
--- a/umberlead/commands/lists.py
+++ b/umberlead/commands/lists.py
@@ -1,7 +1,7 @@
-"""`umberlead list`: endpoint lists checked, compared, formatted, sealed and shown.
+"""`umberlead list`: checks, compares, formats, seals and shows endpoint lists.
 
-Most commands need no front; `show --door` and `confirm` ask a running one by its admin API. Modules of
-membership are imported where they are used, so that the other commands start without them.
+Most commands need no front; `show --door` and `confirm` call the admin API of a running one. Modules of
+`umberlead.membership` are imported in the functions that use them, so that other commands start without them.
 """
 
 import json
@@ -22,7 +22,7 @@
 FILE_ARGUMENT = click.Path(dir_okay=False, path_type=Path)
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 SHARDS_OPTION = click.option(
-    "--shards", "shard_count", type=click.IntRange(0), default=0, help="How many shards must be served."
+    "--shards", "shard_count", type=click.IntRange(0), default=0, help="Number of shards that must be served."
 )
 ADMIN_ADDRESS_OPTION = click.option(
     "--door", "admin_address", metavar="HOST:PORT", required=True, help="The front's management address."
@@ -46,7 +46,7 @@
     "units": "max_units",
     "started": "started_us",
 }
-# Problems that sealing a set mends.
+# Problems that are solved by writing a new manifest.
 MANIFEST_CODES = ("L405", "L406")
 
 PrintedChanges = dict[str, list[Any]]
@@ -59,7 +59,7 @@
 
 @lists.command()
 @click.argument("path", type=FILE_ARGUMENT)
-@click.option("--resolve", is_flag=True, help="Look host names up as a front would.")
+@click.option("--resolve", is_flag=True, help="Resolve host names as a front does.")
 @SHARDS_OPTION
 @JSON_OPTION
 def check(path: Path, resolve: bool, shard_count: int, as_json: bool) -> None:
@@ -70,7 +70,7 @@
         version = checked_list.version
         count = len(checked_list.endpoints)
         fields = {"sound": True, "version": version, "servers": count, "digest": checked_list.digest}
-        _print_result(fields, as_json, f"{path}: sound, version {version}, {count} servers")
+        _print_result(fields, as_json, f"{path}: valid, version {version}, {count} servers")
         return
     if as_json:
         rows = [problem.to_json_row() for problem in check_result.problems]
@@ -84,7 +84,7 @@
 @click.argument("new", type=FILE_ARGUMENT)
 @JSON_OPTION
 def diff(old: Path, new: Path, as_json: bool) -> None:
-    """What NEW would change over OLD; 0 where nothing would."""
+    """Print the changes from the list OLD to the list NEW; the exit code is 0 if there are none."""
     from umberlead.membership.model import diff_endpoints
 
     before = checked_list_or_exit(old).endpoints
@@ -130,10 +130,13 @@
 @click.argument("paths", nargs=-1, required=True, type=FILE_ARGUMENT)
 @click.option("--write", is_flag=True, help="Rewrite the files instead of printing.")
 @click.option(
-    "--check", "check_only", is_flag=True, help="Only say which files would change (1 if any would)."
+    "--check",
+    "check_only",
+    is_flag=True,
+    help="Only print which files would change; exit code 1 if any would.",
 )
 def format_(paths: tuple[Path, ...], write: bool, check_only: bool) -> None:
-    """Lay files out the usual way; comments stay. A file that can't be read is left alone."""
+    """Format list files in the standard layout. Comments stay; a file that can't be parsed isn't changed."""
     from umberlead.membership.formatting import format_list
     from umberlead.membership.grammar import parse_file
 
@@ -162,7 +165,10 @@
 @lists.command()
 @click.argument("path", type=FILE_ARGUMENT)
 def seal(path: Path) -> None:
-    """Write the manifest that PATH names: the digests of the whole set as it stands. Written last."""
+    """Write the manifest that PATH names, with the digests of all current files of the set.
+
+    The manifest is the last file of a set to be written.
+    """
     import hashlib
 
     from umberlead.membership import files
@@ -181,9 +187,9 @@
 
 
 def _exit_unless_sealable(file_set: "FileSet") -> None:
-    """Print problems and exit, unless there are none but those that a new manifest mends.
+    """Print problems and exit, unless a new manifest solves all of them.
 
-    With a manifest named, problem L401 is that the manifest is not there yet.
+    If the list names a manifest, problem L401 means that the manifest does not exist yet.
     """
     problems = [problem for problem in file_set.problems if problem.code not in MANIFEST_CODES]
     problems += [problem for parsed in file_set.parsed_files for problem in parsed.problems]
@@ -197,13 +203,13 @@
 
 @lists.command()
 @click.argument("path", type=FILE_ARGUMENT, required=False)
-@click.option("--door", "admin_address", metavar="HOST:PORT", help="Show what a running front has in force.")
+@click.option("--door", "admin_address", metavar="HOST:PORT", help="Show the list that a running front uses.")
 @click.option("--snapshot", "is_snapshot", is_flag=True, help="PATH is a front's snapshot.")
 @JSON_OPTION
 def show(path: Path | None, admin_address: str | None, is_snapshot: bool, as_json: bool) -> None:
     """Show the servers of a list, of a snapshot, or of a running front."""
     if (path is None) == (admin_address is None):
-        raise click.UsageError("name either a file or --door")
+        raise click.UsageError("give either PATH or --door")
     if admin_address is not None:
         _show_running_front(admin_address, as_json)
         return
@@ -232,7 +238,9 @@
     for problem in status["complaint"]:
         lines.append(f"! {problem['file']}:{problem['line']}: {problem['code']}: {problem['text']}")
     if "pending" in status:
-        lines.append(f"! held; confirm with: umberlead list confirm {status['pending']['confirm']}")
+        lines.append(
+            f"! new list held back; confirm with: umberlead list confirm {status['pending']['confirm']}"
+        )
     lines += [_format_row(row) for row in rows]
     _print_result(status | {"list": rows}, as_json, "\n".join(lines))
 
@@ -259,7 +267,7 @@
     from umberlead.membership.loading import ListLoader
     from umberlead.membership.name_resolution import NameResolver, system_lookup
 
-    # Unless asked for, no host name is looked up: each then stands for itself.
+    # Without name resolution, each host name takes the place of its address.
     lookup = system_lookup if resolve_names else lambda host: (host,)
     resolver = NameResolver(lookup, timeout_seconds=RESOLVE_TIMEOUT_SECONDS)
     return ListLoader(path, shard_count, resolver).load(None).check_result
@@ -268,7 +276,7 @@
 def checked_list_or_exit(path: Path, resolve_names: bool = False) -> "CheckedList":
     """Return the checked list of a main file, or print its problems and exit.
 
-    Unless `resolve_names`, no host name is looked up.
+    Host names are resolved only if `resolve_names` is true.
     """
     check_result = _check(path, 0, resolve_names)
     if check_result.checked_list is None:
--- a/umberlead/commands/progress.py
+++ b/umberlead/commands/progress.py
@@ -1,4 +1,4 @@
-"""A bar on standard error, where that is a terminal; nothing elsewhere."""
+"""A progress bar on standard error; nothing is shown if that is not a terminal."""
 
 import sys
 from types import TracebackType
@@ -9,13 +9,13 @@
     """A progress bar, used as a context manager."""
 
     def __init__(self, name: str) -> None:
-        """A bar named `name`, not shown yet."""
+        """Create a bar named `name`; it is not shown yet."""
         self.name = name
         self.shown: Any = None
         self.task: Any = None
 
     def __enter__(self) -> "Bar":
-        """Shows the bar where standard error is a terminal."""
+        """Show the bar if standard error is a terminal."""
         if sys.stderr.isatty():
             from rich.console import Console
             from rich.progress import Progress
@@ -26,13 +26,13 @@
         return self
 
     def __call__(self, part: float) -> None:
-        """Sets the completed share, 0 to 1."""
+        """Set the completed fraction, 0 to 1."""
         if self.shown is not None:
             self.shown.update(self.task, completed=part)
 
     def __exit__(
         self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Removes the bar."""
+        """Remove the bar."""
         if self.shown is not None:
             self.shown.stop()
--- a/umberlead/commands/rehearse.py
+++ b/umberlead/commands/rehearse.py
@@ -1,4 +1,4 @@
-"""`umberlead rehearse`: a script's scenarios over emulated servers, in virtual time or on sockets."""
+"""`umberlead rehearse`: runs a script's scenarios with emulated servers, in virtual time or on sockets."""
 
 import sys
 from pathlib import Path
@@ -12,11 +12,11 @@
 
 
 class MissingGroupError(UmberleadError, ValueError):
-    """An option needs packages of a group that isn't installed."""
+    """An option needs packages of an optional group that are not installed."""
 
 
 def told(result: Any) -> str:
-    """A result as a person reads it."""
+    """Return a result as text for people."""
     rows = result.rows
     lines = [
         f"{result.scenario}, seed {result.seed}, {result.driver}: service {rows['service']:.1%}",
@@ -30,10 +30,10 @@
     lines.append("  first tries: " + "   ".join(counts))
     for name in [k.split(".")[1] for k in rows if k.startswith("latency.") and k.endswith(".p50")]:
         parts = [f"p{p} {rows[f'latency.{name}.p{p}']:.0f}" for p in ("50", "90", "99", "99.9")]
-        lines.append(f"  {name}, ms from when it was due: " + "   ".join(parts))
+        lines.append(f"  {name}, latency in ms from the scheduled time: " + "   ".join(parts))
     if rows["held_back"]:
         lines.append(
-            f"  refused or failed after half of their time, with no attempt: {rows['held_back']:.0f}"
+            f"  refused or failed after half of their timeout, without an attempt: {rows['held_back']:.0f}"
         )
     for text, outcome, why in result.verdicts:
         lines.append(
@@ -47,20 +47,24 @@
     lines += [f"  FAULT: {fault}" for fault in result.faults]
     if result.late > 0.25:
         lines.append(
-            f"  this machine was {result.late:.2f} s behind at worst: the figures are the machine's too"
+            f"  this machine fell up to {result.late:.2f} s behind schedule, which affects the figures"
         )
     return "\n".join(lines)
 
 
 @click.command()
 @click.argument("script", type=FILE)
-@click.option("--scenario", "name", help="Only this one of the script.")
-@click.option("--seed", type=int, help="In place of the script's.")
-@click.option("--sockets", is_flag=True, help="Fronts as processes on loopback, in real time.")
-@click.option("--figures", type=FILE, help="Figures in place of the operators' published ones.")
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="Write the results here (JSON).")
+@click.option("--scenario", "name", help="Run only this scenario of the script.")
+@click.option("--seed", type=int, help="Seed that overrides the script's.")
+@click.option("--sockets", is_flag=True, help="Run fronts as processes on loopback, in real time.")
+@click.option("--figures", type=FILE, help="File of figures that replaces the operators' published ones.")
 @click.option(
-    "--records", type=click.Path(file_okay=False, path_type=Path), help="Write every event here (Parquet)."
+    "--out", type=click.Path(dir_okay=False, path_type=Path), help="Write the results to this file (JSON)."
+)
+@click.option(
+    "--records",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Write every event to this folder (Parquet).",
 )
 def rehearse(
     script: Path,
@@ -71,9 +75,9 @@
     out: Path | None,
     records: Path | None,
 ) -> None:
-    """Play SCRIPT over emulated servers, judge the fronts by the rules, and price their service.
+    """Run SCRIPT with emulated servers, check that the fronts keep the rules, and rate their service.
 
-    Exit code 1: a rule was broken, an expectation failed, or a front erred.
+    Exit code 1: a rule was broken, an expectation failed, or a front had a fault.
     """
     from umberlead.commands.progress import Bar
     from umberlead.emulator import rehearsal
@@ -92,7 +96,9 @@
                 try:
                     from umberlead.experiments.dataset import keeper
                 except ModuleNotFoundError as fault:
-                    raise MissingGroupError(f"--records needs the group experiments ({fault.name})") from None
+                    raise MissingGroupError(
+                        f"--records: packages of the group experiments are missing ({fault.name})"
+                    ) from None
                 keep = keeper(records / of.name)
             with Bar(of.name) as bar:
                 made.append(
