--- a/umberlead/commands/expect.py
+++ b/umberlead/commands/expect.py
@@ -49,63 +49,64 @@
     from umberlead.routing_tests.suites import UnreadableSuiteError
 
     if suggest:
-        return _suggest(suites, conf, listed)
+        return _print_suggestion(suites, conf, listed)
     if suites and str(suites[0]) == "diff":  # a suite in a file named diff is given as ./diff
-        return _diff(suites[1:], listed, as_json)
+        return _print_diff(suites[1:], listed, as_json)
     if not suites:
         raise click.UsageError("give at least one suite, or --suggest")
 
-    bad = False
-    told = {}
+    any_failed = False
+    report_by_path = {}
     for path in suites:
         try:
-            ready, played = running.run(path, conf, listed, scenario, workers, _progress)
-        except UnreadableSuiteError as fault:
-            for problem in fault.problems:
+            suite, results = running.run(path, conf, listed, scenario, workers, _progress)
+        except UnreadableSuiteError as error:
+            for problem in error.problems:
                 click.echo(str(problem), err=True)
             sys.exit(2)
-        if not played:
+        if not results:
             click.echo(f"{path}: there is no scenario {scenario}", err=True)
             sys.exit(2)
-        left = {} if scenario else running.untouched(ready, played)
-        told[str(path)] = report.rows(played, left)
-        bad |= bool(told[str(path)]["failed"] or told[str(path)]["error"])
-        if smallest is not None and _smallest(smallest, path, conf, listed, ready, played):
+        untouched_names = {} if scenario else running.untouched(suite, results)
+        report_by_path[str(path)] = report.rows(results, untouched_names)
+        any_failed |= bool(report_by_path[str(path)]["failed"] or report_by_path[str(path)]["error"])
+        if smallest is not None and _write_smallest(smallest, path, conf, listed, suite, results):
             smallest = None  # only the first suite that fails is reduced
         if junit is not None:
-            report.junit(played, junit, path.stem)
+            report.junit(results, junit, path.stem)
         if not as_json:
-            words = [f"--config {conf}"] * (conf is not None) + [f"--list {listed}"] * (listed is not None)
-            command = " ".join(["umberlead expect", str(path), *words])
-            click.echo("\n".join(report.text(played, command, left)))
+            options = [f"--config {conf}"] * (conf is not None) + [f"--list {listed}"] * (listed is not None)
+            command = " ".join(["umberlead expect", str(path), *options])
+            click.echo("\n".join(report.text(results, command, untouched_names)))
     if as_json:
-        click.echo(json.dumps(told, indent=1))
-    sys.exit(int(bad))
+        click.echo(json.dumps(report_by_path, indent=1))
+    sys.exit(int(any_failed))
 
 
-def _unreadable(fault: Exception) -> None:
-    for problem in getattr(fault, "problems", ()):
+def _exit_unreadable(error: Exception) -> None:
+    for problem in getattr(error, "problems", ()):
         click.echo(str(problem), err=True)
     sys.exit(2)
 
 
-def _suggest(suites: tuple[Path, ...], conf: Path | None, listed: Path | None) -> None:
+def _print_suggestion(suites: tuple[Path, ...], conf: Path | None, listed: Path | None) -> None:
     from umberlead.routing_tests.suggest import beside, suite
     from umberlead.routing_tests.suites import UnreadableSuiteError, side
 
     if suites or conf is None:
         raise click.UsageError("--suggest requires --config FILE, accepts --list FILE, and takes no suites")
     try:
-        settings, listing, where = side(conf, listed)
-    except UnreadableSuiteError as fault:
-        return _unreadable(fault)
-    here = Path.cwd()
+        settings, checked_list, list_path = side(conf, listed)
+    except UnreadableSuiteError as error:
+        return _exit_unreadable(error)
+    folder = Path.cwd()
     click.echo(
-        suite(settings, listing, beside(conf.absolute(), here), beside(where.absolute(), here)), nl=False
+        suite(settings, checked_list, beside(conf.absolute(), folder), beside(list_path.absolute(), folder)),
+        nl=False,
     )
 
 
-def _diff(files: tuple[Path, ...], listed: Path | None, as_json: bool) -> None:
+def _print_diff(files: tuple[Path, ...], listed: Path | None, as_json: bool) -> None:
     from umberlead.routing_tests.altered import differences
     from umberlead.routing_tests.reach import TooManyBranchesError
     from umberlead.routing_tests.suites import UnreadableSuiteError, side
@@ -114,49 +115,60 @@
         raise click.UsageError("diff takes two configurations: OLD NEW")
     try:
         old, new = (side(path, listed) for path in files)
-    except UnreadableSuiteError as fault:
-        return _unreadable(fault)
+    except UnreadableSuiteError as error:
+        return _exit_unreadable(error)
     try:
-        found = differences(old[:2], new[:2])
-    except TooManyBranchesError as fault:
-        click.echo(f"E115: {fault}", err=True)
+        changes = differences(old[:2], new[:2])
+    except TooManyBranchesError as error:
+        click.echo(f"E115: {error}", err=True)
         sys.exit(1)
     if as_json:
-        click.echo(json.dumps([d.row() for d in found], indent=1))
+        click.echo(json.dumps([change.row() for change in changes], indent=1))
     else:
-        click.echo("\n".join(map(str, found)) if found else "nothing differs in who may reach whom")
-    sys.exit(int(bool(found)))
+        click.echo("\n".join(map(str, changes)) if changes else "nothing differs in who may reach whom")
+    sys.exit(int(bool(changes)))
 
 
-def _smallest(
-    out: Path, path: Path, conf: Path | None, listed: Path | None, ready: Any, played: list[Any]
+def _write_smallest(
+    output_path: Path,
+    path: Path,
+    conf: Path | None,
+    listed: Path | None,
+    loaded_suite: Any,
+    results: list[Any],
 ) -> bool:
     """Write the smallest scenario that reproduces the first failure; return whether one was found."""
     from umberlead.routing_tests.model import Outcome
     from umberlead.routing_tests.smallest import smallest, suite
 
-    scenarios = {s.name: s for s in ready.suite.scenarios}
-    for verdict in (v for of in played for v in of.verdicts if v.outcome is Outcome.FAILED):
-        found = smallest(ready, verdict.expectation, scenarios[verdict.scenario])
+    scenarios = {s.name: s for s in loaded_suite.suite.scenarios}
+    for verdict in (
+        candidate
+        for result in results
+        for candidate in result.verdicts
+        if candidate.outcome is Outcome.FAILED
+    ):
+        found = smallest(loaded_suite, verdict.expectation, scenarios[verdict.scenario])
         if found is None:
             continue
         folder = path.absolute().parent
-        conf = conf.absolute() if conf is not None else folder / ready.suite.config[0]
-        listed = listed.absolute() if listed is not None else folder / ready.suite.listed[0]
-        out.write_text(suite(found, ready, conf, listed, folder))
-        more = f" (the search stopped after {found.plays} plays)" if found.cut else ""
+        conf = conf.absolute() if conf is not None else folder / loaded_suite.suite.config[0]
+        listed = listed.absolute() if listed is not None else folder / loaded_suite.suite.listed[0]
+        output_path.write_text(suite(found, loaded_suite, conf, listed, folder))
+        note = f" (the search stopped after {found.plays} plays)" if found.cut else ""
         click.echo(
-            f"smallest: {found.requests} of {found.before} requests{more}; umberlead expect {out}", err=True
+            f"smallest: {found.requests} of {found.before} requests{note}; umberlead expect {output_path}",
+            err=True,
         )
         return True
     return False
 
 
-def _progress(done: int, of: int, played: Any) -> None:
+def _progress(done: int, total: int, result: Any) -> None:
     """Show the progress in one line of standard error if that is a terminal; files and pipes get none."""
     if sys.stderr.isatty():
         click.echo(
-            f"\r\x1b[K{done} of {of}: {played.scenario}" + ("\r\x1b[K" if done == of else ""),
+            f"\r\x1b[K{done} of {total}: {result.scenario}" + ("\r\x1b[K" if done == total else ""),
             nl=False,
             err=True,
         )
--- a/umberlead/commands/experiment.py
+++ b/umberlead/commands/experiment.py
@@ -28,48 +28,54 @@
     try:
         from umberlead.experiments import dataset, matrix, report, running
         from umberlead.experiments.versions import UnknownVersionError
-    except ModuleNotFoundError as fault:
-        click.echo(f"experiment: packages of the group experiments are missing ({fault.name})", err=True)
+    except ModuleNotFoundError as error:
+        click.echo(f"experiment: packages of the group experiments are missing ({error.name})", err=True)
         sys.exit(2)
 
     folder = out or path.with_suffix("")
     try:
-        made = matrix.read(path)
-        count = len(list(made.runs()))
-        side = workers or (1 if made.driver == "sockets" else max((os.cpu_count() or 2) - 1, 1))
-        with Bar(made.name) as bar:
+        definition = matrix.read(path)
+        run_count = len(list(definition.runs()))
+        worker_count = workers or (1 if definition.driver == "sockets" else max((os.cpu_count() or 2) - 1, 1))
+        with Bar(definition.name) as bar:
 
-            def told(done: int, whole: int, cell: running.Cell) -> None:
-                bar(done / whole)
+            def report_progress(done: int, total: int, cell: running.Cell) -> None:
+                bar(done / total)
                 if not sys.stderr.isatty():
-                    service = [f"{r['service']['service']:.3f}" for r in cell.results]
-                    word = cell.fault or " ".join(service)
+                    service = [f"{row['service']['service']:.3f}" for row in cell.results]
+                    outcome = cell.fault or " ".join(service)
                     run = cell.run
                     click.echo(
-                        f"{done}/{whole} {run.arm} {run.script.name} seed {run.seed}: {word}", err=True
+                        f"{done}/{total} {run.arm} {run.script.name} seed {run.seed}: {outcome}", err=True
                     )
 
-            cells = running.play(made, folder / "versions", side, told)
+            cells = running.play(definition, folder / "versions", worker_count, report_progress)
         dataset.write(cells, folder)
-        about = {"name": made.name, "baseline": made.baseline, "measures": made.measures}
-        (folder / "experiment.json").write_text(json.dumps(about, indent=1) + "\n")
-    except (matrix.BadMatrix, UnknownVersionError, OSError) as fault:
-        click.echo(str(fault), err=True)
+        description = {
+            "name": definition.name,
+            "baseline": definition.baseline,
+            "measures": definition.measures,
+        }
+        (folder / "experiment.json").write_text(json.dumps(description, indent=1) + "\n")
+    except (matrix.BadMatrix, UnknownVersionError, OSError) as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     rows, faults = dataset.read(folder)
-    click.echo(f"{count} runs, {len(faults)} without a result; {folder / 'measures.parquet'}")
+    click.echo(f"{run_count} runs, {len(faults)} without a result; {folder / 'measures.parquet'}")
     try:
-        page = report.write(folder, made.name, made.baseline, made.measures, rows, faults)
-    except ValueError as fault:
-        click.echo(str(fault), err=True)
+        report_path = report.write(
+            folder, definition.name, definition.baseline, definition.measures, rows, faults
+        )
+    except ValueError as error:
+        click.echo(str(error), err=True)
         sys.exit(1)
-    _summary(rows, made.baseline)
-    click.echo(str(page))
-    broken = any(r["measure"] in ("breaches", "faults") and r["value"] for r in rows)
-    sys.exit(1 if faults or broken else 0)
+    _print_summary(rows, definition.baseline)
+    click.echo(str(report_path))
+    any_rule_broken = any(row["measure"] in ("breaches", "faults") and row["value"] for row in rows)
+    sys.exit(1 if faults or any_rule_broken else 0)
 
 
-def _summary(rows: list[dict[str, Any]], baseline: str) -> None:
+def _print_summary(rows: list[dict[str, Any]], baseline: str) -> None:
     from umberlead.experiments import compare
 
     for arm, mean in compare.ranking(rows):
@@ -84,17 +90,19 @@
     """Write the report again from the dataset in an experiment's FOLDER."""
     try:
         from umberlead.experiments import dataset
-        from umberlead.experiments import report as page
-    except ModuleNotFoundError as fault:
-        click.echo(f"report: packages of the group experiments are missing ({fault.name})", err=True)
+        from umberlead.experiments import report as report_page
+    except ModuleNotFoundError as error:
+        click.echo(f"report: packages of the group experiments are missing ({error.name})", err=True)
         sys.exit(2)
 
     try:
-        about = json.loads((folder / "experiment.json").read_text())
+        description = json.loads((folder / "experiment.json").read_text())
         rows, faults = dataset.read(folder)
-        made = page.write(folder, about["name"], about["baseline"], about["measures"], rows, faults)
-    except (OSError, ValueError, KeyError) as fault:
-        click.echo(f"{folder}: {fault}", err=True)
+        report_path = report_page.write(
+            folder, description["name"], description["baseline"], description["measures"], rows, faults
+        )
+    except (OSError, ValueError, KeyError) as error:
+        click.echo(f"{folder}: {error}", err=True)
         sys.exit(2)
-    _summary(rows, about["baseline"])
-    click.echo(str(made))
+    _print_summary(rows, description["baseline"])
+    click.echo(str(report_path))
--- a/umberlead/commands/play.py
+++ b/umberlead/commands/play.py
@@ -46,8 +46,8 @@
     model = Model(unit=unit_ms / 1000, errors=errors, resets=resets, synthetic=synthetic)
     try:
         fleet.main(servers, model, record, seed, quiet, emulated)
-    except (OSError, fleet.NotLoopbackError) as fault:
-        click.echo(f"standin: {fault}", err=True)
+    except (OSError, fleet.NotLoopbackError) as error:
+        click.echo(f"standin: {error}", err=True)
         sys.exit(2)
 
 
@@ -70,8 +70,8 @@
 
     try:
         conf = configuration.load_operator_file(str(config))
-    except configuration.ConfigError as fault:
-        click.echo(f"{config}: {fault}", err=True)
+    except configuration.ConfigError as error:
+        click.echo(f"{config}: {error}", err=True)
         sys.exit(2)
     if conf.watched_lists is None or conf.object_api is None:
         key = "membership" if conf.watched_lists is None else "objects"
@@ -79,8 +79,8 @@
         sys.exit(2)
     servers = list(checked_list_or_exit(conf.watched_lists.main_path, resolve_names=True).endpoints.values())
     try:
-        sound = showing.main(config, servers, sorted(conf.object_api.plan_by_bucket), seconds, rate, seed)
-    except (OSError, showing.FrontStartError) as fault:
-        click.echo(f"demo: {fault}", err=True)
+        succeeded = showing.main(config, servers, sorted(conf.object_api.plan_by_bucket), seconds, rate, seed)
+    except (OSError, showing.FrontStartError) as error:
+        click.echo(f"demo: {error}", err=True)
         sys.exit(2)
-    sys.exit(0 if sound else 1)
+    sys.exit(0 if succeeded else 1)
--- a/umberlead/commands/progress.py
+++ b/umberlead/commands/progress.py
@@ -25,13 +25,16 @@
             self.task = self.shown.add_task(self.name, total=1.0)
         return self
 
-    def __call__(self, part: float) -> None:
+    def __call__(self, fraction: float) -> None:
         """Set the completed fraction, 0 to 1."""
         if self.shown is not None:
-            self.shown.update(self.task, completed=part)
+            self.shown.update(self.task, completed=fraction)
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         """Remove the bar."""
         if self.shown is not None:
--- a/umberlead/commands/rehearse.py
+++ b/umberlead/commands/rehearse.py
@@ -15,7 +15,7 @@
     """An option needs packages of an optional group that are not installed."""
 
 
-def told(result: Any) -> str:
+def format_result(result: Any) -> str:
     """Return a result as text for people."""
     rows = result.rows
     lines = [
@@ -24,11 +24,17 @@
         f"{rows['worst_class']:.1%}   wasted work {rows['waste']:.1%}",
     ]
     for kind in ("class", "plan"):
-        parts = [f"{k.partition('.')[2]} {v:.1%}" for k, v in rows.items() if k.startswith(f"{kind}.")]
+        parts = [
+            f"{key.partition('.')[2]} {value:.1%}"
+            for key, value in rows.items()
+            if key.startswith(f"{kind}.")
+        ]
         lines.append(f"  by {kind}: " + "   ".join(parts))
-    counts = [f"{k.partition('.')[2]} {v:.0f}" for k, v in rows.items() if k.startswith("count.")]
+    counts = [
+        f"{key.partition('.')[2]} {value:.0f}" for key, value in rows.items() if key.startswith("count.")
+    ]
     lines.append("  first tries: " + "   ".join(counts))
-    for name in [k.split(".")[1] for k in rows if k.startswith("latency.") and k.endswith(".p50")]:
+    for name in [key.split(".")[1] for key in rows if key.startswith("latency.") and key.endswith(".p50")]:
         parts = [f"p{p} {rows[f'latency.{name}.p{p}']:.0f}" for p in ("50", "90", "99", "99.9")]
         lines.append(f"  {name}, latency in ms from the scheduled time: " + "   ".join(parts))
     if rows["held_back"]:
@@ -40,7 +46,9 @@
             f"  {outcome.upper() if outcome != 'held' else 'held'}: {text}" + (f" ({why})" if why else "")
         )
     if result.breaches:
-        lines.append("  RULES BROKEN: " + ", ".join(f"{n} {c}" for n, c in result.breaches.items()))
+        lines.append(
+            "  RULES BROKEN: " + ", ".join(f"{rule} {count}" for rule, count in result.breaches.items())
+        )
         lines += [f"    {words}" for words in result.shown[:8]]
     else:
         lines.append("  no rule broken")
@@ -84,32 +92,37 @@
     from umberlead.emulator.figures import PUBLISHED, FigureError, Figures
     from umberlead.emulator.plan import ScriptError
 
-    made = []
+    results = []
     try:
-        scenarios = [s for s in rehearsal.read(script) if name in (None, s.name)]
+        scenarios = [candidate for candidate in rehearsal.read(script) if name in (None, candidate.name)]
         if not scenarios:
             click.echo(f"{script}: there is no scenario {name} with a fleet", err=True)
             sys.exit(2)
-        for of in scenarios:
+        for scenario in scenarios:
             keep = None
             if records is not None:
                 try:
                     from umberlead.experiments.dataset import keeper
-                except ModuleNotFoundError as fault:
+                except ModuleNotFoundError as error:
                     raise MissingGroupError(
-                        f"--records: packages of the group experiments are missing ({fault.name})"
+                        f"--records: packages of the group experiments are missing ({error.name})"
                     ) from None
-                keep = keeper(records / of.name)
-            with Bar(of.name) as bar:
-                made.append(
+                keep = keeper(records / scenario.name)
+            with Bar(scenario.name) as bar:
+                results.append(
                     rehearsal.rehearse(
-                        of, Figures(figures or PUBLISHED), sockets=sockets, seed=seed, progress=bar, keep=keep
+                        scenario,
+                        Figures(figures or PUBLISHED),
+                        sockets=sockets,
+                        seed=seed,
+                        progress=bar,
+                        keep=keep,
                     )
                 )
-            click.echo(told(made[-1]))
-    except (ScriptError, FigureError, ValueError, RuntimeError, OSError) as fault:
-        click.echo(str(fault), err=True)
+            click.echo(format_result(results[-1]))
+    except (ScriptError, FigureError, ValueError, RuntimeError, OSError) as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     if out is not None:
-        out.write_text("".join(r.text() for r in made))
-    sys.exit(0 if all(r.held for r in made) else 1)
+        out.write_text("".join(result.text() for result in results))
+    sys.exit(0 if all(result.held for result in results) else 1)
