--- a/umberlead/__init__.py
+++ b/umberlead/__init__.py
@@ -1,1 +1,1 @@
-"""umberlead: the decisions of an I/O scheduler for heads that share storage nodes."""
+"""umberlead: an I/O scheduler for fronts that share storage nodes."""
--- a/umberlead/__main__.py
+++ b/umberlead/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m umberlead`: one front from its environment; with words behind it, the command line."""
+"""`python -m umberlead`: runs a front configured by the environment or, with arguments, the command line."""
 
 import sys
 
--- a/umberlead/resource_limits.py
+++ b/umberlead/resource_limits.py
@@ -1,6 +1,7 @@
-"""Limits of a process, derived from the descriptors and the memory that its configuration grants.
+"""Limits of a process, derived from the descriptors and the memory that its configuration allows.
 
-What the process uses before it serves is measured; the remainder is divided by fixed ratios.
+The descriptors and memory in use are measured before the process serves requests. The remainder is divided by
+fixed ratios.
 """
 
 import contextlib
@@ -14,40 +15,40 @@
 if TYPE_CHECKING:
     from umberlead.configuration import Config
 
-MAX_HEADER_BYTES = 16 * 1024  # of an HTTP message's head, where memory allows
+MAX_HEADER_BYTES = 16 * 1024  # of an HTTP message's head, if there is enough memory
 MIN_HEADER_BYTES = 2 * 1024
-MAX_BODY_BYTES = 64 * 1024  # the platform protocol's
-CALL_ID_BYTES = 160  # of memory for a remembered call id, about
-LOG_LINE_BYTES = 512  # of memory for a queued log line, about
-# Descriptors that every front still opens: its listener and the admin API's (2), discovery's old and new
-# stream (2), the lock of the shared state (1), files and folders being read (2), what libuv keeps (1),
+MAX_BODY_BYTES = 64 * 1024  # set by the platform's protocol
+CALL_ID_BYTES = 160  # approximate memory for a remembered call id
+LOG_LINE_BYTES = 512  # approximate memory for a queued log line
+# Descriptors that every front opens after the measurement: its listener and the admin API's (2), discovery's
+# old and new stream (2), the lock of the shared state (1), files and folders being read (2), libuv's own (1),
 # name resolution (2), and 1 to spare.
 RESERVED_DESCRIPTORS_COUNT = 11
 MIN_ENDPOINT_CONNECTIONS_COUNT = 2
-# Clients may use a third of all descriptors, each a connection with an open request. Fewer open requests
-# leave connections for those of a higher priority weight than what waits.
+# Client connections may use a third of all descriptors, and each may have an open request. The limit of open
+# requests is lower, so that connections remain for requests of a higher priority weight than the queued ones.
 DESCRIPTORS_PER_OPEN_REQUEST_COUNT = 4
 MIN_OPEN_REQUESTS = 8
-FALLBACK_DESCRIPTORS_COUNT = 16  # of a process whose open descriptors can't be counted
-# Errors for want of a resource of this machine: they may pass, and say nothing of the other side.
+FALLBACK_DESCRIPTORS_COUNT = 16  # assumed in use if a process's open descriptors can't be counted
+# Errors because this machine lacks a resource. They may be temporary, and don't mean that the peer failed.
 LOCAL_RESOURCE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a process may use.
+    """Limits of the resources of a process.
 
     Attributes:
-        client_connections: at each listener, without their surplus.
-        endpoint_connections: to all endpoints together.
-        admin_connections: to the admin API, without their surplus.
-        request_body_bytes: of request bodies in memory, of all clients together.
-        response_bytes: of endpoints' responses that are read whole, together.
-        max_response_bytes: of one of them, where a front can't stream it.
-        max_header_bytes: of an HTTP message's head.
-        remembered_call_ids: call ids that are remembered to reject duplicates.
-        queued_log_lines: log lines that wait to be written.
-        open_requests: requests that are queued or at an endpoint.
+        client_connections: connections at each listener, without the surplus.
+        endpoint_connections: connections to all endpoints together.
+        admin_connections: connections to the admin API, without the surplus.
+        request_body_bytes: memory for the request bodies of all clients together.
+        response_bytes: memory for all endpoint responses that are buffered whole, together.
+        max_response_bytes: size of one response that is buffered because a front can't stream it.
+        max_header_bytes: size of an HTTP message's head.
+        remembered_call_ids: number of call ids that are remembered to reject duplicates.
+        queued_log_lines: number of log lines in the queue of the log writer.
+        open_requests: number of requests that are queued or at an endpoint.
     """
 
     client_connections: int
@@ -63,14 +64,14 @@
 
 
 class ResourcesInUse(NamedTuple):
-    """What a process uses: open descriptors, and peak memory in bytes."""
+    """Resources that a process uses: open descriptors, and peak memory in bytes."""
 
     descriptors: int
     memory_bytes: int
 
 
 def descriptors_and_memory_in_use() -> ResourcesInUse:
-    """Measure this process; it starts no child processes."""
+    """Measure the resources in use by this process, which starts no child processes."""
     try:
         descriptors = len(os.listdir("/proc/self/fd"))
     except OSError:
@@ -79,7 +80,7 @@
 
 
 def descriptors_to_come(conf: "Config") -> int:
-    """Return the descriptors that this configuration opens later, beside RESERVED_DESCRIPTORS_COUNT."""
+    """Return the number of descriptors that a configuration adds to RESERVED_DESCRIPTORS_COUNT."""
     count = 1 if conf.log_collector else 0
     if conf.object_api is not None:
         count += 1  # its listener
@@ -93,13 +94,13 @@
 
 
 def granted_descriptors(configured: int) -> int:
-    """Return the configured descriptors, or the system's soft limit where that is lower."""
+    """Return the configured number of descriptors, or the system's soft limit if that is lower."""
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return configured if soft_limit == resource.RLIM_INFINITY else min(configured, soft_limit)
 
 
 def surplus_connections(max_connections: int) -> int:
-    """Return how many connections are accepted beyond a limit, only to be rejected at once."""
+    """Return how many connections above a limit are accepted in order to be rejected at once."""
     return max(max_connections // 8, 1)
 
 
@@ -109,7 +110,7 @@
 
 
 def connections_within(descriptors: int) -> int:
-    """Return how many connections fit together with their surplus; at least one."""
+    """Return how many connections and their surplus fit in a number of descriptors; at least one."""
     count = max(descriptors * 8 // 9, 1)
     return count + 1 if with_surplus(count + 1) <= descriptors else count
 
@@ -123,14 +124,14 @@
 ) -> Limits:
     """Divide descriptors and memory among the uses of a process.
 
-    Of the memory, a quarter of what is free stays for the interpreter and for streamed data.
+    A quarter of the free memory remains for the interpreter and for streamed data.
 
     Args:
-        max_descriptors: that the process may have open.
-        memory_limit_bytes: that the process may use.
-        descriptors_in_use: before it serves.
-        memory_in_use_bytes: before it serves.
-        listener_count: listeners for clients.
+        max_descriptors: number of descriptors that the process may have open.
+        memory_limit_bytes: memory that the process may use.
+        descriptors_in_use: number of descriptors that are open before the process serves requests.
+        memory_in_use_bytes: memory in use before the process serves requests.
+        listener_count: number of listeners for clients.
     """
     connections = _divide_connections(max_descriptors - descriptors_in_use, listener_count)
     spare_bytes = max(memory_limit_bytes - memory_in_use_bytes, memory_limit_bytes // 16)
@@ -150,7 +151,7 @@
 
 
 class _Connections(NamedTuple):
-    """Connections by kind: of the admin API, at each listener for clients, and to endpoints."""
+    """Numbers of connections: of the admin API, at each listener for clients, and to endpoints."""
 
     admin: int
     at_listener: int
@@ -160,10 +161,10 @@
 def _divide_connections(descriptors: int, listener_count: int) -> _Connections:
     """Divide the descriptors that are not in use.
 
-    RESERVED_DESCRIPTORS_COUNT are set aside. A sixteenth of the others goes to the admin API; of the
-    remainder five ninths go to clients, in equal shares for each listener, and four ninths to endpoints. A
-    ninth of what the admin API or clients get, at least one, is their surplus. So of 128 descriptors or more
-    clients have over a third, and may have that many open requests.
+    RESERVED_DESCRIPTORS_COUNT are set aside. A sixteenth of the others goes to the admin API. Of the
+    remainder, five ninths go to clients, in equal parts to each listener, and four ninths to endpoints. A
+    ninth of the part of the admin API or of clients, at least one, is the surplus. So clients get over a
+    third of 128 or more descriptors, and may have that many open requests.
 
     The sum is `descriptors` as long as 4 + 2 x `listener_count` are free. Below that each use still gets its
     minimum (an admin connection, a client at each listener, one surplus each, and
@@ -179,24 +180,24 @@
 
 
 class ReservedDescriptor:
-    """A descriptor that is kept open for the admin API's files; it counts among those in use."""
+    """A descriptor that is held in reserve for the admin API's files; it counts as in use."""
 
     def __init__(self) -> None:
         """Open the descriptor.
 
         Raises:
-            OSError: there is none left.
+            OSError: no descriptor is left.
         """
         self._descriptor = os.open(os.devnull, os.O_RDONLY)
 
     @contextlib.contextmanager
     def lent(self) -> Iterator[None]:
-        """Within, one file at a time can be opened though all other descriptors are in use."""
+        """Release the descriptor within the context, so that one file at a time can always be opened."""
         self.close()
         try:
             yield
         finally:
-            with contextlib.suppress(OSError):  # another thread took it: the next call goes without
+            with contextlib.suppress(OSError):  # another thread took it: the next call has no reserve
                 self._descriptor = os.open(os.devnull, os.O_RDONLY)
 
     def close(self) -> None:
--- a/umberlead/start.py
+++ b/umberlead/start.py
@@ -1,6 +1,6 @@
-"""Start of a front's process, from its environment to its exit code.
+"""Starts the process of a front; `__main__` and the command line both call `main`.
 
-`__main__` and the command line both start here. Little is imported before the signal handlers are set.
+Few modules are imported before the signal handlers are set.
 """
 
 import gc
@@ -11,15 +11,17 @@
 
 
 def main() -> int:
-    """Run the front that the environment describes; return 0 at its end, or 2 where it can't start."""
+    """Run the front that the environment describes; return 0 when it has ended, or 2 if it can't start."""
     started_us = time.monotonic_ns() // 1000
-    # Loaded modules stay: collecting garbage among them costs time. The front sets its own threshold later.
+    # Objects of imported modules live as long as the process: garbage collections during the imports cost
+    # time and free nothing. The front sets its own threshold later.
     gc.set_threshold(100_000)
-    # With io_uring, libuv has the kernel poll a queue that nothing here uses, in a thread whose CPU time
-    # counts as this process's.
+    # With io_uring, libuv starts a kernel thread that polls a queue. Nothing here uses the queue, and the
+    # thread's CPU time counts as this process's.
     os.environ["UV_USE_IO_URING"] = "0"
-    # Until the front handles signals itself: SIGHUP's default action would end the process, and one that
-    # comes while the configuration is read must not be lost. At a SIGTERM no request was accepted yet.
+    # These handlers apply until the front sets its own. The default action of SIGHUP would end the process,
+    # and a SIGHUP that arrives while the configuration is read must not be lost. On SIGTERM the process can
+    # exit at once, because it has not accepted any request yet.
     early_reload_signals: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_reload_signals.append(number))
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
