--- a/umberlead/plugins.py
+++ b/umberlead/plugins.py
@@ -1,16 +1,16 @@
-"""Operators' plug-ins: Python scripts with hooks that see requests, outcomes and answers.
+"""Operators' plug-ins: Python scripts with hooks for requests, attempt outcomes and final answers.
 
-They never send attempts and can't override a rule: they get copies, and the request lifecycle decides what
-becomes of what they return.
+Scripts can't send attempts or override a rule: they get copies, and the request lifecycle decides how their
+return values are used.
 
-Version 1 of the interface. A script sets `API = 1` and defines any of
+In version 1 of the interface, a script sets `API = 1` and defines any of
 
-    request_taken(request)  -> None to pass, a dict of annotations, or a string: reject, for that reason
+    request_taken(request)  -> None to accept, a dict of annotations, or a string: the reason to reject
     outcome(request, outcome)
     answer(request, answer)
 
-where each argument is a dict of plain values. A hook that raises, returns something else or runs longer than
-`plugins.limit_ms` is logged and counted, and its script is disabled.
+where each argument is a dict of plain values. If a hook raises an exception, returns another type or runs
+longer than `plugins.limit_ms`, this is logged and counted, and its script is disabled.
 """
 
 import signal
@@ -31,20 +31,20 @@
 OUTCOME_HOOK = "outcome"
 ANSWER_HOOK = "answer"
 HOOK_NAMES = (REQUEST_HOOK, OUTCOME_HOOK, ANSWER_HOOK)
-MAX_ANNOTATIONS_COUNT = 16  # of one hook's return value
-MAX_ANNOTATION_SIZE = 256  # characters of a name, a value or a reason
-ALARM_TIMEOUT_FACTOR = 2  # of the timeout: a hook that is still running then is interrupted
+MAX_ANNOTATIONS_COUNT = 16  # in one hook's return value
+MAX_ANNOTATION_SIZE = 256  # characters, of a name, a value or a reason
+ALARM_TIMEOUT_FACTOR = 2  # a hook that still runs after this multiple of its timeout is interrupted
 
 
 class HookTimeoutError(UmberleadError):
-    """A hook ran too long."""
+    """A hook ran longer than its timeout."""
 
 
 class Plugin:
     """One script.
 
     Attributes:
-        name: its file's name without the suffix.
+        name: the name of its file without the suffix.
         enabled: whether its hooks are called.
         hooks: the hooks that it defines, by name.
     """
@@ -53,11 +53,11 @@
         """Run a script.
 
         Args:
-            path: its file.
-            key: the key of the configuration that names it, for errors.
+            path: the script's file.
+            key: the configuration key that names the file, for error messages.
 
         Raises:
-            ConfigError: it fails, or is for another version of the interface.
+            ConfigError: the script fails, or is written for another version of the interface.
         """
         self.name = path.stem
         self.enabled = True
@@ -65,7 +65,7 @@
         try:
             exec(compile(path.read_text(), str(path), "exec"), namespace)
         except Exception as error:
-            raise ConfigError(key, f"{path.name} does not load: {type(error).__name__}: {error}") from None
+            raise ConfigError(key, f"{path.name} failed to load: {type(error).__name__}: {error}") from None
         if namespace.get("API") != API_VERSION:
             raise ConfigError(key, f"{path.name} must set API = {API_VERSION}")
         self.hooks: dict[str, Callable[..., Any]] = {
@@ -74,7 +74,7 @@
 
 
 class PluginHooks:
-    """Calls each script that is enabled, in the order of the configuration.
+    """Calls the hooks of the enabled scripts, in the order of the configuration.
 
     It implements `umberlead.requests.types.RequestHooks`.
     """
@@ -90,14 +90,14 @@
         """Load the scripts.
 
         Args:
-            paths: their files.
-            hook_timeout_us: how long a hook may run.
+            paths: the scripts' files.
+            hook_timeout_us: how long a hook may run, in microseconds.
             counters: count rejections and disabled scripts.
-            log: logs a script that is disabled.
-            trace_log: logs each answer with the scripts' annotations, where given.
+            log: called when a script is disabled.
+            trace_log: called for each answer with the scripts' annotations; None for no trace.
 
         Raises:
-            ConfigError: a script does not load.
+            ConfigError: a script failed to load.
         """
         self.trace_log = trace_log
         self.hook_timeout_us = hook_timeout_us
@@ -105,11 +105,11 @@
         self.log = log
         self.plugins = [Plugin(path, f"plugins.scripts.{number}") for number, path in enumerate(paths)]
         self._in_hook = False
-        if self.plugins:  # the alarm stops a hook that would never end
+        if self.plugins:  # the alarm interrupts a hook that does not return
             signal.signal(signal.SIGALRM, self._on_alarm)
 
     def on_request(self, request: InFlightRequest) -> str | None:
-        """Let the scripts annotate or reject a request; return the reason for a rejection."""
+        """Let the scripts annotate or reject a request; return the reason if one rejects it."""
         for plugin in self.plugins:
             returned = self._run_hook(plugin, REQUEST_HOOK, self._describe_request(request))
             if isinstance(returned, str):
@@ -125,7 +125,7 @@
     def on_outcome(
         self, request: InFlightRequest, endpoint: str, result: AttemptResult, elapsed_us: int
     ) -> None:
-        """Show the scripts how an attempt ended."""
+        """Pass the outcome of an attempt to the scripts."""
         for plugin in self.plugins:
             outcome = {
                 "node": endpoint,
@@ -136,7 +136,7 @@
             self._run_hook(plugin, OUTCOME_HOOK, self._describe_request(request), outcome)
 
     def on_answer(self, request: InFlightRequest, answer: Answer) -> None:
-        """Show the scripts a request's final answer, and log it where answers are traced."""
+        """Pass a request's final answer to the scripts, and log it if answers are traced."""
         for plugin in self.plugins:
             answer_fields = {
                 "kind": answer.kind.value,
@@ -161,7 +161,7 @@
             raise HookTimeoutError
 
     def _run_hook(self, plugin: Plugin, hook_name: str, *args: Any) -> Any:
-        """Return what a script's hook returns, or None; a hook that fails disables its script."""
+        """Call a script's hook and return its value, or None; disable the script if the hook fails."""
         hook = plugin.hooks.get(hook_name)
         if hook is None or not plugin.enabled:
             return None
@@ -189,7 +189,7 @@
 
     @staticmethod
     def _describe_request(request: InFlightRequest) -> dict[str, Any]:
-        """Return a request as scripts see it."""
+        """Return the copy of a request that is passed to hooks."""
         incoming = request.incoming
         return {
             "id": request.id,
--- a/umberlead/simulator_adapter/errors.py
+++ b/umberlead/simulator_adapter/errors.py
@@ -4,8 +4,8 @@
 
 
 class SimulatorProtocolError(UmberleadError):
-    """The simulator broke the protocol."""
+    """The simulator violated the protocol."""
 
 
 class SchedulerFailedError(UmberleadError):
-    """A scheduler raised an exception; the text is the lines of the reply that tell so."""
+    """A scheduler raised an exception; the error's text is the lines of the reply that report it."""
--- a/umberlead/simulator_adapter/parsing.py
+++ b/umberlead/simulator_adapter/parsing.py
@@ -1,4 +1,4 @@
-"""Lines of the simulator's protocol to events, and actions to lines.
+"""Converts lines of the simulator's protocol to events, and actions to lines.
 
 Lines are split at single spaces; the token `-` stands for no value. Malformed lines raise IndexError,
 ValueError or KeyError.
@@ -44,11 +44,11 @@
 
 @dataclass(slots=True)
 class ParsingContext:
-    """What the lines for an instance refer to.
+    """State that the lines for an instance refer to.
 
     Attributes:
-        load_report_fields: names of the values of its load reports.
-        endpoint_lists: the lists that were sent, by number; all instances share them.
+        load_report_fields: names of the values of the instance's load reports, in their order.
+        endpoint_lists: the received endpoint lists by number; all instances share them.
     """
 
     load_report_fields: list[str]
@@ -71,12 +71,12 @@
 
 
 def parse_bool(text: str) -> bool:
-    """Return whether a token stands for true."""
+    """Return whether a token means true."""
     return text in TRUE_TOKENS
 
 
 def parse_optional_int(text: str) -> int:
-    """Return an integer, 0 for no value."""
+    """Return an integer; 0 if the token stands for no value."""
     return 0 if text == NO_VALUE else int(text)
 
 
@@ -91,7 +91,7 @@
 
 
 def parse_load_report(text: str, field_names: list[str]) -> dict[str, float]:
-    """Return a load report's values by name, from values with commas between them."""
+    """Return a load report's values by name, from comma-separated values."""
     if text == NO_VALUE:
         return {}
     named_values = zip(field_names, text.split(","), strict=False)
@@ -136,7 +136,7 @@
 
 
 def _parse_endpoint_list(tokens: list[str], context: ParsingContext) -> EndpointList | EndpointListFailed:
-    """Read `discovery _ KIND LIST_NUMBER`; the list itself came before in lines of its own."""
+    """Read `discovery _ KIND LIST_NUMBER`; the list itself was sent earlier, by `manifest`."""
     if tokens[2] == LIST_FAILED_TOKEN:
         return EndpointListFailed()
     return EndpointList(tokens[2] != PARTIAL_LIST_TOKEN, context.endpoint_lists[int(tokens[3])])
@@ -162,7 +162,7 @@
 
 
 def _ignore_line(_tokens: list[str], _context: ParsingContext) -> None:
-    """Ignore a line that no scheduler is notified of."""
+    """Ignore a line that is not passed to a scheduler."""
 
 
 EVENT_PARSERS: dict[str, Callable[[list[str], ParsingContext], Event | None]] = {
@@ -178,10 +178,10 @@
 
 
 def parse_event(tokens: list[str], context: ParsingContext) -> Event | None:
-    """Return the event of a line of a batch, None for a line to be ignored.
+    """Return the event of a line of a batch, or None for a line to be ignored.
 
     Raises:
-        SimulatorProtocolError: there is no such line.
+        SimulatorProtocolError: the type of the line is unknown.
     """
     parser = EVENT_PARSERS.get(tokens[0])
     if parser is None:
@@ -193,7 +193,7 @@
     """Return an action as a line of the protocol.
 
     Raises:
-        TypeError: it is no action that the simulator has a line for.
+        TypeError: the protocol has no line for the action.
     """
     match action:
         case Send(request_id, endpoint):
@@ -212,4 +212,4 @@
             return "track 1"
         case LogNote(text):
             return f"trace {text}"
-    raise TypeError(f"no such action: {action!r}")
+    raise TypeError(f"the protocol has no line for action {action!r}")
--- a/umberlead/simulator_adapter/session.py
+++ b/umberlead/simulator_adapter/session.py
@@ -1,4 +1,4 @@
-"""A session with the simulator: the scheduler instances that it has started, and its batches."""
+"""A session with the simulator: its scheduler instances, and the batches of events."""
 
 import sys
 import traceback
@@ -18,7 +18,7 @@
 )
 from umberlead.simulator_adapter.wire_tables import NO_VALUE
 
-PROTOCOL_ERROR_STATUS = 2  # of the process
+PROTOCOL_ERROR_STATUS = 2  # exit status of the process
 
 
 class LineReader:
@@ -43,13 +43,13 @@
 
 
 class AdapterSession:
-    """The scheduler instances of one adapter process, and the endpoint lists that it was sent.
+    """The scheduler instances of one adapter process, and the endpoint lists that it received.
 
     Attributes:
         schedulers: the schedulers by instance.
-        contexts: what lines for an instance refer to, by instance.
-        endpoint_lists: lists by number, until a number is used again.
-        now_us: the simulator's time, in microseconds.
+        contexts: the state that lines for an instance refer to, by instance.
+        endpoint_lists: endpoint lists by number; a list is replaced when its number is used again.
+        now_us: the simulator's current time in microseconds.
     """
 
     def __init__(self) -> None:
@@ -60,10 +60,10 @@
         self.now_us = 0
 
     def start_instance(self, instance: str, tokens: list[str]) -> None:
-        """Start an instance by `enlist SEED PATH=VALUE...`.
+        """Start an instance as told by the line `enlist SEED PATH=VALUE...`.
 
         Raises:
-            ValueError: the settings are wrong.
+            ValueError: the settings are invalid.
             SimulatorProtocolError: a setting has no value.
         """
         pairs = parse_setting_pairs(tokens[2:])
@@ -74,10 +74,10 @@
         self.schedulers[instance] = Scheduler(settings, int(tokens[1]), self.now_us)
 
     def run_scheduler(self, instance: str, events: list[Event]) -> list[Action]:
-        """Hand an instance its events, and return its actions.
+        """Pass events to an instance, and return its actions.
 
         Raises:
-            SchedulerFailedError: it raised an exception.
+            SchedulerFailedError: the scheduler raised an exception.
         """
         try:
             return self.schedulers[instance].handle(self.now_us, events)
@@ -88,13 +88,13 @@
 
 
 class Batch:
-    """One batch: its lines, and the events of each instance.
+    """One batch of the input: the events of each instance.
 
     Attributes:
-        session: the session.
-        reader: gives the lines.
-        instance: the instance that lines are for at present, empty before the first `about`.
-        events: the events by instance, in the order in which they came.
+        session: the session that the batch belongs to.
+        reader: reads the lines.
+        instance: the instance that the next lines are for; empty before the first `about`.
+        events: the events by instance, in their order in the batch.
     """
 
     def __init__(self, session: AdapterSession, reader: LineReader) -> None:
@@ -105,10 +105,10 @@
         self.events: dict[str, list[Event]] = {}
 
     def run(self, output: list[str]) -> None:
-        """Read the batch to its end, and add the lines of each instance's actions to `output`.
+        """Read the batch to its end, and append the lines of each instance's actions to `output`.
 
         Raises:
-            SimulatorProtocolError: the simulator broke the protocol.
+            SimulatorProtocolError: the simulator violated the protocol.
             SchedulerFailedError: a scheduler raised an exception.
         """
         self._read()
@@ -138,12 +138,12 @@
                     self._add_event(tokens)
 
     def _read_endpoint_list(self, tokens: list[str]) -> None:
-        """Read `manifest NUMBER COUNT` and the lines of its endpoints."""
+        """Read the line `manifest NUMBER COUNT` and the `item` lines of the list."""
         endpoints = []
         for _ in range(int(tokens[2])):
             line = self.reader.next_tokens()
             if line is None or line[0] != "item":
-                raise SimulatorProtocolError("a list is shorter than it says")
+                raise SimulatorProtocolError("endpoint list has fewer items than its manifest line says")
             endpoints.append(parse_listed_endpoint(line))
         self.session.endpoint_lists[int(tokens[1])] = tuple(endpoints)
 
@@ -191,15 +191,15 @@
 
 
 def run(source: TextIO, sink: TextIO) -> int:
-    """Answer batches until the input ends.
+    """Reply to batches until the input ends.
 
     Args:
-        source: gives the simulator's lines.
-        sink: takes the answers.
+        source: the simulator's lines are read from it.
+        sink: the replies are written to it.
 
     Returns:
-        The status that the process ends with: 0, or 2 for an error, which is printed on standard error with
-        the number of its line.
+        The exit status of the process: 0, or 2 after an error, which is printed on standard error with the
+        number of the line.
     """
     reader = LineReader(source)
     try:
--- a/umberlead/simulator_adapter/wire_tables.py
+++ b/umberlead/simulator_adapter/wire_tables.py
@@ -1,4 +1,4 @@
-"""The simulator's words for the scheduler's values."""
+"""Tokens of the simulator's protocol and the scheduler's values that they stand for."""
 
 from umberlead.scheduling.events import AttemptResult, EndpointStatus
 
@@ -19,6 +19,6 @@
 }
 NO_VALUE = "-"
 TRUE_TOKENS = ("true", "1")
-LIST_FAILED_TOKEN = "X"  # in the place of a list's kind
+LIST_FAILED_TOKEN = "X"  # in the position of the kind of a list
 PARTIAL_LIST_TOKEN = "D"
 CLIENT_RETRY_BIT = 2  # of a request's flags
--- a/umberlead/telemetry.py
+++ b/umberlead/telemetry.py
@@ -1,7 +1,7 @@
-"""Logging: structlog events become RFC 5424 lines on standard error or at a collector.
+"""Logging: writes structlog events as RFC 5424 lines to standard error or to a collector.
 
-A thread of its own writes them from a bounded queue, so that neither a full pipe nor a slow collector delays
-the event loop; lines that don't fit are dropped and counted.
+A separate thread writes the lines from a bounded queue, so that neither a full pipe nor a slow collector
+delays the event loop. Lines that don't fit in the queue are dropped and counted.
 """
 
 import os
@@ -53,13 +53,13 @@
     """Return one syslog line, without a line end.
 
     Args:
-        level: structlog's name of the level.
+        level: the level's name in structlog.
         when: the time of the event.
         host: the host's name.
         application: the program's name.
         pid: the id of the process.
-        event: becomes both MSGID and MSG.
-        fields: become structured data.
+        event: used as both MSGID and MSG.
+        fields: written as structured data.
     """
     timestamp = when.astimezone(UTC).strftime("%Y-%m-%dT%H:%M:%S.%fZ")
     data = "".join(f' {_field_name(name)}="{_field_value(str(value))}"' for name, value in fields.items())
@@ -77,7 +77,7 @@
     """A queue of lines and the thread that writes them.
 
     Attributes:
-        max_queued_lines: how many lines may wait.
+        max_queued_lines: maximum length of the queue.
     """
 
     def __init__(self, collector: str, counters: Counters) -> None:
@@ -85,7 +85,7 @@
 
         Args:
             collector: `unix://PATH` or `tcp://HOST:PORT`; empty for standard error.
-            counters: count dropped lines and failed writes.
+            counters: counters of dropped lines and failed writes.
         """
         self._collector = collector
         self._counters = counters
@@ -106,13 +106,13 @@
         self._work_available.set()
 
     def close(self, timeout_seconds: float = 0.5) -> None:
-        """Stop the thread once the queue is empty, or a write fails; wait for that up to a timeout."""
+        """Stop the thread when the queue is empty or a write fails; wait for it up to a timeout."""
         self._stop_requested = True
         self._work_available.set()
         self._thread.join(timeout_seconds)
 
     def _run(self) -> None:
-        # Signals are for the event loop's thread: one that this thread took would run its default action.
+        # Signals must go to the event loop's thread: in this thread, a signal would run its default action.
         signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
         while True:
             self._work_available.wait()
@@ -128,7 +128,7 @@
                 return
 
     def _write(self, line: str) -> bool:
-        """Write a line; false if it has to be written again."""
+        """Write a line; return whether it is done with, False if it has to be written again."""
         try:
             if not self._collector:
                 self._write_fully(sys.stderr.fileno(), line.encode() + b"\n")
@@ -143,11 +143,11 @@
             if self._socket is not None:
                 self._socket.close()
                 self._socket = None
-            return not self._collector  # without standard error there is nowhere left to write
+            return not self._collector  # a line that can't be written to standard error is lost
 
     @staticmethod
     def _write_fully(descriptor: int, content: bytes) -> None:
-        """Write all of it, however little of it the system takes at once."""
+        """Write all of the content, with as many system calls as that takes."""
         while content:
             content = content[os.write(descriptor, content) :]
 
@@ -162,7 +162,7 @@
 
 
 class _LineSink:
-    """Where structlog hands rendered lines, whatever their level."""
+    """The logger that structlog passes rendered lines to, at any level."""
 
     def __init__(self, writer: SyslogWriter) -> None:
         self._writer = writer
@@ -175,18 +175,18 @@
 
 
 def make_logger(front_name: str, level: Callable[[], str], writer: SyslogWriter) -> Any:
-    """Return a structlog logger whose events end in a writer.
+    """Return a structlog logger that passes its events to a writer.
 
     Args:
-        front_name: is a field of each event.
-        level: gives the lowest level that is written, which may change.
-        writer: takes the lines.
+        front_name: added to each event as a field.
+        level: returns the lowest level that is written at present; it may change.
+        writer: queues the lines.
     """
     host = socket.gethostname()
     pid = os.getpid()
 
     def render(_logger: Any, method: str, event: MutableMapping[str, Any]) -> str:
-        """Return an event as a line, or drop it for its level."""
+        """Return an event as a line, or drop it if its level is too low."""
         if SEVERITY_BY_LEVEL.get(method, DEFAULT_SEVERITY) > SEVERITY_BY_LEVEL[level()]:
             raise structlog.DropEvent
         text = str(event.pop("event"))
