--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests, and what KNOWN-RED.txt changes: tests listed there are run and have to fail."""
+"""Settings of all tests, and support for KNOWN-RED.txt: the tests listed there are run and must fail."""
 
 import re
 from collections.abc import Generator
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import settings
 
-# Without a limit in wall time to each drawn case: on busy cores one fails, and the same one passes again.
+# No time limit for a generated case: on busy cores a case exceeds it, and the same case passes when repeated.
 settings.register_profile("suite", deadline=None)
 settings.load_profile("suite")
 
@@ -18,10 +18,10 @@
 
 
 class KnownFailure(NamedTuple):
-    """A test that fails for a real fault which is known and not mended yet."""
+    """A test that fails because of a known bug that is not fixed yet."""
 
-    test: str  # its node id, parameters included
-    command: str  # that shows the failure, with its seed
+    test: str  # the test's node id with parameters
+    command: str  # reproduces the failure; includes the seed
     seen: str
     issue: str
 
@@ -33,10 +33,10 @@
 
 
 def read_known_failures(path: Path) -> dict[str, KnownFailure]:
-    """Return the entries of the file at `path` by test, one a line; none where there is no such file.
+    """Return the entries of the file at `path`, one per line, by test; none if there is no such file.
 
     Raises:
-        pytest.UsageError: a line has another form, or names a test for the second time; it ends the run.
+        pytest.UsageError: a line is malformed, or lists a test for the second time. The error ends the run.
     """
     known: dict[str, KnownFailure] = {}
     for number, line in enumerate(path.read_text().splitlines() if path.exists() else (), 1):
@@ -50,7 +50,7 @@
 
 
 def _exists(failure: KnownFailure, config: pytest.Config) -> bool:
-    """Whether a listed test that was not collected stands in a file that this run was not asked for."""
+    """Return whether a listed test that was not collected is defined in a file outside this run."""
     name, *_, last = failure.test.split("::")
     path = config.rootpath / name
     asked = [Path(config.invocation_params.dir, a).resolve() for a in config.args if "::" not in a]
@@ -60,7 +60,7 @@
     return re.search(defined, path.read_text(), re.M) is not None
 
 
-@pytest.hookimpl(tryfirst=True)  # before tests are deselected by name or mark
+@pytest.hookimpl(tryfirst=True)  # runs before tests are deselected by name or mark
 def pytest_collection_modifyitems(
     session: pytest.Session, config: pytest.Config, items: list[pytest.Item]
 ) -> None:
@@ -72,21 +72,21 @@
             found[failure.test].add_marker(mark, append=False)
         elif not session.testsfailed and not _exists(
             failure, config
-        ):  # a file that can't be read fails by itself
+        ):  # a file that can't be collected fails by itself
             raise pytest.UsageError(f"{LIST_FILE}: there is no test {failure.test}")
 
 
-@pytest.hookimpl(wrapper=True, tryfirst=True)  # behind pytest's own word on expected failures
+@pytest.hookimpl(wrapper=True, tryfirst=True)  # runs after pytest's own handling of expected failures
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
     report = yield
     if item.nodeid in item.config.stash[KNOWN_FAILURES]:
         if report.failed and call.excinfo is None:
-            report.longrepr = f"passes, and stands in {LIST_FILE}: take it off the list"
+            report.longrepr = f"passes, but is listed in {LIST_FILE}: remove it from the list"
         elif report.skipped and not hasattr(report, "wasxfail"):
             report.outcome = "failed"
-            report.longrepr = f"was skipped, and stands in {LIST_FILE}: it has to run"
+            report.longrepr = f"was skipped, but is listed in {LIST_FILE}: it has to run"
     return report
 
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange under tests/exchanges is a test."""
+"""Runs each recorded exchange under tests/exchanges as a test."""
 
 import unittest
 from collections.abc import Callable
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: what it lists is run, printed and has to fail; anything else wrong with it fails the run."""
+"""KNOWN-RED.txt: listed tests are run, printed and must fail; an entry that does not hold fails the run."""
 
 from pathlib import Path
 
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize(
     "name, said",
-    [("test_good", "*passes*take it off the list*"), ("test_skipped", "*was skipped*it has to run*")],
+    [("test_good", "*passes*remove it from the list*"), ("test_skipped", "*was skipped*it has to run*")],
 )
 def test_one_that_passes_or_does_not_run_fails_the_run(suite: pytest.Pytester, name: str, said: str) -> None:
     result = played(suite, f"tests/test_x.py::{name} | y | x | 1\n", "-k", name)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The package's layout, read from its import statements: no module needs, however late, one that needs it."""
+"""The package's import graph has no cycles, counting imports within functions and for types alone."""
 
 import ast
 import subprocess
@@ -10,7 +10,7 @@
 
 
 def modules(root: Path, package: str) -> dict[str, Path]:
-    """Every module of a package by its dotted name; a package is its `__init__`."""
+    """Return the paths of a package's modules by dotted name; an `__init__` has its package's name."""
     found = {}
     for path in sorted((root / package).rglob("*.py")):
         parts = path.relative_to(root).with_suffix("").parts
@@ -19,7 +19,7 @@
 
 
 def named(module: str, path: Path) -> Iterator[str]:
-    """What its statements import, in functions and for types alone too; `from a import b` names a.b."""
+    """Yield the names that a module imports, also in functions and for types; `from a import b` gives a.b."""
     package = module if path.name == "__init__.py" else module.rpartition(".")[0]
     for node in ast.walk(ast.parse(path.read_text(), str(path))):
         if isinstance(node, ast.Import):
@@ -31,13 +31,16 @@
 
 
 def needs(root: Path, package: str) -> dict[str, set[str]]:
-    """Module to modules. Entered from outside, a package runs its `__init__`; within it, it has run."""
+    """Return the modules that each module imports.
+
+    An import from outside a package also runs the package's `__init__`; for modules within it, it has run.
+    """
     known = modules(root, package)
     graph: dict[str, set[str]] = {}
     for module, path in known.items():
         graph[module] = set()
         for name in named(module, path):
-            while name and name not in known:  # a name in a module stands for the module
+            while name and name not in known:  # a name within a module stands for the module
                 name = name.rpartition(".")[0]
             while name:
                 if name != module and not module.startswith(f"{name}."):
@@ -47,7 +50,7 @@
 
 
 def circles(graph: dict[str, set[str]]) -> list[list[str]]:
-    """Groups of modules each of which leads to all others of its group."""
+    """Return the groups of modules that import each other, directly or through others."""
     reach: dict[str, set[str]] = {}
     for start in graph:
         todo, reach[start] = [start], set()
@@ -61,11 +64,11 @@
 
 def test_no_imports_go_in_a_circle() -> None:
     graph = needs(ROOT, "umberlead")
-    assert len(graph) > 80 and sum(map(len, graph.values())) > 250  # it read them
+    assert len(graph) > 80 and sum(map(len, graph.values())) > 250  # the sources were read
     assert (
         "umberlead.membership.integration" in graph["umberlead.daemon.endpoint_list_sync"]
-    )  # within a function
-    assert "umberlead.net.endpoint_pool" in graph["umberlead.membership.integration"]  # for types alone
+    )  # imported within a function
+    assert "umberlead.net.endpoint_pool" in graph["umberlead.membership.integration"]  # for types only
     assert circles(graph) == []
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: replies, plain messages on malformed lines, and the README's example."""
+"""The simulator adapter: replies and errors on malformed lines; the README's example; policy sizes."""
 
 import io
 import re
@@ -101,7 +101,7 @@
     files = [(ROOT / name).read_text().splitlines() for name in deploy["policy"]]
     assert sum(1 for lines in files for x in lines if x.strip()) <= 500  # the operators' present figure
     assert max(len(x) for lines in files for x in lines) <= 110
-    assert "events" in files[0][0] and "actions" in files[0][0]  # what it takes and returns
+    assert "events" in files[0][0] and "actions" in files[0][0]  # documented input and output
     assert deploy["policy"] == [
         "umberlead/scheduling/scheduler.py",
         "umberlead/scheduling/weighted_round_robin.py",
--- a/tests/test_lint_debt.py
+++ b/tests/test_lint_debt.py
@@ -1,7 +1,7 @@
-"""Rules for names, docstrings and sizes of functions hold in all files but those that pyproject.toml lists.
+"""Rules for names, docstrings and sizes of functions hold in all files except those in pyproject.toml's list.
 
-Each listed pair of a file and a rule has to be broken still, and each that is broken has to be listed: a file
-that becomes clean leaves the list, and none joins it. `noqa` comments don't count.
+The list holds pairs of a file and a rule, and must equal the pairs that ruff reports: a file that becomes
+clean is removed, and no file is added. `noqa` comments are ignored.
 """
 
 import json
@@ -15,8 +15,8 @@
 RULES = ("N", "D", "C901", "PLR0915")  # pep8-naming, pydocstyle, complexity, statements
 MAX_COMPLEXITY, MAX_STATEMENTS = 10, 40  # of a function
 FOLDERS = ("umberlead", "tests", "benchmarks", "deploy")
-NO_DOCSTRINGS = ("tests/**", "benchmarks/**")  # named by behaviour, and no one's interface
-DEBT = 55  # pairs of a file and a rule: lower it with each that is mended, and never raise it
+NO_DOCSTRINGS = ("tests/**", "benchmarks/**")  # tests are named after the behaviour, and have no users
+DEBT = 55  # number of listed pairs: lower it with each pair that is fixed, and never raise it
 
 Pairs = set[tuple[str, str]]
 
@@ -36,7 +36,7 @@
 
 
 def _broken() -> Pairs:
-    """What ruff finds without the list and without `noqa`."""
+    """Return the pairs that ruff reports without the list and without `noqa` comments."""
     call = [sys.executable, "-m", "ruff", "check", "--no-cache", "--ignore-noqa", "--exit-zero"]
     call += ["--select", ",".join(RULES), "--config", "lint.per-file-ignores = {}"]
     done = subprocess.run(
@@ -56,8 +56,8 @@
 
 def test_the_list_of_files_that_are_not_clean_only_grows_shorter() -> None:
     listed, broken = _listed(), _broken()
-    assert not broken - listed, f"mend these:\n{_lines(broken - listed)}"
-    assert not listed - broken, f"clean: take them off the list:\n{_lines(listed - broken)}"
+    assert not broken - listed, f"fix these violations:\n{_lines(broken - listed)}"
+    assert not listed - broken, f"no longer violated, remove from the list:\n{_lines(listed - broken)}"
     assert len(listed) == DEBT
 
 
@@ -73,7 +73,7 @@
     assert all(ignores[pattern] == ["D"] for pattern in NO_DOCSTRINGS)
     assert all((ROOT / file).is_file() for file in ignores if file not in NO_DOCSTRINGS)
     codes = {code for file, listed in ignores.items() if file not in NO_DOCSTRINGS for code in listed}
-    assert all(_is_readability(code) or code == "E501" for code in codes)  # no prefix that takes in more
+    assert all(_is_readability(code) or code == "E501" for code in codes)  # no prefix that covers more
     nested = {path.name for folder in FOLDERS for path in (ROOT / folder).rglob("*.toml")}
     assert not nested & {"pyproject.toml", "ruff.toml", ".ruff.toml"}
-    assert not any((ROOT / name).exists() for name in ("ruff.toml", ".ruff.toml"))  # it would come first
+    assert not any((ROOT / name).exists() for name in ("ruff.toml", ".ruff.toml"))  # it would take precedence
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""What no exchange shows: the wheel, slots, syslog lines, ranges, and messages on bad configuration."""
+"""Parts that no exchange covers: timer wheel, slots, syslog lines, byte ranges, limits and configuration."""
 
 import json
 import os
@@ -163,9 +163,7 @@
                     + limits.RESERVED_DESCRIPTORS_COUNT,
                     sockets,
                 )
-                self.assertGreater(
-                    of.client_connections, sockets // 3
-                )  # so many clients may hold for requests
+                self.assertGreater(of.client_connections, sockets // 3)  # the clients that may have a request
                 heads = of.max_header_bytes * of.client_connections
                 self.assertLess(
                     26 << 20,
--- a/umberlead/telemetry.py
+++ b/umberlead/telemetry.py
@@ -128,7 +128,7 @@
                 return
 
     def _write(self, line: str) -> bool:
-        """Write a line; return whether it is done with, False if it has to be written again."""
+        """Write a line; return False if it has to be written again."""
         try:
             if not self._collector:
                 self._write_fully(sys.stderr.fileno(), line.encode() + b"\n")
