--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,11 +22,11 @@
 
     test: str  # the test's node id with parameters
     command: str  # reproduces the failure; includes the seed
-    seen: str
+    symptom: str
     issue: str
 
     def __str__(self) -> str:
-        return f"{self.test}: {self.seen} ({self.issue}); {self.command}"
+        return f"{self.test}: {self.symptom} ({self.issue}); {self.command}"
 
 
 KNOWN_FAILURES = pytest.StashKey[dict[str, KnownFailure]]()
@@ -73,7 +73,7 @@
     found = {item.nodeid: item for item in items}
     for failure in known.values():
         if failure.test in found:
-            mark = pytest.mark.xfail(reason=f"{failure.seen} ({failure.issue})", strict=True)
+            mark = pytest.mark.xfail(reason=f"{failure.symptom} ({failure.issue})", strict=True)
             found[failure.test].add_marker(mark, append=False)
         elif not session.testsfailed and not _exists_outside_run(
             failure, config
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -101,7 +101,7 @@
 def test_scheduler_sources_keep_the_operators_size_limits() -> None:
     deploy_config = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     files = [(ROOT / name).read_text().splitlines() for name in deploy_config["policy"]]
-    assert sum(1 for lines in files for line in lines if line.strip()) <= 500  # the operators' present figure
+    assert sum(1 for lines in files for line in lines if line.strip()) <= 500  # the operators' present limit
     assert max(len(line) for lines in files for line in lines) <= 110
     assert "events" in files[0][0] and "actions" in files[0][0]  # documented input and output
     assert deploy_config["policy"] == [
--- a/umberlead/commands/progress.py
+++ b/umberlead/commands/progress.py
@@ -11,8 +11,8 @@
     def __init__(self, name: str) -> None:
         """Create a bar named `name`; it is not shown yet."""
         self.name = name
-        self.shown: Any = None
-        self.task: Any = None
+        self.progress: Any = None
+        self.task_id: Any = None
 
     def __enter__(self) -> "Bar":
         """Show the bar if standard error is a terminal."""
@@ -20,15 +20,15 @@
             from rich.console import Console
             from rich.progress import Progress
 
-            self.shown = Progress(console=Console(stderr=True), transient=True)
-            self.shown.start()
-            self.task = self.shown.add_task(self.name, total=1.0)
+            self.progress = Progress(console=Console(stderr=True), transient=True)
+            self.progress.start()
+            self.task_id = self.progress.add_task(self.name, total=1.0)
         return self
 
     def __call__(self, fraction: float) -> None:
         """Set the completed fraction, 0 to 1."""
-        if self.shown is not None:
-            self.shown.update(self.task, completed=fraction)
+        if self.progress is not None:
+            self.progress.update(self.task_id, completed=fraction)
 
     def __exit__(
         self,
@@ -37,5 +37,5 @@
         traceback: TracebackType | None,
     ) -> None:
         """Remove the bar."""
-        if self.shown is not None:
-            self.shown.stop()
+        if self.progress is not None:
+            self.progress.stop()
