--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -165,7 +165,7 @@
                 )
                 self.assertGreater(
                     divided.client_connections, descriptors // 3
-                )  # the clients that may have a request
+                )  # that many may have a request
                 heads_bytes = divided.max_header_bytes * divided.client_connections
                 self.assertLess(
                     26 << 20,
--- a/umberlead/telemetry.py
+++ b/umberlead/telemetry.py
@@ -143,7 +143,7 @@
             if self._socket is not None:
                 self._socket.close()
                 self._socket = None
-            return not self._collector  # a line that can't be written to standard error is lost
+            return not self._collector  # there is no other place to write to if standard error fails
 
     @staticmethod
     def _write_fully(descriptor: int, content: bytes) -> None:
