--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The package's layout, read from its import statements: no module needs, however late, one that needs it."""
+"""The package's import graph has no cycles, counting imports within functions and for types alone."""
 
 import ast
 import subprocess
@@ -9,35 +9,38 @@
 ROOT = Path(__file__).parent.parent
 
 
-def modules(root: Path, package: str) -> dict[str, Path]:
-    """Every module of a package by its dotted name; a package is its `__init__`."""
-    found = {}
+def modules_of(root: Path, package: str) -> dict[str, Path]:
+    """Return the paths of a package's modules by dotted name; an `__init__` has its package's name."""
+    path_by_module = {}
     for path in sorted((root / package).rglob("*.py")):
         parts = path.relative_to(root).with_suffix("").parts
-        found[".".join(parts[:-1] if parts[-1] == "__init__" else parts)] = path
-    return found
+        path_by_module[".".join(parts[:-1] if parts[-1] == "__init__" else parts)] = path
+    return path_by_module
 
 
-def named(module: str, path: Path) -> Iterator[str]:
-    """What its statements import, in functions and for types alone too; `from a import b` names a.b."""
+def imported_names(module: str, path: Path) -> Iterator[str]:
+    """Yield the names that a module imports, also in functions and for types; `from a import b` gives a.b."""
     package = module if path.name == "__init__.py" else module.rpartition(".")[0]
     for node in ast.walk(ast.parse(path.read_text(), str(path))):
         if isinstance(node, ast.Import):
-            yield from (a.name for a in node.names)
+            yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            up = package.split(".")[: len(package.split(".")) + 1 - node.level] if node.level else []
-            base = ".".join([*up, *([node.module] if node.module else [])])
-            yield from (f"{base}.{a.name}" for a in node.names)
+            parents = package.split(".")[: len(package.split(".")) + 1 - node.level] if node.level else []
+            base = ".".join([*parents, *([node.module] if node.module else [])])
+            yield from (f"{base}.{alias.name}" for alias in node.names)
 
 
-def needs(root: Path, package: str) -> dict[str, set[str]]:
-    """Module to modules. Entered from outside, a package runs its `__init__`; within it, it has run."""
-    known = modules(root, package)
+def import_graph(root: Path, package: str) -> dict[str, set[str]]:
+    """Return the modules that each module imports.
+
+    An import from outside a package also runs the package's `__init__`; for modules within it, it has run.
+    """
+    known = modules_of(root, package)
     graph: dict[str, set[str]] = {}
     for module, path in known.items():
         graph[module] = set()
-        for name in named(module, path):
-            while name and name not in known:  # a name in a module stands for the module
+        for name in imported_names(module, path):
+            while name and name not in known:  # a name within a module stands for the module
                 name = name.rpartition(".")[0]
             while name:
                 if name != module and not module.startswith(f"{name}."):
@@ -46,30 +49,30 @@
     return graph
 
 
-def circles(graph: dict[str, set[str]]) -> list[list[str]]:
-    """Groups of modules each of which leads to all others of its group."""
-    reach: dict[str, set[str]] = {}
+def import_cycles(graph: dict[str, set[str]]) -> list[list[str]]:
+    """Return the groups of modules that import each other, directly or through others."""
+    reachable: dict[str, set[str]] = {}
     for start in graph:
-        todo, reach[start] = [start], set()
-        while todo:
-            for to in graph[todo.pop()] - reach[start]:
-                reach[start].add(to)
-                todo.append(to)
-    groups = {tuple(sorted(b for b in reach[a] if a in reach[b])) for a in graph if a in reach[a]}
-    return [list(g) for g in sorted(groups)]
-
-
-def test_no_imports_go_in_a_circle() -> None:
-    graph = needs(ROOT, "umberlead")
-    assert len(graph) > 80 and sum(map(len, graph.values())) > 250  # it read them
+        pending, reachable[start] = [start], set()
+        while pending:
+            for target in graph[pending.pop()] - reachable[start]:
+                reachable[start].add(target)
+                pending.append(target)
+    groups = {tuple(sorted(b for b in reachable[a] if a in reachable[b])) for a in graph if a in reachable[a]}
+    return [list(group) for group in sorted(groups)]
+
+
+def test_package_has_no_import_cycles() -> None:
+    graph = import_graph(ROOT, "umberlead")
+    assert len(graph) > 80 and sum(map(len, graph.values())) > 250  # the sources were read
     assert (
         "umberlead.membership.integration" in graph["umberlead.daemon.endpoint_list_sync"]
-    )  # within a function
-    assert "umberlead.net.endpoint_pool" in graph["umberlead.membership.integration"]  # for types alone
-    assert circles(graph) == []
+    )  # imported within a function
+    assert "umberlead.net.endpoint_pool" in graph["umberlead.membership.integration"]  # for types only
+    assert import_cycles(graph) == []
 
 
-def test_a_circle_is_found_wherever_its_imports_stand(tmp_path: Path) -> None:
+def test_import_cycles_within_functions_and_type_imports_are_found(tmp_path: Path) -> None:
     files = {
         "p/__init__.py": "",
         "p/a.py": "def f():\n    from p import b\n",
@@ -83,10 +86,10 @@
     for name, text in files.items():
         (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
         (tmp_path / name).write_text(text)
-    assert circles(needs(tmp_path, "p")) == [["p.a", "p.b", "p.q"], ["p.e", "p.f"]]
+    assert import_cycles(import_graph(tmp_path, "p")) == [["p.a", "p.b", "p.q"], ["p.e", "p.f"]]
 
 
-def test_the_start_of_a_front_loads_nothing_of_the_command_line() -> None:
+def test_start_of_a_front_does_not_import_the_command_line() -> None:
     code = "import sys, umberlead.__main__; print(sorted(n for n in sys.modules if n[:9] == 'umberlead'))"
     done = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert done.stdout == "['umberlead', 'umberlead.__main__', 'umberlead.start']\n", done.stderr
--- a/umberlead/commands/progress.py
+++ b/umberlead/commands/progress.py
@@ -1,4 +1,4 @@
-"""A bar on standard error, where that is a terminal; nothing elsewhere."""
+"""A progress bar on standard error; nothing is shown if that is not a terminal."""
 
 import sys
 from types import TracebackType
@@ -9,30 +9,33 @@
     """A progress bar, used as a context manager."""
 
     def __init__(self, name: str) -> None:
-        """A bar named `name`, not shown yet."""
+        """Create a bar named `name`; it is not shown yet."""
         self.name = name
-        self.shown: Any = None
-        self.task: Any = None
+        self.progress: Any = None
+        self.task_id: Any = None
 
     def __enter__(self) -> "Bar":
-        """Shows the bar where standard error is a terminal."""
+        """Show the bar if standard error is a terminal."""
         if sys.stderr.isatty():
             from rich.console import Console
             from rich.progress import Progress
 
-            self.shown = Progress(console=Console(stderr=True), transient=True)
-            self.shown.start()
-            self.task = self.shown.add_task(self.name, total=1.0)
+            self.progress = Progress(console=Console(stderr=True), transient=True)
+            self.progress.start()
+            self.task_id = self.progress.add_task(self.name, total=1.0)
         return self
 
-    def __call__(self, part: float) -> None:
-        """Sets the completed share, 0 to 1."""
-        if self.shown is not None:
-            self.shown.update(self.task, completed=part)
+    def __call__(self, fraction: float) -> None:
+        """Set the completed fraction, 0 to 1."""
+        if self.progress is not None:
+            self.progress.update(self.task_id, completed=fraction)
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
-        """Removes the bar."""
-        if self.shown is not None:
-            self.shown.stop()
+        """Remove the bar."""
+        if self.progress is not None:
+            self.progress.stop()
