--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -1,35 +1,36 @@
-"""Plays a recorded exchange against a whole front on loopback, with stand-ins for chunk servers, discovery
-and clients. A text file holds one exchange, a step a line:
-
-    set KEY VALUE          a key of tests/exchanges/base.toml, before the front starts or before a reload
-    patch MODULE NAME N    a constant of a module, before the front starts
-    node NAME SHARD        a chunk server that stores blocks; SHARD:script, one that plays what the file says;
-                           SHARD:down, one that nobody listens for
-    discovery              a scripted discovery in place of the known list; moves NAME, another, which the
-                           configuration names from here on
-    client NAME FRONT      a connection to the `platform` or `objects` front, or to `control`
-    NAME >  /  NAME <      sends, or expects, the lines below it
-    NAME next WORD ...     how a storing chunk server ends its next requests: ok, full, error, reset, stall,
-                           missing, hold; one that stalls, resets or holds has run the request
-    NAME close, NAME eof   breaks the connection, or expects its end; NAME finish ends it in order, NAME reset
-                           resets it, NAME half ends its sending alone
-    NAME release N         a storing chunk server answers N requests that it holds, the oldest first
-    dials hold, dials go   connections to chunk servers wait to be made; they are made
-    started NAME           the chunk server counts as just started
-    memory N               clients of the platform front may have N bytes held for them
-    beside                 another process of this front stands beside it
-    lastword               the process's end is due: what is open is answered
-    clock US               the front's clock moves on by so many us, and what is due then is done
-    NAME ran PREFIX N      like writes, whatever was asked
-    NAME fresh             waits for the chunk server's, or discovery's, next connection
-    writes NAME PREFIX N   N requests in all of that start have run there, none of them twice
-    counter NAME N         a counter of the front now; until NAME N waits for it
-    signal NAME, ends      a signal to the process; the front comes to its end
-
-Below a step, `| text` is a line with its CRLF, `~ text` one with LF alone, `= text` one with
-neither, and `@ BEGIN END` those bytes of the test's content; `% N LINE` is N such lines, and
-`& NAME first / second` the lines that base.defs has under that name. In what is
-expected {name} stands for any word, the same in all places, and {~} for the rest of a line."""
+"""Plays a scripted exchange against a complete front on loopback, with test doubles for chunk servers,
+discovery and clients. A text file holds one exchange, one step per line:
+
+    set KEY VALUE          sets a key of tests/exchanges/base.toml, before the front starts or before a reload
+    patch MODULE NAME N    sets a constant of a module before the front starts
+    node NAME SHARD        starts a chunk server that stores blocks; with SHARD:script, one whose responses
+                           the script sends; with SHARD:down, one whose port no process listens on
+    discovery              replaces the list of known endpoints by a discovery whose messages the script
+                           sends; `moves NAME` starts another, which the configuration names from then on
+    client NAME FRONT      connects to the `platform` or `objects` front, or to the admin API (`control`)
+    NAME >  /  NAME <      sends, or expects, the lines below the step
+    NAME next WORD ...     sets how a storing chunk server ends its next requests: ok, full, error, reset,
+                           stall, missing or hold; with stall, reset and hold the request has been executed
+    NAME close, NAME eof   aborts the connection, or expects its end; `NAME finish` closes it after all
+                           data was sent, `NAME reset` resets it, `NAME half` closes only the sending direction
+    NAME breaks            aborts all connections to the chunk server or discovery
+    NAME release N         a storing chunk server answers N of the requests that it holds, the oldest first
+    dials hold, dials go   new connections to chunk servers are delayed; they are established
+    started NAME           the chunk server's start time is now, so that it is in slow start
+    memory N               limits the bytes that are buffered for clients of the platform front to N
+    beside                 a second process of this front is running
+    lastword               the process's shutdown deadline is reached: all open requests are answered
+    clock US               advances the front's clock by US microseconds and fires the timers that are due
+    NAME ran PREFIX N      like `writes`, for requests of any method that contain PREFIX
+    NAME fresh             waits for the next connection to the chunk server or discovery
+    writes NAME PREFIX N   N different requests with this prefix were executed there, none of them twice
+    counter NAME N         checks a counter of the front; `until NAME N` waits until it is at least N
+    signal NAME, ends      sends a signal to the process; waits until the front has stopped
+
+Below a step, `| text` is a line with CRLF, `~ text` a line with LF alone, `= text` text without a line end,
+and `@ BEGIN END` the bytes of CONTENT from BEGIN to END; `% N LINE` repeats a line N times, and
+`& NAME first / second` inserts the lines that base.defs has under that name. In expected lines, {name}
+matches one word, the same one wherever the name occurs, and {~} matches the rest of a line."""
 
 import asyncio
 import os
@@ -52,7 +53,7 @@
 from umberlead.daemon.process import FrontProcess
 
 FOLDER = Path(__file__).parent / "exchanges"
-PATIENCE = 5.0  # s until a step that never comes fails
+PATIENCE = 5.0  # seconds until a step that waits fails
 CONTENT = bytes((i * 131 + (i >> 8) * 17 + (i >> 16)) & 0xFF for i in range(1 << 18))
 
 
@@ -71,15 +72,15 @@
 
 
 class Peer(asyncio.Protocol):
-    """One end of a connection, read as the exchange goes."""
+    """The test's end of a connection; keeps the received bytes until a step consumes them."""
 
     def __init__(self) -> None:
         self.got, self.ended, self.news = b"", False, asyncio.Event()
-        self.fault: Exception | None = None  # it ended with
+        self.fault: Exception | None = None  # the error that ended the connection
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # what is written is on its way at once
+        transport.set_write_buffer_limits(high=0)  # written bytes are passed to the system at once
 
     def data_received(self, data: bytes) -> None:
         self.got += data
@@ -94,11 +95,11 @@
         try:
             await asyncio.wait_for(self.news.wait(), PATIENCE)
         except TimeoutError:
-            raise AssertionError(f"{what}\nnever came; there is {self.got!r}") from None
+            raise AssertionError(f"{what}\nwas not received in time; received: {self.got!r}") from None
 
 
 class Store(Peer):
-    """A chunk server that stores blocks and ends requests as it is told."""
+    """A connection to a chunk server that stores blocks and ends requests as `NAME next` says."""
 
     def __init__(self, node: "Node") -> None:
         super().__init__()
@@ -155,7 +156,7 @@
 
 
 class Clock:
-    """Real time and what is added to it by hand."""
+    """Real time in microseconds since the epoch, plus the time that the script's steps added."""
 
     def __init__(self) -> None:
         self.added = 0
@@ -166,7 +167,7 @@
 
 
 class Gate:
-    """The loop as the pool sees it: connections are made once the gate is open."""
+    """The event loop for the endpoint pool: connections are established only while the gate is open."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop, self.open = loop, asyncio.Event()
@@ -183,7 +184,7 @@
         self.steps: list[tuple[list[str], list[str]]] = []
         self.clock, self.gate = Clock(), cast(Gate, None)
         for line in (of if isinstance(of, str) else of.read_text()).splitlines():
-            if line.startswith("% "):  # so many times the line behind it
+            if line.startswith("% "):  # repeats the line behind the number
                 number, again = line[2:].split(" ", 1)
                 self.steps[-1][1].extend([again] * int(number))
             elif line.startswith("& "):
@@ -293,25 +294,27 @@
                 self.patches.enter_context(mock.patch.object(front.shared_state, "count_siblings", lambda: 1))
                 self.patches.enter_context(mock.patch.object(front.shared_state, "share", lambda: 0.5))
                 front.state_sync.sync()
-            case ["lastword"]:  # what is due at the process's end, with no time gone by
+            case ["lastword"]:  # as at the shutdown deadline, with the clock unchanged
                 (await self._start()).shutdown.answer_open_requests()
             case ["clock", number]:
                 front = await self._start()
                 self.clock.added += int(number)
                 front.wheel.fire_due()
-                for _ in range(3):  # what that sets in motion comes one turn later
+                for _ in range(3):  # callbacks of the timers run in the loop's next iterations
                     await asyncio.sleep(0)
             case [name, "release", number]:
                 end = asyncio.get_running_loop().time() + PATIENCE
                 while len(self.nodes[name].held) < int(number):
-                    assert asyncio.get_running_loop().time() < end, f"{len(self.nodes[name].held)} are held"
+                    assert (
+                        asyncio.get_running_loop().time() < end
+                    ), f"{len(self.nodes[name].held)} held requests"
                     await asyncio.sleep(0.001)
                 for _ in range(int(number)):
                     self.nodes[name].held.pop(0)()
             case [name, "breaks"]:
                 for each in self.nodes[name].peers:
                     each.transport.abort()
-            case ["started", name]:  # a moment ago, and so it is cold
+            case ["started", name]:  # started just now: in slow start
                 entry = next(e for e in self.conf["known"]["endpoints"] if e["name"] == name)
                 entry["since_ms"] = time.time_ns() // 1_000_000
             case [name, "next", *how]:
@@ -348,7 +351,7 @@
                 peer = self.peers.get(name) or await self.nodes[name].peer()
                 await self._io(peer, what, lines)
             case _:
-                raise AssertionError("no such step")
+                raise AssertionError("unknown step")
 
     async def _io(self, peer: Peer, what: str, lines: list[str]) -> None:
         if what == ">":
@@ -365,13 +368,13 @@
             peer.transport.abort()
         elif what == "eof":
             while not peer.ended:
-                await peer.more("the end")
+                await peer.more("the end of the connection")
             assert peer.got == b"", peer.got
         else:
             self.new: set[str] = set()
             pattern = re.compile(b"".join(self._bytes(line, True) for line in lines), re.S)
             while (match := pattern.match(peer.got)) is None:
-                assert not peer.ended, f"ended with {peer.got[:2000]!r}, not {pattern.pattern[:2000]!r}"
+                assert not peer.ended, f"ended with {peer.got[:2000]!r}, expected {pattern.pattern[:2000]!r}"
                 await peer.more(f"{pattern.pattern[:2000]!r}")
             self.names |= match.groupdict()
             peer.got = peer.got[match.end() :]
--- a/tests/front_processes.py
+++ b/tests/front_processes.py
@@ -1,4 +1,4 @@
-"""Whole fronts as processes under a limit of descriptors, with the endpoints and discovery they talk to."""
+"""Complete fronts as processes with a limit on descriptors, and test doubles for endpoints and discovery."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 import uvloop
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 30.0  # s until what never comes fails
+PATIENCE = 30.0  # seconds until a wait fails
 
 
 async def wait_until(done: Callable[[], object], why: Callable[[], object] = str) -> None:
@@ -57,7 +57,7 @@
 
 
 class FrontUnderLimit:
-    """A front under RLIMIT_NOFILE; what it logs, and calls at it."""
+    """A process of a front with a limit on descriptors (RLIMIT_NOFILE), its log and its counters."""
 
     def __init__(self, folder: Path, text: str, most: int) -> None:
         (folder / "front.toml").write_text(text)
@@ -82,7 +82,7 @@
         return self.logged(event)[times - 1]
 
     async def count(self, name: str, least: int = 1) -> dict[str, int]:
-        """The counters, once this one has come so far."""
+        """Return all counters once the named one is at least `least`."""
         end = time.monotonic() + PATIENCE
         while (got := await self.counters()).get(name, 0) < least:
             assert time.monotonic() < end, self.log.read_text()
@@ -108,7 +108,7 @@
 
 
 async def call(address: tuple[str, int], line: str, *headers: str) -> bytes:
-    """All of the answer, up to the connection's end; empty where it ends without one."""
+    """Return the complete response, or no bytes if the connection fails or ends without a response."""
     with contextlib.suppress(ConnectionError):
         reader, writer = await asyncio.open_connection(*address)
         try:
@@ -131,7 +131,8 @@
 
 
 class FakeServers:
-    """An endpoint that answers or delays, and a discovery that answers its calls once it is back."""
+    """An endpoint and a discovery. The endpoint delays requests that contain `hold` until `go` is set;
+    discovery answers its watches once `back` is set."""
 
     def __init__(self) -> None:
         self.held, self.go, self.back = 0, asyncio.Event(), asyncio.Event()
