--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -10,9 +10,9 @@
     client NAME FRONT      connects to the `platform` or `objects` front, or to the admin API (`control`)
     NAME >  /  NAME <      sends, or expects, the lines below the step
     NAME next WORD ...     sets how a storing chunk server ends its next requests: ok, full, error, reset,
-                           stall, missing or hold; with stall, reset and hold the request has been executed
+                           stall, missing or hold; the request is executed in all cases but full
     NAME close, NAME eof   aborts the connection, or expects its end; `NAME finish` closes it after all
-                           data was sent, `NAME reset` resets it, `NAME half` closes only the sending direction
+                           data was sent, `NAME reset` resets it, `NAME half` closes only its sending side
     NAME breaks            aborts all connections to the chunk server or discovery
     NAME release N         a storing chunk server answers N of the requests that it holds, the oldest first
     dials hold, dials go   new connections to chunk servers are delayed; they are established
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,5 +1,6 @@
-"""A client that has left is owed nothing, and nothing of its is sent on: whatever its request waits for,
-and however it leaves. Judged by what chunk servers were asked; nothing here waits for time to pass."""
+"""Requests whose client disconnects are not sent to an endpoint, whatever they wait for and however the
+client disconnects. The tests check the requests that chunk servers received; none depends on real time
+passing."""
 
 import asyncio
 import contextlib
@@ -29,29 +30,35 @@
 
 
 class Leaving(Exchange):
-    """With clients that leave within a turn of the front: the system has the news, the front was not told.
-
-    plain NAME FRONT    such a client: its socket is the test's own, and nothing of it is read
-    NAME slow           little of what the front writes to it fits with the system
-    NAME WAY at send N  it leaves once the module's Nth Send of its is decided, and not carried out
-    NAME WAY at dial    it leaves once the next connection to a chunk server is up, and was not written to
-    NAME WAY still US   it leaves while the front stands still for so long; what is due then runs first
-    NAME WAY unread     it leaves once an answer to it stands unread in the front, having read some of it
-    NAME WAY            it leaves now
-    NAME behind, paused waits until a request of the client's stands behind another; until it is not read on
-    NAME deaf, hears    a chunk server reads nothing on connections that come, and little more fits with the
-                        system; it reads all of it
-    NAME WAY as NODE reads  it leaves, and a deaf server reads all there is, in one turn: what the front has
-                        left to write fits now, and must not follow
+    """An exchange whose clients can disconnect within one iteration of the front's event loop: the kernel has
+    received the FIN or RST, and the front has not been notified of it.
+
+    WAY is `close`, `half` (only the sending side is closed) or `reset`. Further steps:
+
+    plain NAME FRONT    connects such a client; the test owns its socket, and reads nothing from it
+    NAME slow           makes the send buffer of the front's connection to the client small
+    NAME WAY at send N  the client disconnects once the scheduler has decided the Nth Send for it, before the
+                        front carries that out
+    NAME WAY at dial    the client disconnects once the next connection to a chunk server is established,
+                        before the front writes to it
+    NAME WAY still US   the client disconnects while the front does not run for US microseconds; the timers
+                        that are due then run before the disconnect is read
+    NAME WAY unread     the client reads a part of a response, and disconnects while the rest is buffered
+    NAME WAY            the client disconnects now
+    NAME behind, paused waits until a request of the client is queued behind another on its connection; until
+                        the front has paused reading from the client
+    NAME deaf, hears    a chunk server does not read from new connections, whose buffers are small; it reads
+    NAME WAY as NODE reads  the client disconnects, and a deaf chunk server reads everything, in one iteration
+                        of the loop: the rest of the request could be written now, and must not be
     partly              waits until a request is partly written
-    clean               nothing of any request is left with the front, its module, or a node's account, once
-                        those that ended their sending have closed"""
+    clean               once half-closed clients are closed, waits until no request is left in the front or
+                        its scheduler, and no units in flight are counted for an endpoint"""
 
     def __init__(self, of: str) -> None:
         super().__init__(of)
         self.plain: dict[str, socket.socket] = {}
-        self.half: list[socket.socket] = []  # open to the end
-        self.deaf = set[str]()  # endpoints
+        self.half: list[socket.socket] = []  # half-closed; stay open until the end of the test
+        self.deaf = set[str]()  # names of chunk servers
 
     async def _step(self, words: list[str], lines: list[str]) -> None:
         match words:
@@ -79,7 +86,7 @@
                 front, loop = await self._start(), asyncio.get_running_loop()
                 over = loop.create_future()
 
-                def stand() -> None:  # as a timer: those run before what can be read is looked at
+                def stand() -> None:  # runs as a timer: the loop runs timers before it polls sockets
                     self._leave(name, way)
                     self.clock.added += int(us)
                     front.wheel.fire_due()
@@ -115,7 +122,7 @@
                     peer = accept(scripted)
                     if name in self.deaf:
                         begin = peer.connection_made
-                        later = asyncio.get_running_loop().call_soon  # reading begins behind the call
+                        later = asyncio.get_running_loop().call_soon  # reading starts after connection_made
                         peer.connection_made = lambda t: (begin(t), later(t.pause_reading))  # type: ignore
                     return peer
 
@@ -207,10 +214,8 @@
                 if isinstance(act, Send):
                     ticket = front.lifecycle.open_requests.find(act.request_id)
                     assert ticket is not None
-                    seen += ticket.incoming.call_id[:1] in (
-                        b"",
-                        name.encode(),
-                    )  # an object's blocks have none
+                    # Requests for an object's blocks have no call id.
+                    seen += ticket.incoming.call_id[:1] in (b"", name.encode())
                     if seen == number and name in self.plain:
                         self._leave(name, way)
             return acts
@@ -218,7 +223,7 @@
         self.patches.enter_context(mock.patch.object(front.lifecycle.scheduler, "handle", counted))
 
     def _leave(self, name: str, way: str) -> None:
-        """Within one turn of the loop: until the system has it."""
+        """Disconnect the client, and block the loop until the kernel reports it on the front's socket."""
         conn, sock = self._conn(name), self.plain.pop(name)
         assert conn is not None
         if way == "half":
@@ -231,7 +236,7 @@
         end = time.monotonic() + PATIENCE
         while not conn.pending_events() & DISCONNECT_POLL_EVENTS:
             assert time.monotonic() < end
-        assert not conn.client_disconnected  # the process was not notified
+        assert not conn.client_disconnected  # the front was not notified
 
 
 def _small(fd: int, buffer: int, size: int = 8192) -> None:
@@ -261,8 +266,8 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_from_the_fair_queue(way: str) -> None:
-    """Two requests fill the endpoint's bound and a third waits; a small one behind it goes as soon as the one
-    that left is out of the way, and not only when an answer comes."""
+    """Two requests use up the endpoint's concurrency limit, and a third is queued. When its client
+    disconnects, a small request behind it is sent at once, and not only with the next response."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\n",
         "client c platform\nclient d platform\n",
@@ -293,14 +298,15 @@
         f"a {way}\nuntil clients_gone 1\nuntil attempts_moot 1\ndials go\n",
         asks("b", 2),
         DONE.format("b"),
-        f"n0 ran {block(1)} 0\nwrites n0 PUT 1\ncounter attempts_no_link 0\n",  # nor is it blamed
+        f"n0 ran {block(1)} 0\nwrites n0 PUT 1\ncounter attempts_no_link 0\n",  # no failure is counted
     )
 
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("again", ["own", "other's"])
 def test_between_attempts_and_at_a_paused_endpoint(way: str, again: str) -> None:
-    """An endpoint that turned one away rests; the request waits for it, or another that comes meanwhile."""
+    """An endpoint that rejected a request as full is paused. The client that disconnects waits for the retry
+    of its own request, or has sent another request meanwhile."""
     play(
         "node n0 0\nn0 next full\nclient a platform\nclient b platform\nclient c platform\n",
         asks("a", 1),
@@ -332,7 +338,8 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("more", [1, 60], ids=["read on", "reading paused"])
 def test_behind_another_on_its_connection(way: str, more: int) -> None:
-    """One is out, others wait behind it; with many, reading is paused, and leaving is looked for."""
+    """One request is in flight and others are pipelined behind it. With many of them, reading from the client
+    is paused, and the front has to poll the socket for the disconnect."""
     behind = "".join(f"& block x{k} / PUT /write / {block(100 + k)} / 1\n" for k in range(more))
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
@@ -350,7 +357,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_behind_what_is_no_http(way: str) -> None:
-    """Reading ends there, and the request before it still waits in the queue."""
+    """Reading ends at the malformed input, while the request before it is still queued."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\nclient c platform\n",
         asks("a", 1, 6),
@@ -369,7 +376,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_an_object_s_blocks_that_were_not_begun(way: str) -> None:
-    """Of an object of four blocks one is out: it runs on, the others and the manifest do not begin."""
+    """One of an object's four blocks is in flight: it completes; the others and the manifest are not sent."""
     play(
         "node n0 0\nn0 next hold\nclient o objects\nclient b platform\n",
         "o >\n| PUT /scans/k HTTP/1.1\n| Content-Length: 4096\n|\n@ 0 4096\nuntil attempts_written 1\n",
@@ -383,7 +390,8 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("method", ["PUT", "GET"])
 def test_an_object_that_waits(way: str, method: str) -> None:
-    """Its first block waits for a connection; a part whose client left is free for a retry."""
+    """The object's first block, or the read of its manifest, waits for a connection, and is not sent.
+    A part of an upload whose client disconnected can be retried."""
     body = "| Content-Length: 8\n|\n= abcdefgh\n" if method == "PUT" else "|\n"
     play(
         "node n0 0\nclient o objects\nclient b platform\ndials hold\n",
@@ -397,7 +405,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_a_part_whose_client_left_goes_on_with_what_is_missing(way: str) -> None:
-    """The retry of a part sends the blocks that were not begun, and none twice."""
+    """The client's retry of a part sends the blocks that were not sent before, and none twice."""
     part = "PUT /scans/big?partNumber=1&uploadId={id} HTTP/1.1\n| Content-Length: 4096\n|\n@ 0 4096\n"
     play(
         "node n0 0\nn0 next hold\nclient o objects\nclient b objects\n",
@@ -410,7 +418,8 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_what_its_attempt_does_is_still_counted(way: str) -> None:
-    """Written before its client left, it is out until it ends: the bound holds, then its slot is free."""
+    """An attempt that was written before its client disconnected counts against the concurrency limit until
+    it ends."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\nclient c platform\n",
         asks("a", 1, 6),
@@ -425,9 +434,10 @@
     )
 
 
-# In one turn the front decides, or its connection is up, and the client has left without the front's knowing.
-# For each wait: what leads to it, how the client leaves and what lets an attempt begin, what follows. Where a
-# connection is kept the attempt is written with the decision.
+# The client disconnects in the loop iteration in which the front decides to send its request or the
+# connection to the endpoint is established, before the front is notified. Each entry of LEAVES has three
+# parts of a script: the steps up to the wait; the disconnect and what allows an attempt to start; the steps
+# that follow. With an idle connection to the endpoint, an attempt is written as soon as it is decided.
 
 KEPT = "patch umberlead.net.endpoint_pool REUSE_DELAY_US 0\nnode n0 0\n"
 BUSY = (
@@ -457,13 +467,17 @@
 LEAVES = {
     "in the fair queue": (BUSY + QUEUED, "c {} at send 1\n" + FREE, FREED),
     "in the queue, reading paused": (UNSWEPT + BUSY + QUEUED + AHEAD, "c paused\nc {}\n" + FREE, FREED),
-    "in the queue, behind noise": (UNSWEPT + BUSY + QUEUED + NOISE, "c paused\nc {}\n" + FREE, FREED),
-    "between tries": (TRIED, "c {} at send 1\nclock 2000000\n", ""),
-    "between tries, the front still": (TRIED, "c {} still 2000000\n", ""),
-    "at a node that rests": (RESTS, "c {} at send 1\nclock 2000000\n", DONE.format("a")),
-    "at a node that rests, the front still": (RESTS, "c {} still 2000000\n", DONE.format("a")),
-    "at a node that warms": (WARMS, "c {} at send 1\nclock 5000000\n", ""),
-    "at a node that warms, the front still": (WARMS, "c {} still 5000000\n", ""),
+    "in the queue, behind malformed input": (
+        UNSWEPT + BUSY + QUEUED + NOISE,
+        "c paused\nc {}\n" + FREE,
+        FREED,
+    ),
+    "between attempts": (TRIED, "c {} at send 1\nclock 2000000\n", ""),
+    "between attempts, the front suspended": (TRIED, "c {} still 2000000\n", ""),
+    "at a paused endpoint": (RESTS, "c {} at send 1\nclock 2000000\n", DONE.format("a")),
+    "at a paused endpoint, the front suspended": (RESTS, "c {} still 2000000\n", DONE.format("a")),
+    "at an endpoint in slow start": (WARMS, "c {} at send 1\nclock 5000000\n", ""),
+    "at an endpoint in slow start, the front suspended": (WARMS, "c {} still 5000000\n", ""),
     "behind another on its connection": (
         KEPT
         + "n0 next hold\nplain c platform\n"
@@ -473,12 +487,12 @@
         "c {} at send 1\n" + FREE,
         "",
     ),
-    "for a kept connection": (
+    "for an idle connection": (
         KEPT + "client b platform\nplain c platform\n" + asks("b", 1) + DONE.format("b") + "c {} at send 1\n",
         asks("c", 3),
         "",
     ),
-    "for its connection": (
+    "for a new connection": (
         "node n0 0\nplain c platform\ndials hold\n" + asks("c", 3) + "until attempts_sent 1\n",
         "c {} at dial\ndials go\n",
         "until attempts_moot 1\ncounter attempts_no_link 0\n",
@@ -489,7 +503,7 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("wait", LEAVES)
 def test_nothing_begins_for_a_client_that_left_in_the_same_turn(wait: str, way: str) -> None:
-    """Nothing of it goes out, and others are served after it as if it had not been."""
+    """The request is not sent, and later requests of other clients are served as usual."""
     begin, leaves, after = (part.format(way) for part in LEAVES[wait])
     play(
         begin,
@@ -518,7 +532,8 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_nothing_begins_behind_a_response_that_its_client_never_read(way: str) -> None:
-    """The answer can go on in the turn in which the client turns out to have left."""
+    """The front can write the rest of the response in the loop iteration in which it detects the disconnect;
+    the next pipelined request must not start then."""
     big = f"{{}} >\n| {{}} /{{}}?block={block(9)} HTTP/1.1\n| X-Call-Id: {{}}9\n| X-Plan: gold\n"
     big += "| X-IO: volume=b4,units=1,shard=0\n"
     well = "c >\n| GET /healthz HTTP/1.1\n|\n"
@@ -545,7 +560,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_a_request_that_is_partly_written_is_not_written_on(way: str) -> None:
-    """Its endpoint reads nothing for now: the rest must not follow."""
+    """The endpoint does not read for now; the rest of the request must not be written once it does."""
     play(
         "node n0 0\nn0 deaf\nclient a platform\nclient b platform\n",
         LARGE.format("a", "a"),
@@ -557,9 +572,10 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS[:2])  # of a reset the front is told a turn later, all of it written
+# The front is notified of a reset one iteration later, when the whole request is written.
+@pytest.mark.parametrize("way", WAYS[:2])
 def test_the_rest_of_a_request_does_not_follow_in_the_turn_that_cancels_it(way: str) -> None:
-    """It counts as never run; an upload's part would be sent again."""
+    """The request counts as not executed, so a part of an upload would be sent again."""
     play(
         "node n0 0\nn0 deaf\nplain c platform\nclient b platform\n",
         LARGE.format("c", "c"),
@@ -592,7 +608,8 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("method", ["PUT", "GET"])
 def test_blocks_that_were_to_begin_together_have_each_their_outcome(method: str, way: str) -> None:
-    """At the first one the client turns out to have left: no node keeps the others' units on its account."""
+    """The first of the blocks detects the disconnect. The others must also end, so that no endpoint keeps
+    their units in flight."""
     get = method == "GET"
     play(
         "set objects.parallel 4\n",
@@ -604,7 +621,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("begun", [0, 2, 6], ids=["manifest", "block", "window after the head"])
+@pytest.mark.parametrize("begun", [0, 2, 6], ids=["manifest", "block", "window after the headers"])
 def test_no_read_of_an_object_begins_whose_client_left_in_the_same_turn(begun: int, way: str) -> None:
     play(
         OBJECTS,
@@ -618,7 +635,8 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_an_upload_s_parts_and_completion_that_did_not_begin_are_the_retry_s(way: str) -> None:
-    """The one that left is known to have stored some blocks, or nothing; no block runs twice."""
+    """It is known which blocks the disconnected client's request stored, if any: its retry by another client
+    sends the others, and no block is written twice."""
     done = "| POST /scans/big?uploadId={id} HTTP/1.1\n| Content-Length: 135\n|\n"
     done += "= <CompleteMultipartUpload><Part><PartNumber>1</PartNumber><ETag>{e}</ETag></Part>"
     done += "</CompleteMultipartUpload>\n"
@@ -636,16 +654,17 @@
     )
 
 
-@pytest.mark.parametrize("order", ["left first", "outcome first"])
+@pytest.mark.parametrize("order", ["disconnect first", "result first"])
 def test_a_plan_s_limit_is_not_charged_for_what_was_not_sent(order: str) -> None:
-    """Both orders within one batch; where it may have run, it stays charged."""
+    """The disconnect and the attempt's result come in one batch, in both orders. The units are returned if
+    the request was not sent; if it may have been executed, they stay charged."""
     limited = (Plan("gold", limit_units_per_second=1.0, limit_burst_units=16.0, limit_slack_units=16.0),)
     for result in (AttemptResult.NOT_SENT, AttemptResult.RESET):
         h = head(T0, up(), plans=limited)
         feed(h, T0, ask("a"))
         before = h.rate_limits["v"].limit.available_units
         news: list[Event] = [ClientDisconnected("a"), replace(end("a", result), final=True)]
-        feed(h, T0, *(news if order == "left first" else news[::-1]))
+        feed(h, T0, *(news if order == "disconnect first" else news[::-1]))
         given = 2.0 if result is AttemptResult.NOT_SENT else 0.0
         assert h.rate_limits["v"].limit.available_units == before + given and not h.requests
         assert h.directory.endpoints["n0"].units_in_flight == 0
