--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -1,5 +1,5 @@
-"""Two events that cross, each order forced: docs/crossings.md has the table. Whole fronts on real sockets,
-with stand-ins that hold, reset or answer on command and a clock moved on by hand."""
+"""Races between two events, each order of which is forced; docs/crossings.md lists them. Complete fronts run
+on real sockets, with test doubles that hold, reset or answer on command, and a manual clock."""
 
 import asyncio
 import os
@@ -36,7 +36,7 @@
     "| Connection: close\n|\n~ refused: try later\n"
 )
 WELL = "{} >\n| GET /healthz HTTP/1.1\n|\n{} <\n& well\n"
-DRAIN, FINISH = "clock 3310000\n", "clock 3510000\n"  # the settings' longest limit is over 3 s
+DRAIN, FINISH = "clock 3310000\n", "clock 3510000\n"  # the longest hard limit of the settings is over 3 s
 
 
 WELL_CLOSING = "| HTTP/1.1 200 OK\n| Content-Length: 3\n| Connection: close\n|\n~ ok"
@@ -96,7 +96,8 @@
 
 
 def test_one_that_waits_is_responseed_at_the_end_with_what_is_known_of_it() -> None:
-    """Out at an endpoint, queued behind it, and behind it on its own connection: the first may have run."""
+    """The requests are in flight at the endpoint (so they may have been executed), in the fair queue, and
+    pipelined behind another on one connection."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\nclient c platform\n",
         asks("a", 1, 6),
@@ -138,7 +139,8 @@
 
 
 def test_a_request_that_crosses_the_closing_of_its_idle_connection_is_served() -> None:
-    """It is here, and not read yet, as the process closes what is idle; closed on, it would be lost."""
+    """The request has arrived but is not read when the process closes idle connections. Closing the
+    connection would lose it."""
     play(
         "node n0 0\nclient a platform\nclient b platform\n",
         well("a"),
@@ -153,7 +155,8 @@
 
 
 def test_requests_pipelined_are_all_answered_before_a_connection_ends() -> None:
-    """By a front end that stops, and on one that ends for what came behind them."""
+    """Checked in a process that shuts down, and on a connection that is closed because malformed input
+    follows the requests."""
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
         asks("a", 1),
@@ -179,7 +182,7 @@
 
 
 def _process(folder: Path, listed: str) -> tuple[subprocess.Popen[str], Path]:
-    """A front whose configuration is a pipe: it stands in the middle of reading it until that is closed."""
+    """A front that reads its configuration from a pipe: the read blocks until the writer closes the pipe."""
     fifo = folder / "front.toml"
     os.mkfifo(fifo)
     call = [sys.executable, "-B", "-m", "umberlead"]
@@ -190,7 +193,7 @@
 
 
 def _writer(process: subprocess.Popen[str], fifo: Path) -> IO[str]:
-    """Opened once the front has it open too; a front that ended is no reason to wait for good."""
+    """Return the pipe for writing, once the front has opened it; fail if the front has ended."""
     while True:
         try:
             return os.fdopen(os.open(fifo, os.O_WRONLY | os.O_NONBLOCK), "w")
@@ -228,9 +231,9 @@
         with _writer(process, fifo) as file:
             process.send_signal(signal.SIGHUP)
             file.write(text)
-            fifo.unlink()  # the next reading has a pipe of its own: this one may still be open
+            fifo.unlink()  # the next read gets a pipe of its own: this one may still be open
             os.mkfifo(fifo)
-        with _writer(process, fifo) as file:  # it is read again
+        with _writer(process, fifo) as file:  # the reload reads the configuration again
             file.write(text)
         assert process.stderr is not None
         while "reloaded" not in process.stderr.readline():
@@ -248,7 +251,7 @@
         with _writer(process, fifo) as file:
             file.write(TEXT.format(f"127.0.0.1:{discovery.getsockname()[1]}"))
         discovery.settimeout(60)
-        came, _ = discovery.accept()  # the watch is open, and not answered
+        came, _ = discovery.accept()  # the watch is connected, and gets no response
         process.send_signal(signal.SIGTERM)
         _, said = process.communicate(timeout=60)
         came.close()
@@ -259,7 +262,8 @@
 
 
 def test_connections_of_one_that_another_replaces_end_with_their_next_response() -> None:
-    """Its clients find the other process: nothing is kept for them up to SIGKILL."""
+    """The clients can connect to the other process, so their connections need not be kept until the process
+    is killed."""
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
         asks("a", 1),
@@ -283,7 +287,7 @@
 
 
 def indented(index: int, status: str) -> str:
-    """As json.dumps with indent=2 has it, with braces within a name."""
+    """A list as json.dumps writes it with indent=2, with braces within a zone's name."""
     lines = [
         "{",
         f'  "index": {index},',
@@ -331,7 +335,7 @@
 
 @pytest.mark.parametrize("whole", [told(2, "draining"), indented(2, "draining")], ids=["a line", "indented"])
 def test_a_list_is_taken_with_its_last_brace(whole: str) -> None:
-    """The line's end may come with the next empty line, two seconds later."""
+    """The line feed may arrive only with the next empty line, two seconds later."""
     *lines, last = whole.splitlines(keepends=True)
     play(
         BEGIN,
@@ -350,7 +354,7 @@
     "broken", ['~ {"index":2,"snapshot":fal\n', '~ {"index":2,\n~ "snapshot":\n|\n', "~ [1]\n"]
 )
 def test_what_can_t_be_read_is_requested_again(broken: str) -> None:
-    """It may have announced a drain, which no later line repeats."""
+    """The malformed line may have announced a drain, and no later line repeats it."""
     play(
         BEGIN,
         "discovery >\n",
@@ -418,7 +422,8 @@
 
 
 def test_an_agent_that_says_nothing_is_called_again_within_a_second() -> None:
-    """While discovery is down it is silent; what it gets at the return counts at once."""
+    """The agent does not respond while its discovery is down. Once discovery returns, the updates that the
+    agent has are binding for the front at once."""
     play(
         "discovery\nnode n0 0\nclient a platform\n",
         OPEN.format(0),
@@ -435,7 +440,7 @@
 
 
 def _watch(expects_agent: bool, fleet_size: int) -> tuple[DiscoveryWatch, list[int]]:
-    """A watch, and the pauses that it asks for."""
+    """A watch, and the delays of the timers that it sets."""
     now, waits = [T0], list[int]()
     wheel: Any = mock.Mock(call_after=lambda delay, what, *words: waits.append(delay))
     loop: Any = mock.Mock(create_task=lambda work: work.close())
@@ -455,7 +460,7 @@
 
 
 def _answered(watch: DiscoveryWatch, after: int, status: bytes = b"200 OK") -> None:
-    """An answer's first bytes, so many us after the call."""
+    """Start a response `after` microseconds after the call."""
     stream: Any = watch.stream
     stream.connection_made(mock.Mock())
     stream.call.connected_us -= after
@@ -464,7 +469,8 @@
 
 
 def test_an_empty_line_within_an_object_ends_the_stream_at_once() -> None:
-    """The remainder of that object will not arrive, and waiting for silence would delay what it announced."""
+    """The remainder of the object will not arrive. Waiting for the silence time-out would delay the change
+    that it announced."""
     watch, waits = _watch(True, 1)
     watch.start()
     stream = watch.stream
@@ -480,8 +486,8 @@
 
 
 def test_in_a_large_fleet_an_agent_of_one_s_own_is_not_spared() -> None:
-    """What it has counts as told whether a watch is open or not, and a send may follow for a second. It is
-    known by its quick answer."""
+    """A front is held to its agent's list whether its watch is open or not, and may send by an older list for
+    only a second. The front recognizes an agent by its quick response."""
     for fleet in (1, 200):
         watch, waits = _watch(True, fleet)
         watch.start()
@@ -492,13 +498,13 @@
         assert 50_000 <= waits[-1] <= 101_000
         waits.clear()
         watch.open()
-        assert waits[-1] <= 800_000  # until a call that hangs is cancelled
+        assert waits[-1] <= 800_000  # until a call without a response is cancelled
 
 
 def test_silence_without_a_word_is_an_agent_s_whose_discovery_is_down() -> None:
     watch, waits = _watch(True, 200)
     watch.start()
-    assert watch.stream is not None and waits[-1] <= 800_000  # it is not even established
+    assert watch.stream is not None and waits[-1] <= 800_000  # the connection is not established yet
     watch.stream.connection_made(mock.Mock())
     assert watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 2_500_000
     watch.stream.call.started_us -= 2_500_000
@@ -510,11 +516,12 @@
     watch.stream.connection_made(mock.Mock())
     assert (
         watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 800_000
-    )  # one that is established is an agent's now
+    )  # by now a call whose connection is established counts as one to an agent
 
 
 def test_pushed_lists_behind_a_service_that_answers_in_turn_spare_it() -> None:
-    """It said no, or took its time: the fleet's calls are spread, and one that waits is waited for."""
+    """A service that rejects a call or answers late has a queue: the calls of the fleet are spread over time,
+    and a queued call is not cancelled early."""
     waited = []
     for _ in range(40):
         watch, waits = _watch(True, 200)
@@ -533,7 +540,8 @@
 
 
 def test_a_shared_discovery_is_spared_and_a_silent_one_is_opened_in_time() -> None:
-    """6 s after it fell silent what was missed counts: 3 s to notice, and its turn takes up to 2 s."""
+    """A missed change must be known 6 s after the watch fell silent: the front takes 3 s to detect the
+    silence, and the service up to 2 s to serve the next call."""
     waits_seen = []
     for _ in range(40):
         watch, waits = _watch(False, 200)
@@ -548,7 +556,7 @@
 
 
 def test_nothing_is_taken_before_the_agent_s_list_is_here() -> None:
-    """What it has counts as notified from a process's first moment: `known` may be old."""
+    """A process is held to the agent's list from its start, and the endpoints in `known` may be outdated."""
 
     async def test() -> None:
         exchange = Exchange("discovery\nnode n0 0\n")
@@ -562,7 +570,7 @@
             peer = await exchange.nodes["discovery"].peer()
             assert exchange.front is not None and not exchange.front.listeners
             while b"\r\n\r\n" not in peer.got:
-                await peer.more("the call")
+                await peer.more("the watch request")
             assert not exchange.front.listeners
             peer.transport.write(
                 b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b'{"index":1,"endpoints":[]}\n'
@@ -585,7 +593,8 @@
 
 
 def test_an_interim_response_begins_nothing() -> None:
-    """An upload took longer than a dial behind it, and was answered as failed."""
+    """An upload that took longer than the connection time-out after an interim response was answered as
+    failed."""
     interim = "n0 >\n| HTTP/1.1 103 Early Hints\n| Link: </x>\n|\n"
     play(
         "node n0 0:script\nclient a platform\n",
@@ -611,7 +620,7 @@
 
 
 def test_what_is_pipelined_is_held_within_the_memory_for_bodies() -> None:
-    """Beyond that it is dropped, and what was complete before it is answered."""
+    """Input beyond the limit is discarded, and the complete requests before it are answered."""
     ahead = f"a >\n| {'x' * 6_000}\n"
     play(
         "node n0 0\nn0 next hold\nclient a platform\n",
@@ -631,13 +640,14 @@
 
 
 def test_no_slot_is_taken_from_a_connection_whose_request_is_here() -> None:
-    """Its bytes came, and were not read yet: another goes, and where there is none, none does."""
+    """The request's bytes have arrived and are not read yet. Another connection is evicted, or none if there
+    is no other."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         now = [T0]
         clients = ClientGroup(2, lambda: now[0], Counters(), 0, 1 << 20, print)
-        clients.stopping = True  # connections are kept, however many
+        clients.stopping = True  # responses close no connection, however many there are
         handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
         handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x")
         listener = Listener(handler, clients, ("127.0.0.1", 0), loop)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,5 +1,6 @@
-"""What the renewed standing test asks of one front, each crossing forced on real sockets with a clock that
-moves by hand alone. docs/crossings.md has the table; kills and whole fleets are in test_standing_fleet.py."""
+"""Races within one front between discovery, reloads, shutdown and client connections. Each order is forced on
+real sockets with a clock that only the test advances. docs/crossings.md lists them; killed processes and
+fleets are tested in test_standing_fleet.py."""
 
 import asyncio
 import os
@@ -21,7 +22,7 @@
 
 
 class StandingClock(Clock):
-    """Real time has no part in it once the front has started."""
+    """A clock that only the test advances once the front has started."""
 
     stood: int | None = None
 
@@ -30,7 +31,8 @@
 
 
 class Canned(Peer):
-    """A chunk server that gives each request the same bytes, and then `stays`, `finishes` or `resets`."""
+    """A chunk server that answers each request with the same bytes, and then keeps (`stays`), closes
+    (`finishes`) or resets the connection."""
 
     def __init__(self, answer: bytes, then: str) -> None:
         super().__init__()
@@ -51,7 +53,7 @@
 
 
 class Whole:
-    """What a client makes of the bytes it got."""
+    """A response as a client parses it from the bytes that it has received."""
 
     def __init__(self, raw: bytes) -> None:
         self.body, self.whole = b"", False
@@ -67,18 +69,21 @@
 
 
 class Standing(Leaving):
-    """With steps of its own:
-
-    NAME pieces N US   sends the lines in pieces of N bytes, each read before the next, and the clock moves US
-                       with each
-    NAME crosses WHAT  the lines are here, and not read, as WHAT comes: SIGHUP, or so many us
-    NAME cans THEN     a chunk server gives each request the lines, and THEN `stays`, `finishes` or `resets`
-    NAME answered US   a whole answer is there within US, and 200 only with the body `whole`
-    NAME behind WHAT   connects, and sends the lines; it is accepted, and WHAT comes in that turn
-    NAME resets        a chunk server sends the lines, and resets at once
-    NAME has N, cut    waits for N bytes of an answer, or for the end of one that is not whole
-    NAME keeps         its end stays open behind the front's shutdown
-    NAME stored        the lines, one a body, are what the chunk server has, in their order"""
+    """An exchange with further steps:
+
+    NAME pieces N US   sends the lines in pieces of N bytes; the front reads each piece before the next is
+                       sent, and the clock advances by US with each
+    NAME crosses WHAT  sends the lines; WHAT happens when they have arrived and are not read: a reload
+                       (`HUP`), or the clock advances by so many microseconds
+    NAME cans THEN     a chunk server answers each request with the lines, and then `stays`, `finishes` or
+                       `resets`
+    NAME answered US   expects a complete response within US, which may be 200 only with the body `whole`
+    NAME behind WHAT   connects and sends the lines; in the loop iteration in which the listener accepts the
+                       connection, WHAT (methods of the shutdown) is called
+    NAME resets        a chunk server sends the lines, and resets the connection at once
+    NAME has N, cut    waits for N bytes of an incomplete response, or until one ends incomplete
+    NAME keeps         the client keeps its side open after the front has closed the other
+    NAME stored        expects the lines, one per body, as the blocks of the chunk server in their order"""
 
     def __init__(self, of: str) -> None:
         super().__init__(of)
@@ -100,7 +105,7 @@
         return front
 
     def _link(self, front: FrontProcess, name: str) -> Any:
-        """The front's end of a client's, or of discovery's, connection."""
+        """The front's end of the connection to the client, or else of the watch at discovery."""
         return (
             self._conn(name) if name in self.peers else front.discovery_watch and front.discovery_watch.stream
         )
@@ -142,10 +147,10 @@
                 while not Whole(peer.got).whole and moved < int(us):
                     await super()._step(["clock", "50000"], [])
                     moved += 50_000
-                    for _ in range(20):  # what that sets in motion on sockets
+                    for _ in range(20):  # lets the loop transfer the resulting input and output
                         await asyncio.sleep(0)
                 while not (got := Whole(peer.got)).whole:
-                    await peer.more("a whole answer")
+                    await peer.more("a complete response")
                 assert got.status in (200, 429, 502, 503), peer.got
                 assert got.status != 200 or got.body == b"whole", peer.got
             case [name, "behind", *what]:
@@ -199,7 +204,8 @@
 
 
 def test_a_drain_that_was_told_as_a_reload_leaves_its_watch_is_known() -> None:
-    """It was dropped unread, and the new discovery may say nothing for seconds."""
+    """The front discarded unread bytes of the watch that a reload replaces, and the new discovery may send
+    nothing for seconds."""
     play(
         BEGIN,
         "moves second\ndiscovery crosses HUP\n",
@@ -212,7 +218,7 @@
 
 
 def test_a_drain_that_was_told_as_a_watch_counts_as_silent_is_known() -> None:
-    """The front stood still: its timers run before what came meanwhile is read."""
+    """After the front was suspended, its timers run before the input that arrived meanwhile is read."""
     play(
         BEGIN,
         "discovery crosses 3100000\n",
@@ -224,7 +230,8 @@
 
 
 def test_a_new_discovery_that_hangs_first_tells_of_a_drain_in_time() -> None:
-    """Within 4 s of SIGHUP, by the whole list that it is asked for; what is dialled does not go there."""
+    """The drain is known within 4 s of SIGHUP, from the complete list that the front requests. A request
+    whose connection is being established is not sent to the drained endpoint."""
     play(
         BEGIN,
         "dials hold\n",
@@ -243,7 +250,8 @@
 
 @pytest.mark.parametrize("quiet", [0, 6])
 def test_what_a_watch_that_fell_silent_misses_is_known_in_6_s(quiet: int) -> None:
-    """In its first seconds, or after 13 s: it is opened anew, behind a call that hangs too."""
+    """The watch falls silent in its first seconds, or after 13 s. The front opens another, whose first call
+    gets no response either."""
     play(
         BEGIN,
         "".join("discovery pieces 2 0\n|\nclock 2000000\n" for _ in range(quiet)),
@@ -263,7 +271,7 @@
 
 
 def _list(index: int, form: str, *entries: tuple[str, str]) -> str:
-    """A list in full, as one line, indented, or indented and byte by byte."""
+    """A complete list: in one line, indented, or indented and sent byte by byte."""
     each = [f'{{"name":"{n}","address":"{{{n}.address}}","group":{n[1]},"status":"{s}"}}' for n, s in entries]
     if form == "line":
         return f'discovery >\n~ {{"index":{index},"snapshot":true,"endpoints":[{",".join(each)}]}}\n'
@@ -275,7 +283,8 @@
 
 @pytest.mark.parametrize("form", ["line", "indented", "pieces"])
 def test_a_whole_list_on_an_open_watch_takes_the_place_of_the_one_before(form: str) -> None:
-    """Who is not in it is gone, who drains in it gets nothing, and who is back is asked again."""
+    """An endpoint that is missing from the list is removed, one that drains in it gets no requests, and one
+    that is listed again gets requests again."""
     both = ("n0", "ready"), ("n1", "ready")
     play(
         "set settings.extra.nShards 2\ndiscovery\nnode n0 0\nnode n1 1\nn1 next hold hold hold\n"
