--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,6 +1,7 @@
-"""Descriptors: how they are divided, that limits hold in the worst case, and what happens without any left.
+"""The division of file descriptors, limits on connections in the worst case, and operation without
+descriptors.
 
-Whole fronts are processes under RLIMIT_NOFILE, filled by idle clients while discovery does not answer.
+Complete fronts run as processes with RLIMIT_NOFILE, filled by idle clients while discovery does not answer.
 """
 
 import asyncio
@@ -67,7 +68,7 @@
 
 
 def _listener(clients: ClientGroup) -> tuple[Listener, list[int]]:
-    """A listener, and the descriptors that its connections held as it took each."""
+    """A listener, and the number of its connections' descriptors each time that it accepts one."""
     handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
     handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x")
     handler.reject = lambda conn, status, why: conn.send_response(status, (), b"x")
@@ -83,7 +84,7 @@
 
 
 def _port(fd: int) -> int:
-    """The local port of one of this process's sockets."""
+    """The local port of a socket of this process, or 0 for another descriptor."""
     with contextlib.suppress(OSError):
         if stat.S_ISSOCK(os.fstat(fd).st_mode):
             with socket.socket(fileno=os.dup(fd)) as sock:
@@ -99,13 +100,13 @@
 
 
 def test_many_connections_at_once_stay_within_the_limit_and_its_surplus() -> None:
-    """An evicted connection has its descriptor for one more turn of the loop, and one that is being accepted
-    already has one: both count."""
+    """An evicted connection keeps its descriptor for one more iteration of the loop, and one that is being
+    accepted already has its own: both count."""
 
     async def test() -> None:
         now = [T0]
         clients = ClientGroup(16, lambda: now[0], Counters(), 0, 1 << 20, print)
-        clients.stopping = True  # answers end no connection
+        clients.stopping = True  # responses close no connection
         listener, peak = _listener(clients)
         came = [_asks(listener.address) for _ in range(16)]
         await wait_until(lambda: sum(conn.served_count for conn in clients.slots) == 16)
@@ -114,9 +115,8 @@
         await wait_until(lambda: listener.paused)
         assert clients.counters["clients_evicted"] == 16
         now[0] += 1_000_000
-        assert (
-            clients.ensure_capacity() and clients.ensure_capacity()
-        )  # for requests that were read in this turn
+        # For requests that were read in this iteration of the loop.
+        assert clients.ensure_capacity() and clients.ensure_capacity()
         listener._accept_batch()
         assert max(peak) == 16 + limits.surplus_connections(16)
         for sock in came:
@@ -127,7 +127,7 @@
 
 
 def test_a_full_backlog_is_answered_within_the_limit_as_the_listener_closes() -> None:
-    """Accepted at once, up to 1024 connections would leave no descriptor."""
+    """If all of up to 1024 connections were accepted at once, no descriptor would be left."""
 
     async def test() -> None:
         clients = ClientGroup(16, lambda: time.monotonic_ns() // 1000, Counters(), 0, 1 << 20, print)
@@ -148,7 +148,7 @@
 
 
 def test_a_flood_costs_one_search_in_a_turn_and_a_bounded_batch() -> None:
-    """Each accepted connection needs an evicted one, and one search finds them all."""
+    """For each accepted connection another is evicted, and one search finds all of those."""
 
     async def test() -> None:
         now, looked = [T0], list[ServerConnection]()
@@ -180,7 +180,8 @@
 
 
 def test_new_silent_connections_reject_no_request_and_only_requests_do() -> None:
-    """They can't be evicted in their grace period, and must not use up the capacity for requests."""
+    """New connections can't be evicted in their grace period, and must not use up the capacity for
+    requests."""
     clients = ClientGroup(4, lambda: T0, Counters(), 0, 1 << 20, print)
     handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
     conns = [ServerConnection(handler, clients) for _ in range(6)]
@@ -201,7 +202,7 @@
     )
     conn.connection_made(mock.Mock(is_closing=lambda: False))
     conn.data_received(b"PUT /a HTTP/1.1\r\nContent-Length: 1000000\r\n\r\n")
-    for pieces, size, pause in ((40, 5_000, 2_000_000), (40, 1, 50_000)):  # 2.5 kB/s, and then hardly
+    for pieces, size, pause in ((40, 5_000, 2_000_000), (40, 1, 50_000)):  # 2.5 kB/s, and then 20 bytes/s
         for _ in range(pieces):
             now[0] += pause
             conn.data_received(b"x" * size)
@@ -212,7 +213,8 @@
 
 
 def test_only_excess_idle_connections_are_closed_where_the_limit_to_endpoints_falls() -> None:
-    """A slot is free one turn after its connection was closed, which must not close all idle ones."""
+    """A slot is free only one iteration after its connection was closed. The pool must not close all idle
+    connections because of that."""
     pool = EndpointPool(
         mock.Mock(), mock.Mock(), mock.Mock(), lambda: T0, Counters(), 6, 0, 1 << 40, "s", print
     )
@@ -226,7 +228,8 @@
 
 
 def test_drains_and_siblings_stay_as_they_were_without_a_descriptor_to_read_them(tmp_path: Path) -> None:
-    """Else drained endpoints would return, and each of two processes would take all limits."""
+    """Otherwise drained endpoints would get requests, and each of two processes would use the complete
+    limits."""
     one, other = SharedState(tmp_path), SharedState(tmp_path)
     one.set_drain_override("n0", True)
     seen = one.count_siblings(), one.drain_overrides()
@@ -238,7 +241,7 @@
     one.deregister()
 
 
-# Whole processes
+# Complete processes
 
 
 CLIENT_BYTES = {
@@ -250,7 +253,7 @@
 
 
 async def _idle_client(kind: str, address: tuple[str, int]) -> None:
-    """A client that does nothing, and comes anew once the front has ended its connection."""
+    """A client that is idle, and reconnects once the front has closed its connection."""
     loop = asyncio.get_running_loop()
     while True:
         with contextlib.suppress(OSError), socket.socket() as sock:
@@ -262,7 +265,7 @@
                 await loop.sock_sendall(sock, b"x")
             while await loop.sock_recv(sock, 1000):
                 pass
-            if kind == "kept":  # it does not look at its answer, or at its end
+            if kind == "kept":  # reads neither the response nor the end of the connection in time
                 await asyncio.sleep(0.5)
         await asyncio.sleep(0.3)
 
@@ -273,7 +276,7 @@
         with running_process(folder, configured, sockets, node, discovery) as front:
             limits_logged = await front.until("limits")
             clients, door = front.address("listening"), front.address("admin_api_listening")
-            # All connections to endpoints but one are in use, as far as clients have connections for that.
+            # All connections to endpoints but one are in use, if there are as many client connections.
             number = min(int(limits_logged["nodes"]), int(limits_logged["clients"])) - 1
             calls = [asyncio.create_task(call(clients, *read_request(f"hold{n}"))) for n in range(number)]
             await wait_until(lambda: servers.held == number, front.log.read_text)
@@ -282,7 +285,7 @@
             crowd += [asyncio.create_task(_idle_client("silent", door)) for _ in range(3)]
             peak = list[int]()
             watcher = asyncio.create_task(watch_descriptors(peak, front))
-            got = await front.count("clients_evicted")  # it is full
+            got = await front.count("clients_evicted")  # all client connections are in use
             await front.reload()
             await call_served(door, "GET /control/counters")
             await call_served(clients, *read_request("new"))
@@ -304,7 +307,7 @@
                 "reloads_refused",
             )
             assert max(peak) <= sockets and not any(got.get(name) for name in failed), log
-            assert 'why="refused"' not in log  # all calls at discovery came up
+            assert 'why="refused"' not in log  # all connections to discovery were established
 
 
 @pytest.mark.parametrize("sockets", [32, 64, 256])
@@ -318,13 +321,13 @@
 
 
 def test_the_system_s_limit_holds_where_it_is_below_the_configured_one(tmp_path: Path) -> None:
-    """Else descriptors would be divided that the system refuses."""
+    """Otherwise the front would divide descriptors that the system does not grant."""
     run_on_uvloop(_filled(tmp_path / "a", 64, 4096, ("half",)))
 
 
 def test_with_no_descriptor_left_manual_drains_hold_and_a_client_is_served(tmp_path: Path) -> None:
-    """The limit falls to what is in use, idle clients among it. A new client must not wait for an idle one's
-    time-out, drains must be read and stored, and SIGHUP must be accepted."""
+    """The limit falls to the descriptors in use, which include those of idle clients. A new client must not
+    wait for an idle one's time-out, drains must be read and stored, and SIGHUP must be accepted."""
 
     async def test() -> None:
         servers = FakeServers()
@@ -335,20 +338,21 @@
                 idle = [_asks(clients, CLIENT_BYTES["kept"]) for _ in range(5)]
                 await front.count("clients_accepted", 5)
                 await call_served(door, "PUT /control/chunk-servers/n0/offline")
-                # The lowest number that is free for good: what looks into a folder has one for a moment.
+                # The lowest descriptor that stays free: listing a folder uses one for a moment.
                 free = []
                 for _ in range(50):
                     held = front.descriptors()
                     free.append(next(n for n in range(1000) if n not in held))
                     await asyncio.sleep(0.003)
                 resource.prlimit(front.child.pid, resource.RLIMIT_NOFILE, (min(free), 64))
-                assert (await call(clients, "GET /healthz")).endswith(b"ok\n")  # an idle one goes for it
+                assert (await call(clients, "GET /healthz")).endswith(
+                    b"ok\n"
+                )  # an idle client is evicted for it
                 got = await front.counters()
                 assert got["clients_evicted"] == 1 <= got["accepts_failed"]
                 await call_served(door, "PUT /control/chunk-servers/n1/offline")
-                idle += [
-                    _asks(clients, CLIENT_BYTES["kept"]) for _ in range(3)
-                ]  # each has what another let go
+                # Each of them gets the descriptor of an evicted client.
+                idle += [_asks(clients, CLIENT_BYTES["kept"]) for _ in range(3)]
                 await front.count("clients_accepted", got["clients_accepted"] + 4)
                 await front.reload()
                 marks = [(row["node"], row["state"]) for row in front.logged("endpoint_drain_changed")]
@@ -360,7 +364,8 @@
 
 
 def test_two_processes_of_a_front_use_the_descriptors_of_one(tmp_path: Path) -> None:
-    """The older one is full as the other starts, and has to release half."""
+    """The older process uses all of its descriptors when the other starts, and has to release half of
+    them."""
 
     async def test() -> None:
         servers = FakeServers()
@@ -384,7 +389,7 @@
                     await new.count("clients_evicted")
                     await wait_until(lambda: len(after) > 50)
                     watcher.cancel()
-                    print(f"of 128 in the moment of the change {max(seen)}, after it {max(after)}")
+                    print(f"of 128 descriptors during the change {max(seen)}, after it {max(after)}")
                     assert max(after) <= 128
                 for task in crowd:
                     task.cancel()
--- a/tests/test_streaming_race_conditions.py
+++ b/tests/test_streaming_race_conditions.py
@@ -1,5 +1,6 @@
-"""Long answers and uploads in pieces, each crossing forced: docs/crossings.md has the table. Whole fronts on
-real sockets with a clock moved on by hand, as in test_long.py, whose answers and steps these are."""
+"""Races of streamed responses and of uploads that arrive in parts, each order forced; docs/crossings.md lists
+them. Complete fronts run on real sockets with a manual clock; responses and steps of the script are those of
+test_streamed_responses.py."""
 
 import asyncio
 import os
@@ -20,22 +21,26 @@
 )
 from umberlead.net.timeouts import LINGER_TIMEOUT_US, WRITE_STALL_TIMEOUT_US
 
-SMALL_BUFFER = 4096  # bytes of a socket's buffer, both ways, to a client that reads slowly
+SMALL_BUFFER = 4096  # bytes, of the socket buffers between the front and a client that reads slowly
 
 
 class Pieces(Long):
-    """With steps of its own:
-
-    slow client NAME       a client to which little fits; it reads once told to: `NAME reads`, `NAME rests`
-    holds N                waits until so many long answers are held back for their readers
-    NAME reads a reset     and no end in order; past the loop, which may take the one for the other
-    NAME half read         waits until a request of its is half read
-    NAME in bytes          sends what is below, a byte in each turn of the loop
-    clients N              waits until so many clients are connected
-    NAME unread            waits until an answer to it stands unread in the front
-    NAME sends, then evict what is below is here, unread, as a place is asked for: none gives way
-    NAME evict, then sends one gives way, and what is below comes in that turn
-    NAME sends, then sweep N  what is below is here, unread, as the clock moves on and all are swept"""
+    """An exchange with further steps:
+
+    slow client NAME       connects a client with small socket buffers; it reads nothing until `NAME reads`,
+                           and stops reading with `NAME rests`
+    holds N                waits until N streamed responses are paused because their clients do not read
+    NAME reads a reset     expects a reset and no orderly close; reads the socket directly, because the event
+                           loop may report one as the other
+    NAME half read         waits until the front has read a part of a request from the client
+    NAME in bytes          sends the lines, one byte in each iteration of the loop
+    clients N              waits until N clients are connected
+    NAME unread            waits until the front has received a complete response for the client that the
+                           client has not read
+    NAME sends, then evict the lines have arrived and are not read when a slot is needed: no client is evicted
+    NAME evict, then sends a client is evicted, and the lines arrive in the same iteration of the loop
+    NAME sends, then sweep N  the lines have arrived and are not read when the clock advances by N and expired
+                           connections are closed"""
 
     async def _step(self, words: list[str], lines: list[str]) -> None:
         match words:
@@ -87,7 +92,7 @@
         loop = asyncio.get_running_loop()
         _, self.peers[name] = await loop.create_connection(Peer, sock=sock)
         self.peers[name].transport.pause_reading()
-        self.peers[name].transport.write(b"\r\n")  # it may stand before a request
+        self.peers[name].transport.write(b"\r\n")  # an empty line is allowed before a request
         conn = await self._known(name)
         out = conn.transport.get_extra_info("socket")
         out.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
@@ -99,15 +104,16 @@
             end = asyncio.get_running_loop().time() + PATIENCE
             while asyncio.get_running_loop().time() < end:
                 try:
-                    assert sock.recv(1 << 20), "an end in order"
+                    assert sock.recv(1 << 20), "an orderly close"
                 except BlockingIOError:
                     await asyncio.sleep(0.001)
                 except ConnectionResetError:
                     return
-        raise AssertionError("no end came")
+        raise AssertionError("no reset")
 
     async def _known(self, name: str) -> ServerConnection:
-        """The front's end of a client's connection, which is accepted with its first bytes."""
+        """Return the front's end of a client's connection; it is accepted once its first bytes have
+        arrived."""
         clients = (await self._start()).client_groups[0]
         port = self.peers[name].transport.get_extra_info("sockname")[1]
 
@@ -122,11 +128,12 @@
     async def _until(self, met: Callable[[], bool]) -> None:
         end = asyncio.get_running_loop().time() + PATIENCE
         while not met():
-            assert asyncio.get_running_loop().time() < end, "it never came"
+            assert asyncio.get_running_loop().time() < end, "timed out waiting"
             await asyncio.sleep(0.001)
 
     def _at_once(self, name: str, lines: list[str]) -> None:
-        """Past the loop: it is with the system before the front's next step, and can't be read before it."""
+        """Write to the socket directly: the bytes are in the kernel before the front runs again, and can't be
+        read before that."""
         raw = b"".join(self._bytes(line, False) for line in lines)
         assert os.write(self.peers[name].transport.get_extra_info("socket").fileno(), raw) == len(raw)
 
@@ -139,7 +146,7 @@
     Pieces("".join(parts)).play()
 
 
-# Requests in pieces, on a connection that is to give way
+# Requests that arrive in parts, on a connection that is to be evicted
 
 PUT = "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a1 / 0\n| Content-Length: 4\n|\n"
 STORED = "a <\n& done\n"
@@ -163,7 +170,8 @@
 
 @pytest.mark.parametrize("half", HALVES)
 def test_what_is_partially_read_is_rejected_as_its_slot_goes(half: str) -> None:
-    """It was closed on without a word, as an idle connection is: a request taken, and lost."""
+    """The connection was closed without a response, as an idle one is, and the request that had begun was
+    lost."""
     play(
         ALONE,
         "a >\n",
@@ -191,7 +199,8 @@
 
 
 def test_a_piece_that_is_here_keeps_its_connection() -> None:
-    """It was not read yet as a slot is asked for, in that turn: nothing gives way, and it is served."""
+    """A part has arrived and is not read when a slot is needed in the same iteration of the loop: the
+    connection is not evicted, and the request is served."""
     play(
         ALONE,
         "a >\n",
@@ -206,7 +215,8 @@
 
 
 def test_a_piece_that_comes_in_the_turn_of_the_eviction_is_rejected_with_its_request() -> None:
-    """The rejection is out before the connection is closed, a turn later: the piece finds no open request."""
+    """The rejection is written one iteration of the loop before the connection is closed. A part that arrives
+    between the two finds no open request."""
     play(
         ALONE,
         "a >\n",
@@ -221,7 +231,8 @@
 
 
 def test_a_request_in_single_bytes_outlives_the_drain() -> None:
-    """Half read, it is not idle: the drain does not close on it, and its end is read and served."""
+    """A connection with a partly read request is not idle: the shutdown does not close it, and the request is
+    read to its end and served."""
     play(
         ALONE,
         WELL.format("b"),
@@ -237,7 +248,7 @@
     )
 
 
-# Uploads in pieces at the edge of the pace
+# Uploads in parts, just above and below the minimum upload rate
 
 HUGE = "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a1 / 0\n| Content-Length: {}\n|\n"
 TOO_LATE = "a <\n& bad 408 Request Timeout / the request did not come whole in time\n"
@@ -245,14 +256,14 @@
 
 
 def upload(size: int, pieces: int, each: int) -> str:
-    """The first bytes of a body of that size: so many pieces, one a second."""
+    """Start an upload of `size` bytes and send its first `pieces` parts of `each` bytes, one per second."""
     steps = "".join(
         f"clock 1000000\na >\n@ {n * each} {min(n * each + each, size)}\n" + WELL_KEPT for n in range(pieces)
     )
     return ALONE + WELL.format("b") + "a >\n" + HUGE.format(size) + "a half read\n" + steps
 
 
-WELL_KEPT = "b >\n| GET /healthz HTTP/1.1\n|\nb <\n& well\n"  # all that was sent before it is read
+WELL_KEPT = "b >\n| GET /healthz HTTP/1.1\n|\nb <\n& well\n"  # the front has read all that was sent before
 
 
 def test_an_upload_just_faster_than_the_pace_is_served() -> None:
@@ -260,7 +271,7 @@
 
 
 def test_an_upload_just_slower_gets_a_complete_response_before_its_end() -> None:
-    """24,000 bytes behind each second: its 2.5 s are used up after 7 s."""
+    """The upload sends 24,000 bytes per second; its allowance of 2.5 s is used up after 7 s."""
     play(
         upload(250_000, 6, 24_000),
         "clock 700000\n",
@@ -274,7 +285,8 @@
 
 
 def test_an_upload_whose_end_is_here_as_its_time_is_over_is_read_first() -> None:
-    """A front that stood still, or was busy, sees the time before the piece: it was refused though whole."""
+    """A front that was suspended or busy checks the time limit before it reads the last part: it rejected a
+    complete upload."""
     play(
         upload(168_000, 6, 24_000),
         "clock 700000\n",
@@ -327,7 +339,7 @@
     )
 
 
-# A server that pauses within an answer
+# An endpoint that pauses within a response
 
 ASKED = "node n0 0:script\nclient a platform\na >\n& {0} a1 / 0\nn0 <\n& {1} a1 / 0\n"
 THREE = "n0 >\n| HTTP/1.1 200 OK\n| Content-Length: 3\n|\n= a\n"
@@ -351,7 +363,7 @@
 
 @pytest.mark.parametrize("pause", [400_000, 600_000])
 def test_the_last_attempt_of_a_read_is_waited_for(pause: int) -> None:
-    """There can be no retry in its place: it was answered as failed though its 200 was on the way."""
+    """No retry can follow the last attempt: the request was answered as failed while its 200 was arriving."""
     play(
         "set settings.bounds.maxAttempts 1\n",
         ASKED.format("read", "got"),
@@ -382,7 +394,8 @@
 
 
 def small(way: str, at: int) -> str:
-    """A long answer of no told length with 3,000 bytes given, the last at that us from its request's time."""
+    """Start a streamed response without a Content-Length and send 3,000 bytes, the last of them `at`
+    microseconds after the request's deadline."""
     return (
         servers(1)
         + begun("a", 0, way, 1000)
@@ -399,9 +412,9 @@
 @pytest.mark.parametrize("at", [-7_000_000, -700_000, -550_000, -300_000, -150_000, -50_000, 100_000])
 @pytest.mark.parametrize("pause", [400_000, 600_000])
 def test_a_server_may_pause_within_what_it_gives(way: str, at: int, pause: int) -> None:
-    """Before, across and after its request's time. One that paused for 0.6 s from 0.55 s before that time was
-    cut off at that time, and one that paused later after half a second."""
-    if at == 100_000:  # up to there it moves
+    """The pause lies before, across or after the request's deadline. A response that paused for 0.6 s from
+    0.55 s before the deadline was aborted at the deadline, and one that paused later after 0.5 s."""
+    if at == 100_000:  # the response makes progress until then
         play(
             small(way, -250_000),
             "clock 350000\n",
@@ -435,7 +448,7 @@
     )
 
 
-# A client that reads slowly behind a streamed response
+# A client that reads a streamed response slowly
 
 
 def slowly(way: str, first: int = 70_000, version: str = "1.1") -> str:
@@ -445,7 +458,8 @@
 
 @pytest.mark.parametrize("way", HEADS)
 def test_a_reader_that_pauses_past_its_request_s_time_gets_all(way: str) -> None:
-    """What it rests is not the server's: neither its silence nor its slot are counted meanwhile."""
+    """While the client does not read, neither the endpoint's idle time-out runs nor the age after which its
+    slot is evicted."""
     play(
         slowly(way),
         "holds 1\n",
@@ -461,7 +475,8 @@
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
 def test_a_small_one_s_server_may_pause_as_its_reader_goes_on(way: str) -> None:
-    """Held back from before its request's time to past it: that time is the later by so much."""
+    """The client does not read from before the request's deadline until after it: the deadline is extended by
+    that time."""
     play(
         slowly(way, 30_000),
         WELL.format("b"),
@@ -503,13 +518,14 @@
     )
 
 
-# Places that are short
+# Connections at their limit
 
 REFUSED = ASKS + "{0} <\n& refused\n"
 
 
 def test_one_that_is_late_by_less_than_the_eviction_age_keeps_its_slot() -> None:
-    """The other's need is rejected, at once; a little later it wins."""
+    """Another request that needs the slot is rejected at once; once the eviction age is reached, it gets the
+    slot."""
     moves = "".join(
         "clock 5000000\n" + piece(0, "chunked", at, at + 10_000) + f"a has {at + 10_000}\n"
         for at in (70_000, 80_000, 90_000)
@@ -533,7 +549,8 @@
 
 
 def test_one_that_its_reader_holds_keeps_its_slot_for_that_time() -> None:
-    """Its server is not late for that; once it is let go on its time runs on."""
+    """The time for which the client does not read does not count as the endpoint's. It counts again once the
+    client reads on."""
     play(
         slowly("chunked"),
         "holds 1\nplaces nodes 1\n",
@@ -560,7 +577,8 @@
 def test_a_streamed_response_goes_on_behind_the_drain_and_the_end_comes_with_it(
     beside: str, way: str
 ) -> None:
-    """Nothing is cut before the process must end, and it doesn't wait until then."""
+    """No response is aborted before the shutdown deadline, and the process ends once the response is
+    complete."""
     play(
         servers(1),
         begun("a", 0, way),
@@ -602,7 +620,8 @@
 
 
 def test_what_its_reader_has_not_read_as_the_process_ends_is_seen_to_break_off() -> None:
-    """All of it came from the server; to a client of HTTP/1.0 the process's end was the answer's."""
+    """The endpoint has sent the complete response. An HTTP/1.0 client took the end of the process for the end
+    of the response."""
     for version, cut in (("1.0", "a reads a reset\n"), ("1.1", "a reads\na cut\n")):
         play(
             slowly("chunked", 30_000, version),
@@ -619,11 +638,11 @@
         )
 
 
-# A connection that carried a streamed response
+# A connection that has carried a streamed response
 
 
 def test_a_connection_serves_a_short_request_by_that_one_s_time() -> None:
-    """Nothing of the streamed response's time, nor of its reader's, is left on it."""
+    """Neither the streamed response's deadline nor its client's pauses apply to the next request on it."""
     brief = begun("c", 0, "chunked", 1000).replace(str(TIME / 1e6), "0.5")
     play(
         slowly("told"),
