--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -265,7 +265,7 @@
                 await loop.sock_sendall(sock, b"x")
             while await loop.sock_recv(sock, 1000):
                 pass
-            if kind == "kept":  # reads neither the response nor the end of the connection in time
+            if kind == "kept":  # it does not look at its answer, or at its end
                 await asyncio.sleep(0.5)
         await asyncio.sleep(0.3)
 
@@ -345,9 +345,8 @@
                     free.append(next(n for n in range(1000) if n not in held))
                     await asyncio.sleep(0.003)
                 resource.prlimit(front.child.pid, resource.RLIMIT_NOFILE, (min(free), 64))
-                assert (await call(clients, "GET /healthz")).endswith(
-                    b"ok\n"
-                )  # an idle client is evicted for it
+                # An idle client is evicted for the new one.
+                assert (await call(clients, "GET /healthz")).endswith(b"ok\n")
                 got = await front.counters()
                 assert got["clients_evicted"] == 1 <= got["accepts_failed"]
                 await call_served(door, "PUT /control/chunk-servers/n1/offline")
