--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -57,7 +57,7 @@
 CONTENT = bytes((i * 131 + (i >> 8) * 17 + (i >> 16)) & 0xFF for i in range(1 << 18))
 
 
-def _defined(line: str) -> list[str]:
+def _expand_definition(line: str) -> list[str]:
     """The lines that base.defs gives for `& NAME first / second ...`."""
     if not line.startswith("& "):
         return [line]
@@ -68,14 +68,14 @@
     block = found[1]
     for number, value in enumerate(rest.split(" / "), 1):
         block = block.replace(f"${number}", value)
-    return [line for inner in block.splitlines() for line in _defined(inner)]
+    return [line for inner in block.splitlines() for line in _expand_definition(inner)]
 
 
 class Peer(asyncio.Protocol):
     """The test's end of a connection; keeps the received bytes until a step consumes them."""
 
     def __init__(self) -> None:
-        self.got, self.ended, self.news = b"", False, asyncio.Event()
+        self.got, self.ended, self.state_changed = b"", False, asyncio.Event()
         self.fault: Exception | None = None  # the error that ended the connection
 
     def connection_made(self, transport: Any) -> None:
@@ -84,21 +84,21 @@
 
     def data_received(self, data: bytes) -> None:
         self.got += data
-        self.news.set()
+        self.state_changed.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.ended, self.fault = True, exc
-        self.news.set()
+        self.state_changed.set()
 
-    async def more(self, what: str) -> None:
-        self.news.clear()
+    async def more(self, expected: str) -> None:
+        self.state_changed.clear()
         try:
-            await asyncio.wait_for(self.news.wait(), PATIENCE)
+            await asyncio.wait_for(self.state_changed.wait(), PATIENCE)
         except TimeoutError:
-            raise AssertionError(f"{what}\nwas not received in time; received: {self.got!r}") from None
+            raise AssertionError(f"{expected}\nwas not received in time; received: {self.got!r}") from None
 
 
-class Store(Peer):
+class StorageConnection(Peer):
     """A connection to a chunk server that stores blocks and ends requests as `NAME next` says."""
 
     def __init__(self, node: "Node") -> None:
@@ -114,38 +114,40 @@
         self.got = b""
         line = head.split(b" HTTP")[0].decode()
         method, target = line.split(" ")
-        how = self.node.next.pop(0) if self.node.next else "ok"
-        if how == "full":
+        outcome = self.node.next_outcomes.pop(0) if self.node.next_outcomes else "ok"
+        if outcome == "full":
             return self.answer(503, b"", b"X-Rejected: 1\r\n")
-        self.node.ran[line] += 1
+        self.node.execution_counts[line] += 1
         if method == "PUT":
             self.node.blocks[target.partition("?")[2]] = body
-        if how == "reset":
+        if outcome == "reset":
             self.transport.abort()
-        elif how == "error":
+        elif outcome == "error":
             self.answer(500, b"")
-        elif how == "hold":
-            self.node.held.append(lambda: self.answer(200, b"" if method == "PUT" else b"x"))
-        elif how != "stall":
-            block = self.node.blocks.get(target.partition("?")[2]) if how == "ok" else None
+        elif outcome == "hold":
+            self.node.held_responses.append(lambda: self.answer(200, b"" if method == "PUT" else b"x"))
+        elif outcome != "stall":
+            block = self.node.blocks.get(target.partition("?")[2]) if outcome == "ok" else None
             self.answer(404 if block is None else 200, b"" if method == "PUT" else block or b"")
 
-    def answer(self, status: int, body: bytes, more: bytes = b"") -> None:
-        head = b"HTTP/1.1 %d -\r\nContent-Length: %d\r\n%s\r\n" % (status, len(body), more)
+    def answer(self, status: int, body: bytes, extra_headers: bytes = b"") -> None:
+        head = b"HTTP/1.1 %d -\r\nContent-Length: %d\r\n%s\r\n" % (status, len(body), extra_headers)
         self.transport.writelines([head, body])
 
 
 class Node:
+    """A chunk server or discovery: its connections and, if it stores blocks, its blocks and outcomes."""
+
     def __init__(self) -> None:
         self.blocks: dict[str, bytes] = {}
-        self.ran: Counter[str] = Counter()
-        self.next: list[str] = []
-        self.held: list[Callable[[], None]] = []
+        self.execution_counts: Counter[str] = Counter()
+        self.next_outcomes: list[str] = []
+        self.held_responses: list[Callable[[], None]] = []
         self.peers: list[Peer] = []
         self.arrived = asyncio.Event()
 
     def accept(self, scripted: bool) -> Peer:
-        peer = Peer() if scripted else Store(self)
+        peer = Peer() if scripted else StorageConnection(self)
         self.peers.append(peer)
         self.arrived.set()
         return peer
@@ -159,14 +161,14 @@
     """Real time in microseconds since the epoch, plus the time that the script's steps added."""
 
     def __init__(self) -> None:
-        self.added = 0
-        self.anchor = time.time_ns() - time.monotonic_ns()
+        self.added_us = 0
+        self.epoch_offset_ns = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
-        return (time.monotonic_ns() + self.anchor) // 1000 + self.added
+        return (time.monotonic_ns() + self.epoch_offset_ns) // 1000 + self.added_us
 
 
-class Gate:
+class ConnectionGate:
     """The event loop for the endpoint pool: connections are established only while the gate is open."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -174,21 +176,21 @@
         self.create_task = loop.create_task
         self.open.set()
 
-    async def create_connection(self, *words: Any) -> Any:
+    async def create_connection(self, *arguments: Any) -> Any:
         await self.open.wait()
-        return await self.loop.create_connection(*words)
+        return await self.loop.create_connection(*arguments)
 
 
 class Exchange:
-    def __init__(self, of: Path | str) -> None:
+    def __init__(self, script: Path | str) -> None:
         self.steps: list[tuple[list[str], list[str]]] = []
-        self.clock, self.gate = Clock(), cast(Gate, None)
-        for line in (of if isinstance(of, str) else of.read_text()).splitlines():
+        self.clock, self.connection_gate = Clock(), cast(ConnectionGate, None)
+        for line in (script if isinstance(script, str) else script.read_text()).splitlines():
             if line.startswith("% "):  # repeats the line behind the number
-                number, again = line[2:].split(" ", 1)
-                self.steps[-1][1].extend([again] * int(number))
+                number, repeated_line = line[2:].split(" ", 1)
+                self.steps[-1][1].extend([repeated_line] * int(number))
             elif line.startswith("& "):
-                self.steps[-1][1].extend(_defined(line))
+                self.steps[-1][1].extend(_expand_definition(line))
             elif line[:2] in ("| ", "= ", "~ ", "@ ") or line == "|":
                 self.steps[-1][1].append(line)
             elif line.strip() and not line.startswith("#"):
@@ -198,8 +200,8 @@
         self.peers: dict[str, Peer] = {}
         self.servers: list[Any] = []
         self.patches = ExitStack()
-        self.fresh: Counter[str] = Counter()
-        self.conf = tomllib.loads((FOLDER / "base.toml").read_text())
+        self.awaited_connections: Counter[str] = Counter()
+        self.config_data = tomllib.loads((FOLDER / "base.toml").read_text())
         self.front: FrontProcess | None = None
 
     def play(self) -> None:
@@ -211,8 +213,8 @@
             for words, lines in self.steps:
                 try:
                     await self._step(words, lines)
-                except AssertionError as fault:
-                    raise AssertionError(f"step {' '.join(words)}: {fault}") from None
+                except AssertionError as error:
+                    raise AssertionError(f"step {' '.join(words)}: {error}") from None
         finally:
             self.patches.close()
             if self.front is not None:
@@ -232,7 +234,7 @@
     def _load(self) -> configuration.Config:
         with (
             mock.patch.object(Path, "read_text", lambda _: ""),
-            mock.patch.object(tomllib, "loads", lambda _: self.conf),
+            mock.patch.object(tomllib, "loads", lambda _: self.config_data),
         ):
             return configuration.load_operator_file(str(FOLDER / "base.toml"))
 
@@ -246,8 +248,8 @@
                 mock.patch("umberlead.daemon.assembly.unix_anchored_clock", lambda: self.clock)
             )
             self.front = FrontProcess(self._load(), asyncio.get_running_loop())
-            self.gate = Gate(asyncio.get_running_loop())
-            self.front.pool.loop = cast(asyncio.AbstractEventLoop, self.gate)
+            self.connection_gate = ConnectionGate(asyncio.get_running_loop())
+            self.front.pool.loop = cast(asyncio.AbstractEventLoop, self.connection_gate)
             self.task = asyncio.create_task(self.front.run())
             while len(self.front.listeners) < 2:
                 await asyncio.sleep(0)
@@ -259,7 +261,7 @@
         match words:
             case ["set", key, value]:
                 *path, last = key.split(".")
-                table: Any = self.conf
+                table: Any = self.config_data
                 for name in path:
                     table = table[int(name)] if isinstance(table, list) else table.setdefault(name, {})
                 table[last] = tomllib.loads(f"v = {value}")["v"]
@@ -271,9 +273,9 @@
                     self.servers.pop().close()
                     await asyncio.sleep(0)
                 entry = {"name": name, "address": address, "group": int(shard.split(":")[0])}
-                self.conf["known"]["endpoints"].append(entry)
+                self.config_data["known"]["endpoints"].append(entry)
             case ["discovery"]:
-                self.conf["discovery"] = await self._listen("discovery", True)
+                self.config_data["discovery"] = await self._listen("discovery", True)
             case ["client", name, which]:
                 front = await self._start()
                 listener = (
@@ -283,10 +285,10 @@
                 loop = asyncio.get_running_loop()
                 _, self.peers[name] = await loop.create_connection(Peer, "127.0.0.1", port)
             case ["moves", name]:
-                self.conf["discovery"] = await self._listen(name, True)
+                self.config_data["discovery"] = await self._listen(name, True)
             case ["dials", word]:
                 await self._start()
-                self.gate.open.clear() if word == "hold" else self.gate.open.set()
+                self.connection_gate.open.clear() if word == "hold" else self.connection_gate.open.set()
             case ["memory", number]:
                 (await self._start()).client_groups[0].buffer_limit_bytes = int(number)
             case ["beside"]:
@@ -298,32 +300,32 @@
                 (await self._start()).shutdown.answer_open_requests()
             case ["clock", number]:
                 front = await self._start()
-                self.clock.added += int(number)
+                self.clock.added_us += int(number)
                 front.wheel.fire_due()
                 for _ in range(3):  # callbacks of the timers run in the loop's next iterations
                     await asyncio.sleep(0)
             case [name, "release", number]:
                 end = asyncio.get_running_loop().time() + PATIENCE
-                while len(self.nodes[name].held) < int(number):
+                while len(self.nodes[name].held_responses) < int(number):
                     assert (
                         asyncio.get_running_loop().time() < end
-                    ), f"{len(self.nodes[name].held)} held requests"
+                    ), f"{len(self.nodes[name].held_responses)} held requests"
                     await asyncio.sleep(0.001)
                 for _ in range(int(number)):
-                    self.nodes[name].held.pop(0)()
+                    self.nodes[name].held_responses.pop(0)()
             case [name, "breaks"]:
                 for each in self.nodes[name].peers:
                     each.transport.abort()
             case ["started", name]:  # started just now: in slow start
-                entry = next(e for e in self.conf["known"]["endpoints"] if e["name"] == name)
+                entry = next(e for e in self.config_data["known"]["endpoints"] if e["name"] == name)
                 entry["since_ms"] = time.time_ns() // 1_000_000
-            case [name, "next", *how]:
-                self.nodes[name].next = how
+            case [name, "next", *outcomes]:
+                self.nodes[name].next_outcomes = outcomes
             case ["writes", name, prefix, number]:
-                ran = {k: n for k, n in self.nodes[name].ran.items() if k.startswith(prefix)}
+                ran = {k: n for k, n in self.nodes[name].execution_counts.items() if k.startswith(prefix)}
                 assert len(ran) == int(number) and set(ran.values()) <= {1}, ran
             case [name, "ran", prefix, number]:
-                ran = {k: n for k, n in self.nodes[name].ran.items() if prefix in k}
+                ran = {k: n for k, n in self.nodes[name].execution_counts.items() if prefix in k}
                 assert len(ran) == int(number) and set(ran.values()) <= {1}, ran
             case ["counter", name, number]:
                 front = await self._start()
@@ -341,37 +343,37 @@
             case [name, "fresh"]:
                 node = self.nodes[name]
                 node.arrived.clear()
-                while len(node.peers) < 2 + self.fresh[name]:
+                while len(node.peers) < 2 + self.awaited_connections[name]:
                     await asyncio.wait_for(node.arrived.wait(), PATIENCE)
                     node.arrived.clear()
-                self.fresh[name] += 1
+                self.awaited_connections[name] += 1
                 node.arrived.set()
-            case [name, what]:
+            case [name, action]:
                 await self._start()
                 peer = self.peers.get(name) or await self.nodes[name].peer()
-                await self._io(peer, what, lines)
+                await self._io(peer, action, lines)
             case _:
                 raise AssertionError("unknown step")
 
-    async def _io(self, peer: Peer, what: str, lines: list[str]) -> None:
-        if what == ">":
+    async def _io(self, peer: Peer, action: str, lines: list[str]) -> None:
+        if action == ">":
             peer.transport.write(b"".join(self._bytes(line, False) for line in lines))
-        elif what == "finish":
+        elif action == "finish":
             peer.transport.close()
-        elif what == "close":
+        elif action == "close":
             peer.transport.abort()
-        elif what == "half":
+        elif action == "half":
             peer.transport.write_eof()
-        elif what == "reset":
+        elif action == "reset":
             sock = peer.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.transport.abort()
-        elif what == "eof":
+        elif action == "eof":
             while not peer.ended:
                 await peer.more("the end of the connection")
             assert peer.got == b"", peer.got
         else:
-            self.new: set[str] = set()
+            self.new_names: set[str] = set()
             pattern = re.compile(b"".join(self._bytes(line, True) for line in lines), re.S)
             while (match := pattern.match(peer.got)) is None:
                 assert not peer.ended, f"ended with {peer.got[:2000]!r}, expected {pattern.pattern[:2000]!r}"
@@ -393,10 +395,10 @@
                 out += word
             elif name == "~":
                 out += rb"[^\r\n]+"
-            elif name in self.new:
+            elif name in self.new_names:
                 out += b"(?P=%s)" % name.encode()
             elif name:
-                self.new.add(name)
+                self.new_names.add(name)
                 out += rb"(?P<%s>[^\r\n<\" ]+)" % name.encode()
             else:
                 out += re.escape(word)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -88,7 +88,7 @@
 
                 def stand() -> None:  # runs as a timer: the loop runs timers before it polls sockets
                     self._leave(name, way)
-                    self.clock.added += int(us)
+                    self.clock.added_us += int(us)
                     front.wheel.fire_due()
                     over.set_result(None)
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -27,7 +27,7 @@
     stood: int | None = None
 
     def __call__(self) -> int:
-        return super().__call__() if self.stood is None else self.stood + self.added
+        return super().__call__() if self.stood is None else self.stood + self.added_us
 
 
 class Canned(Peer):
@@ -101,7 +101,7 @@
     async def _start(self) -> FrontProcess:
         front = await super()._start()
         if self.clock.stood is None:
-            self.clock.stood = self.clock() - self.clock.added
+            self.clock.stood = self.clock() - self.clock.added_us
         return front
 
     def _link(self, front: FrontProcess, name: str) -> Any:
--- a/tests/test_streaming_race_conditions.py
+++ b/tests/test_streaming_race_conditions.py
@@ -80,7 +80,7 @@
             case [name, "sends,", "then", "sweep", number]:
                 front = await self._start()
                 self._at_once(name, lines)
-                self.clock.added += int(number)
+                self.clock.added_us += int(number)
                 front.client_groups[0].close_expired()
             case _:
                 await super()._step(words, lines)
