--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -26,10 +26,10 @@
 from umberlead.scheduling.events import AttemptResult, ClientDisconnected, Event
 from umberlead.scheduling.settings import Plan
 
-WAYS = ["close", "half", "reset"]
+DISCONNECT_KINDS = ["close", "half", "reset"]
 
 
-class Leaving(Exchange):
+class DisconnectExchange(Exchange):
     """An exchange whose clients can disconnect within one iteration of the front's event loop: the kernel has
     received the FIN or RST, and the front has not been notified of it.
 
@@ -56,79 +56,84 @@
 
     def __init__(self, of: str) -> None:
         super().__init__(of)
-        self.plain: dict[str, socket.socket] = {}
-        self.half: list[socket.socket] = []  # half-closed; stay open until the end of the test
-        self.deaf = set[str]()  # names of chunk servers
+        self.raw_clients: dict[str, socket.socket] = {}
+        self.half_closed: list[socket.socket] = []  # half-closed; stay open until the end of the test
+        self.paused_servers = set[str]()  # names of chunk servers
 
     async def _step(self, words: list[str], lines: list[str]) -> None:
         match words:
             case ["plain", name, which]:
-                self.plain[name] = sock = socket.socket()
+                self.raw_clients[name] = sock = socket.socket()
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
                 sock.connect((await self._start()).listeners[which == "objects"].address)
-            case [name, ">"] if name in self.plain:
-                self.plain[name].sendall(b"".join(self._bytes(line, False) for line in lines))
+            case [name, ">"] if name in self.raw_clients:
+                self.raw_clients[name].sendall(b"".join(self._bytes(line, False) for line in lines))
             case [name, "slow"]:
-                conn = await self._known(name)
-                _small(conn.transport.get_extra_info("socket").fileno(), socket.SO_SNDBUF)
+                conn = await self._wait_for_connection(name)
+                _set_buffer_size(conn.transport.get_extra_info("socket").fileno(), socket.SO_SNDBUF)
             case [name, way, "at", "send", number]:
-                self._at_send(await self._start(), name, way, int(number))
+                self._disconnect_at_send(await self._start(), name, way, int(number))
             case [name, way, "at", "dial"]:
-                made = EndpointConnection.connection_made
+                unpatched_connection_made = EndpointConnection.connection_made
 
-                def first(conn: EndpointConnection, transport: Any) -> None:
-                    if name in self.plain:
-                        self._leave(name, way)
-                    made(conn, transport)
+                def leave_then_connect(conn: EndpointConnection, transport: Any) -> None:
+                    if name in self.raw_clients:
+                        self._disconnect(name, way)
+                    unpatched_connection_made(conn, transport)
 
-                self.patches.enter_context(mock.patch.object(EndpointConnection, "connection_made", first))
+                self.patches.enter_context(
+                    mock.patch.object(EndpointConnection, "connection_made", leave_then_connect)
+                )
             case [name, way, "still", us]:
                 front, loop = await self._start(), asyncio.get_running_loop()
-                over = loop.create_future()
+                front_ran = loop.create_future()
 
-                def stand() -> None:  # runs as a timer: the loop runs timers before it polls sockets
-                    self._leave(name, way)
+                def suspend_front() -> None:  # runs as a timer: the loop runs timers before it polls sockets
+                    self._disconnect(name, way)
                     self.clock.added_us += int(us)
                     front.wheel.fire_due()
-                    over.set_result(None)
+                    front_ran.set_result(None)
 
-                loop.call_later(0.002, stand)
-                await over
-            case [name, "behind" | "paused" as what]:
-                conn = await self._known(name)
+                loop.call_later(0.002, suspend_front)
+                await front_ran
+            case [name, "behind" | "paused" as condition]:
+                conn = await self._wait_for_connection(name)
                 await self._until(
-                    conn.is_reading_paused if what == "paused" else lambda: bool(conn.pipelined_requests)
+                    conn.is_reading_paused if condition == "paused" else lambda: bool(conn.pipelined_requests)
                 )
-            case [name, way] if name in self.plain and way in WAYS:
-                self._leave(name, way)
+            case [name, way] if name in self.raw_clients and way in DISCONNECT_KINDS:
+                self._disconnect(name, way)
             case [name, way, "unread"]:
-                conn = await self._known(name)
+                conn = await self._wait_for_connection(name)
                 await self._until(lambda: conn.write_blocked and bool(conn.pipelined_requests))
-                self.plain[name].recv(1 << 20)
-                self._leave(name, way)
+                self.raw_clients[name].recv(1 << 20)
+                self._disconnect(name, way)
             case [name, "deaf"]:
                 node, accept = self.nodes[name], self.nodes[name].accept
-                self.deaf.add(name)
-                _small(self.servers[-1].sockets[0].fileno(), socket.SO_RCVBUF)
-                up = EndpointConnection.connection_made
+                self.paused_servers.add(name)
+                _set_buffer_size(self.servers[-1].sockets[0].fileno(), socket.SO_RCVBUF)
+                original_connection_made = EndpointConnection.connection_made
 
-                def narrow(conn: EndpointConnection, transport: Any) -> None:
-                    _small(transport.get_extra_info("socket").fileno(), socket.SO_SNDBUF, 65536)
-                    up(conn, transport)
+                def shrink_send_buffer(conn: EndpointConnection, transport: Any) -> None:
+                    _set_buffer_size(transport.get_extra_info("socket").fileno(), socket.SO_SNDBUF, 65536)
+                    original_connection_made(conn, transport)
 
-                self.patches.enter_context(mock.patch.object(EndpointConnection, "connection_made", narrow))
+                self.patches.enter_context(
+                    mock.patch.object(EndpointConnection, "connection_made", shrink_send_buffer)
+                )
 
-                def quiet(scripted: bool) -> Peer:
+                def accept_paused(scripted: bool) -> Peer:
                     peer = accept(scripted)
-                    if name in self.deaf:
+                    if name in self.paused_servers:
                         begin = peer.connection_made
-                        later = asyncio.get_running_loop().call_soon  # reading starts after connection_made
-                        peer.connection_made = lambda t: (begin(t), later(t.pause_reading))  # type: ignore
+                        # The transport starts reading after connection_made.
+                        schedule = asyncio.get_running_loop().call_soon
+                        peer.connection_made = lambda t: (begin(t), schedule(t.pause_reading))  # type: ignore
                     return peer
 
-                self.patches.enter_context(mock.patch.object(node, "accept", quiet))
+                self.patches.enter_context(mock.patch.object(node, "accept", accept_paused))
             case [name, "hears"]:
-                self.deaf.discard(name)
+                self.paused_servers.discard(name)
                 for peer in self.nodes[name].peers:
                     peer.transport.resume_reading()
             case ["partly"]:
@@ -137,43 +142,46 @@
             case [name, way, "as", node, "reads"]:
                 front, peer = await self._start(), self.nodes[node].peers[-1]
                 fd = peer.transport.get_extra_info("socket").fileno()
-                link, done = next(c for c in front.pool.slots if c.write_paused), asyncio.Event()
-                wire = cast(asyncio.Transport, link.transport)
+                endpoint_connection, done = (
+                    next(c for c in front.pool.slots if c.write_paused),
+                    asyncio.Event(),
+                )
+                endpoint_transport = cast(asyncio.Transport, endpoint_connection.transport)
                 with socket.socket(fileno=os.dup(fd)) as sock:
 
-                    def read(most: int) -> None:
+                    def read(max_bytes: int) -> None:
                         with contextlib.suppress(BlockingIOError, ConnectionResetError):
-                            while most > 0 and (data := sock.recv(min(most, 4096))):
+                            while max_bytes > 0 and (data := sock.recv(min(max_bytes, 4096))):
                                 peer.got += data
-                                most -= len(data)
+                                max_bytes -= len(data)
 
-                    def both() -> None:
-                        self._leave(name, way)
+                    def disconnect_and_read() -> None:
+                        self._disconnect(name, way)
                         read(1 << 30)
                         done.set()
 
-                    while wire.get_write_buffer_size() > 50_000:
+                    while endpoint_transport.get_write_buffer_size() > 50_000:
                         read(4096)
                         await asyncio.sleep(0)
-                    assert not link.written
-                    asyncio.get_running_loop().call_later(0.002, both)
+                    assert not endpoint_connection.written
+                    asyncio.get_running_loop().call_later(0.002, disconnect_and_read)
                     await done.wait()
-                    await self._until(lambda: link.finished)
+                    await self._until(lambda: endpoint_connection.finished)
                     read(1 << 30)
                 head, _, body = peer.got.partition(b"\r\n\r\n")
                 assert len(body) < int(re.findall(rb"Content-Length: (\d+)", head)[0])
             case ["clean"]:
                 front = await self._start()
-                for sock in self.half:
+                for sock in self.half_closed:
                     sock.close()
-                await self._until(lambda: not self._kept(front), lambda: str(self._kept(front)))
+                await self._until(lambda: not self._open_state(front), lambda: str(self._open_state(front)))
             case _:
                 await super()._step(words, lines)
 
     @staticmethod
-    def _kept(front: FrontProcess) -> dict[str, Any]:
+    def _open_state(front: FrontProcess) -> dict[str, Any]:
         engine = front.lifecycle
-        kept = {
+        open_state = {
             "active": engine.unanswered_count,
             "tickets": len(engine.open_requests),
             "items": list(engine.scheduler.requests),
@@ -181,54 +189,58 @@
             "out": sum(v.units_in_flight for v in engine.scheduler.directory.endpoints.values()),
             "tasks": sum(len(getattr(h, "tasks", ())) for h in front.handlers),
         }
-        return {name: what for name, what in kept.items() if what}
+        return {name: value for name, value in open_state.items() if value}
 
     @staticmethod
-    async def _until(ready: Callable[[], bool], told: Callable[[], str] = str) -> None:
+    async def _until(ready: Callable[[], bool], describe: Callable[[], str] = str) -> None:
         end = time.monotonic() + PATIENCE
         while not ready():
-            assert time.monotonic() < end, told()
+            assert time.monotonic() < end, describe()
             await asyncio.sleep(0.001)
 
-    async def _known(self, name: str) -> ServerConnection:
-        await self._until(lambda: self._conn(name) is not None)
-        return self._conn(name)  # type: ignore[return-value]
+    async def _wait_for_connection(self, name: str) -> ServerConnection:
+        await self._until(lambda: self._find_connection(name) is not None)
+        return self._find_connection(name)  # type: ignore[return-value]
 
-    def _conn(self, name: str) -> ServerConnection | None:
-        if name in self.plain:
-            where = self.plain[name].getsockname()
+    def _find_connection(self, name: str) -> ServerConnection | None:
+        if name in self.raw_clients:
+            client_address = self.raw_clients[name].getsockname()
         else:
-            where = self.peers[name].transport.get_extra_info("sockname")
-        known = (conn for group in (self.front.client_groups if self.front else []) for conn in group.slots)
-        found = next((c for c in known if c.transport.get_extra_info("peername") == where), None)
+            client_address = self.peers[name].transport.get_extra_info("sockname")
+        server_connections = (
+            conn for group in (self.front.client_groups if self.front else []) for conn in group.slots
+        )
+        found = next(
+            (c for c in server_connections if c.transport.get_extra_info("peername") == client_address), None
+        )
         assert found is None or isinstance(found, ServerConnection)
         return found
 
-    def _at_send(self, front: FrontProcess, name: str, way: str, number: int) -> None:
-        handle, seen = front.lifecycle.scheduler.handle, 0
+    def _disconnect_at_send(self, front: FrontProcess, name: str, way: str, number: int) -> None:
+        handle, send_count = front.lifecycle.scheduler.handle, 0
 
         def counted(now: int, events: list[Event]) -> list[Action]:
-            nonlocal seen
-            acts = handle(now, events)
-            for act in acts:
-                if isinstance(act, Send):
-                    ticket = front.lifecycle.open_requests.find(act.request_id)
-                    assert ticket is not None
+            nonlocal send_count
+            actions = handle(now, events)
+            for action in actions:
+                if isinstance(action, Send):
+                    request = front.lifecycle.open_requests.find(action.request_id)
+                    assert request is not None
                     # Requests for an object's blocks have no call id.
-                    seen += ticket.incoming.call_id[:1] in (b"", name.encode())
-                    if seen == number and name in self.plain:
-                        self._leave(name, way)
-            return acts
+                    send_count += request.incoming.call_id[:1] in (b"", name.encode())
+                    if send_count == number and name in self.raw_clients:
+                        self._disconnect(name, way)
+            return actions
 
         self.patches.enter_context(mock.patch.object(front.lifecycle.scheduler, "handle", counted))
 
-    def _leave(self, name: str, way: str) -> None:
+    def _disconnect(self, name: str, way: str) -> None:
         """Disconnect the client, and block the loop until the kernel reports it on the front's socket."""
-        conn, sock = self._conn(name), self.plain.pop(name)
+        conn, sock = self._find_connection(name), self.raw_clients.pop(name)
         assert conn is not None
         if way == "half":
             sock.shutdown(socket.SHUT_WR)
-            self.half.append(sock)
+            self.half_closed.append(sock)
         else:
             if way == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -239,7 +251,7 @@
         assert not conn.client_disconnected  # the front was not notified
 
 
-def _small(fd: int, buffer: int, size: int = 8192) -> None:
+def _set_buffer_size(fd: int, buffer: int, size: int = 8192) -> None:
     with socket.socket(fileno=os.dup(fd)) as sock:
         sock.setsockopt(socket.SOL_SOCKET, buffer, size)
 
@@ -256,16 +268,16 @@
 
 
 def play(*parts: str) -> None:
-    made = Leaving("".join(parts))
+    exchange = DisconnectExchange("".join(parts))
     try:
-        made.play()
+        exchange.play()
     finally:
-        for sock in (*made.plain.values(), *made.half):
+        for sock in (*exchange.raw_clients.values(), *exchange.half_closed):
             sock.close()
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_from_the_fair_queue(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_disconnect_in_the_fair_queue(way: str) -> None:
     """Two requests use up the endpoint's concurrency limit, and a third is queued. When its client
     disconnects, a small request behind it is sent at once, and not only with the next response."""
     play(
@@ -289,8 +301,8 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_while_its_connection_is_established(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_disconnect_while_a_connection_is_established(way: str) -> None:
     play(
         "node n0 0\nclient a platform\nclient b platform\ndials hold\n",
         asks("a", 1),
@@ -302,9 +314,9 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
 @pytest.mark.parametrize("again", ["own", "other's"])
-def test_between_attempts_and_at_a_paused_endpoint(way: str, again: str) -> None:
+def test_disconnect_between_attempts_or_at_a_paused_endpoint(way: str, again: str) -> None:
     """An endpoint that rejected a request as full is paused. The client that disconnects waits for the retry
     of its own request, or has sent another request meanwhile."""
     play(
@@ -319,8 +331,8 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_at_a_endpoint_in_slow_start(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_disconnect_at_an_endpoint_in_slow_start(way: str) -> None:
     play(
         "set settings.extra.coldUnits 1\nset settings.guarantees.coldShare 0.2\n"
         "set settings.guarantees.fallMultiple 4\nset settings.guarantees.overloadFor 1000000\n"
@@ -335,9 +347,9 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
 @pytest.mark.parametrize("more", [1, 60], ids=["read on", "reading paused"])
-def test_behind_another_on_its_connection(way: str, more: int) -> None:
+def test_disconnect_with_pipelined_requests(way: str, more: int) -> None:
     """One request is in flight and others are pipelined behind it. With many of them, reading from the client
     is paused, and the front has to poll the socket for the disconnect."""
     behind = "".join(f"& block x{k} / PUT /write / {block(100 + k)} / 1\n" for k in range(more))
@@ -355,8 +367,8 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_behind_what_is_no_http(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_disconnect_after_malformed_input(way: str) -> None:
     """Reading ends at the malformed input, while the request before it is still queued."""
     play(
         "node n0 0\nn0 next hold hold\nclient a platform\nclient b platform\nclient c platform\n",
@@ -374,8 +386,8 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_an_object_s_blocks_that_were_not_begun(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_disconnect_stops_the_remaining_blocks_of_an_object(way: str) -> None:
     """One of an object's four blocks is in flight: it completes; the others and the manifest are not sent."""
     play(
         "node n0 0\nn0 next hold\nclient o objects\nclient b platform\n",
@@ -387,9 +399,9 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
 @pytest.mark.parametrize("method", ["PUT", "GET"])
-def test_an_object_that_waits(way: str, method: str) -> None:
+def test_disconnect_while_an_object_waits_for_a_connection(way: str, method: str) -> None:
     """The object's first block, or the read of its manifest, waits for a connection, and is not sent.
     A part of an upload whose client disconnected can be retried."""
     body = "| Content-Length: 8\n|\n= abcdefgh\n" if method == "PUT" else "|\n"
@@ -403,8 +415,8 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_a_part_whose_client_left_goes_on_with_what_is_missing(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_retried_part_sends_only_the_missing_blocks(way: str) -> None:
     """The client's retry of a part sends the blocks that were not sent before, and none twice."""
     part = "PUT /scans/big?partNumber=1&uploadId={id} HTTP/1.1\n| Content-Length: 4096\n|\n@ 0 4096\n"
     play(
@@ -416,8 +428,8 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_what_its_attempt_does_is_still_counted(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_written_attempt_counts_against_the_limit_after_a_disconnect(way: str) -> None:
     """An attempt that was written before its client disconnected counts against the concurrency limit until
     it ends."""
     play(
@@ -435,60 +447,68 @@
 
 
 # The client disconnects in the loop iteration in which the front decides to send its request or the
-# connection to the endpoint is established, before the front is notified. Each entry of LEAVES has three
+# connection to the endpoint is established, before the front is notified. Each entry of DISCONNECTS has three
 # parts of a script: the steps up to the wait; the disconnect and what allows an attempt to start; the steps
 # that follow. With an idle connection to the endpoint, an attempt is written as soon as it is decided.
 
-KEPT = "patch umberlead.net.endpoint_pool REUSE_DELAY_US 0\nnode n0 0\n"
-BUSY = (
-    KEPT
+REUSE_AT_ONCE = "patch umberlead.net.endpoint_pool REUSE_DELAY_US 0\nnode n0 0\n"
+FULL_ENDPOINT = (
+    REUSE_AT_ONCE
     + "n0 next hold hold\nclient a platform\nclient b platform\nplain c platform\n"
     + asks("a", 1, 6)
     + asks("b", 2, 6)
     + "until attempts_written 2\n"
 )
-FREE, FREED = "n0 release 1\n", "n0 release 1\n" + DONE.format("a") + DONE.format("b")
-UNSWEPT = "patch umberlead.daemon.process SWEEP_INTERVAL_US 600000000\n"
-TRIED = KEPT + "n0 next full\nplain c platform\n" + asks("c", 3) + "until attempts_full 1\n"
-RESTS = KEPT + "n0 next full\nclient a platform\nplain c platform\n" + asks("a", 1)
-RESTS += "until attempts_full 1\n" + asks("c", 3) + "until requests_taken 2\n"
-WARMS = (
+RELEASE_FIRST, RELEASE_SECOND = "n0 release 1\n", "n0 release 1\n" + DONE.format("a") + DONE.format("b")
+NO_SWEEPS = "patch umberlead.daemon.process SWEEP_INTERVAL_US 600000000\n"
+REJECTED_ONCE = REUSE_AT_ONCE + "n0 next full\nplain c platform\n" + asks("c", 3) + "until attempts_full 1\n"
+PAUSED_ENDPOINT = REUSE_AT_ONCE + "n0 next full\nclient a platform\nplain c platform\n" + asks("a", 1)
+PAUSED_ENDPOINT += "until attempts_full 1\n" + asks("c", 3) + "until requests_taken 2\n"
+SLOW_START = (
     "set settings.extra.coldUnits 5\nset settings.guarantees.coldShare 0.2\n"
     "set settings.guarantees.fallMultiple 4\nset settings.guarantees.overloadFor 1000000\n"
     "set settings.guarantees.warmUp 4000000\nnode n0 0\nstarted n0\nplain c platform\n"
     + asks("c", 3, 6)
     + "until requests_taken 1\ncounter attempts_sent 0\n"
 )
-AHEAD = f"c >\n& block y / PUT /write / {block(99)} / 1\nc behind\nc >\n"
-AHEAD += "".join(f"& block x{k} / PUT /write / {block(100 + k)} / 1\n" for k in range(60))
-AHEAD += f"| X-Pad: {'p' * 20_000}\n"
-NOISE = f"c >\n| noise\nuntil bad_requests_400 1\nc >\n| {'x' * 40_000}\n"
+PIPELINED = f"c >\n& block y / PUT /write / {block(99)} / 1\nc behind\nc >\n"
+PIPELINED += "".join(f"& block x{k} / PUT /write / {block(100 + k)} / 1\n" for k in range(60))
+PIPELINED += f"| X-Pad: {'p' * 20_000}\n"
+MALFORMED = f"c >\n| noise\nuntil bad_requests_400 1\nc >\n| {'x' * 40_000}\n"
 QUEUED = asks("c", 3, 6) + "until requests_taken 3\n"
-LEAVES = {
-    "in the fair queue": (BUSY + QUEUED, "c {} at send 1\n" + FREE, FREED),
-    "in the queue, reading paused": (UNSWEPT + BUSY + QUEUED + AHEAD, "c paused\nc {}\n" + FREE, FREED),
+DISCONNECTS = {
+    "in the fair queue": (FULL_ENDPOINT + QUEUED, "c {} at send 1\n" + RELEASE_FIRST, RELEASE_SECOND),
+    "in the queue, reading paused": (
+        NO_SWEEPS + FULL_ENDPOINT + QUEUED + PIPELINED,
+        "c paused\nc {}\n" + RELEASE_FIRST,
+        RELEASE_SECOND,
+    ),
     "in the queue, behind malformed input": (
-        UNSWEPT + BUSY + QUEUED + NOISE,
-        "c paused\nc {}\n" + FREE,
-        FREED,
+        NO_SWEEPS + FULL_ENDPOINT + QUEUED + MALFORMED,
+        "c paused\nc {}\n" + RELEASE_FIRST,
+        RELEASE_SECOND,
     ),
-    "between attempts": (TRIED, "c {} at send 1\nclock 2000000\n", ""),
-    "between attempts, the front suspended": (TRIED, "c {} still 2000000\n", ""),
-    "at a paused endpoint": (RESTS, "c {} at send 1\nclock 2000000\n", DONE.format("a")),
-    "at a paused endpoint, the front suspended": (RESTS, "c {} still 2000000\n", DONE.format("a")),
-    "at an endpoint in slow start": (WARMS, "c {} at send 1\nclock 5000000\n", ""),
-    "at an endpoint in slow start, the front suspended": (WARMS, "c {} still 5000000\n", ""),
+    "between attempts": (REJECTED_ONCE, "c {} at send 1\nclock 2000000\n", ""),
+    "between attempts, the front suspended": (REJECTED_ONCE, "c {} still 2000000\n", ""),
+    "at a paused endpoint": (PAUSED_ENDPOINT, "c {} at send 1\nclock 2000000\n", DONE.format("a")),
+    "at a paused endpoint, the front suspended": (PAUSED_ENDPOINT, "c {} still 2000000\n", DONE.format("a")),
+    "at an endpoint in slow start": (SLOW_START, "c {} at send 1\nclock 5000000\n", ""),
+    "at an endpoint in slow start, the front suspended": (SLOW_START, "c {} still 5000000\n", ""),
     "behind another on its connection": (
-        KEPT
+        REUSE_AT_ONCE
         + "n0 next hold\nplain c platform\n"
         + asks("c", 1)
         + "until attempts_written 1\n"
         + asks("c", 3),
-        "c {} at send 1\n" + FREE,
+        "c {} at send 1\n" + RELEASE_FIRST,
         "",
     ),
     "for an idle connection": (
-        KEPT + "client b platform\nplain c platform\n" + asks("b", 1) + DONE.format("b") + "c {} at send 1\n",
+        REUSE_AT_ONCE
+        + "client b platform\nplain c platform\n"
+        + asks("b", 1)
+        + DONE.format("b")
+        + "c {} at send 1\n",
         asks("c", 3),
         "",
     ),
@@ -500,14 +520,14 @@
 }
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("wait", LEAVES)
-def test_nothing_begins_for_a_client_that_left_in_the_same_turn(wait: str, way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+@pytest.mark.parametrize("wait", DISCONNECTS)
+def test_nothing_is_sent_for_a_client_that_disconnects_in_the_same_iteration(wait: str, way: str) -> None:
     """The request is not sent, and later requests of other clients are served as usual."""
-    begin, leaves, after = (part.format(way) for part in LEAVES[wait])
+    begin, disconnects, after = (part.format(way) for part in DISCONNECTS[wait])
     play(
         begin,
-        leaves,
+        disconnects,
         "until clients_gone 1\n",
         after,
         "client d platform\n",
@@ -517,21 +537,21 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_nothing_begins_of_one_that_left_while_its_process_hands_over(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_nothing_is_sent_for_a_client_that_disconnects_during_a_hand_over(way: str) -> None:
     play(
-        BUSY,
+        FULL_ENDPOINT,
         QUEUED,
         "client d platform\nbeside\nsignal TERM\n",
         "d >\n| GET /healthz HTTP/1.1\n|\nd <\n| HTTP/1.1 {~}\n",
         f"c {way} at send 1\n",
-        FREE,
+        RELEASE_FIRST,
         f"until clients_gone 1\nn0 release 1\nn0 ran {block(3)} 0\nclean\n",
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_nothing_begins_behind_a_response_that_its_client_never_read(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_nothing_is_sent_behind_a_response_that_its_client_never_read(way: str) -> None:
     """The front can write the rest of the response in the loop iteration in which it detects the disconnect;
     the next pipelined request must not start then."""
     big = f"{{}} >\n| {{}} /{{}}?block={block(9)} HTTP/1.1\n| X-Call-Id: {{}}9\n| X-Plan: gold\n"
@@ -554,16 +574,18 @@
     )
 
 
-LARGE = f"{{}} >\n| PUT /write?block={block(1)} HTTP/1.1\n& ask {{}}1 / 0\n| Content-Length: 786432\n|\n"
-LARGE += "% 3 @ 0 262144\n"
+LARGE_REQUEST = (
+    f"{{}} >\n| PUT /write?block={block(1)} HTTP/1.1\n& ask {{}}1 / 0\n| Content-Length: 786432\n|\n"
+)
+LARGE_REQUEST += "% 3 @ 0 262144\n"
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_a_request_that_is_partly_written_is_not_written_on(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_partly_written_request_is_not_continued(way: str) -> None:
     """The endpoint does not read for now; the rest of the request must not be written once it does."""
     play(
         "node n0 0\nn0 deaf\nclient a platform\nclient b platform\n",
-        LARGE.format("a", "a"),
+        LARGE_REQUEST.format("a", "a"),
         f"partly\ncounter attempts_written 0\na {way}\nuntil clients_gone 1\n",
         "until attempts_moot 1\nn0 hears\n",
         asks("b", 2),
@@ -573,12 +595,12 @@
 
 
 # The front is notified of a reset one iteration later, when the whole request is written.
-@pytest.mark.parametrize("way", WAYS[:2])
-def test_the_rest_of_a_request_does_not_follow_in_the_turn_that_cancels_it(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS[:2])
+def test_rest_of_a_request_is_not_written_in_the_iteration_that_cancels_it(way: str) -> None:
     """The request counts as not executed, so a part of an upload would be sent again."""
     play(
         "node n0 0\nn0 deaf\nplain c platform\nclient b platform\n",
-        LARGE.format("c", "c"),
+        LARGE_REQUEST.format("c", "c"),
         "partly\n",
         f"c {way} as n0 reads\nuntil attempts_moot 1\nn0 hears\n",
         asks("b", 2),
@@ -590,12 +612,16 @@
 PUT = "{} >\n& put /scans/k / {}\n@ 0 {}\n"
 PART = "{} >\n& put /scans/big?partNumber=1&uploadId={{id}} / {}\n@ 0 {}\n"
 CREATE = "p >\n| POST /scans/big?uploads HTTP/1.1\n|\np <\n& created big / id\n"
-OBJECTS = KEPT + "plain o objects\nclient p objects\n" + PUT.format("p", 4096, 4096) + "p <\n& stored e0\n"
+OBJECTS = (
+    REUSE_AT_ONCE + "plain o objects\nclient p objects\n" + PUT.format("p", 4096, 4096) + "p <\n& stored e0\n"
+)
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
 @pytest.mark.parametrize("begun", [0, 1, 3], ids=["first block", "next block", "manifest"])
-def test_no_block_of_an_object_begins_whose_client_left_in_the_same_turn(begun: int, way: str) -> None:
+def test_no_block_is_written_for_a_client_that_disconnects_in_the_same_iteration(
+    begun: int, way: str
+) -> None:
     play(
         OBJECTS,
         f"o {way} at send {begun + 1}\n",
@@ -605,9 +631,9 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
 @pytest.mark.parametrize("method", ["PUT", "GET"])
-def test_blocks_that_were_to_begin_together_have_each_their_outcome(method: str, way: str) -> None:
+def test_blocks_decided_in_one_batch_each_get_a_result(method: str, way: str) -> None:
     """The first of the blocks detects the disconnect. The others must also end, so that no endpoint keeps
     their units in flight."""
     get = method == "GET"
@@ -620,9 +646,9 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
 @pytest.mark.parametrize("begun", [0, 2, 6], ids=["manifest", "block", "window after the headers"])
-def test_no_read_of_an_object_begins_whose_client_left_in_the_same_turn(begun: int, way: str) -> None:
+def test_no_block_is_read_for_a_client_that_disconnects_in_the_same_iteration(begun: int, way: str) -> None:
     play(
         OBJECTS,
         PUT.format("p", 8192, 8192),
@@ -633,8 +659,8 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_an_upload_s_parts_and_completion_that_did_not_begin_are_the_retry_s(way: str) -> None:
+@pytest.mark.parametrize("way", DISCONNECT_KINDS)
+def test_upload_parts_and_completion_that_were_not_sent_can_be_retried(way: str) -> None:
     """It is known which blocks the disconnected client's request stored, if any: its retry by another client
     sends the others, and no block is written twice."""
     done = "| POST /scans/big?uploadId={id} HTTP/1.1\n| Content-Length: 135\n|\n"
@@ -655,7 +681,7 @@
 
 
 @pytest.mark.parametrize("order", ["disconnect first", "result first"])
-def test_a_plan_s_limit_is_not_charged_for_what_was_not_sent(order: str) -> None:
+def test_plan_s_limit_is_not_charged_for_a_request_that_was_not_sent(order: str) -> None:
     """The disconnect and the attempt's result come in one batch, in both orders. The units are returned if
     the request was not sent; if it may have been executed, they stay charged."""
     limited = (Plan("gold", limit_units_per_second=1.0, limit_burst_units=16.0, limit_slack_units=16.0),)
@@ -663,8 +689,8 @@
         h = head(T0, up(), plans=limited)
         feed(h, T0, ask("a"))
         before = h.rate_limits["v"].limit.available_units
-        news: list[Event] = [ClientDisconnected("a"), replace(end("a", result), final=True)]
-        feed(h, T0, *(news if order == "disconnect first" else news[::-1]))
-        given = 2.0 if result is AttemptResult.NOT_SENT else 0.0
-        assert h.rate_limits["v"].limit.available_units == before + given and not h.requests
+        events: list[Event] = [ClientDisconnected("a"), replace(end("a", result), final=True)]
+        feed(h, T0, *(events if order == "disconnect first" else events[::-1]))
+        returned_units = 2.0 if result is AttemptResult.NOT_SENT else 0.0
+        assert h.rate_limits["v"].limit.available_units == before + returned_units and not h.requests
         assert h.directory.endpoints["n0"].units_in_flight == 0
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.exchange import Clock, Peer
-from tests.test_client_disconnects import DONE, Leaving, asks
+from tests.test_client_disconnects import DONE, DisconnectExchange, asks
 from tests.test_race_conditions import ANSWER, BEGIN, NOTHING_GOES, OPEN, SERVED, STOPPED, told, well
 from umberlead.daemon.process import FrontProcess
 from umberlead.net import server_connection, watch_stream
@@ -68,7 +68,7 @@
         self.whole = True
 
 
-class Standing(Leaving):
+class Standing(DisconnectExchange):
     """An exchange with further steps:
 
     NAME pieces N US   sends the lines in pieces of N bytes; the front reads each piece before the next is
@@ -107,7 +107,9 @@
     def _link(self, front: FrontProcess, name: str) -> Any:
         """The front's end of the connection to the client, or else of the watch at discovery."""
         return (
-            self._conn(name) if name in self.peers else front.discovery_watch and front.discovery_watch.stream
+            self._find_connection(name)
+            if name in self.peers
+            else front.discovery_watch and front.discovery_watch.stream
         )
 
     async def _step(self, words: list[str], lines: list[str]) -> None:
@@ -193,7 +195,7 @@
     try:
         made.play()
     finally:
-        for sock in (*made.plain.values(), *made.half):
+        for sock in (*made.raw_clients.values(), *made.half_closed):
             sock.close()
 
 
