--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -24,39 +24,40 @@
 from umberlead.net.listener import Listener
 
 ROOT = Path(__file__).resolve().parent.parent
-CLOSING = "{} <\n| HTTP/1.1 {}\n| Content-Length: {}\n| Connection: close\n|\n~ {}\n"
-FAILED = ("502 Bad Gateway", 33, "failed; it may have taken effect")
-SERVED = "{} <\n| HTTP/1.1 200 OK\n| Content-Length: 0\n| Connection: close\n|\n"
-STOPPED = (
+CLOSING_RESPONSE = "{} <\n| HTTP/1.1 {}\n| Content-Length: {}\n| Connection: close\n|\n~ {}\n"
+FAILED_RESPONSE = ("502 Bad Gateway", 33, "failed; it may have taken effect")
+SERVED_AND_CLOSED = "{} <\n| HTTP/1.1 200 OK\n| Content-Length: 0\n| Connection: close\n|\n"
+REJECTED_BY_SHUTDOWN = (
     "{} <\n| HTTP/1.1 503 Service Unavailable\n| Retry-After: 0.5\n| Content-Length: 25\n"
     "| Connection: close\n|\n~ refused: the front stops\n"
 )
-REFUSED = (
+REJECTED_FOR_NOW = (
     "{} <\n| HTTP/1.1 503 Service Unavailable\n| Retry-After: 0.5\n| Content-Length: 19\n"
     "| Connection: close\n|\n~ refused: try later\n"
 )
-WELL = "{} >\n| GET /healthz HTTP/1.1\n|\n{} <\n& well\n"
-DRAIN, FINISH = "clock 3310000\n", "clock 3510000\n"  # the longest hard limit of the settings is over 3 s
+HEALTH_CHECK = "{} >\n| GET /healthz HTTP/1.1\n|\n{} <\n& well\n"
+# The longest hard limit of the settings is over 3 s.
+DRAIN_CONNECTIONS, PASS_DEADLINE = "clock 3310000\n", "clock 3510000\n"
 
 
-WELL_CLOSING = "| HTTP/1.1 200 OK\n| Content-Length: 3\n| Connection: close\n|\n~ ok"
+HEALTH_CHECK_CLOSING = "| HTTP/1.1 200 OK\n| Content-Length: 3\n| Connection: close\n|\n~ ok"
 
 
 def well(name: str) -> str:
-    return WELL.format(name, name)
+    return HEALTH_CHECK.format(name, name)
 
 
-HEAD = "& ask a1 / 0\n| Content-Length: 4\n|\n"
-HALF = f"a >\n| PUT /write?block={block(1)} HTTP/1.1\n{HEAD}= ab\n"
+REQUEST_HEADERS = "& ask a1 / 0\n| Content-Length: 4\n|\n"
+PARTIAL_REQUEST = f"a >\n| PUT /write?block={block(1)} HTTP/1.1\n{REQUEST_HEADERS}= ab\n"
 
 
 # Shutdown
 
 
-def test_a_request_partially_read_is_served_where_its_end_comes() -> None:
+def test_partly_read_request_is_served_during_shutdown() -> None:
     play(
         "node n0 0\nclient a platform\nclient b platform\n",
-        HALF,
+        PARTIAL_REQUEST,
         well("b"),
         "signal TERM\n",
         well("b"),
@@ -66,36 +67,38 @@
     )
 
 
-def test_a_request_partially_read_at_the_end_is_rejected_and_its_end_not_waited_for() -> None:
+def test_partly_read_request_is_rejected_at_the_shutdown_deadline() -> None:
     play(
         "node n0 0\nclient a platform\nclient b platform\n",
-        HALF,
+        PARTIAL_REQUEST,
         well("b"),
         "signal TERM\n",
         well("b"),
         "lastword\n",
-        STOPPED.format("a"),
+        REJECTED_BY_SHUTDOWN.format("a"),
         "ends\nn0 ran PUT 0\n",
     )
 
 
-def test_one_partially_read_behind_another_is_rejected_at_the_end_too() -> None:
-    half = f"a >\n| PUT /write?block={block(2)} HTTP/1.1\n" + HEAD.replace("a1", "a2") + "= ab\n"
+def test_partly_read_pipelined_request_is_rejected_at_the_shutdown_deadline() -> None:
+    partial_request = (
+        f"a >\n| PUT /write?block={block(2)} HTTP/1.1\n" + REQUEST_HEADERS.replace("a1", "a2") + "= ab\n"
+    )
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
         asks("a", 1),
         "until attempts_written 1\n",
-        half,
+        partial_request,
         well("b"),
         "signal TERM\n",
         well("b"),
         "lastword\na <\n& failed\n",
-        STOPPED.format("a"),
+        REJECTED_BY_SHUTDOWN.format("a"),
         "ends\n",
     )
 
 
-def test_one_that_waits_is_responseed_at_the_end_with_what_is_known_of_it() -> None:
+def test_open_requests_are_answered_by_their_state_at_the_shutdown_deadline() -> None:
     """The requests are in flight at the endpoint (so they may have been executed), in the fair queue, and
     pipelined behind another on one connection."""
     play(
@@ -107,38 +110,38 @@
         asks("a", 4),
         "until requests_taken 3\nsignal TERM\n",
         well("d").replace("d >", "client d platform\nd >"),
-        FINISH,
+        PASS_DEADLINE,
         "a <\n& failed\n",
-        STOPPED.format("a"),
-        CLOSING.format("b", *FAILED),
-        REFUSED.format("c"),
+        REJECTED_BY_SHUTDOWN.format("a"),
+        CLOSING_RESPONSE.format("b", *FAILED_RESPONSE),
+        REJECTED_FOR_NOW.format("c"),
         f"ends\nn0 ran {block(3)} 0\nn0 ran {block(4)} 0\n",
     )
 
 
-def test_one_whose_connection_is_established_too_late_was_not_sent_and_is_rejected() -> None:
+def test_request_that_waits_for_a_connection_is_rejected_at_the_shutdown_deadline() -> None:
     play(
         "node n0 0\nclient a platform\ndials hold\n",
         asks("a", 1),
         "until attempts_sent 1\nsignal TERM\n",
         "lastword\n",
-        REFUSED.format("a"),
+        REJECTED_FOR_NOW.format("a"),
         "dials go\nends\nn0 ran PUT 0\n",
     )
 
 
-def test_one_between_attempts_is_rejected_at_the_end() -> None:
+def test_request_between_attempts_is_rejected_at_the_shutdown_deadline() -> None:
     play(
         "node n0 0\nn0 next full\nclient a platform\n",
         asks("a", 1),
         "until attempts_full 1\nsignal TERM\n",
         "lastword\n",
-        REFUSED.format("a"),
+        REJECTED_FOR_NOW.format("a"),
         "ends\nn0 ran PUT 0\n",
     )
 
 
-def test_a_request_that_crosses_the_closing_of_its_idle_connection_is_served() -> None:
+def test_request_that_arrives_as_its_idle_connection_is_closed_is_served() -> None:
     """The request has arrived but is not read when the process closes idle connections. Closing the
     connection would lose it."""
     play(
@@ -148,13 +151,13 @@
         "signal TERM\n",
         well("b"),
         asks("a", 1),
-        DRAIN,
-        SERVED.format("a"),
+        DRAIN_CONNECTIONS,
+        SERVED_AND_CLOSED.format("a"),
         "b eof\nends\nwrites n0 PUT 1\n",
     )
 
 
-def test_requests_pipelined_are_all_answered_before_a_connection_ends() -> None:
+def test_pipelined_requests_are_all_answered_before_a_connection_ends() -> None:
     """Checked in a process that shuts down, and on a connection that is closed because malformed input
     follows the requests."""
     play(
@@ -163,10 +166,10 @@
         asks("a", 2),
         "until attempts_written 1\nsignal TERM\n",
         well("b"),
-        DRAIN,
+        DRAIN_CONNECTIONS,
         "n0 release 1\n",
         DONE.format("a"),
-        SERVED.format("a"),
+        SERVED_AND_CLOSED.format("a"),
         "a eof\nends\nwrites n0 PUT 2\n",
     )
     play(
@@ -181,18 +184,18 @@
     )
 
 
-def _process(folder: Path, listed: str) -> tuple[subprocess.Popen[str], Path]:
+def _start_front(folder: Path, listed: str) -> tuple[subprocess.Popen[str], Path]:
     """A front that reads its configuration from a pipe: the read blocks until the writer closes the pipe."""
     fifo = folder / "front.toml"
     os.mkfifo(fifo)
-    call = [sys.executable, "-B", "-m", "umberlead"]
-    made = subprocess.Popen(
-        call, cwd=ROOT, env=os.environ | {"UMBERLEAD_CONFIG": str(fifo)}, stderr=subprocess.PIPE, text=True
+    command = [sys.executable, "-B", "-m", "umberlead"]
+    process = subprocess.Popen(
+        command, cwd=ROOT, env=os.environ | {"UMBERLEAD_CONFIG": str(fifo)}, stderr=subprocess.PIPE, text=True
     )
-    return made, fifo
+    return process, fifo
 
 
-def _writer(process: subprocess.Popen[str], fifo: Path) -> IO[str]:
+def _open_for_writing(process: subprocess.Popen[str], fifo: Path) -> IO[str]:
     """Return the pipe for writing, once the front has opened it; fail if the front has ended."""
     while True:
         try:
@@ -202,7 +205,7 @@
             os.sched_yield()
 
 
-TEXT = """
+CONFIG_TEXT = """
 name = "f"
 listen = "127.0.0.1:0"
 discovery = "{}"
@@ -216,24 +219,24 @@
 """
 
 
-def test_sigterm_while_the_configuration_is_read_ends_the_start_with_0(tmp_path: Path) -> None:
-    process, fifo = _process(tmp_path, "")
-    with _writer(process, fifo):
+def test_sigterm_while_the_configuration_is_read_exits_with_0(tmp_path: Path) -> None:
+    process, fifo = _start_front(tmp_path, "")
+    with _open_for_writing(process, fifo):
         process.send_signal(signal.SIGTERM)
         assert process.wait(60) == 0
     process.communicate()
 
 
-def test_sighup_while_the_configuration_is_read_is_taken_once_it_can_be(tmp_path: Path) -> None:
-    process, fifo = _process(tmp_path, "")
+def test_sighup_while_the_configuration_is_read_causes_a_reload_later(tmp_path: Path) -> None:
+    process, fifo = _start_front(tmp_path, "")
     with socket.create_server(("127.0.0.1", 0)) as discovery:
-        text = TEXT.format(f"127.0.0.1:{discovery.getsockname()[1]}")
-        with _writer(process, fifo) as file:
+        text = CONFIG_TEXT.format(f"127.0.0.1:{discovery.getsockname()[1]}")
+        with _open_for_writing(process, fifo) as file:
             process.send_signal(signal.SIGHUP)
             file.write(text)
             fifo.unlink()  # the next read gets a pipe of its own: this one may still be open
             os.mkfifo(fifo)
-        with _writer(process, fifo) as file:  # the reload reads the configuration again
+        with _open_for_writing(process, fifo) as file:  # the reload reads the configuration again
             file.write(text)
         assert process.stderr is not None
         while "reloaded" not in process.stderr.readline():
@@ -243,50 +246,50 @@
         assert process.returncode == 0
 
 
-def test_sigterm_while_the_first_list_is_waited_for_ends_the_start_before_anything_is_taken(
+def test_sigterm_while_waiting_for_the_first_list_exits_without_listening(
     tmp_path: Path,
 ) -> None:
-    process, fifo = _process(tmp_path, "")
+    process, fifo = _start_front(tmp_path, "")
     with socket.create_server(("127.0.0.1", 0)) as discovery:
-        with _writer(process, fifo) as file:
-            file.write(TEXT.format(f"127.0.0.1:{discovery.getsockname()[1]}"))
+        with _open_for_writing(process, fifo) as file:
+            file.write(CONFIG_TEXT.format(f"127.0.0.1:{discovery.getsockname()[1]}"))
         discovery.settimeout(60)
-        came, _ = discovery.accept()  # the watch is connected, and gets no response
+        watch_socket, _ = discovery.accept()  # the watch is connected, and gets no response
         process.send_signal(signal.SIGTERM)
-        _, said = process.communicate(timeout=60)
-        came.close()
-    assert process.returncode == 0 and "listening" not in said
+        _, log = process.communicate(timeout=60)
+        watch_socket.close()
+    assert process.returncode == 0 and "listening" not in log
 
 
 # Hand-overs
 
 
-def test_connections_of_one_that_another_replaces_end_with_their_next_response() -> None:
+def test_connections_of_a_replaced_process_close_with_their_next_response() -> None:
     """The clients can connect to the other process, so their connections need not be kept until the process
     is killed."""
     play(
         "node n0 0\nn0 next hold\nclient a platform\nclient b platform\n",
         asks("a", 1),
         "until attempts_written 1\nbeside\nsignal TERM\n",
-        well("b").replace("& well", WELL_CLOSING),
+        well("b").replace("& well", HEALTH_CHECK_CLOSING),
         "n0 release 1\n",
-        SERVED.format("a"),
+        SERVED_AND_CLOSED.format("a"),
         "a eof\nb eof\nwrites n0 PUT 1\n",
     )
 
 
 # Watches
 
-OPEN = "discovery <\n| GET /v1/servers?watch=1&after={} HTTP/1.1\n| Host: {{discovery.address}}\n|\n"
-ANSWER = "discovery >\n| HTTP/1.1 200 OK\n| Connection: close\n|\n"
+WATCH_REQUEST = "discovery <\n| GET /v1/servers?watch=1&after={} HTTP/1.1\n| Host: {{discovery.address}}\n|\n"
+WATCH_RESPONSE = "discovery >\n| HTTP/1.1 200 OK\n| Connection: close\n|\n"
 
 
-def told(index: int, status: str, whole: str = "false") -> str:
+def endpoint_message(index: int, status: str, snapshot: str = "false") -> str:
     entry = '{"name":"n0","address":"{n0.address}","group":0,"status":"' + status + '"}'
-    return f'~ {{"index":{index},"snapshot":{whole},"endpoints":[{entry}]}}\n'
+    return f'~ {{"index":{index},"snapshot":{snapshot},"endpoints":[{entry}]}}\n'
 
 
-def indented(index: int, status: str) -> str:
+def indented_message(index: int, status: str) -> str:
     """A list as json.dumps writes it with indent=2, with braces within a zone's name."""
     lines = [
         "{",
@@ -306,39 +309,48 @@
     return "".join(f"~ {line}\n" for line in lines)
 
 
-BEGIN = (
+WATCH_WITH_READY_ENDPOINT = (
     "discovery\nnode n0 0\nclient a platform\n"
-    + OPEN.format(0)
-    + ANSWER
-    + told(1, "ready")
+    + WATCH_REQUEST.format(0)
+    + WATCH_RESPONSE
+    + endpoint_message(1, "ready")
     + "until discovery_updates 1\n"
 )
-NOTHING_GOES = asks("a", 1) + "until requests_taken 1\nclock 10000000\na <\n& refused\nn0 ran PUT 0\n"
+REQUEST_IS_REJECTED = asks("a", 1) + "until requests_taken 1\nclock 10000000\na <\n& refused\nn0 ran PUT 0\n"
 
 
-def test_an_indented_list_is_a_list() -> None:
+def test_indented_list_is_applied() -> None:
     play(
-        BEGIN,
+        WATCH_WITH_READY_ENDPOINT,
         "discovery >\n",
-        indented(2, "draining"),
+        indented_message(2, "draining"),
         "until discovery_updates 2\n",
         "counter discovery_breaks 0\n",
-        NOTHING_GOES,
+        REQUEST_IS_REJECTED,
     )
 
 
-def test_an_indented_list_in_pieces_is_one_once_its_last_line_came() -> None:
-    lines = indented(2, "draining").splitlines(keepends=True)
-    pieces = [part for line in lines for part in ("discovery >\n", line, well("a"))]
-    play(BEGIN, *pieces, "until discovery_updates 2\ncounter discovery_breaks 0\n", NOTHING_GOES)
+def test_indented_list_in_parts_is_applied_with_its_last_line() -> None:
+    lines = indented_message(2, "draining").splitlines(keepends=True)
+    steps = [part for line in lines for part in ("discovery >\n", line, well("a"))]
+    play(
+        WATCH_WITH_READY_ENDPOINT,
+        *steps,
+        "until discovery_updates 2\ncounter discovery_breaks 0\n",
+        REQUEST_IS_REJECTED,
+    )
 
 
-@pytest.mark.parametrize("whole", [told(2, "draining"), indented(2, "draining")], ids=["a line", "indented"])
-def test_a_list_is_taken_with_its_last_brace(whole: str) -> None:
+@pytest.mark.parametrize(
+    "message",
+    [endpoint_message(2, "draining"), indented_message(2, "draining")],
+    ids=["one line", "indented"],
+)
+def test_list_is_applied_with_its_last_brace(message: str) -> None:
     """The line feed may arrive only with the next empty line, two seconds later."""
-    *lines, last = whole.splitlines(keepends=True)
+    *lines, last = message.splitlines(keepends=True)
     play(
-        BEGIN,
+        WATCH_WITH_READY_ENDPOINT,
         "discovery >\n",
         *lines,
         last.replace("~ ", "= "),
@@ -346,103 +358,103 @@
         "discovery >\n|\n",
         well("a"),
         "counter discovery_breaks 0\n",
-        NOTHING_GOES,
+        REQUEST_IS_REJECTED,
     )
 
 
 @pytest.mark.parametrize(
     "broken", ['~ {"index":2,"snapshot":fal\n', '~ {"index":2,\n~ "snapshot":\n|\n', "~ [1]\n"]
 )
-def test_what_can_t_be_read_is_requested_again(broken: str) -> None:
+def test_list_is_requested_again_after_a_malformed_line(broken: str) -> None:
     """The malformed line may have announced a drain, and no later line repeats it."""
     play(
-        BEGIN,
+        WATCH_WITH_READY_ENDPOINT,
         "discovery >\n",
         broken,
         "| \n",
         "until discovery_breaks 1\nclock 100000\ndiscovery fresh\n",
-        OPEN.format(1),
-        ANSWER,
-        told(3, "draining"),
+        WATCH_REQUEST.format(1),
+        WATCH_RESPONSE,
+        endpoint_message(3, "draining"),
         "until discovery_updates 2\n",
-        NOTHING_GOES,
+        REQUEST_IS_REJECTED,
     )
 
 
-def test_a_drain_notified_while_a_connection_is_established_keeps_the_request_from_it() -> None:
+def test_endpoint_that_drains_while_a_connection_is_established_gets_no_request() -> None:
     play(
-        BEGIN,
+        WATCH_WITH_READY_ENDPOINT,
         "dials hold\n",
         asks("a", 1),
         "until attempts_sent 1\ndiscovery >\n",
-        told(2, "draining"),
+        endpoint_message(2, "draining"),
         "until discovery_updates 2\ndials go\nuntil node_connections_too_late 1\nclock 10000000\n",
         "a <\n& refused\nn0 ran PUT 0\n",
     )
 
 
-def test_a_server_that_goes_while_a_connection_is_established_gets_nothing() -> None:
+def test_endpoint_that_is_removed_while_a_connection_is_established_gets_no_request() -> None:
     play(
-        BEGIN,
+        WATCH_WITH_READY_ENDPOINT,
         "dials hold\n",
         asks("a", 1),
         "until attempts_sent 1\ndiscovery >\n",
-        told(2, "gone"),
+        endpoint_message(2, "gone"),
         "until discovery_updates 2\ndials go\nuntil node_connections_too_late 1\nclock 10000000\n",
         "a <\n& refused\nn0 ran PUT 0\n",
     )
 
 
-def test_discovery_back_with_a_drain_while_a_retry_waits_for_that_server() -> None:
+def test_retry_is_not_sent_to_an_endpoint_drained_when_discovery_reconnects() -> None:
     play(
-        BEGIN,
+        WATCH_WITH_READY_ENDPOINT,
         "n0 next full\n",
         asks("a", 1),
         "until attempts_full 1\ndiscovery close\n",
         "until discovery_breaks 1\nclock 100000\ndiscovery fresh\n",
-        OPEN.format(1),
-        ANSWER,
-        told(2, "draining"),
+        WATCH_REQUEST.format(1),
+        WATCH_RESPONSE,
+        endpoint_message(2, "draining"),
         "until discovery_updates 2\nclock 2000000\nclock 8000000\n",
         "a <\n& refused\ncounter attempts_sent 1\n",
     )
 
 
-def test_sighup_while_a_watch_is_being_opened_leaves_it_for_the_new_one() -> None:
+def test_sighup_while_a_watch_is_opened_replaces_it_by_a_new_one() -> None:
     play(
         "discovery\nnode n0 0\nclient a platform\n",
-        OPEN.format(0),
+        WATCH_REQUEST.format(0),
         "moves second\nsignal HUP\n",
         "second <\n| GET /v1/servers?watch=1&after=0 HTTP/1.1\n| Host: {second.address}\n|\n",
         "discovery eof\nsecond >\n| HTTP/1.1 200 OK\n| Connection: close\n|\n",
-        told(2, "draining"),
+        endpoint_message(2, "draining"),
         "until discovery_updates 1\ncounter discovery_breaks 0\n",
-        NOTHING_GOES,
+        REQUEST_IS_REJECTED,
     )
 
 
-def test_an_agent_that_says_nothing_is_called_again_within_a_second() -> None:
+def test_agent_that_does_not_respond_is_called_again_within_a_second() -> None:
     """The agent does not respond while its discovery is down. Once discovery returns, the updates that the
     agent has are binding for the front at once."""
     play(
         "discovery\nnode n0 0\nclient a platform\n",
-        OPEN.format(0),
+        WATCH_REQUEST.format(0),
         "clock 700000\nclock 100000\n",
         "discovery fresh\n",
-        OPEN.format(0),
+        WATCH_REQUEST.format(0),
         "clock 700000\nclock 100000\ndiscovery fresh\n",
-        OPEN.format(0),
-        ANSWER,
-        told(2, "draining"),
+        WATCH_REQUEST.format(0),
+        WATCH_RESPONSE,
+        endpoint_message(2, "draining"),
         "until discovery_updates 1\n",
-        NOTHING_GOES,
+        REQUEST_IS_REJECTED,
     )
 
 
-def _watch(expects_agent: bool, fleet_size: int) -> tuple[DiscoveryWatch, list[int]]:
+def _make_watch(expects_agent: bool, fleet_size: int) -> tuple[DiscoveryWatch, list[int]]:
     """A watch, and the delays of the timers that it sets."""
-    now, waits = [T0], list[int]()
-    wheel: Any = mock.Mock(call_after=lambda delay, what, *words: waits.append(delay))
+    now, delays = [T0], list[int]()
+    wheel: Any = mock.Mock(call_after=lambda delay, callback, *words: delays.append(delay))
     loop: Any = mock.Mock(create_task=lambda work: work.close())
     watch = DiscoveryWatch(
         ("127.0.0.1", 1),
@@ -456,22 +468,22 @@
         fleet_size,
         expects_agent,
     )
-    return watch, waits
+    return watch, delays
 
 
-def _answered(watch: DiscoveryWatch, after: int, status: bytes = b"200 OK") -> None:
+def _receive_headers(watch: DiscoveryWatch, elapsed_us: int, status: bytes = b"200 OK") -> None:
     """Start a response `after` microseconds after the call."""
     stream: Any = watch.stream
     stream.connection_made(mock.Mock())
-    stream.call.connected_us -= after
-    stream.call.started_us -= after
+    stream.call.connected_us -= elapsed_us
+    stream.call.started_us -= elapsed_us
     stream.data_received(b"HTTP/1.1 " + status + b"\r\nContent-Length: 9\r\n\r\n")
 
 
-def test_an_empty_line_within_an_object_ends_the_stream_at_once() -> None:
+def test_empty_line_within_an_object_ends_the_stream_at_once() -> None:
     """The remainder of the object will not arrive. Waiting for the silence time-out would delay the change
     that it announced."""
-    watch, waits = _watch(True, 1)
+    watch, delays = _make_watch(True, 1)
     watch.start()
     stream = watch.stream
     assert stream is not None
@@ -479,83 +491,82 @@
     stream.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     stream.data_received(b'c\r\n{"index":2,\n\r\n')
     assert not stream.ended
-    waits.clear()
+    delays.clear()
     stream.data_received(b"1\r\n\n\r\n")
     assert stream.ended and watch.stream is None
-    assert len(waits) == 1 and waits[0] <= 101_000  # the next call
+    assert len(delays) == 1 and delays[0] <= 101_000  # the next call
 
 
-def test_in_a_large_fleet_an_agent_of_one_s_own_is_not_spared() -> None:
+def test_calls_to_a_machine_s_own_agent_are_not_spread_in_a_large_fleet() -> None:
     """A front is held to its agent's list whether its watch is open or not, and may send by an older list for
     only a second. The front recognizes an agent by its quick response."""
     for fleet in (1, 200):
-        watch, waits = _watch(True, fleet)
+        watch, delays = _make_watch(True, fleet)
         watch.start()
-        _answered(watch, 10_000)
+        _receive_headers(watch, 10_000)
         assert watch.stream is not None
-        waits.clear()
+        delays.clear()
         watch.stream.end("lost")
-        assert 50_000 <= waits[-1] <= 101_000
-        waits.clear()
+        assert 50_000 <= delays[-1] <= 101_000
+        delays.clear()
         watch.open()
-        assert waits[-1] <= 800_000  # until a call without a response is cancelled
+        assert delays[-1] <= 800_000  # until a call without a response is cancelled
 
 
-def test_silence_without_a_word_is_an_agent_s_whose_discovery_is_down() -> None:
-    watch, waits = _watch(True, 200)
+def test_server_that_never_responds_is_assumed_to_be_an_agent() -> None:
+    watch, delays = _make_watch(True, 200)
     watch.start()
-    assert watch.stream is not None and waits[-1] <= 800_000  # the connection is not established yet
+    assert watch.stream is not None and delays[-1] <= 800_000  # the connection is not established yet
     watch.stream.connection_made(mock.Mock())
     assert watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 2_500_000
     watch.stream.call.started_us -= 2_500_000
-    waits.clear()
+    delays.clear()
     watch.stream.end("silent")
-    assert waits[-1] <= 101_000
+    assert delays[-1] <= 101_000
     watch.open()
     assert watch.stream is not None
     watch.stream.connection_made(mock.Mock())
-    assert (
-        watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 800_000
-    )  # by now a call whose connection is established counts as one to an agent
+    # By now, the server is assumed to be an agent.
+    assert watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 800_000
 
 
-def test_pushed_lists_behind_a_service_that_answers_in_turn_spare_it() -> None:
+def test_calls_to_a_service_with_pushed_lists_are_spread() -> None:
     """A service that rejects a call or answers late has a queue: the calls of the fleet are spread over time,
     and a queued call is not cancelled early."""
-    waited = []
+    first_delays = []
     for _ in range(40):
-        watch, waits = _watch(True, 200)
+        watch, delays = _make_watch(True, 200)
         watch.start()
-        _answered(watch, 2_000_000, b"503 Service Unavailable")
+        _receive_headers(watch, 2_000_000, b"503 Service Unavailable")
         assert watch.stream is not None
-        waits.clear()
+        delays.clear()
         watch.stream.end("ended")
-        waited.append(waits[-1])
-        waits.clear()
+        first_delays.append(delays[-1])
+        delays.clear()
         watch.open()
-        assert watch.stream is not None and waits[-1] >= 1_999_000
+        assert watch.stream is not None and delays[-1] >= 1_999_000
         watch.stream.connection_made(mock.Mock())
         assert 3_000_000 <= watch.pacing.gives_up_at_us(watch.stream.call) - T0 <= 3_850_000
-    assert max(waited) > 1_000_000 and len(set(waited)) > 10
+    assert max(first_delays) > 1_000_000 and len(set(first_delays)) > 10
 
 
-def test_a_shared_discovery_is_spared_and_a_silent_one_is_opened_in_time() -> None:
+def test_calls_to_a_shared_discovery_are_spread_within_the_limit() -> None:
     """A missed change must be known 6 s after the watch fell silent: the front takes 3 s to detect the
     silence, and the service up to 2 s to serve the next call."""
-    waits_seen = []
+    silent_delays = []
     for _ in range(40):
-        watch, waits = _watch(False, 200)
+        watch, delays = _make_watch(False, 200)
         watch.open()
         assert watch.stream is not None
         watch.stream.call.answered = True
         watch.stream.call.last_activity_us -= 3_000_000
-        waits.clear()
+        delays.clear()
         watch.stream.end("silent")
-        waits_seen.append(waits[-1])
-    assert max(waits_seen) <= 851_000 and len(set(waits_seen)) > 10
+        silent_delays.append(delays[-1])
+    assert max(silent_delays) <= 851_000 and len(set(silent_delays)) > 10
 
 
-def test_nothing_is_taken_before_the_agent_s_list_is_here() -> None:
+def test_no_request_is_accepted_before_the_agent_s_list_has_arrived() -> None:
     """A process is held to the agent's list from its start, and the endpoints in `known` may be outdated."""
 
     async def test() -> None:
@@ -592,7 +603,7 @@
 # Attempts
 
 
-def test_an_interim_response_begins_nothing() -> None:
+def test_interim_response_does_not_start_the_pause_timeout() -> None:
     """An upload that took longer than the connection time-out after an interim response was answered as
     failed."""
     interim = "n0 >\n| HTTP/1.1 103 Early Hints\n| Link: </x>\n|\n"
@@ -609,7 +620,7 @@
     )
 
 
-def test_a_response_that_breaks_off_behind_an_interim_one_is_an_error() -> None:
+def test_incomplete_response_after_an_interim_one_is_an_error() -> None:
     play(
         "node n0 0:script\nclient a platform\n",
         "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n",
@@ -619,15 +630,15 @@
     )
 
 
-def test_what_is_pipelined_is_held_within_the_memory_for_bodies() -> None:
+def test_pipelined_input_counts_against_the_memory_for_bodies() -> None:
     """Input beyond the limit is discarded, and the complete requests before it are answered."""
-    ahead = f"a >\n| {'x' * 6_000}\n"
+    pipelined_input = f"a >\n| {'x' * 6_000}\n"
     play(
         "node n0 0\nn0 next hold\nclient a platform\n",
         asks("a", 1),
         asks("a", 2),
         "until attempts_written 1\nmemory 5000\n",
-        ahead,
+        pipelined_input,
         "until bad_requests_503 1\nn0 release 1\n",
         DONE.format("a"),
         DONE.format("a"),
@@ -639,7 +650,7 @@
 # Idle connections
 
 
-def test_no_slot_is_taken_from_a_connection_whose_request_is_here() -> None:
+def test_connection_with_an_unread_request_is_not_evicted() -> None:
     """The request's bytes have arrived and are not read yet. Another connection is evicted, or none if there
     is no other."""
 
@@ -651,25 +662,25 @@
         handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
         handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x")
         listener = Listener(handler, clients, ("127.0.0.1", 0), loop)
-        came = []
+        sockets = []
         for _ in range(2):
             sock = socket.create_connection(listener.address)
             sock.setblocking(False)
             await loop.sock_sendall(sock, b"GET /a HTTP/1.1\r\n\r\n")
             assert await loop.sock_recv(sock, 1000)
-            came.append(sock)
+            sockets.append(sock)
         now[0] += 10_000_000
         first, second = list(clients.slots)
-        came[0].send(b"GET /b HTTP/1.1\r\n\r\n")
-        came[1].send(b"GET /b HTTP/1.1\r\n\r\n")
+        sockets[0].send(b"GET /b HTTP/1.1\r\n\r\n")
+        sockets[1].send(b"GET /b HTTP/1.1\r\n\r\n")
         assert not clients.ensure_capacity() and not first.evicted and not second.evicted
-        for sock in came:
+        for sock in sockets:
             assert (await loop.sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200")
         now[0] += 10_000_000
-        came[0].send(b"GET /c HTTP/1.1\r\n\r\n")
+        sockets[0].send(b"GET /c HTTP/1.1\r\n\r\n")
         assert clients.ensure_capacity() and second.evicted and not first.evicted
-        assert (await loop.sock_recv(came[0], 1000)).startswith(b"HTTP/1.1 200")
-        for sock in came:
+        assert (await loop.sock_recv(sockets[0], 1000)).startswith(b"HTTP/1.1 200")
+        for sock in sockets:
             sock.close()
         listener.close()
 
