--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -170,11 +170,15 @@
 # Complete processes on real sockets, with a manual clock. A response that progresses and has an end is
 # completed, however slow; one that never ends prevents neither eviction at limits nor the process's shutdown.
 
-TIME = 8_000_000  # time budget of the clients' requests, in microseconds
-WELL = "client {0} platform\n{0} >\n| GET /healthz HTTP/1.1\n|\n{0} <\n& well\n"
-ASKS = "client {0} platform\n{0} >\n& read {0}1 / {1}\n"
-SERVED = "n{1} <\n& got {0}1 / {1}\nn{1} >\n& x\n{0} <\n& x\n"
-HEADS = {"told": "| Content-Length: 120000\n", "chunked": "| Transfer-Encoding: chunked\n", "bare": ""}
+REQUEST_BUDGET_US = 8_000_000  # time budget of the clients' requests, in microseconds
+HEALTH_CHECK = "client {0} platform\n{0} >\n| GET /healthz HTTP/1.1\n|\n{0} <\n& well\n"
+READ_REQUEST = "client {0} platform\n{0} >\n& read {0}1 / {1}\n"
+READ_RESPONSE = "n{1} <\n& got {0}1 / {1}\nn{1} >\n& x\n{0} <\n& x\n"
+FRAMING_HEADERS = {
+    "told": "| Content-Length: 120000\n",
+    "chunked": "| Transfer-Encoding: chunked\n",
+    "bare": "",
+}
 
 
 class ResponseBody:
@@ -191,7 +195,7 @@
         self.complete = True
 
 
-class Long(Exchange):
+class StreamingExchange(Exchange):
     """An exchange with further steps: `NAME has N` waits until the client has N bytes of the content, `NAME
     whole N` until its response is also complete, `NAME cut` until it ends visibly incomplete. `places nodes
     N` and `places clients N` set connection limits; `over` releases the process's resources."""
@@ -229,30 +233,33 @@
 
 
 def play(*parts: str) -> None:
-    Long("".join(parts)).play()
+    StreamingExchange("".join(parts)).play()
 
 
-def piece(n: int, way: str, begin: int, end: int) -> str:
+def body_piece(n: int, way: str, begin: int, end: int) -> str:
     raw = f"@ {begin} {end}\n"
     return f"n{n} >\n" + (f"| {end - begin:x}\n{raw}|\n" if way == "chunked" else raw)
 
 
-def begun(name: str, n: int, way: str, first: int = 70_000, version: str = "1.1") -> str:
+def start_response(name: str, n: int, way: str, first: int = 70_000, version: str = "1.1") -> str:
     """A new client sends a request to endpoint `n`, which sends the first bytes of a streamed response."""
     headers = f"| X-Call-Id: {name}1\n| X-Plan: gold\n"
-    request_start = f"| GET /read?block=7f3a9c21e0b4d655 HTTP/{version}\n{headers}| X-Budget: {TIME / 1e6}\n"
+    request_start = (
+        f"| GET /read?block=7f3a9c21e0b4d655 HTTP/{version}\n{headers}| X-Budget: {REQUEST_BUDGET_US / 1e6}\n"
+    )
     return (
         f"client {name} platform\n{name} >\n{request_start}| X-IO: volume=b4,units=1,shard={n}\n|\nn{n} <\n"
         f"| GET {{target}} HTTP/1.1\n| Host: service.internal\n{headers}| X-IO: volume=b4,units=1,shard={n}\n"
-        f"| X-Budget: {{~}}\n|\nn{n} >\n| HTTP/1.1 200 OK\n{HEADS[way]}|\n" + piece(n, way, 0, first)
+        f"| X-Budget: {{~}}\n|\nn{n} >\n| HTTP/1.1 200 OK\n{FRAMING_HEADERS[way]}|\n"
+        + body_piece(n, way, 0, first)
     )
 
 
-def ended(n: int, way: str) -> str:
+def end_response(n: int, way: str) -> str:
     return {"told": "", "chunked": f"n{n} >\n| 0\n|\n", "bare": f"n{n} finish\n"}[way]
 
 
-def servers(count: int) -> str:
+def endpoints(count: int) -> str:
     return f"set settings.extra.nShards {count}\n" + "".join(f"node n{n} {n}:script\n" for n in range(count))
 
 
@@ -261,23 +268,23 @@
     return "".join(
         "clock 5000000\n"
         + "".join(
-            piece(n, way, offset, offset + 10_000) + f"{name} has {offset + 10_000}\n"
+            body_piece(n, way, offset, offset + 10_000) + f"{name} has {offset + 10_000}\n"
             for n, (name, way) in enumerate(zip(names, ways, strict=True))
         )
         for offset in range(70_000, 70_000 + steps * 10_000, 10_000)
     )
 
 
-@pytest.mark.parametrize("way", HEADS)
+@pytest.mark.parametrize("way", FRAMING_HEADERS)
 def test_progressing_response_continues_past_its_deadline(way: str) -> None:
     """A streamed response must not be aborted at the request's deadline while the endpoint is sending it."""
     play(
-        servers(1),
-        begun("a", 0, way),
+        endpoints(1),
+        start_response("a", 0, way),
         "a has 70000\n",
         progress("a", [way]),
-        piece(0, way, 110_000, 120_000),
-        ended(0, way),
+        body_piece(0, way, 110_000, 120_000),
+        end_response(0, way),
         "a whole 120000\ncounter node_answers_broke_off 0\n",
     )
 
@@ -285,53 +292,53 @@
 @pytest.mark.parametrize("way", ["chunked", "bare"])
 def test_response_in_small_pieces_continues_past_its_deadline(way: str) -> None:
     play(
-        servers(1),
-        begun("a", 0, way, 1000),
-        WELL.format("b"),
+        endpoints(1),
+        start_response("a", 0, way, 1000),
+        HEALTH_CHECK.format("b"),
         f"clock {STREAMING_THRESHOLD_US + 1000}\n",
-        piece(0, way, 1000, 2000),
+        body_piece(0, way, 1000, 2000),
         "a has 2000\n",
-        f"clock {TIME - 100_000}\n",
-        piece(0, way, 2000, 3000),
+        f"clock {REQUEST_BUDGET_US - 100_000}\n",
+        body_piece(0, way, 2000, 3000),
         "a has 3000\n",
         "clock 100000\n",
-        piece(0, way, 3000, 4000),
-        ended(0, way),
+        body_piece(0, way, 3000, 4000),
+        end_response(0, way),
         "a whole 4000\n",
     )
 
 
 def test_reset_or_missing_last_chunk_aborts_the_response() -> None:
-    play(servers(1), begun("a", 0, "bare"), "a has 70000\nn0 reset\na cut\n")
-    play(servers(1), begun("a", 0, "chunked", version="1.0"), "a has 70000\nn0 finish\na cut\n")
+    play(endpoints(1), start_response("a", 0, "bare"), "a has 70000\nn0 reset\na cut\n")
+    play(endpoints(1), start_response("a", 0, "chunked", version="1.0"), "a has 70000\nn0 finish\na cut\n")
 
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
 def test_response_above_the_protocol_limit_is_aborted(way: str) -> None:
     play(
         "patch umberlead.net.streaming MAX_STREAM_BYTES 100000\n",
-        servers(1),
-        begun("a", 0, way),
+        endpoints(1),
+        start_response("a", 0, way),
         "a has 70000\n",
-        piece(0, way, 70_000, 100_000),
+        body_piece(0, way, 70_000, 100_000),
         "a has 100000\ncounter node_answers_broke_off 0\n",
-        piece(0, way, 100_000, 120_000),
+        body_piece(0, way, 100_000, 120_000),
         "a cut\ncounter node_answers_broke_off 1\n",
     )
 
 
-@pytest.mark.parametrize("way", HEADS)
+@pytest.mark.parametrize("way", FRAMING_HEADERS)
 def test_unfinished_response_does_not_delay_the_shutdown(way: str) -> None:
     """Other requests are answered, the process exits before SIGKILL, and the client sees an incomplete
     response."""
     play(
-        servers(2),
-        begun("a", 0, way),
+        endpoints(2),
+        start_response("a", 0, way),
         "a has 70000\n",
         "client b platform\nb >\n& read b1 / 1\nn1 <\n& got b1 / 1\nsignal TERM\n",
-        WELL.format("c"),
+        HEALTH_CHECK.format("c"),
         "clock 3510000\nb <\n& failing\n",
-        piece(0, way, 70_000, 80_000),
+        body_piece(0, way, 70_000, 80_000),
         "a has 80000\nclock 100000\nends\nover\na cut\n",
     )
 
@@ -339,46 +346,50 @@
 def test_overdue_response_is_evicted_when_endpoint_connections_are_short() -> None:
     """Responses without a length are evicted first, the oldest of them first; one with a length stays."""
     ways = ["told", "chunked", "bare"]
-    started = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("abc", ways, strict=True))]
+    started = [
+        start_response(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("abc", ways, strict=True))
+    ]
     play(
-        servers(5),
+        endpoints(5),
         "places nodes 3\n",
         *started,
-        ASKS.format("x", 3),
+        READ_REQUEST.format("x", 3),
         "x <\n& refused\n",
         "counter node_answers_broke_off 0\n",
         progress("abc", ways),
         "counter node_answers_broke_off 0\n",
-        ASKS.format("d", 3),
+        READ_REQUEST.format("d", 3),
         "b cut\n",
-        SERVED.format("d", 3),
-        ASKS.format("e", 4),
-        SERVED.format("e", 4),
-        piece(2, "bare", 110_000, 115_000),
+        READ_RESPONSE.format("d", 3),
+        READ_REQUEST.format("e", 4),
+        READ_RESPONSE.format("e", 4),
+        body_piece(2, "bare", 110_000, 115_000),
         "c has 115000\n",
-        piece(0, "told", 110_000, 120_000),
+        body_piece(0, "told", 110_000, 120_000),
         "a whole 120000\ncounter node_answers_gave_way 1\n",
     )
 
 
 def test_lowered_limit_closes_only_the_surplus_connections() -> None:
     play(
-        servers(3),
-        *(ASKS.format(a, n) + SERVED.format(a, n) for n, a in enumerate("abc")),
+        endpoints(3),
+        *(READ_REQUEST.format(a, n) + READ_RESPONSE.format(a, n) for n, a in enumerate("abc")),
         "places nodes 2\nclock 100000\nn0 eof\n",
-        ASKS.format("d", 1),
-        SERVED.format("d", 1),
-        ASKS.format("e", 2),
-        SERVED.format("e", 2),
+        READ_REQUEST.format("d", 1),
+        READ_RESPONSE.format("d", 1),
+        READ_REQUEST.format("e", 2),
+        READ_RESPONSE.format("e", 2),
         "counter node_connections_opened 3\n",
     )
 
 
 def test_overdue_response_is_evicted_when_client_slots_are_short() -> None:
     ways = ["told", "chunked"]
-    started = [begun(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("ab", ways, strict=True))]
+    started = [
+        start_response(a, n, w) + f"{a} has 70000\n" for n, (a, w) in enumerate(zip("ab", ways, strict=True))
+    ]
     play(
-        servers(2),
+        endpoints(2),
         *started,
         "places clients 2\nclient c platform\nc >\n| GET /healthz HTTP/1.1\n|\nc <\n"
         "| HTTP/1.1 503 Service Unavailable\n| Retry-After: 0.5\n| Content-Length: {~}\n"
@@ -387,7 +398,7 @@
         "counter node_answers_broke_off 0\n",
         "client d platform\nd >\n| GET /healthz HTTP/1.1\n|\nb cut\n",
         "d <\n| HTTP/1.1 200 OK\n| Content-Length: 3\n| Connection: close\n|\n~ ok\n",
-        piece(0, "told", 110_000, 120_000),
+        body_piece(0, "told", 110_000, 120_000),
         "a whole 120000\ncounter node_answers_gave_way 1\n",
     )
 
@@ -399,11 +410,11 @@
         "set settings.bounds.dialTimeout 60000\nnode n0 0:script\nclient a platform\n",
         "a >\n& write a1 / 0\nn0 <\n& sent a1 / 0\n",
         "n0 >\n| HTTP/1.1 200 OK\n| Content-Length: 3\n|\n= a\n",
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         "clock 100000\n",
         "n0 >\n= bc\na <\n& three abc\n",
         "clock 10000\na >\n& write a2 / 0\nn0 <\n& sent a2 / 0\n",
         "n0 >\n| HTTP/1.1 200 OK\n| Content-Length: 3\n|\n= a\n",
-        WELL.format("c"),
+        HEALTH_CHECK.format("c"),
         f"clock {SERVER_PAUSE_TIMEOUT_US}\na <\n& failed\n",
     )
--- a/tests/test_streaming_race_conditions.py
+++ b/tests/test_streaming_race_conditions.py
@@ -10,7 +10,18 @@
 import pytest
 
 from tests.exchange import PATIENCE, Peer
-from tests.test_streamed_responses import ASKS, HEADS, SERVED, TIME, WELL, Long, begun, ended, piece, servers
+from tests.test_streamed_responses import (
+    FRAMING_HEADERS,
+    HEALTH_CHECK,
+    READ_REQUEST,
+    READ_RESPONSE,
+    REQUEST_BUDGET_US,
+    StreamingExchange,
+    body_piece,
+    end_response,
+    endpoints,
+    start_response,
+)
 from umberlead.net.client_connections import ACCEPT_GRACE_US
 from umberlead.net.server_connection import ServerConnection
 from umberlead.net.streaming import (
@@ -24,7 +35,7 @@
 SMALL_BUFFER = 4096  # bytes, of the socket buffers between the front and a client that reads slowly
 
 
-class Pieces(Long):
+class Pieces(StreamingExchange):
     """An exchange with further steps:
 
     slow client NAME       connects a client with small socket buffers; it reads nothing until `NAME reads`,
@@ -235,9 +246,9 @@
     read to its end and served."""
     play(
         ALONE,
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         "a >\n| GET /healthz HTTP/1.1\n|\na <\n& well\nsignal TERM\n",
-        WELL.format("c"),
+        HEALTH_CHECK.format("c"),
         "clock 1500000\na in bytes\n",
         "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n| X-Call-Id: a1\n= X-Pla\n",
         "a half read\n",
@@ -260,7 +271,7 @@
     steps = "".join(
         f"clock 1000000\na >\n@ {n * each} {min(n * each + each, size)}\n" + WELL_KEPT for n in range(pieces)
     )
-    return ALONE + WELL.format("b") + "a >\n" + HUGE.format(size) + "a half read\n" + steps
+    return ALONE + HEALTH_CHECK.format("b") + "a >\n" + HUGE.format(size) + "a half read\n" + steps
 
 
 WELL_KEPT = "b >\n| GET /healthz HTTP/1.1\n|\nb <\n& well\n"  # the front has read all that was sent before
@@ -351,7 +362,7 @@
     play(
         ASKED.format("read", "got"),
         first,
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         "clock 400000\nn0 fresh\nn0 <\n& got a1 / 0\n",
         "n0 >\n& x\na <\n& x\ncounter node_answers_cut_short 1\ncounter requests_served 1\n",
         WELL_OF_A,
@@ -368,7 +379,7 @@
         "set settings.bounds.maxAttempts 1\n",
         ASKED.format("read", "got"),
         THREE,
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         f"clock {pause}\nn0 >\n= bc\na <\n& three abc\ncounter node_answers_cut_short 0\n",
     )
 
@@ -378,7 +389,7 @@
     play(
         ASKED.format("write", "sent"),
         THREE,
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         f"clock {pause}\nn0 >\n= bc\na <\n& three abc\ncounter attempts_sent 1\n",
     )
 
@@ -387,7 +398,7 @@
     play(
         ASKED.format("write", "sent"),
         THREE,
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         "clock 700000\na <\n& failed\ncounter attempts_sent 1\n",
         "counter node_answers_cut_short 1\n",
     )
@@ -397,13 +408,13 @@
     """Start a streamed response without a Content-Length and send 3,000 bytes, the last of them `at`
     microseconds after the request's deadline."""
     return (
-        servers(1)
-        + begun("a", 0, way, 1000)
-        + WELL.format("b")
+        endpoints(1)
+        + start_response("a", 0, way, 1000)
+        + HEALTH_CHECK.format("b")
         + f"clock {STREAMING_THRESHOLD_US + 1000}\n"
-        + piece(0, way, 1000, 2000)
-        + f"a has 2000\nclock {TIME - 15_000 - STREAMING_THRESHOLD_US - 1000 + at}\n"
-        + piece(0, way, 2000, 3000)
+        + body_piece(0, way, 1000, 2000)
+        + f"a has 2000\nclock {REQUEST_BUDGET_US - 15_000 - STREAMING_THRESHOLD_US - 1000 + at}\n"
+        + body_piece(0, way, 2000, 3000)
         + "a has 3000\n"
     )
 
@@ -418,20 +429,20 @@
         play(
             small(way, -250_000),
             "clock 350000\n",
-            piece(0, way, 3000, 4000),
+            body_piece(0, way, 3000, 4000),
             "a has 4000\n",
             f"clock {pause}\n",
-            piece(0, way, 4000, 5000),
-            ended(0, way),
+            body_piece(0, way, 4000, 5000),
+            end_response(0, way),
             "a whole 5000\n",
         )
     else:
         play(
             small(way, at),
             f"clock {pause}\n",
-            piece(0, way, 3000, 4000),
+            body_piece(0, way, 3000, 4000),
             "a has 4000\n",
-            ended(0, way),
+            end_response(0, way),
             "a whole 4000\n",
         )
 
@@ -442,7 +453,7 @@
     play(
         small("chunked", at),
         f"clock {left - 100_000}\n",
-        WELL.format("c"),
+        HEALTH_CHECK.format("c"),
         "counter node_answers_broke_off 0\n",
         "clock 150000\na cut\n",
     )
@@ -452,11 +463,11 @@
 
 
 def slowly(way: str, first: int = 70_000, version: str = "1.1") -> str:
-    made = begun("a", 0, way, first, version)
-    return servers(2) + made.replace("client a platform\n", "slow client a\n")
+    made = start_response("a", 0, way, first, version)
+    return endpoints(2) + made.replace("client a platform\n", "slow client a\n")
 
 
-@pytest.mark.parametrize("way", HEADS)
+@pytest.mark.parametrize("way", FRAMING_HEADERS)
 def test_a_reader_that_pauses_past_its_request_s_time_gets_all(way: str) -> None:
     """While the client does not read, neither the endpoint's idle time-out runs nor the age after which its
     slot is evicted."""
@@ -464,11 +475,11 @@
         slowly(way),
         "holds 1\n",
         "clock 9000000\n" * 3,
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         "a reads\na has 70000\nholds 0\n",
         f"clock {STREAM_IDLE_TIMEOUT_US - 1_000_000}\n",
-        piece(0, way, 70_000, 120_000),
-        ended(0, way),
+        body_piece(0, way, 70_000, 120_000),
+        end_response(0, way),
         "a whole 120000\ncounter node_answers_broke_off 0\n",
     )
 
@@ -479,14 +490,14 @@
     that time."""
     play(
         slowly(way, 30_000),
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         f"clock {STREAMING_THRESHOLD_US + 1000}\n",
-        piece(0, way, 30_000, 60_000),
+        body_piece(0, way, 30_000, 60_000),
         "holds 1\nclock 9000000\n",
-        WELL.format("c"),
+        HEALTH_CHECK.format("c"),
         "a reads\na has 60000\nholds 0\nclock 600000\n",
-        piece(0, way, 60_000, 61_000),
-        ended(0, way),
+        body_piece(0, way, 60_000, 61_000),
+        end_response(0, way),
         "a whole 61000\n",
     )
 
@@ -495,14 +506,14 @@
     play(
         slowly("told"),
         "holds 1\nn0 reset\nclock 9000000\n",
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         "a reads\na cut\n",
         "counter node_answers_broke_off 1\n",
     )
     play(
         slowly("told"),
         "holds 1\nclock 9000000\n",
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         "a reads\na has 70000\nholds 0\n",
         f"clock {STREAM_IDLE_TIMEOUT_US + 100_000}\na cut\ncounter node_answers_broke_off 1\n",
     )
@@ -513,38 +524,38 @@
         slowly("told"),
         "holds 1\nclock 100000\n",
         f"clock {WRITE_STALL_TIMEOUT_US - 1_000_000}\n",
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         "holds 1\nclock 1200000\na reads\na cut\ncounter node_answers_broke_off 0\n",
     )
 
 
 # Connections at their limit
 
-REFUSED = ASKS + "{0} <\n& refused\n"
+REFUSED = READ_REQUEST + "{0} <\n& refused\n"
 
 
 def test_one_that_is_late_by_less_than_the_eviction_age_keeps_its_slot() -> None:
     """Another request that needs the slot is rejected at once; once the eviction age is reached, it gets the
     slot."""
     moves = "".join(
-        "clock 5000000\n" + piece(0, "chunked", at, at + 10_000) + f"a has {at + 10_000}\n"
+        "clock 5000000\n" + body_piece(0, "chunked", at, at + 10_000) + f"a has {at + 10_000}\n"
         for at in (70_000, 80_000, 90_000)
     )
-    left = TIME + UNSIZED_EVICTION_AGE_US - 15_000_000
+    left = REQUEST_BUDGET_US + UNSIZED_EVICTION_AGE_US - 15_000_000
     play(
-        servers(2),
-        begun("a", 0, "chunked"),
+        endpoints(2),
+        start_response("a", 0, "chunked"),
         "a has 70000\nplaces nodes 1\n",
         moves,
         f"clock {left - 200_000}\n",
         REFUSED.format("x", 1),
         "counter node_answers_gave_way 0\n",
-        piece(0, "chunked", 100_000, 110_000),
+        body_piece(0, "chunked", 100_000, 110_000),
         "a has 110000\n",
         "clock 200000\n",
-        ASKS.format("d", 1),
+        READ_REQUEST.format("d", 1),
         "a cut\n",
-        SERVED.format("d", 1),
+        READ_RESPONSE.format("d", 1),
     )
 
 
@@ -559,11 +570,11 @@
         "counter node_answers_gave_way 0\na reads\na has 70000\nholds 0\n",
         REFUSED.format("y", 1),
         "clock 9000000\n",
-        piece(0, "chunked", 70_000, 80_000),
+        body_piece(0, "chunked", 70_000, 80_000),
         "a has 80000\nclock 9000000\n",
-        ASKS.format("d", 1),
+        READ_REQUEST.format("d", 1),
         "a cut\n",
-        SERVED.format("d", 1),
+        READ_RESPONSE.format("d", 1),
     )
 
 
@@ -573,24 +584,24 @@
 
 
 @pytest.mark.parametrize("beside", ["", "beside\n"])
-@pytest.mark.parametrize("way", HEADS)
+@pytest.mark.parametrize("way", FRAMING_HEADERS)
 def test_a_streamed_response_goes_on_behind_the_drain_and_the_end_comes_with_it(
     beside: str, way: str
 ) -> None:
     """No response is aborted before the shutdown deadline, and the process ends once the response is
     complete."""
     play(
-        servers(1),
-        begun("a", 0, way),
+        endpoints(1),
+        start_response("a", 0, way),
         "a has 70000\n",
         beside,
         "signal TERM\n",
         well_stopping(beside),
         DRAIN,
-        piece(0, way, 70_000, 80_000),
+        body_piece(0, way, 70_000, 80_000),
         "a has 80000\n",
-        piece(0, way, 80_000, 120_000),
-        ended(0, way),
+        body_piece(0, way, 80_000, 120_000),
+        end_response(0, way),
         "a whole 120000\n",
         END,
         "ends\n",
@@ -598,7 +609,7 @@
 
 
 def well_stopping(beside: str) -> str:
-    return (WELL_CLOSING if beside else WELL).format("b")
+    return (WELL_CLOSING if beside else HEALTH_CHECK).format("b")
 
 
 @pytest.mark.parametrize("beside", ["", "beside\n"])
@@ -625,11 +636,11 @@
     for version, cut in (("1.0", "a reads a reset\n"), ("1.1", "a reads\na cut\n")):
         play(
             slowly("chunked", 30_000, version),
-            WELL.format("b"),
+            HEALTH_CHECK.format("b"),
             f"clock {STREAMING_THRESHOLD_US + 1000}\n",
-            piece(0, "chunked", 30_000, 60_000) + "| 0\n|\n",
+            body_piece(0, "chunked", 30_000, 60_000) + "| 0\n|\n",
             "a unread\nsignal TERM\n",
-            WELL.format("c"),
+            HEALTH_CHECK.format("c"),
             DRAIN,
             FINISH,
             END,
@@ -643,22 +654,22 @@
 
 def test_a_connection_serves_a_short_request_by_that_one_s_time() -> None:
     """Neither the streamed response's deadline nor its client's pauses apply to the next request on it."""
-    brief = begun("c", 0, "chunked", 1000).replace(str(TIME / 1e6), "0.5")
+    brief = start_response("c", 0, "chunked", 1000).replace(str(REQUEST_BUDGET_US / 1e6), "0.5")
     play(
         slowly("told"),
         "holds 1\nclock 9000000\n",
-        WELL.format("b"),
+        HEALTH_CHECK.format("b"),
         "a reads\na has 70000\nholds 0\n",
-        piece(0, "told", 70_000, 120_000),
+        body_piece(0, "told", 70_000, 120_000),
         "a whole 120000\nclock 10000\n",
         brief,
-        WELL.format("d"),
+        HEALTH_CHECK.format("d"),
         f"clock {STREAMING_THRESHOLD_US + 1000}\n",
-        piece(0, "chunked", 1000, 2000),
+        body_piece(0, "chunked", 1000, 2000),
         "c has 2000\n",
         "counter node_connections_opened 1\ncounter node_connections_reused 1\n",
         "clock 550000\n",
-        WELL.format("e"),
+        HEALTH_CHECK.format("e"),
         "counter node_answers_broke_off 0\n",
         "clock 150000\nc cut\n",
     )
@@ -666,16 +677,16 @@
 
 def test_a_streamed_response_is_not_cut_by_a_shorter_request_at_its_server() -> None:
     play(
-        servers(1),
-        begun("a", 0, "chunked", 1000),
-        WELL.format("b"),
+        endpoints(1),
+        start_response("a", 0, "chunked", 1000),
+        HEALTH_CHECK.format("b"),
         f"clock {STREAMING_THRESHOLD_US + 1000}\n",
-        piece(0, "chunked", 1000, 2000),
+        body_piece(0, "chunked", 1000, 2000),
         "a has 2000\n",
         "client c platform\nc >\n",
         "| GET /read?block=7f3a9c21e0b4d655 HTTP/1.1\n| X-Budget: 0.5\n& ask c1 / 0\n|\n",
         "until attempts_written 2\nclock 500000\nc <\n& refused\n",
         "clock 5000000\n",
-        WELL.format("d"),
+        HEALTH_CHECK.format("d"),
         "counter node_answers_broke_off 0\na has 2000\n",
     )
