--- a/tests/test_streaming_race_conditions.py
+++ b/tests/test_streaming_race_conditions.py
@@ -35,7 +35,7 @@
 SMALL_BUFFER = 4096  # bytes, of the socket buffers between the front and a client that reads slowly
 
 
-class Pieces(StreamingExchange):
+class StreamingRaceExchange(StreamingExchange):
     """An exchange with further steps:
 
     slow client NAME       connects a client with small socket buffers; it reads nothing until `NAME reads`,
@@ -70,7 +70,7 @@
                     == int(number)
                 )
             case [name, "half", "read"]:
-                conn = await self._known(name)
+                conn = await self._wait_for_connection(name)
                 await self._until(lambda: conn.partial_request is not None)
             case [name, "in", "bytes"]:
                 for byte in b"".join(self._bytes(line, False) for line in lines):
@@ -80,17 +80,17 @@
                 clients = (await self._start()).client_groups[0]
                 await self._until(lambda: len(clients.slots) == int(number))
             case [name, "unread"]:
-                conn = await self._known(name)
+                conn = await self._wait_for_connection(name)
                 await self._until(lambda: conn.write_blocked and conn.body_source is None)
             case [name, "sends,", "then", "evict"]:
-                self._at_once(name, lines)
+                self._write_directly(name, lines)
                 assert not await self._evict()
             case [name, "evict,", "then", "sends"]:
                 assert await self._evict()
-                self._at_once(name, lines)
+                self._write_directly(name, lines)
             case [name, "sends,", "then", "sweep", number]:
                 front = await self._start()
-                self._at_once(name, lines)
+                self._write_directly(name, lines)
                 self.clock.added_us += int(number)
                 front.client_groups[0].close_expired()
             case _:
@@ -104,9 +104,9 @@
         _, self.peers[name] = await loop.create_connection(Peer, sock=sock)
         self.peers[name].transport.pause_reading()
         self.peers[name].transport.write(b"\r\n")  # an empty line is allowed before a request
-        conn = await self._known(name)
-        out = conn.transport.get_extra_info("socket")
-        out.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
+        conn = await self._wait_for_connection(name)
+        server_socket = conn.transport.get_extra_info("socket")
+        server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
 
     async def _reads_a_reset(self, name: str) -> None:
         with socket.socket(
@@ -122,27 +122,27 @@
                     return
         raise AssertionError("no reset")
 
-    async def _known(self, name: str) -> ServerConnection:
+    async def _wait_for_connection(self, name: str) -> ServerConnection:
         """Return the front's end of a client's connection; it is accepted once its first bytes have
         arrived."""
         clients = (await self._start()).client_groups[0]
         port = self.peers[name].transport.get_extra_info("sockname")[1]
 
-        def found() -> list[ServerConnection]:
+        def matching_connections() -> list[ServerConnection]:
             conns = [c for c in clients.slots if isinstance(c, ServerConnection)]
             assert len(conns) == len(clients.slots)
             return [c for c in conns if c.transport.get_extra_info("peername")[1] == port]
 
-        await self._until(lambda: bool(found()))
-        return found()[0]
+        await self._until(lambda: bool(matching_connections()))
+        return matching_connections()[0]
 
-    async def _until(self, met: Callable[[], bool]) -> None:
+    async def _until(self, condition_met: Callable[[], bool]) -> None:
         end = asyncio.get_running_loop().time() + PATIENCE
-        while not met():
+        while not condition_met():
             assert asyncio.get_running_loop().time() < end, "timed out waiting"
             await asyncio.sleep(0.001)
 
-    def _at_once(self, name: str, lines: list[str]) -> None:
+    def _write_directly(self, name: str, lines: list[str]) -> None:
         """Write to the socket directly: the bytes are in the kernel before the front runs again, and can't be
         read before that."""
         raw = b"".join(self._bytes(line, False) for line in lines)
@@ -154,98 +154,98 @@
 
 
 def play(*parts: str) -> None:
-    Pieces("".join(parts)).play()
+    StreamingRaceExchange("".join(parts)).play()
 
 
 # Requests that arrive in parts, on a connection that is to be evicted
 
-PUT = "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a1 / 0\n| Content-Length: 4\n|\n"
-STORED = "a <\n& done\n"
-NO_ROOM = (
+WRITE_REQUEST = "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a1 / 0\n| Content-Length: 4\n|\n"
+WRITE_RESPONSE = "a <\n& done\n"
+EVICTION_RESPONSE = (
     "a <\n| HTTP/1.1 503 Service Unavailable\n| Retry-After: 0.5\n| Content-Length: 30\n"
     "| Connection: close\n|\n~ refused: too many connections\n"
 )
-WELL_CLOSING = (
+HEALTH_CHECK_AND_CLOSE = (
     "client {0} platform\n{0} >\n| GET /healthz HTTP/1.1\n|\n{0} <\n"
     "| HTTP/1.1 200 OK\n| Content-Length: 3\n| Connection: close\n|\n~ ok\n"
 )
-HALVES = {
+PARTIAL_REQUESTS = {
     "a byte": "= P\n",
     "half a head": "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n= X-Call-\n",
-    "a head": PUT,
-    "half a body": PUT + "= ab\n",
+    "a head": WRITE_REQUEST,
+    "half a body": WRITE_REQUEST + "= ab\n",
 }
-ALONE = "node n0 0\nclient a platform\n"
+ONE_ENDPOINT_AND_CLIENT = "node n0 0\nclient a platform\n"
 PAST_GRACE = f"clock {ACCEPT_GRACE_US + 10_000}\n"
 
 
-@pytest.mark.parametrize("half", HALVES)
-def test_what_is_partially_read_is_rejected_as_its_slot_goes(half: str) -> None:
+@pytest.mark.parametrize("partial_request", PARTIAL_REQUESTS)
+def test_partly_read_request_is_rejected_when_its_connection_is_evicted(partial_request: str) -> None:
     """The connection was closed without a response, as an idle one is, and the request that had begun was
     lost."""
     play(
-        ALONE,
+        ONE_ENDPOINT_AND_CLIENT,
         "a >\n",
-        HALVES[half],
+        PARTIAL_REQUESTS[partial_request],
         "a half read\nplaces clients 1\n",
         PAST_GRACE,
-        WELL_CLOSING.format("b"),
-        NO_ROOM,
+        HEALTH_CHECK_AND_CLOSE.format("b"),
+        EVICTION_RESPONSE,
         "a eof\ncounter clients_evicted 1\nn0 ran PUT 0\n",
     )
 
 
-def test_a_lowered_limit_rejects_what_is_partially_read() -> None:
+def test_partly_read_request_is_rejected_when_the_limit_is_lowered() -> None:
     play(
-        ALONE,
+        ONE_ENDPOINT_AND_CLIENT,
         "a >\n",
-        PUT,
+        WRITE_REQUEST,
         "a half read\n",
         PAST_GRACE,
         "places clients 0\n",
         "clock 100000\n",
-        NO_ROOM,
+        EVICTION_RESPONSE,
         "a eof\n",
     )
 
 
-def test_a_piece_that_is_here_keeps_its_connection() -> None:
+def test_unread_part_of_a_request_protects_its_connection_from_eviction() -> None:
     """A part has arrived and is not read when a slot is needed in the same iteration of the loop: the
     connection is not evicted, and the request is served."""
     play(
-        ALONE,
+        ONE_ENDPOINT_AND_CLIENT,
         "a >\n",
-        PUT,
+        WRITE_REQUEST,
         "= ab\n",
         "a half read\n",
         PAST_GRACE,
         "a sends, then evict\n= cd\n",
-        STORED,
+        WRITE_RESPONSE,
         "writes n0 PUT 1\ncounter clients_evicted 0\n",
     )
 
 
-def test_a_piece_that_comes_in_the_turn_of_the_eviction_is_rejected_with_its_request() -> None:
+def test_part_that_arrives_in_the_iteration_of_the_eviction_is_discarded() -> None:
     """The rejection is written one iteration of the loop before the connection is closed. A part that arrives
     between the two finds no open request."""
     play(
-        ALONE,
+        ONE_ENDPOINT_AND_CLIENT,
         "a >\n",
-        PUT,
+        WRITE_REQUEST,
         "= ab\n",
         "a half read\n",
         PAST_GRACE,
         "a evict, then sends\n= cd\n",
-        NO_ROOM,
+        EVICTION_RESPONSE,
         "n0 ran PUT 0\n",
     )
 
 
-def test_a_request_in_single_bytes_outlives_the_drain() -> None:
+def test_request_in_single_bytes_is_served_during_shutdown() -> None:
     """A connection with a partly read request is not idle: the shutdown does not close it, and the request is
     read to its end and served."""
     play(
-        ALONE,
+        ONE_ENDPOINT_AND_CLIENT,
         HEALTH_CHECK.format("b"),
         "a >\n| GET /healthz HTTP/1.1\n|\na <\n& well\nsignal TERM\n",
         HEALTH_CHECK.format("c"),
@@ -261,53 +261,65 @@
 
 # Uploads in parts, just above and below the minimum upload rate
 
-HUGE = "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a1 / 0\n| Content-Length: {}\n|\n"
-TOO_LATE = "a <\n& bad 408 Request Timeout / the request did not come whole in time\n"
-LINGERED = f"clock {LINGER_TIMEOUT_US + 100_000}\na eof\n"
+SIZED_WRITE_REQUEST = "| PUT /write?block=7f3a9c21e0b4d655 HTTP/1.1\n& ask a1 / 0\n| Content-Length: {}\n|\n"
+TIMEOUT_RESPONSE = "a <\n& bad 408 Request Timeout / the request did not come whole in time\n"
+LINGER_AND_CLOSE = f"clock {LINGER_TIMEOUT_US + 100_000}\na eof\n"
 
 
-def upload(size: int, pieces: int, each: int) -> str:
-    """Start an upload of `size` bytes and send its first `pieces` parts of `each` bytes, one per second."""
+def upload(size: int, piece_count: int, piece_size: int) -> str:
+    """Start an upload of `size` bytes and send its first `piece_count` parts of `piece_size` bytes, one a
+    second."""
     steps = "".join(
-        f"clock 1000000\na >\n@ {n * each} {min(n * each + each, size)}\n" + WELL_KEPT for n in range(pieces)
+        f"clock 1000000\na >\n@ {n * piece_size} {min(n * piece_size + piece_size, size)}\n"
+        + HEALTH_CHECK_OF_B
+        for n in range(piece_count)
+    )
+    return (
+        ONE_ENDPOINT_AND_CLIENT
+        + HEALTH_CHECK.format("b")
+        + "a >\n"
+        + SIZED_WRITE_REQUEST.format(size)
+        + "a half read\n"
+        + steps
     )
-    return ALONE + HEALTH_CHECK.format("b") + "a >\n" + HUGE.format(size) + "a half read\n" + steps
 
 
-WELL_KEPT = "b >\n| GET /healthz HTTP/1.1\n|\nb <\n& well\n"  # the front has read all that was sent before
+HEALTH_CHECK_OF_B = (
+    "b >\n| GET /healthz HTTP/1.1\n|\nb <\n& well\n"  # the front has read all that was sent before
+)
 
 
-def test_an_upload_just_faster_than_the_pace_is_served() -> None:
-    play(upload(250_000, 8, 33_000), STORED, "writes n0 PUT 1\n")
+def test_upload_just_above_the_minimum_rate_is_served() -> None:
+    play(upload(250_000, 8, 33_000), WRITE_RESPONSE, "writes n0 PUT 1\n")
 
 
-def test_an_upload_just_slower_gets_a_complete_response_before_its_end() -> None:
+def test_upload_just_below_the_minimum_rate_gets_a_complete_response() -> None:
     """The upload sends 24,000 bytes per second; its allowance of 2.5 s is used up after 7 s."""
     play(
         upload(250_000, 6, 24_000),
         "clock 700000\n",
-        WELL_KEPT,
+        HEALTH_CHECK_OF_B,
         "counter bad_requests_408 0\n",
         "clock 400000\n",
-        TOO_LATE,
-        LINGERED,
+        TIMEOUT_RESPONSE,
+        LINGER_AND_CLOSE,
         "n0 ran PUT 0\n",
     )
 
 
-def test_an_upload_whose_end_is_here_as_its_time_is_over_is_read_first() -> None:
+def test_unread_end_of_an_upload_is_read_at_its_time_limit() -> None:
     """A front that was suspended or busy checks the time limit before it reads the last part: it rejected a
     complete upload."""
     play(
         upload(168_000, 6, 24_000),
         "clock 700000\n",
         "a sends, then sweep 400000\n@ 144000 168000\n",
-        STORED,
+        WRITE_RESPONSE,
         "writes n0 PUT 1\n",
     )
 
 
-def test_a_piece_that_is_no_end_wins_no_more_than_one_look() -> None:
+def test_unread_part_that_is_not_the_end_defers_the_time_limit_only_once() -> None:
     play(
         upload(250_000, 6, 24_000),
         "clock 700000\n",
@@ -315,131 +327,135 @@
         "counter bad_requests_408 0\n",
         "a sends, then sweep 100000\n= x\n",
         "counter bad_requests_408 1\n",
-        TOO_LATE,
-        LINGERED,
+        TIMEOUT_RESPONSE,
+        LINGER_AND_CLOSE,
     )
 
 
-def test_an_upload_larger_than_memory_allows_is_rejected_with_its_headers() -> None:
+def test_upload_larger_than_the_buffer_limit_is_rejected_after_its_headers() -> None:
     play(
-        ALONE,
+        ONE_ENDPOINT_AND_CLIENT,
         "client b platform\nmemory 100000\n",
         "a >\n",
-        HUGE.format(100_001),
+        SIZED_WRITE_REQUEST.format(100_001),
         "@ 0 20000\n",
         "a <\n& bad 413 Content Too Large / a body may have 100000 bytes\n",
-        LINGERED,
+        LINGER_AND_CLOSE,
         "b >\n",
-        HUGE.format(100_000),
+        SIZED_WRITE_REQUEST.format(100_000),
         "@ 0 100000\nb <\n& done\nwrites n0 PUT 1\n",
     )
 
 
-def test_two_uploads_that_memory_does_not_hold_together_end_with_a_rejection_and_a_response() -> None:
+def test_one_of_two_uploads_that_exceed_the_buffer_limit_together_is_rejected() -> None:
     play(
-        ALONE,
+        ONE_ENDPOINT_AND_CLIENT,
         "client b platform\nmemory 100000\n",
         "b >\n",
-        HUGE.format(70_000).replace("ask a1", "ask b1"),
+        SIZED_WRITE_REQUEST.format(70_000).replace("ask a1", "ask b1"),
         "@ 0 60000\nb half read\n",
         "a >\n",
-        HUGE.format(70_000),
+        SIZED_WRITE_REQUEST.format(70_000),
         "@ 0 60000\n",
-        NO_ROOM.replace("too many connections", "too many bodies are held at present").replace("30", "45"),
+        EVICTION_RESPONSE.replace("too many connections", "too many bodies are held at present").replace(
+            "30", "45"
+        ),
         "b >\n@ 60000 70000\nb <\n& done\nwrites n0 PUT 1\n",
     )
 
 
 # An endpoint that pauses within a response
 
-ASKED = "node n0 0:script\nclient a platform\na >\n& {0} a1 / 0\nn0 <\n& {1} a1 / 0\n"
-THREE = "n0 >\n| HTTP/1.1 200 OK\n| Content-Length: 3\n|\n= a\n"
-CHUNK = "n0 >\n| HTTP/1.1 200 OK\n| Transfer-Encoding: chunked\n|\n| 1\n| a\n"
+REQUEST_AT_ENDPOINT = "node n0 0:script\nclient a platform\na >\n& {0} a1 / 0\nn0 <\n& {1} a1 / 0\n"
+PARTIAL_SIZED_RESPONSE = "n0 >\n| HTTP/1.1 200 OK\n| Content-Length: 3\n|\n= a\n"
+PARTIAL_CHUNKED_RESPONSE = "n0 >\n| HTTP/1.1 200 OK\n| Transfer-Encoding: chunked\n|\n| 1\n| a\n"
 
 
-@pytest.mark.parametrize("first", [THREE, CHUNK])
-def test_a_read_whose_server_pauses_is_retried_and_answered_once(first: str) -> None:
+@pytest.mark.parametrize("response_start", [PARTIAL_SIZED_RESPONSE, PARTIAL_CHUNKED_RESPONSE])
+def test_read_whose_endpoint_pauses_is_retried_and_answered_once(response_start: str) -> None:
     play(
-        ASKED.format("read", "got"),
-        first,
+        REQUEST_AT_ENDPOINT.format("read", "got"),
+        response_start,
         HEALTH_CHECK.format("b"),
         "clock 400000\nn0 fresh\nn0 <\n& got a1 / 0\n",
         "n0 >\n& x\na <\n& x\ncounter node_answers_cut_short 1\ncounter requests_served 1\n",
-        WELL_OF_A,
+        HEALTH_CHECK_OF_A,
     )
 
 
-WELL_OF_A = "a >\n| GET /healthz HTTP/1.1\n|\na <\n& well\n"
+HEALTH_CHECK_OF_A = "a >\n| GET /healthz HTTP/1.1\n|\na <\n& well\n"
 
 
-@pytest.mark.parametrize("pause", [400_000, 600_000])
-def test_the_last_attempt_of_a_read_is_waited_for(pause: int) -> None:
+@pytest.mark.parametrize("pause_us", [400_000, 600_000])
+def test_last_attempt_of_a_read_is_not_aborted_by_a_pause(pause_us: int) -> None:
     """No retry can follow the last attempt: the request was answered as failed while its 200 was arriving."""
     play(
         "set settings.bounds.maxAttempts 1\n",
-        ASKED.format("read", "got"),
-        THREE,
+        REQUEST_AT_ENDPOINT.format("read", "got"),
+        PARTIAL_SIZED_RESPONSE,
         HEALTH_CHECK.format("b"),
-        f"clock {pause}\nn0 >\n= bc\na <\n& three abc\ncounter node_answers_cut_short 0\n",
+        f"clock {pause_us}\nn0 >\n= bc\na <\n& three abc\ncounter node_answers_cut_short 0\n",
     )
 
 
-@pytest.mark.parametrize("pause", [400_000, 600_000])
-def test_a_write_is_waited_for_and_never_sent_again(pause: int) -> None:
+@pytest.mark.parametrize("pause_us", [400_000, 600_000])
+def test_write_is_not_aborted_by_a_pause_and_not_sent_again(pause_us: int) -> None:
     play(
-        ASKED.format("write", "sent"),
-        THREE,
+        REQUEST_AT_ENDPOINT.format("write", "sent"),
+        PARTIAL_SIZED_RESPONSE,
         HEALTH_CHECK.format("b"),
-        f"clock {pause}\nn0 >\n= bc\na <\n& three abc\ncounter attempts_sent 1\n",
+        f"clock {pause_us}\nn0 >\n= bc\na <\n& three abc\ncounter attempts_sent 1\n",
     )
 
 
-def test_a_write_whose_server_stops_is_an_error_and_never_sent_again() -> None:
+def test_write_whose_endpoint_stops_is_an_error_and_not_sent_again() -> None:
     play(
-        ASKED.format("write", "sent"),
-        THREE,
+        REQUEST_AT_ENDPOINT.format("write", "sent"),
+        PARTIAL_SIZED_RESPONSE,
         HEALTH_CHECK.format("b"),
         "clock 700000\na <\n& failed\ncounter attempts_sent 1\n",
         "counter node_answers_cut_short 1\n",
     )
 
 
-def small(way: str, at: int) -> str:
-    """Start a streamed response without a Content-Length and send 3,000 bytes, the last of them `at`
-    microseconds after the request's deadline."""
+def small_response(way: str, last_part_us: int) -> str:
+    """Start a streamed response without a Content-Length and send 3,000 bytes, the last of them
+    `last_part_us` microseconds after the request's deadline."""
     return (
         endpoints(1)
         + start_response("a", 0, way, 1000)
         + HEALTH_CHECK.format("b")
         + f"clock {STREAMING_THRESHOLD_US + 1000}\n"
         + body_piece(0, way, 1000, 2000)
-        + f"a has 2000\nclock {REQUEST_BUDGET_US - 15_000 - STREAMING_THRESHOLD_US - 1000 + at}\n"
+        + f"a has 2000\nclock {REQUEST_BUDGET_US - 15_000 - STREAMING_THRESHOLD_US - 1000 + last_part_us}\n"
         + body_piece(0, way, 2000, 3000)
         + "a has 3000\n"
     )
 
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
-@pytest.mark.parametrize("at", [-7_000_000, -700_000, -550_000, -300_000, -150_000, -50_000, 100_000])
-@pytest.mark.parametrize("pause", [400_000, 600_000])
-def test_a_server_may_pause_within_what_it_gives(way: str, at: int, pause: int) -> None:
+@pytest.mark.parametrize(
+    "last_part_us", [-7_000_000, -700_000, -550_000, -300_000, -150_000, -50_000, 100_000]
+)
+@pytest.mark.parametrize("pause_us", [400_000, 600_000])
+def test_endpoint_may_pause_within_a_streamed_response(way: str, last_part_us: int, pause_us: int) -> None:
     """The pause lies before, across or after the request's deadline. A response that paused for 0.6 s from
     0.55 s before the deadline was aborted at the deadline, and one that paused later after 0.5 s."""
-    if at == 100_000:  # the response makes progress until then
+    if last_part_us == 100_000:  # the response makes progress until then
         play(
-            small(way, -250_000),
+            small_response(way, -250_000),
             "clock 350000\n",
             body_piece(0, way, 3000, 4000),
             "a has 4000\n",
-            f"clock {pause}\n",
+            f"clock {pause_us}\n",
             body_piece(0, way, 4000, 5000),
             end_response(0, way),
             "a whole 5000\n",
         )
     else:
         play(
-            small(way, at),
-            f"clock {pause}\n",
+            small_response(way, last_part_us),
+            f"clock {pause_us}\n",
             body_piece(0, way, 3000, 4000),
             "a has 4000\n",
             end_response(0, way),
@@ -447,12 +463,14 @@
         )
 
 
-@pytest.mark.parametrize("at", [-2_000_000, -600_000, -160_000])
-def test_one_that_stopped_ends_at_its_request_s_time_or_once_no_pause_is_so_long(at: int) -> None:
-    left = max(SERVER_PAUSE_TIMEOUT_US, -at)
+@pytest.mark.parametrize("last_part_us", [-2_000_000, -600_000, -160_000])
+def test_stopped_response_is_aborted_at_the_deadline_or_after_the_longest_pause(
+    last_part_us: int,
+) -> None:
+    remaining_us = max(SERVER_PAUSE_TIMEOUT_US, -last_part_us)
     play(
-        small("chunked", at),
-        f"clock {left - 100_000}\n",
+        small_response("chunked", last_part_us),
+        f"clock {remaining_us - 100_000}\n",
         HEALTH_CHECK.format("c"),
         "counter node_answers_broke_off 0\n",
         "clock 150000\na cut\n",
@@ -462,17 +480,17 @@
 # A client that reads a streamed response slowly
 
 
-def slowly(way: str, first: int = 70_000, version: str = "1.1") -> str:
-    made = start_response("a", 0, way, first, version)
-    return endpoints(2) + made.replace("client a platform\n", "slow client a\n")
+def response_to_slow_client(way: str, first_bytes_count: int = 70_000, version: str = "1.1") -> str:
+    script = start_response("a", 0, way, first_bytes_count, version)
+    return endpoints(2) + script.replace("client a platform\n", "slow client a\n")
 
 
 @pytest.mark.parametrize("way", FRAMING_HEADERS)
-def test_a_reader_that_pauses_past_its_request_s_time_gets_all(way: str) -> None:
+def test_client_that_pauses_past_the_deadline_gets_the_complete_response(way: str) -> None:
     """While the client does not read, neither the endpoint's idle time-out runs nor the age after which its
     slot is evicted."""
     play(
-        slowly(way),
+        response_to_slow_client(way),
         "holds 1\n",
         "clock 9000000\n" * 3,
         HEALTH_CHECK.format("b"),
@@ -485,11 +503,11 @@
 
 
 @pytest.mark.parametrize("way", ["chunked", "bare"])
-def test_a_small_one_s_server_may_pause_as_its_reader_goes_on(way: str) -> None:
+def test_endpoint_may_pause_when_the_client_of_a_small_response_reads_on(way: str) -> None:
     """The client does not read from before the request's deadline until after it: the deadline is extended by
     that time."""
     play(
-        slowly(way, 30_000),
+        response_to_slow_client(way, 30_000),
         HEALTH_CHECK.format("b"),
         f"clock {STREAMING_THRESHOLD_US + 1000}\n",
         body_piece(0, way, 30_000, 60_000),
@@ -502,16 +520,16 @@
     )
 
 
-def test_a_server_that_is_lost_while_its_reader_pauses_is_seen_as_that_reads_on() -> None:
+def test_lost_endpoint_is_detected_when_a_paused_client_reads_on() -> None:
     play(
-        slowly("told"),
+        response_to_slow_client("told"),
         "holds 1\nn0 reset\nclock 9000000\n",
         HEALTH_CHECK.format("b"),
         "a reads\na cut\n",
         "counter node_answers_broke_off 1\n",
     )
     play(
-        slowly("told"),
+        response_to_slow_client("told"),
         "holds 1\nclock 9000000\n",
         HEALTH_CHECK.format("b"),
         "a reads\na has 70000\nholds 0\n",
@@ -519,9 +537,9 @@
     )
 
 
-def test_a_reader_that_never_reads_ends_and_its_server_is_not_blamed() -> None:
+def test_client_that_never_reads_is_closed_and_no_endpoint_failure_counted() -> None:
     play(
-        slowly("told"),
+        response_to_slow_client("told"),
         "holds 1\nclock 100000\n",
         f"clock {WRITE_STALL_TIMEOUT_US - 1_000_000}\n",
         HEALTH_CHECK.format("b"),
@@ -531,24 +549,24 @@
 
 # Connections at their limit
 
-REFUSED = READ_REQUEST + "{0} <\n& refused\n"
+REJECTED_READ_REQUEST = READ_REQUEST + "{0} <\n& refused\n"
 
 
-def test_one_that_is_late_by_less_than_the_eviction_age_keeps_its_slot() -> None:
+def test_response_keeps_its_slot_until_the_eviction_age() -> None:
     """Another request that needs the slot is rejected at once; once the eviction age is reached, it gets the
     slot."""
-    moves = "".join(
-        "clock 5000000\n" + body_piece(0, "chunked", at, at + 10_000) + f"a has {at + 10_000}\n"
-        for at in (70_000, 80_000, 90_000)
+    progress = "".join(
+        "clock 5000000\n" + body_piece(0, "chunked", offset, offset + 10_000) + f"a has {offset + 10_000}\n"
+        for offset in (70_000, 80_000, 90_000)
     )
-    left = REQUEST_BUDGET_US + UNSIZED_EVICTION_AGE_US - 15_000_000
+    remaining_us = REQUEST_BUDGET_US + UNSIZED_EVICTION_AGE_US - 15_000_000
     play(
         endpoints(2),
         start_response("a", 0, "chunked"),
         "a has 70000\nplaces nodes 1\n",
-        moves,
-        f"clock {left - 200_000}\n",
-        REFUSED.format("x", 1),
+        progress,
+        f"clock {remaining_us - 200_000}\n",
+        REJECTED_READ_REQUEST.format("x", 1),
         "counter node_answers_gave_way 0\n",
         body_piece(0, "chunked", 100_000, 110_000),
         "a has 110000\n",
@@ -559,16 +577,16 @@
     )
 
 
-def test_one_that_its_reader_holds_keeps_its_slot_for_that_time() -> None:
+def test_response_keeps_its_slot_while_its_client_does_not_read() -> None:
     """The time for which the client does not read does not count as the endpoint's. It counts again once the
     client reads on."""
     play(
-        slowly("chunked"),
+        response_to_slow_client("chunked"),
         "holds 1\nplaces nodes 1\n",
         "clock 9000000\n" * 3,
-        REFUSED.format("x", 1),
+        REJECTED_READ_REQUEST.format("x", 1),
         "counter node_answers_gave_way 0\na reads\na has 70000\nholds 0\n",
-        REFUSED.format("y", 1),
+        REJECTED_READ_REQUEST.format("y", 1),
         "clock 9000000\n",
         body_piece(0, "chunked", 70_000, 80_000),
         "a has 80000\nclock 9000000\n",
@@ -580,13 +598,13 @@
 
 # Shutdown and hand-over
 
-DRAIN, FINISH, END = "clock 3310000\n", "clock 200000\n", "clock 100000\n"
+DRAIN_CONNECTIONS, REACH_DEADLINE, CLOSE_CONNECTIONS = "clock 3310000\n", "clock 200000\n", "clock 100000\n"
 
 
-@pytest.mark.parametrize("beside", ["", "beside\n"])
+@pytest.mark.parametrize("sibling", ["", "beside\n"])
 @pytest.mark.parametrize("way", FRAMING_HEADERS)
-def test_a_streamed_response_goes_on_behind_the_drain_and_the_end_comes_with_it(
-    beside: str, way: str
+def test_streamed_response_continues_after_the_drain_and_the_process_ends_with_it(
+    sibling: str, way: str
 ) -> None:
     """No response is aborted before the shutdown deadline, and the process ends once the response is
     complete."""
@@ -594,75 +612,75 @@
         endpoints(1),
         start_response("a", 0, way),
         "a has 70000\n",
-        beside,
+        sibling,
         "signal TERM\n",
-        well_stopping(beside),
-        DRAIN,
+        health_check_while_stopping(sibling),
+        DRAIN_CONNECTIONS,
         body_piece(0, way, 70_000, 80_000),
         "a has 80000\n",
         body_piece(0, way, 80_000, 120_000),
         end_response(0, way),
         "a whole 120000\n",
-        END,
+        CLOSE_CONNECTIONS,
         "ends\n",
     )
 
 
-def well_stopping(beside: str) -> str:
-    return (WELL_CLOSING if beside else HEALTH_CHECK).format("b")
+def health_check_while_stopping(sibling: str) -> str:
+    return (HEALTH_CHECK_AND_CLOSE if sibling else HEALTH_CHECK).format("b")
 
 
-@pytest.mark.parametrize("beside", ["", "beside\n"])
-def test_an_upload_in_pieces_is_served_by_the_process_that_took_it(beside: str) -> None:
-    closing = "a <\n| HTTP/1.1 200 OK\n| Content-Length: 0\n| Connection: close\n|\n"
+@pytest.mark.parametrize("sibling", ["", "beside\n"])
+def test_upload_in_parts_is_served_by_the_process_that_accepted_it(sibling: str) -> None:
+    closing_response = "a <\n| HTTP/1.1 200 OK\n| Content-Length: 0\n| Connection: close\n|\n"
     play(
-        ALONE,
+        ONE_ENDPOINT_AND_CLIENT,
         "a >\n",
-        PUT,
+        WRITE_REQUEST,
         "= a\na half read\n",
-        beside,
+        sibling,
         "signal TERM\n",
-        well_stopping(beside),
+        health_check_while_stopping(sibling),
         "clock 1000000\na >\n= b\nclock 1000000\na >\n= cd\n",
-        closing if beside else STORED,
+        closing_response if sibling else WRITE_RESPONSE,
         "writes n0 PUT 1\n",
         "clock 1400000\nends\n",
     )
 
 
-def test_what_its_reader_has_not_read_as_the_process_ends_is_seen_to_break_off() -> None:
+def test_response_unread_at_the_end_of_the_process_is_visibly_incomplete() -> None:
     """The endpoint has sent the complete response. An HTTP/1.0 client took the end of the process for the end
     of the response."""
-    for version, cut in (("1.0", "a reads a reset\n"), ("1.1", "a reads\na cut\n")):
+    for version, expected_end in (("1.0", "a reads a reset\n"), ("1.1", "a reads\na cut\n")):
         play(
-            slowly("chunked", 30_000, version),
+            response_to_slow_client("chunked", 30_000, version),
             HEALTH_CHECK.format("b"),
             f"clock {STREAMING_THRESHOLD_US + 1000}\n",
             body_piece(0, "chunked", 30_000, 60_000) + "| 0\n|\n",
             "a unread\nsignal TERM\n",
             HEALTH_CHECK.format("c"),
-            DRAIN,
-            FINISH,
-            END,
+            DRAIN_CONNECTIONS,
+            REACH_DEADLINE,
+            CLOSE_CONNECTIONS,
             "ends\nover\n",
-            cut,
+            expected_end,
         )
 
 
 # A connection that has carried a streamed response
 
 
-def test_a_connection_serves_a_short_request_by_that_one_s_time() -> None:
+def test_request_after_a_streamed_response_has_its_own_deadline() -> None:
     """Neither the streamed response's deadline nor its client's pauses apply to the next request on it."""
-    brief = start_response("c", 0, "chunked", 1000).replace(str(REQUEST_BUDGET_US / 1e6), "0.5")
+    short_request = start_response("c", 0, "chunked", 1000).replace(str(REQUEST_BUDGET_US / 1e6), "0.5")
     play(
-        slowly("told"),
+        response_to_slow_client("told"),
         "holds 1\nclock 9000000\n",
         HEALTH_CHECK.format("b"),
         "a reads\na has 70000\nholds 0\n",
         body_piece(0, "told", 70_000, 120_000),
         "a whole 120000\nclock 10000\n",
-        brief,
+        short_request,
         HEALTH_CHECK.format("d"),
         f"clock {STREAMING_THRESHOLD_US + 1000}\n",
         body_piece(0, "chunked", 1000, 2000),
@@ -675,7 +693,7 @@
     )
 
 
-def test_a_streamed_response_is_not_cut_by_a_shorter_request_at_its_server() -> None:
+def test_streamed_response_is_not_aborted_by_a_shorter_request_at_its_endpoint() -> None:
     play(
         endpoints(1),
         start_response("a", 0, "chunked", 1000),
