--- a/tests/front_processes.py
+++ b/tests/front_processes.py
@@ -59,7 +59,7 @@
 class FrontUnderLimit:
     """A process of a front with a limit on descriptors (RLIMIT_NOFILE), its log and its counters."""
 
-    def __init__(self, folder: Path, text: str, most: int) -> None:
+    def __init__(self, folder: Path, text: str, max_descriptors: int) -> None:
         (folder / "front.toml").write_text(text)
         self.log = folder / "log"
         with open(self.log, "wb") as log:
@@ -68,7 +68,9 @@
                 cwd=ROOT,
                 stderr=log,
                 env=os.environ | {"UMBERLEAD_CONFIG": str(folder / "front.toml")},
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)),
+                preexec_fn=lambda: resource.setrlimit(
+                    resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors)
+                ),
             )
 
     def logged(self, event: str) -> list[dict[str, str]]:
@@ -81,10 +83,10 @@
         )
         return self.logged(event)[times - 1]
 
-    async def count(self, name: str, least: int = 1) -> dict[str, int]:
-        """Return all counters once the named one is at least `least`."""
+    async def count(self, name: str, minimum: int = 1) -> dict[str, int]:
+        """Return all counters once the named one is at least `minimum`."""
         end = time.monotonic() + PATIENCE
-        while (got := await self.counters()).get(name, 0) < least:
+        while (got := await self.counters()).get(name, 0) < minimum:
             assert time.monotonic() < end, self.log.read_text()
         return got
 
@@ -131,24 +133,24 @@
 
 
 class FakeServers:
-    """An endpoint and a discovery. The endpoint delays requests that contain `hold` until `go` is set;
-    discovery answers its watches once `back` is set."""
+    """An endpoint and a discovery. The endpoint delays requests that contain `hold` until `release_held` is
+    set; discovery answers its watches once `discovery_available` is set."""
 
     def __init__(self) -> None:
-        self.held, self.go, self.back = 0, asyncio.Event(), asyncio.Event()
+        self.held, self.release_held, self.discovery_available = 0, asyncio.Event(), asyncio.Event()
 
     async def node(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             if b"hold" in await reader.readuntil(b"\r\n\r\n"):
                 self.held += 1
-                await self.go.wait()
+                await self.release_held.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx")
         writer.close()
 
     async def discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
-            await self.back.wait()
+            await self.discovery_available.wait()
             writer.write(
                 b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LIST_MESSAGE % self.entries.encode()
             )
@@ -165,32 +167,32 @@
         try:
             yield ports[0], ports[1]
         finally:
-            self.go.set()
-            self.back.set()
+            self.release_held.set()
+            self.discovery_available.set()
             node.close()
             discovery.close()
 
 
 @contextlib.contextmanager
 def running_process(
-    folder: Path, sockets: int, most: int, node: int, discovery: int = 0
+    folder: Path, sockets: int, max_descriptors: int, node: int, discovery: int = 0
 ) -> Iterator[FrontUnderLimit]:
     endpoints = ",".join(ENDPOINT_ENTRY % (n, node) for n in range(40))
     line = f'discovery = "127.0.0.1:{discovery}"' if discovery else ""
     folder.mkdir()
-    made = FrontUnderLimit(
-        folder, CONFIG_TEXT.format(sockets=sockets, discovery=line, endpoints=endpoints), most
+    front = FrontUnderLimit(
+        folder, CONFIG_TEXT.format(sockets=sockets, discovery=line, endpoints=endpoints), max_descriptors
     )
     try:
-        yield made
+        yield front
     finally:
-        made.child.kill()
-        made.child.wait()
+        front.child.kill()
+        front.child.wait()
 
 
-async def watch_descriptors(peak: list[int], *fronts: FrontUnderLimit) -> None:
+async def watch_descriptors(descriptor_counts: list[int], *fronts: FrontUnderLimit) -> None:
     while True:
-        peak.append(open_descriptors(*fronts))
+        descriptor_counts.append(open_descriptors(*fronts))
         await asyncio.sleep(0.005)
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -49,7 +49,7 @@
 
 
 @given(st.integers(32, 100_000), st.integers(0, 64), st.integers(1, 2))
-def test_all_descriptors_are_divided_and_none_twice(
+def test_division_uses_all_descriptors_and_none_twice(
     max_descriptors: int, in_use: int, listeners: int
 ) -> None:
     divided = limits.divide_resources(max_descriptors, 64 << 20, in_use, 20 << 20, listeners)
@@ -72,15 +72,17 @@
     handler = mock.Mock(max_body_bytes=0, sends_date=False, singleton_headers=frozenset())
     handler.handle_request = lambda conn, _: conn.send_response(200, (), b"x")
     handler.reject = lambda conn, status, why: conn.send_response(status, (), b"x")
-    made = Listener(handler, clients, ("127.0.0.1", 0), asyncio.get_running_loop())
-    peak, take = list[int](), made._connect
+    listener = Listener(handler, clients, ("127.0.0.1", 0), asyncio.get_running_loop())
+    descriptor_counts, accept = list[int](), listener._connect
 
-    def taken(sock: socket.socket) -> None:
-        take(sock)
-        peak.append([_port(int(fd)) for fd in os.listdir("/proc/self/fd")].count(made.address[1]) - 1)
+    def accept_and_count(sock: socket.socket) -> None:
+        accept(sock)
+        descriptor_counts.append(
+            [_port(int(fd)) for fd in os.listdir("/proc/self/fd")].count(listener.address[1]) - 1
+        )
 
-    made._connect = taken  # type: ignore[method-assign]
-    return made, peak
+    listener._connect = accept_and_count  # type: ignore[method-assign]
+    return listener, descriptor_counts
 
 
 def _port(fd: int) -> int:
@@ -92,14 +94,14 @@
     return 0
 
 
-def _asks(address: Any, text: bytes = b"GET /a HTTP/1.1\r\n\r\n") -> socket.socket:
+def _send_request(address: Any, text: bytes = b"GET /a HTTP/1.1\r\n\r\n") -> socket.socket:
     sock = socket.create_connection(address)
     sock.sendall(text)
     sock.setblocking(False)
     return sock
 
 
-def test_many_connections_at_once_stay_within_the_limit_and_its_surplus() -> None:
+def test_simultaneous_connections_stay_within_the_limit_and_its_surplus() -> None:
     """An evicted connection keeps its descriptor for one more iteration of the loop, and one that is being
     accepted already has its own: both count."""
 
@@ -107,79 +109,79 @@
         now = [T0]
         clients = ClientGroup(16, lambda: now[0], Counters(), 0, 1 << 20, print)
         clients.stopping = True  # responses close no connection
-        listener, peak = _listener(clients)
-        came = [_asks(listener.address) for _ in range(16)]
+        listener, descriptor_counts = _listener(clients)
+        sockets = [_send_request(listener.address) for _ in range(16)]
         await wait_until(lambda: sum(conn.served_count for conn in clients.slots) == 16)
         now[0] += 1_000_000
-        came += [_asks(listener.address, b"G") for _ in range(64)]
+        sockets += [_send_request(listener.address, b"G") for _ in range(64)]
         await wait_until(lambda: listener.paused)
         assert clients.counters["clients_evicted"] == 16
         now[0] += 1_000_000
         # For requests that were read in this iteration of the loop.
         assert clients.ensure_capacity() and clients.ensure_capacity()
         listener._accept_batch()
-        assert max(peak) == 16 + limits.surplus_connections(16)
-        for sock in came:
+        assert max(descriptor_counts) == 16 + limits.surplus_connections(16)
+        for sock in sockets:
             sock.close()
         listener.close()
 
     run_on_uvloop(test())
 
 
-def test_a_full_backlog_is_answered_within_the_limit_as_the_listener_closes() -> None:
+def test_full_backlog_is_answered_within_the_limit_when_the_listener_closes() -> None:
     """If all of up to 1024 connections were accepted at once, no descriptor would be left."""
 
     async def test() -> None:
         clients = ClientGroup(16, lambda: time.monotonic_ns() // 1000, Counters(), 0, 1 << 20, print)
         clients.stopping = clients.close_after_response = True
-        listener, peak = _listener(clients)
+        listener, descriptor_counts = _listener(clients)
         listener.disable_deferred_accept()
-        came, loop = [_asks(listener.address) for _ in range(64)], asyncio.get_running_loop()
+        sockets, loop = [_send_request(listener.address) for _ in range(64)], asyncio.get_running_loop()
         listener.close()
-        for sock in came:
+        for sock in sockets:
             got = b""
             while piece := await asyncio.wait_for(loop.sock_recv(sock, 1000), PATIENCE):
                 got += piece
             assert re.match(rb"HTTP/1.1 (200|503) .*\r\n\r\nx$", got, re.S), got
             sock.close()
-        assert max(peak) <= 16 + limits.surplus_connections(16)
+        assert max(descriptor_counts) <= 16 + limits.surplus_connections(16)
 
     run_on_uvloop(test())
 
 
-def test_a_flood_costs_one_search_in_a_turn_and_a_bounded_batch() -> None:
+def test_flood_of_connections_causes_one_eviction_search_per_accept_batch() -> None:
     """For each accepted connection another is evicted, and one search finds all of those."""
 
     async def test() -> None:
-        now, looked = [T0], list[ServerConnection]()
+        now, examined = [T0], list[ServerConnection]()
         clients = ClientGroup(800, lambda: now[0], Counters(), 0, 1 << 20, print)
         listener, _ = _listener(clients)
         for _ in range(800):
             ServerConnection(listener.handler, clients).connection_made(mock.Mock(is_closing=lambda: False))
         now[0] += 1_000_000
-        came = [_asks(listener.address) for _ in range(40)]
-        spare = ServerConnection.is_evictable
+        sockets = [_send_request(listener.address) for _ in range(40)]
+        original_is_evictable = ServerConnection.is_evictable
 
-        def look(conn: ServerConnection, old: int) -> bool:
-            looked.append(conn)
-            return spare(conn, old)
+        def examine(conn: ServerConnection, old: int) -> bool:
+            examined.append(conn)
+            return original_is_evictable(conn, old)
 
-        with mock.patch.object(ServerConnection, "is_evictable", look):
+        with mock.patch.object(ServerConnection, "is_evictable", examine):
             listener._accept_batch()
-        assert (len(looked), listener.accepting_count, clients.evicting_count) == (
+        assert (len(examined), listener.accepting_count, clients.evicting_count) == (
             800,
             ACCEPT_BATCH_SIZE,
             ACCEPT_BATCH_SIZE,
         )
         await wait_until(lambda: not listener.accept_tasks)
-        for sock in came:
+        for sock in sockets:
             sock.close()
         listener.close()
 
     run_on_uvloop(test())
 
 
-def test_new_silent_connections_reject_no_request_and_only_requests_do() -> None:
+def test_connections_without_a_request_cause_no_rejection() -> None:
     """New connections can't be evicted in their grace period, and must not use up the capacity for
     requests."""
     clients = ClientGroup(4, lambda: T0, Counters(), 0, 1 << 20, print)
@@ -193,7 +195,7 @@
     assert [call.args[0] for call in handler.reject.call_args_list] == conns[4:5]
 
 
-def test_a_stalling_upload_is_evicted_at_the_limit_and_a_slow_one_is_not() -> None:
+def test_stalled_upload_is_evicted_at_the_limit_and_a_slow_one_is_not() -> None:
     """Where a body may take long, single bytes must not protect a connection from eviction."""
     now = [T0]
     clients = ClientGroup(1, lambda: now[0], Counters(), 0, 1 << 20, print)
@@ -212,7 +214,7 @@
     assert clients.ensure_capacity() and conn.evicted
 
 
-def test_only_excess_idle_connections_are_closed_where_the_limit_to_endpoints_falls() -> None:
+def test_only_excess_idle_connections_are_closed_when_the_endpoint_limit_falls() -> None:
     """A slot is free only one iteration after its connection was closed. The pool must not close all idle
     connections because of that."""
     pool = EndpointPool(
@@ -227,15 +229,15 @@
     assert [conn.closed for conn in idle] == [True] * 2 + [False] * 4
 
 
-def test_drains_and_siblings_stay_as_they_were_without_a_descriptor_to_read_them(tmp_path: Path) -> None:
+def test_drains_and_siblings_are_kept_when_no_descriptor_is_left_to_read_them(tmp_path: Path) -> None:
     """Otherwise drained endpoints would get requests, and each of two processes would use the complete
     limits."""
     one, other = SharedState(tmp_path), SharedState(tmp_path)
     one.set_drain_override("n0", True)
-    seen = one.count_siblings(), one.drain_overrides()
+    state = one.count_siblings(), one.drain_overrides()
     for name in ("os.listdir", "builtins.open"):
         with mock.patch(name, side_effect=OSError(errno.EMFILE, "")):
-            assert (one.count_siblings(), one.drain_overrides()) == seen
+            assert (one.count_siblings(), one.drain_overrides()) == state
     other.deregister()
     assert (one.count_siblings(), list(one.drain_overrides())) == (0, ["n0"])
     one.deregister()
@@ -270,62 +272,64 @@
         await asyncio.sleep(0.3)
 
 
-async def _filled(folder: Path, sockets: int, configured: int, kinds: tuple[str, ...]) -> None:
+async def _check_full_front(
+    folder: Path, sockets: int, configured_sockets: int, kinds: tuple[str, ...]
+) -> None:
     servers = FakeServers()
     async with servers.listen() as (node, discovery):
-        with running_process(folder, configured, sockets, node, discovery) as front:
+        with running_process(folder, configured_sockets, sockets, node, discovery) as front:
             limits_logged = await front.until("limits")
-            clients, door = front.address("listening"), front.address("admin_api_listening")
+            clients, admin_address = front.address("listening"), front.address("admin_api_listening")
             # All connections to endpoints but one are in use, if there are as many client connections.
             number = min(int(limits_logged["nodes"]), int(limits_logged["clients"])) - 1
             calls = [asyncio.create_task(call(clients, *read_request(f"hold{n}"))) for n in range(number)]
             await wait_until(lambda: servers.held == number, front.log.read_text)
             idle = [kinds[n % len(kinds)] for n in range(sockets)]
-            crowd = [asyncio.create_task(_idle_client(kind, clients)) for kind in idle]
-            crowd += [asyncio.create_task(_idle_client("silent", door)) for _ in range(3)]
-            peak = list[int]()
-            watcher = asyncio.create_task(watch_descriptors(peak, front))
+            idle_tasks = [asyncio.create_task(_idle_client(kind, clients)) for kind in idle]
+            idle_tasks += [asyncio.create_task(_idle_client("silent", admin_address)) for _ in range(3)]
+            descriptor_counts = list[int]()
+            watcher = asyncio.create_task(watch_descriptors(descriptor_counts, front))
             got = await front.count("clients_evicted")  # all client connections are in use
             await front.reload()
-            await call_served(door, "GET /control/counters")
+            await call_served(admin_address, "GET /control/counters")
             await call_served(clients, *read_request("new"))
             await front.count("discovery_breaks", got.get("discovery_breaks", 0) + 1)
-            servers.back.set()
+            servers.discovery_available.set()
             await front.count("discovery_updates")
             await call_served(clients, *read_request("newer"))
             await front.reload()
-            for task in (watcher, *crowd):
+            for task in (watcher, *idle_tasks):
                 task.cancel()
-            servers.go.set()
+            servers.release_held.set()
             assert all([(await call).endswith(b"x") for call in calls])
             got, log = await front.counters(), front.log.read_text()
-            print(f"{sockets}: {limits_logged}, {number} in use, peak {max(peak)}, {got}")
+            print(f"{sockets}: {limits_logged}, {number} in use, peak {max(descriptor_counts)}, {got}")
             failed = (
                 "accepts_failed",
                 "node_connections_failed",
                 "node_connections_over_cap",
                 "reloads_refused",
             )
-            assert max(peak) <= sockets and not any(got.get(name) for name in failed), log
+            assert max(descriptor_counts) <= sockets and not any(got.get(name) for name in failed), log
             assert 'why="refused"' not in log  # all connections to discovery were established
 
 
 @pytest.mark.parametrize("sockets", [32, 64, 256])
-def test_a_front_full_of_idle_clients_serves_all_others(tmp_path: Path, sockets: int) -> None:
-    run_on_uvloop(_filled(tmp_path / "a", sockets, sockets, IDLE_CLIENTS))
+def test_front_full_of_idle_clients_serves_all_others(tmp_path: Path, sockets: int) -> None:
+    run_on_uvloop(_check_full_front(tmp_path / "a", sockets, sockets, IDLE_CLIENTS))
 
 
 @pytest.mark.parametrize("kind", IDLE_CLIENTS)
-def test_a_front_full_of_one_kind_of_idle_clients_serves_all_others(tmp_path: Path, kind: str) -> None:
-    run_on_uvloop(_filled(tmp_path / "a", 64, 64, (kind,)))
+def test_front_full_of_one_kind_of_idle_clients_serves_all_others(tmp_path: Path, kind: str) -> None:
+    run_on_uvloop(_check_full_front(tmp_path / "a", 64, 64, (kind,)))
 
 
-def test_the_system_s_limit_holds_where_it_is_below_the_configured_one(tmp_path: Path) -> None:
+def test_system_limit_below_the_configured_one_is_kept(tmp_path: Path) -> None:
     """Otherwise the front would divide descriptors that the system does not grant."""
-    run_on_uvloop(_filled(tmp_path / "a", 64, 4096, ("half",)))
+    run_on_uvloop(_check_full_front(tmp_path / "a", 64, 4096, ("half",)))
 
 
-def test_with_no_descriptor_left_manual_drains_hold_and_a_client_is_served(tmp_path: Path) -> None:
+def test_manual_drains_and_new_clients_work_without_a_free_descriptor(tmp_path: Path) -> None:
     """The limit falls to the descriptors in use, which include those of idle clients. A new client must not
     wait for an idle one's time-out, drains must be read and stored, and SIGHUP must be accepted."""
 
@@ -334,10 +338,10 @@
         async with servers.listen() as (node, _):
             with running_process(tmp_path / "a", 64, 64, node) as front:
                 await front.until("limits")
-                clients, door = front.address("listening"), front.address("admin_api_listening")
-                idle = [_asks(clients, CLIENT_BYTES["kept"]) for _ in range(5)]
+                clients, admin_address = front.address("listening"), front.address("admin_api_listening")
+                idle = [_send_request(clients, CLIENT_BYTES["kept"]) for _ in range(5)]
                 await front.count("clients_accepted", 5)
-                await call_served(door, "PUT /control/chunk-servers/n0/offline")
+                await call_served(admin_address, "PUT /control/chunk-servers/n0/offline")
                 # The lowest descriptor that stays free: listing a folder uses one for a moment.
                 free = []
                 for _ in range(50):
@@ -349,13 +353,15 @@
                 assert (await call(clients, "GET /healthz")).endswith(b"ok\n")
                 got = await front.counters()
                 assert got["clients_evicted"] == 1 <= got["accepts_failed"]
-                await call_served(door, "PUT /control/chunk-servers/n1/offline")
+                await call_served(admin_address, "PUT /control/chunk-servers/n1/offline")
                 # Each of them gets the descriptor of an evicted client.
-                idle += [_asks(clients, CLIENT_BYTES["kept"]) for _ in range(3)]
+                idle += [_send_request(clients, CLIENT_BYTES["kept"]) for _ in range(3)]
                 await front.count("clients_accepted", got["clients_accepted"] + 4)
                 await front.reload()
-                marks = [(row["node"], row["state"]) for row in front.logged("endpoint_drain_changed")]
-                assert marks == [("n0", "offline"), ("n1", "offline")] and not front.logged("reload_rejected")
+                drains = [(row["node"], row["state"]) for row in front.logged("endpoint_drain_changed")]
+                assert drains == [("n0", "offline"), ("n1", "offline")] and not front.logged(
+                    "reload_rejected"
+                )
                 for sock in idle:
                     sock.close()
 
@@ -371,26 +377,28 @@
         async with servers.listen() as (node, discovery):
             with running_process(tmp_path / "a", 128, 128, node, discovery) as old:
                 await old.until("limits")
-                crowd = [
+                idle_tasks = [
                     asyncio.create_task(_idle_client("half", old.address("listening"))) for _ in range(256)
                 ]
                 await old.count("clients_evicted")
                 with running_process(tmp_path / "b", 128, 128, node, discovery) as new:
                     await new.until("limits")
                     address = new.address("listening")
-                    crowd += [asyncio.create_task(_idle_client("half", address)) for _ in range(256)]
+                    idle_tasks += [asyncio.create_task(_idle_client("half", address)) for _ in range(256)]
                     await old.until("processes")
-                    seen, after = list[int](), list[int]()
-                    watcher = asyncio.create_task(watch_descriptors(seen, old, new))
-                    await wait_until(lambda: seen and seen[-1] <= 128)
+                    counts_during, counts_after = list[int](), list[int]()
+                    watcher = asyncio.create_task(watch_descriptors(counts_during, old, new))
+                    await wait_until(lambda: counts_during and counts_during[-1] <= 128)
                     watcher.cancel()
-                    watcher = asyncio.create_task(watch_descriptors(after, old, new))
+                    watcher = asyncio.create_task(watch_descriptors(counts_after, old, new))
                     await new.count("clients_evicted")
-                    await wait_until(lambda: len(after) > 50)
+                    await wait_until(lambda: len(counts_after) > 50)
                     watcher.cancel()
-                    print(f"of 128 descriptors during the change {max(seen)}, after it {max(after)}")
-                    assert max(after) <= 128
-                for task in crowd:
+                    print(
+                        f"of 128 descriptors during the change {max(counts_during)}, after it {max(counts_after)}"
+                    )
+                    assert max(counts_after) <= 128
+                for task in idle_tasks:
                     task.cancel()
 
     run_on_uvloop(test())
