--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -48,6 +48,7 @@
     NAME behind, paused waits until a request of the client is queued behind another on its connection; until
                         the front has paused reading from the client
     NAME deaf, hears    a chunk server does not read from new connections, whose buffers are small; it reads
+                        all of their input
     NAME WAY as NODE reads  the client disconnects, and a deaf chunk server reads everything, in one iteration
                         of the loop: the rest of the request could be written now, and must not be
     partly              waits until a request is partly written
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -394,9 +394,7 @@
                     await new.count("clients_evicted")
                     await wait_until(lambda: len(counts_after) > 50)
                     watcher.cancel()
-                    print(
-                        f"of 128 descriptors during the change {max(counts_during)}, after it {max(counts_after)}"
-                    )
+                    print(f"of 128: during the change {max(counts_during)}, after it {max(counts_after)}")
                     assert max(counts_after) <= 128
                 for task in idle_tasks:
                     task.cancel()
