--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -434,8 +434,8 @@
 
 
 def test_agent_that_does_not_respond_is_called_again_within_a_second() -> None:
-    """The agent does not respond while its discovery is down. Once discovery returns, the updates that the
-    agent has are binding for the front at once."""
+    """The agent does not respond while its discovery is down. Once discovery returns, an update
+    that the agent has counts as delivered to the front at once."""
     play(
         "discovery\nnode n0 0\nclient a platform\n",
         WATCH_REQUEST.format(0),
@@ -472,7 +472,7 @@
 
 
 def _receive_headers(watch: DiscoveryWatch, elapsed_us: int, status: bytes = b"200 OK") -> None:
-    """Start a response `after` microseconds after the call."""
+    """Start a response `elapsed_us` microseconds after the call."""
     stream: Any = watch.stream
     stream.connection_made(mock.Mock())
     stream.call.connected_us -= elapsed_us
@@ -498,8 +498,9 @@
 
 
 def test_calls_to_a_machine_s_own_agent_are_not_spread_in_a_large_fleet() -> None:
-    """A front is held to its agent's list whether its watch is open or not, and may send by an older list for
-    only a second. The front recognizes an agent by its quick response."""
+    """An update counts as delivered to a front once its agent has it, whether or not the watch is open; for
+    only a second after that may the front send by the older list. It recognizes an agent by its quick
+    response."""
     for fleet in (1, 200):
         watch, delays = _make_watch(True, fleet)
         watch.start()
@@ -567,7 +568,8 @@
 
 
 def test_no_request_is_accepted_before_the_agent_s_list_has_arrived() -> None:
-    """A process is held to the agent's list from its start, and the endpoints in `known` may be outdated."""
+    """The agent's list counts as delivered from a process's start, and the endpoints in `known` may be
+    outdated."""
 
     async def test() -> None:
         exchange = Exchange("discovery\nnode n0 0\n")
