--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -83,7 +83,7 @@
         ("foreach x in 0..99999 : expect served", 1, "stands for more than", ""),
         ("foreach x in 1 2 : expect served {x}", 15, "in 'expect served 1'", ""),
         ("scenario s", 1, "scenario s is given twice", ""),
-        ("config x", 1, "config belongs before the first scenario", ""),
+        ("config x", 1, "config must come before the first scenario", ""),
     ],
 )
 def test_errors_name_place_and_reason(row: str, column: int, said: str, near: str) -> None:
@@ -257,15 +257,15 @@
     for row, said in (
         ("expect only nodea0", "there is no server nodea0; did you mean 'node-a0'?"),
         ("expect class image-raed served", "there is no class image-raed; did you mean 'image-read'?"),
-        ("expect refused", "contradicts line 7: all can't be both served and refused"),
+        ("expect refused", "contradicts line 7: a request can't be both served and refused"),
     ):
         got = expect(str(write(tmp_path, LOAD, "expect served", row)))
         assert got.exit_code == 2 and said in got.stderr and ":8:1:" in got.stderr
-    assert "expects nothing" in expect(str(write(tmp_path, LOAD))).stderr
+    assert "has no expectations" in expect(str(write(tmp_path, LOAD))).stderr
     assert expect(str(write(tmp_path, LOAD, "expect served")), "--scenario", "t").exit_code == 2
     assert expect(str(tmp_path / "none")).exit_code == 2
     got = expect(str(write(tmp_path, LOAD, "expect plan basic served")))
-    assert got.exit_code == 1 and "no request of this scenario fits" in got.stdout
+    assert got.exit_code == 1 and "no request of this scenario matches" in got.stdout
 
 
 def test_two_plays_of_a_seed_are_the_same_and_of_another_differ(tmp_path: Path) -> None:
--- a/tests/test_expect_tools.py
+++ b/tests/test_expect_tools.py
@@ -57,7 +57,7 @@
     drains = listing(a=replace(LIST["a"], status=EndpointStatus.DRAINING))
     assert told(drains)[1] == "read, shard 0: - a"
     lines = told(without("a", "c"))[1:]
-    assert lines and all(": - a c; " in x and x.endswith("nobody can serve it") for x in lines)
+    assert lines and all(": - a c; " in x and x.endswith("no server can serve it") for x in lines)
 
 
 def test_a_server_that_moves_to_another_shard_is_told_of_both() -> None:
--- a/umberlead/routing_tests/altered.py
+++ b/umberlead/routing_tests/altered.py
@@ -1,9 +1,9 @@
-"""What a change of configuration and list alters in who may reach whom, before it is deployed.
+"""Compares the routing of two configurations with their lists, before the new one is deployed.
 
-Each side is walked on the serving engine (`reach`), every sequence of outcomes of every shape of request, so
-that what is compared is what the module does and not what the files seem to say. A shard whose servers and
-settings are the same on both sides can't differ and is not walked. New objects may go to any server that
-takes them: there the servers and the parts of their weights are compared.
+For each side, every sequence of attempt results of every shape of request is explored with the request
+lifecycle (`reach`), so that the comparison covers what the program does, and not only the text of the files.
+A shard whose servers and settings are the same on both sides can't differ and is not explored. New objects
+may go to any server that accepts them; for them the servers and their shares of the weight are compared.
 """
 
 from collections.abc import Iterator
@@ -17,15 +17,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Reach:
-    """What may become of a shape of request, whatever its attempts end in."""
+    """What can happen to a request of one shape, over all sequences of attempt results."""
 
     servers: frozenset[str] = frozenset()
-    attempts: int = 0  # at most
-    answers: frozenset[str] = frozenset()  # kinds that occur
+    attempts: int = 0  # the largest number of attempts
+    answers: frozenset[str] = frozenset()  # the kinds of answer that occur
 
     @staticmethod
     def of(shape: Shape, settings: Settings, listing: CheckedList) -> "Reach":
-        """Walks every sequence of outcomes of a shape."""
+        """Explores every sequence of attempt results of a shape."""
         servers = set[str]()
         attempts = 0
         answers = set[str]()
@@ -39,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One shape, or several shards that change alike, and what is other about it."""
+    """One difference in routing, for one or several shapes of request, or in a class or plan."""
 
     what: str
-    gained: tuple[str, ...] = ()  # servers that it may reach now
-    lost: tuple[str, ...] = ()
+    gained: tuple[str, ...] = ()  # servers that only the new side can send to
+    lost: tuple[str, ...] = ()  # servers that only the old side can send to
     notes: tuple[str, ...] = ()
 
     def __str__(self) -> str:
@@ -53,7 +53,7 @@
         return f"{self.what}: " + "; ".join([*parts, *self.notes])
 
     def row(self) -> dict[str, object]:
-        """The difference as JSON has it."""
+        """The difference as `--json` prints it."""
         return {
             "what": self.what,
             "gained": list(self.gained),
@@ -70,12 +70,12 @@
 
 
 def differences(old: Side, new: Side) -> list[Difference]:
-    """What is other under `new`, in order of class, plan and shard; empty where nothing is."""
+    """Lists the differences: classes and plans, then new objects, then shards; empty if there are none."""
     return [*_words(old[0], new[0]), *_new_objects(old, new), *_shards(old, new)]
 
 
 def _words(old: Settings, new: Settings) -> Iterator[Difference]:
-    """Classes and plans that only one side has, or that changed in themselves."""
+    """Yields the classes and plans that only one side has or whose fields differ."""
     for kind, before, after in (
         ("class", {c.name: c for c in old.classes}, {c.name: c for c in new.classes}),
         ("plan", {p.name: p for p in old.plans}, {p.name: p for p in new.plans}),
@@ -94,7 +94,7 @@
                 yield Difference(f"{kind} {name}", notes=notes)
 
 
-# What the command prints for the fields of classes and plans: operators know them by these words.
+# Printed names of the fields of classes and plans, as operators know them from the settings.
 PRINTED_FIELDS = {
     "latency_objective_us": "aim",
     "timeout_us": "deadline",
@@ -131,7 +131,7 @@
 
 
 def _parts(listing: CheckedList) -> dict[str, float]:
-    """Who takes new objects, and which part of them while all can."""
+    """The servers that accept new objects, and the share of new objects of each while all are available."""
     takes = {
         n: 1.0 if s.weight is None else s.weight
         for n, s in listing.endpoints.items()
@@ -163,14 +163,14 @@
             if a.answers != b.answers:
                 notes.append(f"answers {'/'.join(sorted(a.answers))} -> {'/'.join(sorted(b.answers))}")
             if not b.servers:
-                notes.append("nobody can serve it")
+                notes.append("no server can serve it")
             gained = tuple(sorted(b.servers - a.servers))
             lost = tuple(sorted(a.servers - b.servers))
             yield Difference(f"{of}, shard {shard}", gained, lost, tuple(notes))
 
 
 def _named(who: list[tuple[str, str]], plans: list[str]) -> list[str]:
-    """A class of which all plans are meant goes by its own name."""
+    """Names the pairs of class and plan; a class with all plans is named without them."""
     by_class: dict[str, list[str]] = {}
     for class_name, plan in who:
         by_class.setdefault(class_name, []).append(plan)
@@ -181,11 +181,11 @@
 
 
 def _reach(shape: Shape, settings: Settings, listing: CheckedList) -> Reach:
-    """Only the shard's own servers can matter, and others would only be carried along."""
+    """Explores a shape with the servers of its shard only, since requests go to no others."""
     own = _of_shard(listing, shape.shard)
     if not own:
         return Reach()
     try:
         return Reach.of(shape, settings, CheckedList(listing.version, listing.digest, own))
     except TooManyBranchesError as fault:
-        raise TooManyBranchesError(f"{fault}: the difference can't be told") from None
+        raise TooManyBranchesError(f"{fault}: the difference can't be determined") from None
--- a/umberlead/routing_tests/errors.py
+++ b/umberlead/routing_tests/errors.py
@@ -4,4 +4,4 @@
 
 
 class SuiteError(UmberleadError, ValueError):
-    """A statement of a suite has no meaning where it stands, or asks for too much."""
+    """A statement of a suite is misplaced, refers to an unknown name, or exceeds a limit."""
--- a/umberlead/routing_tests/grammar.py
+++ b/umberlead/routing_tests/grammar.py
@@ -1,7 +1,7 @@
-"""The grammar of a suite's statements, the values in them, and `foreach` written out.
+"""The grammar of a suite's statements, the conversion of their values, and the expansion of `foreach`.
 
-`foreach x in a b 0..3 : STATEMENT` stands for one STATEMENT a value, with `{x}` in it replaced; several may
-be nested.
+`foreach x in a b 0..3 : STATEMENT` expands to one STATEMENT per value, with `{x}` replaced by the value.
+`foreach` may be nested.
 """
 
 import re
@@ -20,7 +20,7 @@
 from umberlead.routing_tests.errors import SuiteError
 from umberlead.routing_tests.model import Selector
 
-# Statements of a suite with each foreach written out; a suite that grows beyond is an error.
+# Most statements of a suite after the expansion of foreach; a longer suite is an error.
 MAX_STATEMENT_COUNT = 20_000
 FOREACH_DEPTH_LIMIT = 3
 
@@ -118,33 +118,33 @@
 
 
 def parse_duration_us(text: str) -> int:
-    """Whole microseconds of a time such as `300ms` or `2.5s`."""
+    """Converts a time such as `300ms` or `2.5s` to whole microseconds."""
     number, unit = re.fullmatch(r"([0-9.]+)(ms|s)", text).groups()  # type: ignore[union-attr]
     return round(float(number) * (1000 if unit == "ms" else 1_000_000))
 
 
 def parse_ratio(text: str) -> float:
-    """The ratio that a percentage such as `25%` stands for."""
+    """Converts a percentage such as `25%` to a ratio."""
     return float(text.rstrip("%")) / 100
 
 
 def parse_numbers(text: str) -> tuple[int, ...]:
-    """The distinct numbers of a text such as `0..3,7`, in their order.
+    """The distinct numbers of a text such as `0..3,7`, in order of first appearance.
 
     Raises:
-        SuiteError: A range is too long.
+        SuiteError: A range has more than `MAX_STATEMENT_COUNT` numbers.
     """
     result: dict[int, None] = {}
     for piece in text.split(","):
         low, _, high = piece.partition("..")
         if int(high or low) - int(low) > MAX_STATEMENT_COUNT:
-            raise SuiteError(f"{piece} is too long a range")
+            raise SuiteError(f"{piece} is a range that is too long")
         result |= dict.fromkeys(range(int(low), int(high or low) + 1))
     return tuple(result)
 
 
 def _condition(key: str, convert: Any = str) -> Any:
-    """A transformer's method that reads one condition of a selector."""
+    """Makes a transformer method that reads one condition of a selector."""
 
     def read(self: Any, children: list[Token]) -> tuple[str, Any, Token]:
         return key, convert(children[0]), children[0]
@@ -153,14 +153,14 @@
 
 
 class _StatementTransformer(Transformer[Token, Any]):
-    """Turns a line's tree into a statement; lark calls the methods by the rules' names."""
+    """Converts the values in a parse tree; lark calls each method for the grammar rule of that name."""
 
     def start(self, children: list[Any]) -> Any:
-        """The line's one statement, None where it is empty."""
+        """The statement of the line, or None if the line is empty."""
         return children[0] if children else None
 
     def selector(self, children: list[Any]) -> Selector:
-        """A selector of its conditions.
+        """Builds a selector from its conditions.
 
         Raises:
             InvalidValueError: A condition is given twice.
@@ -168,7 +168,7 @@
         found: dict[str, Any] = {}
         for key, value, token in children:
             if key in found:
-                name = key.removesuffix("_us")  # messages name no units
+                name = key.removesuffix("_us")  # the message names the condition without its unit
                 raise InvalidValueError(token, f"{name} is given twice")
             found[key] = value
         return Selector(**found)
@@ -181,20 +181,23 @@
     until = _condition("end_us", parse_duration_us)
 
     def servers(self, children: list[Token]) -> list[Token]:
-        """The names of servers and groups, as written."""
+        """The names of servers and groups, not yet expanded."""
         return children
 
 
 setattr(
     _StatementTransformer, "class", _condition("class_name")
-)  # a keyword here, a word of the language there
+)  # set by name, because `class` is a keyword of Python
 _parser = Lark(GRAMMAR, parser="lalr", lexer="contextual", maybe_placeholders=True)
 _transformer = _StatementTransformer()
 _keywords = keyword_by_terminal(_parser)
 
 
 def parse_statement(text: str) -> Any:
-    """A line's tree, None where it is empty; ("!", column, why, near) where it can't be read."""
+    """Parses one line.
+
+    Returns the parse tree, None for an empty line, or `("!", column, message, suggestion)` for an error.
+    """
     try:
         return _transformer.transform(_parser.parse(text))
     except UnexpectedInput as error:
@@ -206,17 +209,17 @@
 
 
 def expand_foreach(text: str, depth: int = 0) -> Iterator[str]:
-    """The lines that a line with `foreach` stands for.
+    """Expands a line with `foreach` to the lines that it stands for; yields any other line unchanged.
 
     Raises:
-        SuiteError: It is nested too deep or has too many values.
+        SuiteError: `foreach` is nested too deep or has too many values.
     """
     found = FOREACH.fullmatch(text)
     if found is None:
         yield text
         return
     if depth >= FOREACH_DEPTH_LIMIT:
-        raise SuiteError(f"foreach stands more than {FOREACH_DEPTH_LIMIT} deep")
+        raise SuiteError(f"foreach is nested more than {FOREACH_DEPTH_LIMIT} deep")
     name, values, statement = found.groups()
     result: list[str] = []
     for value in values.split():
--- a/umberlead/routing_tests/language.py
+++ b/umberlead/routing_tests/language.py
@@ -1,6 +1,6 @@
-"""Reads a suite: one statement a line, on the lists' parser library and with their closing line.
+"""Parses a suite: one statement per line, and a closing line `end N`, as in a membership list.
 
-What stands behind `scenario` belongs to it, up to the next one.
+The statements after a `scenario` line belong to that scenario, up to the next `scenario` line.
 """
 
 from dataclasses import replace
@@ -48,7 +48,7 @@
 
 
 class _Builder:
-    """Statements to a suite, names looked up as they come."""
+    """Builds a suite from its statements, in order; names must be defined before they are used."""
 
     def __init__(self, file: str) -> None:
         self.suite = Suite(file)
@@ -66,15 +66,15 @@
         return self.suite.scenarios[-1] if self.suite.scenarios else None
 
     def take(self, got: Tree[Token], place: FilePosition, text: str) -> None:
-        """Takes in one statement; its errors become problems."""
+        """Adds one statement to the suite; an invalid statement is recorded as a problem."""
         kind = str(got.data)
         if self.count == 1 and kind != "format":
             self.bad(place, f"the first statement must be 'format {FORMAT}'")
         words = got.children
         if kind in ("load", "at", "expect", "fleet", "day") and self.scenario is None:
-            self.bad(place, f"{kind} stands before any scenario")
+            self.bad(place, f"{kind} must come after a scenario statement")
         elif kind in ("config", "list", "collection", "group") and self.scenario is not None:
-            self.bad(place, f"{kind} belongs before the first scenario")
+            self.bad(place, f"{kind} must come before the first scenario")
         else:
             try:
                 getattr(self, f"on_{kind}")(words, place, text)
@@ -82,7 +82,7 @@
                 self.bad(place, str(error))
 
     def on_format(self, words: list[Any], place: FilePosition, text: str) -> None:
-        """Checks the format's number."""
+        """Checks the format number."""
         if int(words[0]) != FORMAT:
             raise SuiteError(f"format {words[0]} is unknown; this program reads format {FORMAT}")
 
@@ -102,7 +102,7 @@
         self.suite.groups[name] = self.names(words[1:])
 
     def names(self, words: list[Any]) -> tuple[str, ...]:
-        """Names with each group replaced by its members, each once."""
+        """Replaces each group by its members and drops duplicates."""
         made: dict[str, None] = {}
         for word in map(str, words):
             if word.startswith("@"):
@@ -124,20 +124,20 @@
         self.suite.collections[made.name] = made
 
     def on_scenario(self, words: list[Any], place: FilePosition, text: str) -> None:
-        """Begins a scenario."""
+        """Starts a new scenario."""
         name = str(words[0])
         if any(s.name == name for s in self.suite.scenarios):
             raise SuiteError(f"scenario {name} is given twice")
         self.suite.scenarios.append(Scenario(name, place, int(words[1] or 1)))
 
     def on_fleet(self, words: list[Any], place: FilePosition, text: str) -> None:
-        """Gives the scenario a fleet."""
+        """Sets the fleet of the current scenario."""
         assert self.scenario is not None
         of = self.scenario
         if of.fleet is not None:
             raise SuiteError("the scenario has a fleet already")
         if of.loads or of.happenings or of.expectations:
-            raise SuiteError("fleet comes first in its scenario")
+            raise SuiteError("fleet must be the first statement of its scenario")
         servers = int(words[0])
         fronts = int(words[1])
         rooms = int(words[2] or min(3, servers))
@@ -147,11 +147,11 @@
             )
         copies = int(words[3] or 1)
         if not 0 < copies <= rooms or servers % copies:
-            raise SuiteError("copies stand in rooms of their own, and servers are a multiple of them")
+            raise SuiteError("copies must not exceed the rooms, and servers must be a multiple of copies")
         of.fleet = Fleet(servers, fronts, rooms, copies=copies, place=place)
 
     def on_day(self, words: list[Any], place: FilePosition, text: str) -> None:
-        """Sets the day of the scenario's fleet."""
+        """Sets the length and load of the fleet's day."""
         assert self.scenario is not None
         of = self.scenario.fleet
         if of is None:
@@ -165,9 +165,9 @@
         self.scenario.fleet = replace(of, seconds=seconds, load=load, excess=excess, retries=retries)
 
     def on_load(self, words: list[Any], place: FilePosition, text: str) -> None:
-        """Adds a load to the scenario."""
+        """Adds a load to the current scenario."""
         if self.scenario is not None and self.scenario.fleet is not None:
-            raise SuiteError("a fleet's load is its day's")
+            raise SuiteError("load is not allowed with a fleet: its load is set by day")
         name, cls, rate, begin, end, units, new = words
         if str(name) not in self.suite.collections:
             raise SuiteError(f"there is no collection {name}")
@@ -189,7 +189,7 @@
         self.scenario.loads.append(made)
 
     def on_at(self, words: list[Any], place: FilePosition, text: str) -> None:
-        """Adds a happening to the scenario."""
+        """Adds a change at a time to the current scenario."""
         when = parse_duration_us(words[0])
         tree = words[1]
         assert self.scenario is not None
@@ -199,7 +199,7 @@
         if kind in FLEET_ONLY and not fleet:
             raise SuiteError(f"{kind} belongs in a scenario with a fleet")
         if kind == "newlist" and fleet:
-            raise SuiteError("a fleet's lists are its own: there is none to give it")
+            raise SuiteError("a fleet's lists are its own: it takes no list file")
         made = Happening(when, kind, place=place)
         change = self._fleet_change if kind in FLEET_ONLY else self._server_change
         made = replace(made, **change(kind, of))
@@ -208,7 +208,7 @@
         self.scenario.happenings.append(made)
 
     def _server_change(self, kind: str, of: list[Any]) -> dict[str, Any]:
-        """The fields of a happening that every scenario may have."""
+        """The `Happening` fields of a change that is allowed in every scenario."""
         if kind == "newlist":
             return {"kind": "list", "label": str(of[0])}
         if kind == "state":
@@ -219,7 +219,7 @@
         return {"servers": self.names(of[2]), "value": parse_ratio(of[1]), "label": str(of[0])}
 
     def _fleet_change(self, kind: str, of: list[Any]) -> dict[str, Any]:
-        """The fields of a happening that needs a fleet."""
+        """The `Happening` fields of a change that needs a fleet."""
         if kind in ("neighbour", "lag", "kill"):
             return self._fleet_server_change(kind, of)
         if kind == "surge":
@@ -239,7 +239,7 @@
         return {}
 
     def _fleet_server_change(self, kind: str, of: list[Any]) -> dict[str, Any]:
-        """The fields of a happening to some servers of a fleet."""
+        """The `Happening` fields of a change to some servers of a fleet."""
         if kind == "neighbour":
             return {"servers": self.names(of[1]), "value": parse_ratio(of[0])}
         if kind == "lag":
@@ -249,7 +249,7 @@
         return {"servers": self.names(of[0])}
 
     def on_expect(self, words: list[Any], place: FilePosition, text: str) -> None:
-        """Adds an expectation to the scenario."""
+        """Adds an expectation to the current scenario."""
         tree = words[0]
         kind = str(tree.data)
         of = tree.children
@@ -293,21 +293,24 @@
             add(f"may-{of[1]}", of[0], servers=self.names(of[2:]))
 
     def on_end(self, words: list[Any], place: FilePosition, text: str) -> None:
-        """Closes the file and checks its count of statements."""
+        """Ends the suite and checks the statement count."""
         self.closed = True
         if int(words[0]) != self.count - 1:
-            raise SuiteError(f"the file ends after {words[0]} statements, but has {self.count - 1}")
+            raise SuiteError(f"the closing line counts {words[0]} statements, the file has {self.count - 1}")
 
 
 def parse(text: str, file: str) -> tuple[Suite, list[ListProblem]]:
-    """A suite, and all of its problems. Statements count as written, foreach as one."""
+    """Parses the text of a suite; returns the suite and all problems found.
+
+    The count on the closing line counts a `foreach` line as one statement.
+    """
     of = _Builder(file)
     total = 0
     lines = text.split("\n")
     if lines.pop():
         of.bad(
             FilePosition(file, len(lines) + 1),
-            "the last line has no line end: perhaps half written",
+            "the last line has no newline: the file may be half written",
             code="E103",
         )
     for number, row in enumerate(lines, 1):
@@ -317,7 +320,7 @@
         of.count += 1
         place = FilePosition(file, number, len(row) - len(row.lstrip()) + 1)
         if of.closed:
-            of.bad(place, "something stands behind the closing line")
+            of.bad(place, "there is a statement after the closing line")
             continue
         try:
             for line in expand_foreach(plain):
@@ -339,7 +342,7 @@
     if not of.closed:
         of.bad(
             FilePosition(file, len(lines) + 1),
-            "there is no closing line 'end N': perhaps half written",
+            "there is no closing line 'end N': the file may be half written",
             code="E102",
         )
     return of.suite, of.problems
--- a/umberlead/routing_tests/model.py
+++ b/umberlead/routing_tests/model.py
@@ -1,4 +1,4 @@
-"""What a suite says, and what became of it: plain records."""
+"""Data classes for the contents of a suite and for the results of playing it."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -10,7 +10,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Collection:
-    """Requests of one volume or of a few: `volumes` are spread over the same plan and shards."""
+    """A named set of volumes whose requests share a plan and a set of shards.
+
+    Attributes:
+        name: Name of the collection in the suite.
+        plan: Customer plan of every request.
+        shards: Shards that hold the data; the shard of each read is drawn from them.
+        volumes: Number of volumes; the volume of each request is drawn from them.
+        hosts: Number of client hosts, passed with every request.
+    """
 
     name: str
     plan: str
@@ -25,17 +33,17 @@
 
     collection: str
     class_name: str
-    requests_per_second: float  # requests a second
-    begin_us: int  # us
+    requests_per_second: float
+    begin_us: int
     end_us: int
     units: float = 1.0
-    new: bool = False  # writes of new objects, which any server may take
+    new: bool = False  # the requests write new objects, which any server may take
     place: FilePosition = field(default=FilePosition(""), compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Happening:
-    """A change to servers or to the fleet at a time.
+    """A change to servers or to the fleet at a given time.
 
     `kind` is one of: drain, back, leave, out, in, cold, slow, outcome, list; in a scenario with a fleet also:
     surge, costly, neighbour, lag, deploy, kill, cut, dark, collector, lists, clock.
@@ -47,18 +55,18 @@
     value: float = 0.0
     label: str = ""
     place: FilePosition = field(default=FilePosition(""), compare=False)
-    until_us: int = 0  # 0: for good
+    until_us: int = 0  # 0: the change is never undone
     parameters: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """Emulated servers and fronts, and the day that they see; from the operators' figures."""
+    """Size of an emulated fleet of servers and fronts, and the load of the emulated day."""
 
     servers: int
     fronts: int
     zones: int = 3
-    copies: int = 1  # servers of a shard, each in a room of its own
+    copies: int = 1  # servers of a shard, each in a different zone
     seconds: float = 0.0
     load: float = 0.0
     excess: float = 1.0
@@ -68,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Which requests: all that fit everything that is given."""
+    """Selects the requests that match all of the given conditions; no condition selects every request."""
 
     class_name: str = ""
     plan: str = ""
@@ -79,7 +87,7 @@
     end_us: int = 1 << 62
 
     def describe(self) -> str:
-        """The conditions in the suite's own language."""
+        """The conditions in the syntax of the suite."""
         made = [f"{k} {v}" for k, v in (("class", self.class_name), ("plan", self.plan)) if v]
         made += [f"collection {self.collection}"] if self.collection else []
         made += [f"shard {self.shard}"] if self.shard is not None else []
@@ -89,16 +97,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """A rule that the selected requests have to keep.
+    """A rule that the selected requests have to satisfy.
 
     `rule` is one of: only, never, attempts, once, within, served, refused, answered-once, prompt, share,
-    service; or one for every sequence of outcomes: may-only, may-never, may-attempts, may-once.
+    service. The rules may-only, may-never, may-attempts and may-once are checked over every sequence of
+    attempt results.
     """
 
     rule: str
     selector: Selector
     servers: tuple[str, ...] = ()
-    limit: float = 0.0  # of attempts, of us, or of a share
+    limit: float = 0.0  # a number of attempts, a time in us or a ratio, as `rule` needs
     tolerance: float = 0.0
     after_us: int = 0
     text: str = ""
@@ -107,7 +116,7 @@
 
 @dataclass(slots=True)
 class Scenario:
-    """Loads, changes and expectations that are played together."""
+    """Loads, changes and expectations that are played in one run."""
 
     name: str
     place: FilePosition
@@ -120,7 +129,7 @@
 
 @dataclass(slots=True)
 class Suite:
-    """A suite file as read."""
+    """The parsed contents of a suite file."""
 
     file: str
     config: tuple[str, FilePosition] | None = None
@@ -132,18 +141,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceStep:
-    """One event in a request's life."""
+    """One event of a request."""
 
     at_us: int
     kind: str  # taken, sent, ended, answered
     server: str = ""
     result: str = ""  # an attempt's result, or the answer's kind
-    note: str = ""  # what the module saw
+    note: str = ""  # state of the candidate servers as the scheduler saw it
 
 
 @dataclass(slots=True)
 class RequestTrace:
-    """A simulated request from its coming to its answer."""
+    """A simulated request with its events from arrival to final answer."""
 
     id: str
     arrived_us: int
@@ -156,29 +165,29 @@
     steps: list[TraceStep] = field(default_factory=list)
 
     def attempts(self) -> list[TraceStep]:
-        """The steps that sent the request to a server."""
+        """The steps that send the request to a server."""
         return [s for s in self.steps if s.kind == "sent"]
 
     def answers(self) -> list[TraceStep]:
-        """The steps that answered the request."""
+        """The steps that answer the client."""
         return [s for s in self.steps if s.kind == "answered"]
 
 
 class Outcome(Enum):
-    """How an expectation came out."""
+    """Result of checking an expectation."""
 
     PASSED = "held"
     FAILED = "failed"
-    ERROR = "error"  # the suite asks for what can't be told
+    ERROR = "error"  # the expectation could not be decided
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The outcome of one expectation, with a witness where it failed."""
+    """The outcome of one expectation, with the request that violates it as a witness where there is one."""
 
     expectation: Expectation
     scenario: str
     outcome: Outcome
     reason: str = ""
     witness: RequestTrace | None = None
-    request_count: int = 0  # that it was judged by
+    request_count: int = 0  # checked requests, or checked sequences of attempt results
--- a/umberlead/routing_tests/proportion.py
+++ b/umberlead/routing_tests/proportion.py
@@ -1,4 +1,4 @@
-"""Whether a sample supports a share within a tolerance."""
+"""Decides from a sample whether a share lies within a tolerance of the expected value."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,12 +6,12 @@
 from scipy.stats import binomtest
 
 CONFIDENCE_PROBABILITY = (
-    0.99  # of the interval: one in a hundred sound checks is wrong, and a seed makes that one stay
+    0.99  # one interval in a hundred misses the true share; with a fixed seed such a miss is repeated
 )
 
 
 class Judged(Enum):
-    """Where the interval lies against the tolerated range."""
+    """Position of the confidence interval relative to the tolerated range."""
 
     INSIDE = "inside"
     OUTSIDE = "outside"
@@ -29,15 +29,16 @@
     sample_count: int
 
     def describe(self) -> str:
-        """The share, its sample and its interval as text."""
+        """The share, the sample size and the interval as text."""
         interval = f"interval {self.low:.2%} to {self.high:.2%}"
         return f"measured {self.measured:.2%} of {self.sample_count} ({interval})"
 
 
 def judge(hits: int, sample: int, want: float, tolerance: float) -> Share:
-    """Compares the Wilson interval with `want` plus or minus `tolerance`.
+    """Compares the Wilson score interval of a sample with `want` plus or minus `tolerance`.
 
-    It lies inside, outside, or neither, which more requests or a wider tolerance would decide.
+    The interval lies inside or outside of that range, or overlaps its edge; then the result is undecided, and
+    more requests or a wider tolerance are needed.
     """
     if not sample:
         return Share(Judged.UNDECIDED, 0.0, 0.0, 1.0, 0)
@@ -54,7 +55,7 @@
 
 
 def required_sample_count(want: float, tolerance: float) -> int:
-    """About how many requests tell a share that is just `want` within `tolerance`."""
+    """About how many requests it takes to confirm a share that is exactly `want`, within `tolerance`."""
     low = 1
     high = 1
     while judge(round(want * high), high, want, tolerance).judged is not Judged.INSIDE and high < 1 << 24:
--- a/umberlead/routing_tests/reach.py
+++ b/umberlead/routing_tests/reach.py
@@ -1,9 +1,9 @@
-"""Walks every sequence of outcomes that one request of a shape can meet, to its last attempt.
+"""Explores every sequence of attempt results of one request, up to its last attempt.
 
-Covered: one request of each class, plan and shard that fits, alone on idle servers of the list in force,
-with each attempt ending in each of seven ways. Not covered: what only load brings about (concurrency limits,
-priority weights, reserves), two requests at once, and lists that change under an attempt. A branch is
-replayed from its start, so that no state of the lifecycle has to be copied.
+Covered: one request of each matching class, plan and shard, alone on idle servers of the list in force, with
+each attempt ending with each of the seven results in `ENDS`. Not covered: effects of load (concurrency
+limits, priority weights, reserves), concurrent requests, and list changes during an attempt. Each sequence is
+replayed from its start, so that the state of the lifecycle need not be copied.
 """
 
 from collections.abc import Iterator
@@ -34,7 +34,7 @@
     AttemptResult.RESET,
     AttemptResult.NOT_SENT,
 )
-MAX_BRANCH_COUNT = 5000  # of one shape: with more the walk is cut off, and says so
+MAX_BRANCH_COUNT = 5000  # per shape; beyond it the exploration stops with TooManyBranchesError
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
     class_name: str
     plan: str
-    shard: int  # -1: a new object
+    shard: int  # -1: a write of a new object, which any server may take
 
     def describe(self) -> str:
         """The shape as messages name it."""
@@ -51,11 +51,11 @@
 
 
 class TooManyBranchesError(UmberleadError, ValueError):
-    """The walk was cut off."""
+    """A shape of request has more than `MAX_BRANCH_COUNT` sequences of attempt results."""
 
 
 class _Scripted(World):
-    """Attempts end as a list says; past its end they wait."""
+    """A world whose attempts end with the given results, in order; further attempts wait."""
 
     def __init__(self, settings: Settings, listing: CheckedList, ends: tuple[AttemptResult, ...]) -> None:
         super().__init__(settings, listing, 1, explain=True)
@@ -74,7 +74,11 @@
 def walk(
     shape: Shape, settings: Settings, listing: CheckedList, units: float = 1.0
 ) -> Iterator[RequestTrace]:
-    """The request's life under each sequence of outcomes."""
+    """Yields the trace of a request of this shape for each sequence of attempt results.
+
+    Raises:
+        TooManyBranchesError: There are more than `MAX_BRANCH_COUNT` sequences.
+    """
     collection = Collection("reach", shape.plan, (max(shape.shard, 0),))
     load = Load("reach", shape.class_name, 1.0, 0, 1, units, shape.shard < 0)
     stack: list[tuple[AttemptResult, ...]] = [(end,) for end in ENDS]
@@ -93,14 +97,17 @@
         yield life
         if world.draw_count > len(
             ends
-        ):  # it was sent once more than the sequence says: each way that can end
+        ):  # there was one more attempt than the sequence has results: try each result of it
             stack += [(*ends, end) for end in ENDS]
 
 
 def shapes(
     of: Selector, settings: Settings, listing: CheckedList, collections: dict[str, Collection]
 ) -> list[Shape]:
-    """All shapes that fit: each class and plan, and each shard of the list or of the collection named."""
+    """All shapes that match a selector: each class, plan and shard.
+
+    The shards are those of the list, limited to the selected collection or shard; -1 for new objects.
+    """
     classes = [c.name for c in settings.classes if of.class_name in ("", c.name)]
     plans = [p.name for p in settings.plans if of.plan in ("", p.name)]
     shards = sorted({s.shard for s in listing.endpoints.values()})
@@ -134,14 +141,14 @@
     scenario: str,
     walked: dict[Shape, list[RequestTrace]],
 ) -> Verdict:
-    """Judges an expectation over every sequence of every shape that fits.
+    """Checks an expectation over every sequence of attempt results of every matching shape.
 
-    The shortest counterexample is the witness; `walked` caches the traces of shapes.
+    The shortest trace that violates it becomes the witness. `walked` caches the traces by shape.
     """
     fitting = shapes(of.selector, settings, listing, collections)
     count = 0
     if not fitting:
-        return Verdict(of, scenario, Outcome.ERROR, "no shape of request fits the expectation")
+        return Verdict(of, scenario, Outcome.ERROR, "no class, plan and shard match the expectation")
     worst: tuple[int, RequestTrace, str] | None = None
     for shape in fitting:
         try:
--- a/umberlead/routing_tests/report.py
+++ b/umberlead/routing_tests/report.py
@@ -1,4 +1,4 @@
-"""What came of a suite: for people, as JSON, and as JUnit XML."""
+"""Formats the results of a suite as text, as JSON and as JUnit XML."""
 
 from pathlib import Path
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 def format_trace(of: RequestTrace) -> list[str]:
-    """A request's life, a line an event."""
+    """Formats a trace: a heading, then one line per event."""
     where = "new" if of.new else f"shard {of.shard}"
     made = [f"{of.id}: {of.class_name} on {of.plan}, {where}, {of.units:g} units"]
     for step in of.steps:
@@ -19,7 +19,7 @@
 
 
 def format_failure(of: Verdict, command: str) -> list[str]:
-    """The lines that tell a failed expectation."""
+    """Formats a failed or undecided expectation, with its witness and the replay command."""
     at = of.expectation
     kind = "FAILED" if of.outcome is Outcome.FAILED else "ERROR"
     made = [f"{kind} {at.place}: scenario {of.scenario}: {at.text}", f"  rule {at.rule}: {of.reason}"]
@@ -30,21 +30,21 @@
 
 
 def counted(played: list[Played]) -> dict[str, int]:
-    """Counts of verdicts by outcome, of expectations and of requests."""
+    """Counts the verdicts by outcome, all expectations and all requests."""
     verdicts = [v for of in played for v in of.verdicts]
     made = {o.value: sum(v.outcome is o for v in verdicts) for o in Outcome}
     return made | {"expectations": len(verdicts), "requests": sum(of.request_count for of in played)}
 
 
 def text(played: list[Played], command: str, left: dict[str, list[str]]) -> list[str]:
-    """The report for people, by line."""
+    """The lines of the text report; `left` has what no scenario covers, by kind."""
     made = []
     for of in played:
         for verdict in of.verdicts:
             if verdict.outcome is not Outcome.PASSED:
                 made += format_failure(verdict, command)
     for kind, names in left.items():
-        made.append(f"not touched: {kind} {', '.join(names)}")
+        made.append(f"not covered: {kind} {', '.join(names)}")
     n = counted(played)
     took = sum(of.elapsed_seconds for of in played)
     words = f"{n['held']} held, {n['failed']} failed, {n['error']} errors; {n['requests']} requests"
@@ -53,7 +53,7 @@
 
 
 def rows(played: list[Played], left: dict[str, list[str]]) -> dict[str, Any]:
-    """The report as `--json` prints it."""
+    """The report as `--json` prints it; `left` has what no scenario covers, by kind."""
     verdicts = [
         {
             "scenario": v.scenario,
--- a/umberlead/routing_tests/running.py
+++ b/umberlead/routing_tests/running.py
@@ -1,4 +1,4 @@
-"""Plays suites: each scenario twice from its seed, scenarios side by side in processes."""
+"""Plays suites: each scenario twice with one seed, to detect nondeterminism, in parallel processes."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -15,19 +15,19 @@
 
 @dataclass(slots=True)
 class Played:
-    """The verdicts of one scenario."""
+    """The verdicts of one scenario, with what its requests covered."""
 
     scenario: str
     verdicts: list[Verdict]
     request_count: int
     elapsed_seconds: float
-    touched: set[tuple[str, str]] = field(default_factory=set)  # kind and name of what requests met
+    touched: set[tuple[str, str]] = field(default_factory=set)  # (kind, name) of what the requests used
 
 
 def trace_requests(
     ready: Ready, scenario: Scenario, explain: bool = False
 ) -> tuple[list[RequestTrace], list[str]]:
-    """Plays a scenario once; its traces, and the errors that the scheduler raised."""
+    """Plays a scenario once; returns the traces and the errors that the scheduler raised."""
     world = World(ready.settings, ready.listing, scenario.seed, explain)
     return world.play(scenario, ready.suite.collections, ready.lists), world.errors
 
@@ -40,7 +40,10 @@
 
 
 def play(ready: Ready, scenario: Scenario) -> Played:
-    """The verdicts of a scenario. Explained notes are gathered only where something failed."""
+    """Plays a scenario twice and checks its expectations.
+
+    If one fails, the scenario is played once more with `explain`, so that the witnesses have notes.
+    """
     began = time.perf_counter()
     try:
         lives, faults = trace_requests(ready, scenario)
@@ -51,10 +54,12 @@
     again, _ = trace_requests(ready, scenario)
     if faults:
         of = scenario.expectations[0]
-        verdicts.append(Verdict(of, scenario.name, Outcome.ERROR, f"the module raised: {faults[0][-400:]}"))
+        verdicts.append(
+            Verdict(of, scenario.name, Outcome.ERROR, f"the scheduler raised: {faults[0][-400:]}")
+        )
     elif _track(lives) != _track(again):
         of = scenario.expectations[0]
-        verdicts.append(Verdict(of, scenario.name, Outcome.ERROR, "two plays of one seed differ"))
+        verdicts.append(Verdict(of, scenario.name, Outcome.ERROR, "two runs with the same seed differ"))
     else:
         walked: dict[reach.Shape, list[RequestTrace]] = {}
         for of in scenario.expectations:
@@ -100,10 +105,18 @@
     workers: int = 0,
     on_played: Callable[[int, int, Played], None] = lambda done, of, played: None,
 ) -> tuple[Ready, list[Played]]:
-    """Plays all scenarios of a suite in its order, or `only` that one; calls `on_played` after each.
+    """Plays the scenarios of a suite; results are in the order of the suite.
+
+    Args:
+        path: The suite file.
+        conf: Configuration to use in place of the suite's.
+        listed: List file to use in place of the suite's.
+        only: Name of the one scenario to play; empty for all.
+        workers: Number of processes; 0 for one per core.
+        on_played: Called after each scenario with the number done, the total and the result.
 
     Raises:
-        UnreadableSuiteError: The suite can't be used.
+        UnreadableSuiteError: The suite, its configuration or a list is invalid.
     """
     ready = load(path, conf, listed)
     chosen = [s for s in ready.suite.scenarios if only in ("", s.name)]
@@ -125,7 +138,7 @@
 
 
 def untouched(ready: Ready, played: list[Played]) -> dict[str, list[str]]:
-    """What no scenario's requests met, by kind."""
+    """The known servers, classes, plans, outcomes, answers and rules that no scenario covers, by kind."""
     met = {pair for of in played for pair in of.touched}
     known = {
         "server": sorted(ready.listing.endpoints),
--- a/umberlead/routing_tests/smallest.py
+++ b/umberlead/routing_tests/smallest.py
@@ -1,8 +1,8 @@
-"""The smallest scenario that still fails an expectation, found by leaving things out.
+"""Reduces a failing scenario to a smaller one that still fails the same expectation.
 
-Greedy and bounded: loads, what befalls servers, and time are left out piece by piece; what still fails the
-same expectation stays left out. The outcome is small, not proved to be the least there is. The same suite
-gives the same outcome, since each play is drawn from the scenario's seed.
+The search is greedy and bounded: it tries to remove one load, change, server of a change, or half of a load's
+time at a time, and keeps each removal after which the expectation still fails. The result is small, but not
+proved to be minimal. The same suite gives the same result, since each run uses the scenario's seed.
 """
 
 import re
@@ -17,7 +17,7 @@
 from umberlead.routing_tests.world import UnlistedServerError
 
 MAX_PLAY_COUNT = 200
-MIN_HALVED_LOAD_US = 100_000  # us of load below which nothing is halved
+MIN_HALVED_LOAD_US = 100_000  # a load is halved only if each half lasts at least this long
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,20 +25,23 @@
     """The smallest scenario found that still fails."""
 
     scenario: Scenario
-    requests: int  # of the smallest
-    before: int  # of the scenario as written
+    requests: int  # number of requests of `scenario`
+    before: int  # number of requests of the scenario as written
     plays: int
-    cut: bool  # ended by PLAYS_MOST
+    cut: bool  # whether the search ended at the limit of plays
 
 
 def smallest(
     ready: Ready, of: Expectation, scenario: Scenario, most: int = MAX_PLAY_COUNT
 ) -> Smallest | None:
-    """None where the scenario, played alone, does not fail `of` (or where it is judged without a play)."""
+    """Reduces `scenario` with `of` as its only expectation, in at most `most` plays.
+
+    Returns None if the scenario does not fail `of`, or if `of` is a `may` rule, which needs no play.
+    """
     plays = 0
 
     def fails(one: Scenario) -> int:
-        """Requests of a play that fails, 0 of one that holds or can't be told."""
+        """The number of requests if the scenario fails `of`; 0 if `of` holds or can't be decided."""
         nonlocal plays
         plays += 1
         try:
@@ -69,7 +72,7 @@
 
 
 def _smaller(of: Scenario) -> Iterator[Scenario]:
-    """Each way to leave one thing out, the largest first."""
+    """Yields each scenario that has one thing less: loads first, then changes, half loads, and servers."""
     for k in range(len(of.loads)):
         if len(of.loads) > 1:
             yield replace(of, loads=of.loads[:k] + of.loads[k + 1 :])
@@ -88,11 +91,11 @@
             yield replace(of, happenings=[*of.happenings[:k], fewer, *of.happenings[k + 1 :]])
 
 
-# As a suite of its own
+# The reduced scenario as a suite
 
 
 def suite(found: Smallest, ready: Ready, config: Path, listed: Path, folder: Path) -> str:
-    """Its text; lists that it names are seen from `folder`, where the whole suite lies."""
+    """The text of a suite with the reduced scenario; list files are looked up in `folder`."""
     of = found.scenario
     expected = of.expectations[0]
     used = [ready.suite.collections[n] for n in dict.fromkeys(load.collection for load in of.loads)]
@@ -106,7 +109,7 @@
     lines += [_load(load) for load in of.loads]
     lines += [_happening(what, folder) for what in of.happenings]
     lines.append(expected.text)
-    head = f"# The smallest found of {ready.suite.file}:{expected.place.line}: "
+    head = f"# Smallest failing scenario found for {ready.suite.file}:{expected.place.line}: "
     head += f"{found.requests} of {found.before} requests."
     return "\n".join([head, *lines, f"end {len(lines)}", ""])
 
--- a/umberlead/routing_tests/suggest.py
+++ b/umberlead/routing_tests/suggest.py
@@ -1,7 +1,8 @@
-"""A first suite for a configuration and a list: what is true of them today, to be read and sharpened.
+"""Generates a first suite for a configuration and a list, for the operator to review and extend.
 
-It claims only what the rules and the list alone promise (who holds a shard, that uploads go out once, that
-who drains gets nothing more), so that it holds as written; what is wanted beside that is the operator's.
+It only expects what the routing rules and the list guarantee (which servers hold a shard, that requests that
+must run at most once are sent once, that a draining server gets no new requests), so that it passes as
+written.
 """
 
 from collections import defaultdict
@@ -11,13 +12,13 @@
 from umberlead.scheduling.events import EndpointStatus
 from umberlead.scheduling.settings import Repeatability, Settings
 
-MAX_RATE_REQUESTS = 40.0  # requests a second of one class and plan
-MAX_DRAIN_COUNT = 3  # servers whose drain is rehearsed
-LOAD_SECONDS = 4  # s of load
+MAX_RATE_REQUESTS = 40.0  # requests per second of one class and plan
+MAX_DRAIN_COUNT = 3  # servers that get a scenario in which they drain
+LOAD_SECONDS = 4
 
 
 def suite(settings: Settings, listing: CheckedList, config: str, listed: str) -> str:
-    """The suite's text; `config` and `listed` are written into it as they are to be found from its folder."""
+    """The text of the suite; `config` and `listed` are the paths to write into it, relative to its folder."""
     by_shard: dict[int, list[str]] = defaultdict(list)
     for name, server in sorted(listing.endpoints.items()):
         by_shard[server.shard].append(name)
@@ -32,14 +33,14 @@
 
     lines += [
         "",
-        "# Whatever becomes of an attempt, a shard's requests reach its own servers alone.",
+        "# Whatever the results of the attempts, requests for a shard are sent only to its own servers.",
         "scenario reach",
     ]
     lines += [f"expect may shard {n} only @shard-{n}" for n in shards]
     lines += [f"expect may class {c} attempts at-most {settings.max_attempts}" for c in rest]
     lines += [f"expect may class {c} sent once" for c in once]
 
-    lines += ["", "# An ordinary moment: each request has its one answer.", "scenario calm seed 1"]
+    lines += ["", "# Without faults, each request gets exactly one answer.", "scenario calm seed 1"]
     lines += _loads(settings, len(listing.endpoints), once) + ["expect answered-once"]
     lines += [f"expect class {c} sent once" for c in once]
 
@@ -47,14 +48,14 @@
     drains = [names[0] for names in ready.values() if len(names) > 1][:MAX_DRAIN_COUNT]
     for name in drains:
         shard = listing.endpoints[name].shard
-        lines += ["", f"# Its shard has other servers: nothing new goes to {name} once it drains."]
+        lines += ["", f"# {name} gets no new requests once it drains; its shard has other servers."]
         lines += [f"scenario drain-{name} seed 1", *_loads(settings, len(listing.endpoints), once)]
         lines += [f"at 1s drain {name}", "expect answered-once", f"expect shard {shard} only @shard-{shard}"]
         lines += [f"expect never {name} after 1s"]
     count = sum(1 for line in lines if line and not line.startswith("#"))
     head = [
-        "# A first suite, written by `umberlead expect --suggest`: what holds today, not what you want.",
-        "# Cut what you do not mean, sharpen the rest (docs/routing-tests.md), then set `end` anew.",
+        "# A first suite, written by `umberlead expect --suggest`: what holds today, not what you intend.",
+        "# Remove what you do not intend, make the rest stricter (docs/routing-tests.md), then update `end`.",
     ]
     return "\n".join([*head, *lines, f"end {count}", ""])
 
@@ -70,7 +71,7 @@
 
 
 def _ranges(numbers: list[int]) -> str:
-    """0..4,7 for [0, 1, 2, 3, 4, 7]."""
+    """Formats sorted numbers as ranges: `0..4,7` for [0, 1, 2, 3, 4, 7]."""
     made: list[list[int]] = []
     for n in numbers:
         if made and made[-1][1] == n - 1:
@@ -81,7 +82,7 @@
 
 
 def beside(path: Path, folder: Path) -> str:
-    """`path` as seen from `folder`, where that is shorter."""
+    """Returns `path` relative to `folder`, or unchanged if that is shorter."""
     import os
 
     near = os.path.relpath(path, folder)
--- a/umberlead/routing_tests/suites.py
+++ b/umberlead/routing_tests/suites.py
@@ -1,4 +1,4 @@
-"""Suites from files, checked together with their configuration and every list that they name."""
+"""Loads suites from files and checks them against their configuration and the lists that they name."""
 
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 class UnreadableSuiteError(UmberleadError, ValueError):
-    """The suite, its configuration or a list can't be used; `problems` tell where."""
+    """The suite, its configuration or a list is invalid; `problems` has the position of each problem."""
 
     def __init__(self, problems: list[ListProblem]) -> None:
         """An error that lists all `problems`."""
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Ready:
-    """A suite with all that it needs."""
+    """A valid suite with its configuration and lists."""
 
     suite: Suite
     settings: Settings
@@ -36,14 +36,23 @@
 def _list(path: Path, problems: list[ListProblem]) -> CheckedList | None:
     loader = ListLoader(
         path, 0, NameResolver(lambda host: (host,))
-    )  # a name stands for itself: nothing is sent
+    )  # nothing is sent, so host names need not be resolved
     verdict = loader.load(None).check_result
     problems += verdict.problems
     return verdict.checked_list
 
 
 def load(path: Path, conf: Path | None = None, listed: Path | None = None) -> Ready:
-    """`conf` and `listed` go before what the suite names. `UnreadableSuiteError` with all that is wrong."""
+    """Loads a suite with its configuration and lists.
+
+    Args:
+        path: The suite file.
+        conf: Configuration to use in place of the suite's.
+        listed: List file to use in place of the suite's.
+
+    Raises:
+        UnreadableSuiteError: The suite, its configuration or a list is invalid; it has all problems.
+    """
     try:
         suite, problems = parse(path.read_text(), path.name)
     except (OSError, UnicodeDecodeError) as fault:
@@ -56,7 +65,9 @@
     if conf is None:
         problems.append(
             ListProblem(
-                "E110", FilePosition(path.name), "neither the suite nor the call names a configuration"
+                "E110",
+                FilePosition(path.name),
+                "neither the suite nor the command line names a configuration",
             )
         )
     else:
@@ -68,13 +79,15 @@
         listed = path.parent / suite.listed[0]
     if listed is None:
         problems.append(
-            ListProblem("E111", FilePosition(path.name), "neither the suite nor the call names a list")
+            ListProblem(
+                "E111", FilePosition(path.name), "neither the suite nor the command line names a list"
+            )
         )
     else:
         listing = _list(listed, problems)
     for scenario in suite.scenarios:
         if scenario.fleet is not None:
-            why = f"scenario {scenario.name} has a fleet: `umberlead rehearse` plays it"
+            why = f"scenario {scenario.name} has a fleet: play it with `umberlead rehearse`"
             problems.append(ListProblem("E130", scenario.place, why))
         for happening in scenario.happenings:
             if happening.kind == "list" and happening.label not in lists:
@@ -91,7 +104,7 @@
 def _unknown(
     suite: Suite, settings: Settings, listing: CheckedList, lists: dict[str, CheckedList]
 ) -> list[ListProblem]:
-    """Unknown names, expectations that contradict each other, and scenarios that expect nothing."""
+    """Finds unknown names, contradictory expectations and scenarios without expectations."""
     found = list[ListProblem]()
     servers = {n for of in (listing, *lists.values()) for n in of.endpoints}
     classes = {c.name for c in settings.classes}
@@ -108,7 +121,7 @@
         check(FilePosition(suite.file), "plan", collection.plan, plans)
     for scenario in suite.scenarios:
         if not scenario.expectations:
-            found.append(ListProblem("E113", scenario.place, f"scenario {scenario.name} expects nothing"))
+            found.append(ListProblem("E113", scenario.place, f"scenario {scenario.name} has no expectations"))
         for load_ in scenario.loads:
             check(load_.place, "class", load_.class_name, classes)
         for happening in scenario.happenings:
@@ -126,7 +139,15 @@
 
 
 def side(path: Path, listed: Path | None = None) -> tuple[Settings, CheckedList, Path]:
-    """A configuration, the list that it or the call names, and that list's path. `UnreadableSuiteError`."""
+    """Loads a configuration and its list; returns the settings, the list and the path of the list.
+
+    Args:
+        path: The configuration file.
+        listed: List file to use in place of the configuration's.
+
+    Raises:
+        UnreadableSuiteError: The configuration or the list is invalid.
+    """
     try:
         made = configuration.load_operator_file(str(path))
     except configuration.ConfigError as fault:
--- a/umberlead/routing_tests/verdict.py
+++ b/umberlead/routing_tests/verdict.py
@@ -1,4 +1,4 @@
-"""Expectations against the lives of a scenario's requests. Pure; each verdict names a witness."""
+"""Checks expectations against the traces of a scenario's requests, without I/O."""
 
 from collections.abc import Callable, Iterable
 
@@ -10,7 +10,7 @@
 
 
 def fits(of: Selector, life: RequestTrace) -> bool:
-    """Whether a request matches every condition of a selector."""
+    """Returns whether a request matches every condition of a selector."""
     return (
         (not of.class_name or life.class_name == of.class_name)
         and (not of.plan or life.plan == of.plan)
@@ -22,7 +22,7 @@
 
 
 def may_have_run(steps: Iterable[TraceStep]) -> bool:
-    """Whether an attempt before the end of `steps` may have taken effect; one still out may."""
+    """Returns whether an attempt in `steps` may have taken effect, as one still in flight may."""
     out = 0
     for step in steps:
         if step.kind == "sent":
@@ -35,10 +35,10 @@
 
 
 def sent_again(life: RequestTrace) -> TraceStep | None:
-    """A sending that breaks "sent once": while another is out, or after one that may have run.
+    """The first send that violates "sent once": another attempt is in flight or may have run.
 
-    Whether the configuration lets the class be repeated doesn't count: a suite that took it from there could
-    not find it wrong.
+    The repeatability of the class in the configuration is ignored, so that a suite can detect a class whose
+    configured repeatability is wrong.
     """
     out = False
     for k, step in enumerate(life.steps):
@@ -120,7 +120,7 @@
         return Verdict(of, scenario, Outcome.PASSED, want, None, len(first))
     if got.judged is Judged.UNDECIDED:
         more = required_sample_count(of.limit, of.tolerance)
-        why = f"{want}: the sample can't tell; it takes about {more} requests, or a wider tolerance"
+        why = f"{want}: the sample is too small to decide; use about {more} requests, or a wider tolerance"
         return Verdict(of, scenario, Outcome.ERROR, why, None, len(first))
     over = got.measured > of.limit
     witness = next(
@@ -131,13 +131,13 @@
 
 
 def judged(of: Expectation, lives: list[RequestTrace], settings: Settings, scenario: str) -> Verdict:
-    """Judges one expectation over all requests that fit it.
+    """Checks one expectation against all requests that match its selector.
 
-    Nothing that fits is an error: the expectation would hold whatever happens.
+    It is an error if no request matches, because the expectation would then hold whatever the front does.
     """
     chosen = [life for life in lives if fits(of.selector, life)]
     if not chosen:
-        return Verdict(of, scenario, Outcome.ERROR, "no request of this scenario fits the expectation")
+        return Verdict(of, scenario, Outcome.ERROR, "no request of this scenario matches the expectation")
     if of.rule == "share":
         return _share(of, chosen, scenario)
     check = RULES[of.rule]
@@ -145,12 +145,17 @@
         if why := check(of, life, settings):
             return Verdict(of, scenario, Outcome.FAILED, why, life, len(chosen))
     if of.rule == "prompt" and not any(s.result == "refused" for life in chosen for s in life.answers()):
-        return Verdict(of, scenario, Outcome.ERROR, "nothing is refused: the expectation tells nothing")
+        return Verdict(
+            of, scenario, Outcome.ERROR, "no request was refused, so the expectation checks nothing"
+        )
     return Verdict(of, scenario, Outcome.PASSED, "", None, len(chosen))
 
 
 def contradictions(expectations: list[Expectation]) -> list[tuple[Expectation, Expectation, str]]:
-    """Pairs that can't both hold for the same requests, found before anything is played."""
+    """Finds pairs of expectations that can't both hold for the same requests, without playing the scenario.
+
+    Returns both expectations and the reason, for each pair.
+    """
     found = []
     for k, a in enumerate(expectations):
         for b in expectations[k + 1 :]:
@@ -159,13 +164,13 @@
             rules = {a.rule, b.rule}
             both = set(a.servers) & set(b.servers)
             if rules in ({"served", "refused"},):
-                found.append((a, b, "all can't be both served and refused"))
+                found.append((a, b, "a request can't be both served and refused"))
             elif rules in ({"only"}, {"may-only"}) and not both:
-                found.append((a, b, "no server is in both"))
+                found.append((a, b, "no server is allowed by both"))
             elif rules in ({"only", "never"}, {"may-only", "may-never"}):
                 only, never = (a, b) if a.rule.endswith("only") else (b, a)
                 if set(only.servers) <= set(never.servers) and not never.after_us:
-                    found.append((a, b, "every server that is left is forbidden"))
+                    found.append((a, b, "every allowed server is also forbidden"))
     shares: dict[Selector, list[Expectation]] = {}
     for of in expectations:
         if of.rule == "share":
@@ -173,5 +178,5 @@
     for many in shares.values():
         apart = all(not set(a.servers) & set(b.servers) for k, a in enumerate(many) for b in many[k + 1 :])
         if apart and sum(of.limit - of.tolerance for of in many) > 1 + 1e-9:
-            found.append((many[0], many[-1], "the shares add up to more than all"))
+            found.append((many[0], many[-1], "the shares add up to more than 100%"))
     return found
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -1,9 +1,10 @@
-"""Plays a scenario in virtual time: the request lifecycle and membership over modelled servers.
+"""Plays a scenario in virtual time: the program's request lifecycle and membership with modelled servers.
 
-None of their logic is copied; the clock, the loop and the transport are this file's. A server has two cores,
-works on a unit for `WORK_PER_UNIT_US`, and answers in order of arrival. What an attempt's end proves follows
-the platform's protocol, as `net/endpoint_connection.py` has it: refused connections and full queues never
-ran.
+The lifecycle and the membership are the program's own code; this module supplies the clock, the event loop
+and the transport. A modelled server has `CORE_COUNT` cores, takes `WORK_PER_UNIT_US` for a unit and serves
+requests in order of arrival. The result of an attempt tells whether the request may have run, by the rules of
+the platform's protocol as in `net/endpoint_connection.py`: a request whose connection was refused or that
+met a full queue never ran.
 """
 
 import random
@@ -29,11 +30,11 @@
 from umberlead.scheduling.events import AttemptResult, EndpointStatus
 from umberlead.scheduling.settings import Settings
 
-WORK_PER_UNIT_US = 20_000  # us of work of a unit
+WORK_PER_UNIT_US = 20_000
 CORE_COUNT = 2
 QUEUE_LIMIT = 100
-ROUND_TRIP_US = 500  # us to a server and back
-SETTLING_US = 10_000_000  # us after the last load in which all must be answered
+ROUND_TRIP_US = 500  # network time to a server and back
+SETTLING_US = 10_000_000  # time after the last load in which all requests must be answered
 TIMER_TICK_US = 2000
 RESULTS = {
     "error": AttemptResult.ERROR,
@@ -51,25 +52,32 @@
 
 
 class UnlistedServerError(UmberleadError, ValueError):
-    """Something befalls a server that the list doesn't name at that time; the text tells which."""
+    """A scenario changes a server that is not in the list at that time; the message names both."""
 
 
 @dataclass(slots=True)
 class ServerModel:
-    """A server's state beside what the list says."""
+    """State of a modelled server that is not part of the list."""
 
-    slow: float = 1.0
-    mix: dict[str, float] = field(default_factory=dict)  # outcome and its part
+    slow: float = 1.0  # factor on the work time
+    mix: dict[str, float] = field(default_factory=dict)  # outcome: share of the attempts that end so
     alive: bool = True
     busy: int = 0
     waiting: deque[Callable[[], None]] = field(default_factory=deque)
 
 
 class World:
-    """One front and its servers."""
+    """One front with its modelled servers; acts as the transport of the request lifecycle."""
 
     def __init__(self, settings: Settings, listing: CheckedList, seed: int, explain: bool = False) -> None:
-        """A front with the servers of `listing`; `explain` records what the scheduler saw."""
+        """Sets up a front with the servers of `listing`.
+
+        Args:
+            settings: Settings of the scheduler.
+            listing: The list in force at the start.
+            seed: Seed of the scheduler and of all random draws.
+            explain: Whether to record, at each send or refusal, the state of the candidate servers.
+        """
         self.settings = settings
         self.loop = Loop()
         self.rng = random.Random(seed)
@@ -79,10 +87,10 @@
             settings, seed, lambda: loop.now, self.wheel, loop.soon, Counters(), self._log
         )
         self.lifecycle.transport = self
-        self.addresses: dict[str, Any] = {}  # as a pool has them
+        self.addresses: dict[str, Any] = {}  # the pool's attribute that `apply_change` writes
         self.endpoint_counts: set[Any] | None = None
         self.models: dict[str, ServerModel] = {}
-        self.names: dict[str, str] = {}  # of ids
+        self.names: dict[str, str] = {}  # server name by endpoint id
         self.traces: list[RequestTrace] = []
         self._life: dict[int, RequestTrace] = {}  # by slot of the open ticket's payload
         self.errors: list[str] = []
@@ -103,34 +111,34 @@
         if event == "module_error":
             self.errors.append(str(pairs.get("trace", event)))
 
-    # The list
+    # Membership
 
     def apply_membership(self, change: MembershipChange) -> None:
-        """Applies a membership change to the lifecycle."""
+        """Applies a membership change to the lifecycle and records the names of added servers."""
         apply_change(change, self.lifecycle, self)  # type: ignore[arg-type]
         for member in change.added:
             self.names[member.id] = member.endpoint.name
 
     def close_unlisted(self, addresses: set[Any]) -> None:
-        """A pool would close its idle connections."""
+        """Does nothing: a pool would close its idle connections to unlisted addresses."""
 
     def relist(self, servers: dict[str, EndpointSpec]) -> None:
-        """Puts a new list of servers in force."""
+        """Puts a new list of servers in force; confirms it if it is held back."""
         self._lists += 1
         self._now = servers
         listing = CheckedList(self._lists, f"{self._lists:064d}", dict(servers))
         old = self.membership.file_list.endpoints if self.membership.file_list else {}
         delta = diff_endpoints(old, listing.endpoints)
         change = self.membership.apply_files(self.loop.now, listing, delta, "")
-        if self.membership.pending is not None:  # an expectation asks what happens then, not whether it may
+        if self.membership.pending is not None:  # expectations check routing, not whether a list is accepted
             change = self.membership.confirm(self.loop.now, listing.digest)
         self.apply_membership(change)
 
     def happen(self, of: Happening, lists: dict[str, CheckedList]) -> None:
-        """Applies a scenario's change.
+        """Applies a change of a scenario.
 
         Raises:
-            UnlistedServerError: A server isn't listed at that time.
+            UnlistedServerError: A changed server is not in the list at that time.
         """
         if of.kind == "list":
             return self.relist(dict(lists[of.label].endpoints))
@@ -171,7 +179,7 @@
     def take(
         self, collection: Collection, volume: str, load: Load, shard: int, name: int, key: str
     ) -> RequestTrace:
-        """Hands one request to the lifecycle; its trace."""
+        """Passes one request to the lifecycle; returns its trace, which later events are added to."""
         cls = next(c for c in self.settings.classes if c.name == load.class_name)
         now = self.loop.now
         life = RequestTrace(
@@ -205,7 +213,7 @@
         life.steps.append(TraceStep(self.loop.now - START_US, "answered", "", answer.kind.value, note))
 
     def _observe(self, now: int, acts: list[Action]) -> None:
-        """What the module saw of the candidates as it sent or refused."""
+        """Records the state of the candidate servers for each request that is sent, refused or failed."""
         for act in acts:
             if isinstance(act, Send | Reject | Fail):
                 pending = self.lifecycle.open_requests.find(act.request_id)
@@ -223,7 +231,7 @@
                 continue
             why = []
             if node in head.directory.manual_drains:
-                why.append("out by hand")
+                why.append("manually drained")
             if view.endpoint.status is not EndpointStatus.UP:
                 why.append(view.endpoint.status.value)
             if shard < 0 and view.endpoint.weight == 0:
@@ -234,16 +242,16 @@
                 view.concurrency_limit_units, view.max_concurrency_units()
             ):
                 bound_units = min(view.concurrency_limit_units, view.max_concurrency_units())
-                why.append(f"{view.units_in_flight:g} units out, bound {bound_units:.1f}")
+                why.append(f"{view.units_in_flight:g} units in flight, limit {bound_units:.1f}")
             if view.slow_start_cost_us(now, units) and view.ready_at_us(now, units) > now:
                 why.append("warming up")
             made.append(f"{node}: {', '.join(why) or 'free'}")
         return "; ".join(made[:6]) or f"no server of shard {shard} is listed"
 
-    # The carrier
+    # Transport
 
     def start(self, attempt: Attempt) -> None:
-        """Starts an attempt, as the transport does."""
+        """Sends an attempt to the modelled server."""
         life: RequestTrace = attempt.request.incoming.payload
         name = self.names.get(attempt.endpoint, attempt.endpoint)
         note = self._notes.get(life.id, "")
@@ -255,7 +263,7 @@
             attempt.misdirected = end is AttemptResult.NOT_SENT
             return self.loop.at(self.loop.now + ROUND_TRIP_US, lambda: self._end(attempt, end))
         if end is AttemptResult.TIMEOUT:
-            return None  # silence: the engine stops it
+            return None  # no answer: the lifecycle stops the attempt at its time-out
         job = lambda: self.loop.at(  # noqa: E731
             self.loop.now
             + int(WORK_PER_UNIT_US * model.slow * attempt.request.incoming.units)
@@ -279,7 +287,7 @@
         return AttemptResult.OK
 
     def _worked(self, attempt: Attempt, model: ServerModel, end: AttemptResult) -> None:
-        """A cancel stops nothing: the work is done whoever waits for it."""
+        """Ends the work on a request. Cancelling an attempt does not stop its work on the server."""
         if model.waiting:
             model.waiting.popleft()()
         else:
@@ -299,17 +307,17 @@
         self.loop.soon(lambda: self._end(attempt, why))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
-        """Always false: an attempt is sent at once."""
-        return False  # what is sent is there at once
+        """Always false: an attempt is sent at once, so it is never still unsent."""
+        return False
 
-    # A scenario
+    # Scenario
 
     _first: dict[str, EndpointSpec] = {}
 
     def play(
         self, of: Scenario, collections: dict[str, Collection], lists: dict[str, CheckedList]
     ) -> list[RequestTrace]:
-        """All of a scenario's lives, to the last answer."""
+        """Plays a scenario up to `SETTLING_US` after its last load or change; returns all traces."""
         self._first = dict(self.membership.file_list.endpoints) if self.membership.file_list else {}
         for happening in of.happenings:
             self.loop.at(START_US + happening.at_us, partial(self.happen, happening, lists))
