--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -14,8 +14,8 @@
 from umberlead.routing_tests.grammar import expand_foreach
 from umberlead.routing_tests.language import parse
 from umberlead.routing_tests.model import Expectation, Outcome, RequestTrace, Selector, TraceStep
-from umberlead.routing_tests.proportion import Judged, judge, required_sample_count
-from umberlead.routing_tests.verdict import contradictions, judged, may_have_run, sent_again
+from umberlead.routing_tests.proportion import IntervalPosition, measure_share, required_sample_count
+from umberlead.routing_tests.verdict import contradictions, find_unsafe_resend, judged, may_have_run
 from umberlead.scheduling.settings import Plan, Repeatability, RequestClass, Settings
 
 ROOT = Path(__file__).parent.parent
@@ -125,7 +125,7 @@
 def test_a_second_sending_is_judged_by_what_the_first_proved(text: str, found: bool) -> None:
     """Whatever the configuration says of the class: that may be what is wrong."""
     for cls in ("read", "once"):
-        assert (sent_again(life(text, cls)) is not None) == found
+        assert (find_unsafe_resend(life(text, cls)) is not None) == found
 
 
 def test_an_attempt_that_is_out_may_have_run() -> None:
@@ -158,13 +158,13 @@
 
 
 def test_a_sample_that_cant_tell_is_an_error_and_no_pass() -> None:
-    assert judge(500, 1000, 0.5, 0.05).judged is Judged.INSIDE
-    assert judge(600, 1000, 0.5, 0.05).judged is Judged.OUTSIDE
-    assert judge(5, 10, 0.5, 0.05).judged is Judged.UNDECIDED
-    assert judge(0, 0, 0.5, 0.05).judged is Judged.UNDECIDED
+    assert measure_share(500, 1000, 0.5, 0.05).position is IntervalPosition.INSIDE
+    assert measure_share(600, 1000, 0.5, 0.05).position is IntervalPosition.OUTSIDE
+    assert measure_share(5, 10, 0.5, 0.05).position is IntervalPosition.UNDECIDED
+    assert measure_share(0, 0, 0.5, 0.05).position is IntervalPosition.UNDECIDED
     n = required_sample_count(0.5, 0.05)
-    assert judge(round(n / 2), n, 0.5, 0.05).judged is Judged.INSIDE
-    assert judge(round(n / 4), n // 2, 0.5, 0.05).judged is Judged.UNDECIDED
+    assert measure_share(round(n / 2), n, 0.5, 0.05).position is IntervalPosition.INSIDE
+    assert measure_share(round(n / 4), n // 2, 0.5, 0.05).position is IntervalPosition.UNDECIDED
     of = Expectation("share", Selector(), ("a",), 0.5, 0.05)
     lives = [life("a +ok =served"), life("b +ok =served")] * 5
     got = judged(of, lives, SETTINGS, "s")
@@ -198,29 +198,29 @@
 
 def test_reach_walks_every_sequence_and_finds_the_shortest_that_breaks() -> None:
     """A read may be sent three times whatever became of the others; an upload never after it may have run."""
-    reads = list(reach.walk(reach.Shape("read", "p", 0), SETTINGS, LISTING))
+    reads = list(reach.explore(reach.RequestShape("read", "p", 0), SETTINGS, LISTING))
     ends = {tuple(s.result for s in of.steps if s.kind == "ended") for of in reads}
     assert max(map(len, ends)) == 3 and {s.server for of in reads for s in of.attempts()} == {"a", "c"}
     again = ("error", "reset")  # after a refused link or a full queue a server rests past the aim
     pairs = {e[:2] for e in ends if len(e) == 3}
     assert pairs >= set(itertools.product(again, again))
     assert ("full", "full") not in pairs  # both servers rest: a third try would come too late
-    writes = list(reach.walk(reach.Shape("once", "p", 0), SETTINGS, LISTING))
+    writes = list(reach.explore(reach.RequestShape("once", "p", 0), SETTINGS, LISTING))
     seconds = {of.steps[2].result for of in writes if len(of.attempts()) > 1}
     assert seconds <= {"full", "no_link", "astray"} and {"full", "no_link"} <= seconds
     of = Expectation("may-attempts", Selector(class_name="read", shard=0), limit=2)
-    got = reach.proved(of, SETTINGS, LISTING, {}, "s", {})
+    got = reach.check_all_sequences(of, SETTINGS, LISTING, {}, "s", {})
     assert got.outcome is Outcome.FAILED and "it can be sent 3 times" in got.reason
     assert got.witness is not None and len(got.witness.attempts()) == 3
     only = Expectation("may-only", Selector(shard=1), ("b", "d"))
-    assert reach.proved(only, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.PASSED
+    assert reach.check_all_sequences(only, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.PASSED
     none = Expectation("may-once", Selector(class_name="nobody"))
-    assert reach.proved(none, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.ERROR
+    assert reach.check_all_sequences(none, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.ERROR
 
 
 def test_a_walk_without_end_is_cut_off_and_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reach, "MAX_BRANCH_COUNT", 20)
-    got = reach.proved(Expectation("may-once", Selector()), SETTINGS, LISTING, {}, "s", {})
+    got = reach.check_all_sequences(Expectation("may-once", Selector()), SETTINGS, LISTING, {}, "s", {})
     assert got.outcome is Outcome.ERROR and "more than 20 sequences" in got.reason
 
 
@@ -272,9 +272,9 @@
     row = "at 500ms outcome reset part 40% node-a0 node-b0"
     ready = suites.load(write(tmp_path, LOAD, row, "expect answered-once"))
     scenario = ready.suite.scenarios[0]
-    tracks = [running._track(running.trace_requests(ready, scenario)[0]) for _ in range(2)]
+    tracks = [running._comparable_traces(running.trace_requests(ready, scenario)[0]) for _ in range(2)]
     scenario.seed = 2
-    assert tracks[0] == tracks[1] != running._track(running.trace_requests(ready, scenario)[0])
+    assert tracks[0] == tracks[1] != running._comparable_traces(running.trace_requests(ready, scenario)[0])
 
 
 def test_what_befalls_a_server_that_is_not_listed_then_is_an_error_of_the_suite(tmp_path: Path) -> None:
--- a/tests/test_expect_tools.py
+++ b/tests/test_expect_tools.py
@@ -41,7 +41,7 @@
 
 
 def test_the_same_differs_in_nothing_and_is_not_walked(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("umberlead.routing_tests.altered.walk", lambda *_: pytest.fail("walked"))
+    monkeypatch.setattr("umberlead.routing_tests.altered.explore", lambda *_: pytest.fail("walked"))
     assert told(listing()) == []
 
 
--- a/umberlead/routing_tests/altered.py
+++ b/umberlead/routing_tests/altered.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 
 from umberlead.membership.model import CheckedList, EndpointSpec
-from umberlead.routing_tests.reach import Shape, TooManyBranchesError, walk
+from umberlead.routing_tests.reach import RequestShape, TooManyBranchesError, explore
 from umberlead.scheduling.events import EndpointStatus
 from umberlead.scheduling.settings import Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Reach:
+class ReachableResults:
     """What can happen to a request of one shape, over all sequences of attempt results."""
 
     servers: frozenset[str] = frozenset()
@@ -24,24 +24,24 @@
     answers: frozenset[str] = frozenset()  # the kinds of answer that occur
 
     @staticmethod
-    def of(shape: Shape, settings: Settings, listing: CheckedList) -> "Reach":
+    def of(shape: RequestShape, settings: Settings, listing: CheckedList) -> "ReachableResults":
         """Explores every sequence of attempt results of a shape."""
         servers = set[str]()
         attempts = 0
         answers = set[str]()
-        for life in walk(shape, settings, listing):
-            sent = life.attempts()
+        for trace in explore(shape, settings, listing):
+            sent = trace.attempts()
             servers |= {step.server for step in sent}
             attempts = max(attempts, len(sent))
-            answers |= {step.result for step in life.answers()}
-        return Reach(frozenset(servers), attempts, frozenset(answers))
+            answers |= {step.result for step in trace.answers()}
+        return ReachableResults(frozenset(servers), attempts, frozenset(answers))
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
     """One difference in routing, for one or several shapes of request, or in a class or plan."""
 
-    what: str
+    subject: str
     gained: tuple[str, ...] = ()  # servers that only the new side can send to
     lost: tuple[str, ...] = ()  # servers that only the old side can send to
     notes: tuple[str, ...] = ()
@@ -50,12 +50,12 @@
         """The difference in one line."""
         parts = [f"+ {' '.join(self.gained)}"] * bool(self.gained)
         parts += [f"- {' '.join(self.lost)}"] * bool(self.lost)
-        return f"{self.what}: " + "; ".join([*parts, *self.notes])
+        return f"{self.subject}: " + "; ".join([*parts, *self.notes])
 
     def row(self) -> dict[str, object]:
         """The difference as `--json` prints it."""
         return {
-            "what": self.what,
+            "what": self.subject,
             "gained": list(self.gained),
             "lost": list(self.lost),
             "notes": list(self.notes),
@@ -65,16 +65,20 @@
 Side = tuple[Settings, CheckedList]
 
 
-def _of_shard(listing: CheckedList, shard: int) -> dict[str, EndpointSpec]:
+def _endpoints_of_shard(listing: CheckedList, shard: int) -> dict[str, EndpointSpec]:
     return {n: s for n, s in listing.endpoints.items() if s.shard == shard}
 
 
 def differences(old: Side, new: Side) -> list[Difference]:
     """Lists the differences: classes and plans, then new objects, then shards; empty if there are none."""
-    return [*_words(old[0], new[0]), *_new_objects(old, new), *_shards(old, new)]
+    return [
+        *_changed_definitions(old[0], new[0]),
+        *_new_object_differences(old, new),
+        *_shard_differences(old, new),
+    ]
 
 
-def _words(old: Settings, new: Settings) -> Iterator[Difference]:
+def _changed_definitions(old: Settings, new: Settings) -> Iterator[Difference]:
     """Yields the classes and plans that only one side has or whose fields differ."""
     for kind, before, after in (
         ("class", {c.name: c for c in old.classes}, {c.name: c for c in new.classes}),
@@ -88,7 +92,7 @@
             elif a != b:
                 changed = [f for f in a.__dataclass_fields__ if getattr(a, f) != getattr(b, f)]
                 notes = tuple(
-                    f"{PRINTED_FIELDS.get(f, f)} {_told(getattr(a, f))} -> {_told(getattr(b, f))}"
+                    f"{PRINTED_FIELDS.get(f, f)} {_printed(getattr(a, f))} -> {_printed(getattr(b, f))}"
                     for f in changed
                 )
                 yield Difference(f"{kind} {name}", notes=notes)
@@ -112,12 +116,12 @@
 }
 
 
-def _told(value: object) -> str:
+def _printed(value: object) -> str:
     return str(getattr(value, "value", value))
 
 
-def _new_objects(old: Side, new: Side) -> Iterator[Difference]:
-    before, after = (_parts(listing) for _, listing in (old, new))
+def _new_object_differences(old: Side, new: Side) -> Iterator[Difference]:
+    before, after = (_weight_shares(listing) for _, listing in (old, new))
     gained = sorted(set(after) - set(before))
     lost = sorted(set(before) - set(after))
     notes = [
@@ -126,37 +130,41 @@
         if abs(before[name] - after[name]) > 0.0005
     ]
     if gained or lost or notes:
-        more = [f"and {len(notes) - 8} more"] if len(notes) > 8 else []
-        yield Difference("new objects", tuple(gained), tuple(lost), (*notes[:8], *more))
+        omitted = [f"and {len(notes) - 8} more"] if len(notes) > 8 else []
+        yield Difference("new objects", tuple(gained), tuple(lost), (*notes[:8], *omitted))
 
 
-def _parts(listing: CheckedList) -> dict[str, float]:
+def _weight_shares(listing: CheckedList) -> dict[str, float]:
     """The servers that accept new objects, and the share of new objects of each while all are available."""
-    takes = {
+    weights = {
         n: 1.0 if s.weight is None else s.weight
         for n, s in listing.endpoints.items()
         if s.status is EndpointStatus.UP and s.weight != 0
     }
-    whole = sum(takes.values())
-    return {n: w / whole for n, w in takes.items()}
+    total_weight = sum(weights.values())
+    return {n: w / total_weight for n, w in weights.items()}
 
 
-def _shards(old: Side, new: Side) -> Iterator[Difference]:
+def _shard_differences(old: Side, new: Side) -> Iterator[Difference]:
     shards = sorted({s.shard for _, listing in (old, new) for s in listing.endpoints.values()})
     if old[0] == new[0]:
-        shards = [n for n in shards if _of_shard(old[1], n) != _of_shard(new[1], n)]
+        shards = [n for n in shards if _endpoints_of_shard(old[1], n) != _endpoints_of_shard(new[1], n)]
     classes = [c.name for c in old[0].classes if c.name in {k.name for k in new[0].classes}]
     plans = [p.name for p in old[0].plans if p.name in {k.name for k in new[0].plans}]
     for shard in shards:
-        alike: dict[tuple[Reach, Reach], list[tuple[str, str]]] = {}
+        pairs_by_change: dict[tuple[ReachableResults, ReachableResults], list[tuple[str, str]]] = {}
         for class_name in classes:
             for plan in plans:
-                shape = Shape(class_name, plan, shard)
-                pair = _reach(shape, *old), _reach(shape, *new)
-                if pair[0] != pair[1]:
-                    alike.setdefault(pair, []).append((class_name, plan))
-        for (a, b), who in alike.items():
-            of = "any request" if len(who) == len(classes) * len(plans) else ", ".join(_named(who, plans))
+                shape = RequestShape(class_name, plan, shard)
+                change = _reachable_results(shape, *old), _reachable_results(shape, *new)
+                if change[0] != change[1]:
+                    pairs_by_change.setdefault(change, []).append((class_name, plan))
+        for (a, b), pairs in pairs_by_change.items():
+            requests = (
+                "any request"
+                if len(pairs) == len(classes) * len(plans)
+                else ", ".join(_name_pairs(pairs, plans))
+            )
             notes = []
             if a.attempts != b.attempts:
                 notes.append(f"at most {a.attempts} -> {b.attempts} attempts")
@@ -166,26 +174,26 @@
                 notes.append("no server can serve it")
             gained = tuple(sorted(b.servers - a.servers))
             lost = tuple(sorted(a.servers - b.servers))
-            yield Difference(f"{of}, shard {shard}", gained, lost, tuple(notes))
+            yield Difference(f"{requests}, shard {shard}", gained, lost, tuple(notes))
 
 
-def _named(who: list[tuple[str, str]], plans: list[str]) -> list[str]:
+def _name_pairs(pairs: list[tuple[str, str]], plans: list[str]) -> list[str]:
     """Names the pairs of class and plan; a class with all plans is named without them."""
     by_class: dict[str, list[str]] = {}
-    for class_name, plan in who:
+    for class_name, plan in pairs:
         by_class.setdefault(class_name, []).append(plan)
     return [
-        name if len(of) == len(plans) else " and ".join(f"{name} on {plan}" for plan in of)
-        for name, of in by_class.items()
+        name if len(class_plans) == len(plans) else " and ".join(f"{name} on {plan}" for plan in class_plans)
+        for name, class_plans in by_class.items()
     ]
 
 
-def _reach(shape: Shape, settings: Settings, listing: CheckedList) -> Reach:
+def _reachable_results(shape: RequestShape, settings: Settings, listing: CheckedList) -> ReachableResults:
     """Explores a shape with the servers of its shard only, since requests go to no others."""
-    own = _of_shard(listing, shape.shard)
-    if not own:
-        return Reach()
+    endpoints = _endpoints_of_shard(listing, shape.shard)
+    if not endpoints:
+        return ReachableResults()
     try:
-        return Reach.of(shape, settings, CheckedList(listing.version, listing.digest, own))
-    except TooManyBranchesError as fault:
-        raise TooManyBranchesError(f"{fault}: the difference can't be determined") from None
+        return ReachableResults.of(shape, settings, CheckedList(listing.version, listing.digest, endpoints))
+    except TooManyBranchesError as error:
+        raise TooManyBranchesError(f"{error}: the difference can't be determined") from None
--- a/umberlead/routing_tests/grammar.py
+++ b/umberlead/routing_tests/grammar.py
@@ -165,13 +165,13 @@
         Raises:
             InvalidValueError: A condition is given twice.
         """
-        found: dict[str, Any] = {}
+        conditions: dict[str, Any] = {}
         for key, value, token in children:
-            if key in found:
+            if key in conditions:
                 name = key.removesuffix("_us")  # the message names the condition without its unit
                 raise InvalidValueError(token, f"{name} is given twice")
-            found[key] = value
-        return Selector(**found)
+            conditions[key] = value
+        return Selector(**conditions)
 
     plan = _condition("plan")
     of = _condition("collection")
@@ -214,23 +214,23 @@
     Raises:
         SuiteError: `foreach` is nested too deep or has too many values.
     """
-    found = FOREACH.fullmatch(text)
-    if found is None:
+    header = FOREACH.fullmatch(text)
+    if header is None:
         yield text
         return
     if depth >= FOREACH_DEPTH_LIMIT:
         raise SuiteError(f"foreach is nested more than {FOREACH_DEPTH_LIMIT} deep")
-    name, values, statement = found.groups()
-    result: list[str] = []
+    name, values, statement = header.groups()
+    expanded: list[str] = []
     for value in values.split():
         match = RANGE.fullmatch(value)
         if match is None:
-            result.append(value)
+            expanded.append(value)
             continue
         low = int(match[1])
         high = int(match[2])
         if high - low > MAX_STATEMENT_COUNT:
             raise SuiteError(f"{value} stands for more than {MAX_STATEMENT_COUNT} values")
-        result += map(str, range(low, high + 1))
-    for value in result:
+        expanded += map(str, range(low, high + 1))
+    for value in expanded:
         yield from expand_foreach(statement.replace("{" + name + "}", value), depth + 1)
--- a/umberlead/routing_tests/language.py
+++ b/umberlead/routing_tests/language.py
@@ -56,30 +56,32 @@
         self.count = 0
         self.closed = False
 
-    def bad(self, place: FilePosition, why: str, near: str = "", code: str = "E101") -> None:
+    def add_problem(
+        self, place: FilePosition, message: str, suggestion: str = "", code: str = "E101"
+    ) -> None:
         """Adds a problem."""
-        self.problems.append(ListProblem(code, place, why, near))
+        self.problems.append(ListProblem(code, place, message, suggestion))
 
     @property
     def scenario(self) -> Scenario | None:
         """The scenario that statements belong to now."""
         return self.suite.scenarios[-1] if self.suite.scenarios else None
 
-    def take(self, got: Tree[Token], place: FilePosition, text: str) -> None:
+    def add_statement(self, tree: Tree[Token], place: FilePosition, text: str) -> None:
         """Adds one statement to the suite; an invalid statement is recorded as a problem."""
-        kind = str(got.data)
+        kind = str(tree.data)
         if self.count == 1 and kind != "format":
-            self.bad(place, f"the first statement must be 'format {FORMAT}'")
-        words = got.children
+            self.add_problem(place, f"the first statement must be 'format {FORMAT}'")
+        words = tree.children
         if kind in ("load", "at", "expect", "fleet", "day") and self.scenario is None:
-            self.bad(place, f"{kind} must come after a scenario statement")
+            self.add_problem(place, f"{kind} must come after a scenario statement")
         elif kind in ("config", "list", "collection", "group") and self.scenario is not None:
-            self.bad(place, f"{kind} must come before the first scenario")
+            self.add_problem(place, f"{kind} must come before the first scenario")
         else:
             try:
                 getattr(self, f"on_{kind}")(words, place, text)
             except ValueError as error:
-                self.bad(place, str(error))
+                self.add_problem(place, str(error))
 
     def on_format(self, words: list[Any], place: FilePosition, text: str) -> None:
         """Checks the format number."""
@@ -99,29 +101,31 @@
         name = f"@{str(words[0]).lstrip('@')}"
         if name in self.suite.groups:
             raise SuiteError(f"group {name} is given twice")
-        self.suite.groups[name] = self.names(words[1:])
+        self.suite.groups[name] = self.expand_groups(words[1:])
 
-    def names(self, words: list[Any]) -> tuple[str, ...]:
+    def expand_groups(self, words: list[Any]) -> tuple[str, ...]:
         """Replaces each group by its members and drops duplicates."""
-        made: dict[str, None] = {}
+        members: dict[str, None] = {}
         for word in map(str, words):
             if word.startswith("@"):
                 if word not in self.suite.groups:
                     raise SuiteError(f"there is no group {word}")
-                made |= dict.fromkeys(self.suite.groups[word])
+                members |= dict.fromkeys(self.suite.groups[word])
             else:
-                made[word] = None
-        return tuple(made)
+                members[word] = None
+        return tuple(members)
 
     def on_collection(self, words: list[Any], place: FilePosition, text: str) -> None:
         """Adds a collection."""
         name, plan, shards, volumes, hosts = words
         if str(name) in self.suite.collections:
             raise SuiteError(f"collection {name} is given twice")
-        made = Collection(str(name), str(plan), parse_numbers(shards), int(volumes or 1), int(hosts or 1))
-        if not made.volumes or not made.hosts:
+        collection = Collection(
+            str(name), str(plan), parse_numbers(shards), int(volumes or 1), int(hosts or 1)
+        )
+        if not collection.volumes or not collection.hosts:
             raise SuiteError("volumes and hosts must be at least 1")
-        self.suite.collections[made.name] = made
+        self.suite.collections[collection.name] = collection
 
     def on_scenario(self, words: list[Any], place: FilePosition, text: str) -> None:
         """Starts a new scenario."""
@@ -133,10 +137,10 @@
     def on_fleet(self, words: list[Any], place: FilePosition, text: str) -> None:
         """Sets the fleet of the current scenario."""
         assert self.scenario is not None
-        of = self.scenario
-        if of.fleet is not None:
+        scenario = self.scenario
+        if scenario.fleet is not None:
             raise SuiteError("the scenario has a fleet already")
-        if of.loads or of.happenings or of.expectations:
+        if scenario.loads or scenario.happenings or scenario.expectations:
             raise SuiteError("fleet must be the first statement of its scenario")
         servers = int(words[0])
         fronts = int(words[1])
@@ -148,13 +152,13 @@
         copies = int(words[3] or 1)
         if not 0 < copies <= rooms or servers % copies:
             raise SuiteError("copies must not exceed the rooms, and servers must be a multiple of copies")
-        of.fleet = Fleet(servers, fronts, rooms, copies=copies, place=place)
+        scenario.fleet = Fleet(servers, fronts, rooms, copies=copies, place=place)
 
     def on_day(self, words: list[Any], place: FilePosition, text: str) -> None:
         """Sets the length and load of the fleet's day."""
         assert self.scenario is not None
-        of = self.scenario.fleet
-        if of is None:
+        fleet = self.scenario.fleet
+        if fleet is None:
             raise SuiteError("day stands before any fleet")
         seconds = float(words[0])
         load = parse_ratio(words[1])
@@ -162,18 +166,18 @@
         if not (0 < seconds <= 3600 and 0 < load <= 10):
             raise SuiteError("a day has up to 3600 seconds and a load above 0")
         retries = None if words[3] is None else int(words[3])
-        self.scenario.fleet = replace(of, seconds=seconds, load=load, excess=excess, retries=retries)
+        self.scenario.fleet = replace(fleet, seconds=seconds, load=load, excess=excess, retries=retries)
 
     def on_load(self, words: list[Any], place: FilePosition, text: str) -> None:
         """Adds a load to the current scenario."""
         if self.scenario is not None and self.scenario.fleet is not None:
             raise SuiteError("load is not allowed with a fleet: its load is set by day")
-        name, cls, rate, begin, end, units, new = words
+        name, class_name, rate, begin, end, units, new = words
         if str(name) not in self.suite.collections:
             raise SuiteError(f"there is no collection {name}")
-        made = Load(
+        load = Load(
             str(name),
-            str(cls),
+            str(class_name),
             float(rate),
             parse_duration_us(begin),
             parse_duration_us(end),
@@ -181,116 +185,140 @@
             new is not None,
             place,
         )
-        if made.end_us <= made.begin_us or not made.requests_per_second:
+        if load.end_us <= load.begin_us or not load.requests_per_second:
             raise SuiteError("the load is empty")
-        if made.requests_per_second * (made.end_us - made.begin_us) / 1e6 > 1e6:
+        if load.requests_per_second * (load.end_us - load.begin_us) / 1e6 > 1e6:
             raise SuiteError("the load has more than a million requests")
         assert self.scenario is not None
-        self.scenario.loads.append(made)
+        self.scenario.loads.append(load)
 
     def on_at(self, words: list[Any], place: FilePosition, text: str) -> None:
         """Adds a change at a time to the current scenario."""
-        when = parse_duration_us(words[0])
+        at_us = parse_duration_us(words[0])
         tree = words[1]
         assert self.scenario is not None
         kind = str(tree.data)
-        of = tree.children
-        fleet = self.scenario.fleet is not None
-        if kind in FLEET_ONLY and not fleet:
+        arguments = tree.children
+        has_fleet = self.scenario.fleet is not None
+        if kind in FLEET_ONLY and not has_fleet:
             raise SuiteError(f"{kind} belongs in a scenario with a fleet")
-        if kind == "newlist" and fleet:
+        if kind == "newlist" and has_fleet:
             raise SuiteError("a fleet's lists are its own: it takes no list file")
-        made = Happening(when, kind, place=place)
+        happening = Happening(at_us, kind, place=place)
         change = self._fleet_change if kind in FLEET_ONLY else self._server_change
-        made = replace(made, **change(kind, of))
-        if kind not in ("newlist", "state", "deploy", "kill") and of[-1] is not None:
-            made = replace(made, until_us=when + parse_duration_us(of[-1]))
-        self.scenario.happenings.append(made)
+        happening = replace(happening, **change(kind, arguments))
+        if kind not in ("newlist", "state", "deploy", "kill") and arguments[-1] is not None:
+            happening = replace(happening, until_us=at_us + parse_duration_us(arguments[-1]))
+        self.scenario.happenings.append(happening)
 
-    def _server_change(self, kind: str, of: list[Any]) -> dict[str, Any]:
+    def _server_change(self, kind: str, arguments: list[Any]) -> dict[str, Any]:
         """The `Happening` fields of a change that is allowed in every scenario."""
         if kind == "newlist":
-            return {"kind": "list", "label": str(of[0])}
+            return {"kind": "list", "label": str(arguments[0])}
         if kind == "state":
-            return {"kind": str(of[0]), "servers": self.names(of[1:])}
+            return {"kind": str(arguments[0]), "servers": self.expand_groups(arguments[1:])}
         if kind == "slow":
-            return {"servers": self.names(of[1]), "value": float(of[0])}
+            return {"servers": self.expand_groups(arguments[1]), "value": float(arguments[0])}
         assert kind == "outcome", kind
-        return {"servers": self.names(of[2]), "value": parse_ratio(of[1]), "label": str(of[0])}
+        return {
+            "servers": self.expand_groups(arguments[2]),
+            "value": parse_ratio(arguments[1]),
+            "label": str(arguments[0]),
+        }
 
-    def _fleet_change(self, kind: str, of: list[Any]) -> dict[str, Any]:
+    def _fleet_change(self, kind: str, arguments: list[Any]) -> dict[str, Any]:
         """The `Happening` fields of a change that needs a fleet."""
         if kind in ("neighbour", "lag", "kill"):
-            return self._fleet_server_change(kind, of)
+            return self._fleet_server_change(kind, arguments)
         if kind == "surge":
-            return {"value": parse_ratio(of[0])}
+            return {"value": parse_ratio(arguments[0])}
         if kind == "costly":
-            return {"label": str(of[0]), "value": parse_ratio(of[1]), "parameters": (float(of[2]),)}
+            return {
+                "label": str(arguments[0]),
+                "value": parse_ratio(arguments[1]),
+                "parameters": (float(arguments[2]),),
+            }
         if kind == "deploy":
-            more = (parse_ratio(of[1]), parse_duration_us(of[2]), parse_duration_us(of[3]))
-            return {"value": parse_ratio(of[0]), "parameters": more}
+            parameters = (
+                parse_ratio(arguments[1]),
+                parse_duration_us(arguments[2]),
+                parse_duration_us(arguments[3]),
+            )
+            return {"value": parse_ratio(arguments[0]), "parameters": parameters}
         if kind in ("cut", "dark"):
-            return {"value": int(of[0])}
+            return {"value": int(arguments[0])}
         if kind == "lists":
-            return {"label": str(of[0]), "value": parse_duration_us(of[1]) if len(of) == 3 else 0}
+            return {
+                "label": str(arguments[0]),
+                "value": parse_duration_us(arguments[1]) if len(arguments) == 3 else 0,
+            }
         if kind == "clock":
-            return {"value": parse_duration_us(of[1]) * (1 if of[0] == "ahead" else -1)}
+            return {"value": parse_duration_us(arguments[1]) * (1 if arguments[0] == "ahead" else -1)}
         assert kind == "collector", kind
         return {}
 
-    def _fleet_server_change(self, kind: str, of: list[Any]) -> dict[str, Any]:
+    def _fleet_server_change(self, kind: str, arguments: list[Any]) -> dict[str, Any]:
         """The `Happening` fields of a change to some servers of a fleet."""
         if kind == "neighbour":
-            return {"servers": self.names(of[1]), "value": parse_ratio(of[0])}
+            return {"servers": self.expand_groups(arguments[1]), "value": parse_ratio(arguments[0])}
         if kind == "lag":
-            more = (parse_duration_us(of[0]),)
-            return {"servers": self.names(of[2]), "value": parse_ratio(of[1]), "parameters": more}
+            parameters = (parse_duration_us(arguments[0]),)
+            return {
+                "servers": self.expand_groups(arguments[2]),
+                "value": parse_ratio(arguments[1]),
+                "parameters": parameters,
+            }
         assert kind == "kill", kind
-        return {"servers": self.names(of[0])}
+        return {"servers": self.expand_groups(arguments[0])}
 
     def on_expect(self, words: list[Any], place: FilePosition, text: str) -> None:
         """Adds an expectation to the current scenario."""
         tree = words[0]
         kind = str(tree.data)
-        of = tree.children
+        arguments = tree.children
         assert self.scenario is not None
 
-        def add(rule: str, selector: Selector, **more: Any) -> None:
+        def add(rule: str, selector: Selector, **fields: Any) -> None:
             assert self.scenario is not None
-            made = Expectation(rule, selector, text=text.strip(), place=place, **more)
-            self.scenario.expectations.append(made)
+            expectation = Expectation(rule, selector, text=text.strip(), place=place, **fields)
+            self.scenario.expectations.append(expectation)
 
         if kind == "service":
             if self.scenario.fleet is None:
                 raise SuiteError("service belongs in a scenario with a fleet")
-            add("service", Selector(), limit=parse_ratio(of[0]))
+            add("service", Selector(), limit=parse_ratio(arguments[0]))
         elif kind == "routed":
-            after = parse_duration_us(of[-1]) if of[-1] is not None else 0
-            add(str(of[1]), of[0], servers=self.names(of[2:-1]), after_us=after)
+            after_us = parse_duration_us(arguments[-1]) if arguments[-1] is not None else 0
+            add(
+                str(arguments[1]),
+                arguments[0],
+                servers=self.expand_groups(arguments[2:-1]),
+                after_us=after_us,
+            )
         elif kind == "attempts":
-            add("attempts", of[0], limit=int(of[1]))
+            add("attempts", arguments[0], limit=int(arguments[1]))
         elif kind == "once":
-            add("once", of[0])
+            add("once", arguments[0])
         elif kind == "within":
-            add("within", of[0], limit=parse_duration_us(of[1]))
+            add("within", arguments[0], limit=parse_duration_us(arguments[1]))
         elif kind == "prompt":
-            add("prompt", of[0], limit=parse_duration_us(of[1]))
+            add("prompt", arguments[0], limit=parse_duration_us(arguments[1]))
         elif kind == "ends":
-            add(str(of[1]), of[0])
+            add(str(arguments[1]), arguments[0])
         elif kind == "share":
             add(
                 "share",
-                of[0],
-                servers=self.names(of[1]),
-                limit=parse_ratio(of[2]),
-                tolerance=parse_ratio(of[3]),
+                arguments[0],
+                servers=self.expand_groups(arguments[1]),
+                limit=parse_ratio(arguments[2]),
+                tolerance=parse_ratio(arguments[3]),
             )
-        elif len(of) == 1:
-            add("may-once", of[0])
-        elif of[1].type == "INT":
-            add("may-attempts", of[0], limit=int(of[1]))
+        elif len(arguments) == 1:
+            add("may-once", arguments[0])
+        elif arguments[1].type == "INT":
+            add("may-attempts", arguments[0], limit=int(arguments[1]))
         else:
-            add(f"may-{of[1]}", of[0], servers=self.names(of[2:]))
+            add(f"may-{arguments[1]}", arguments[0], servers=self.expand_groups(arguments[2:]))
 
     def on_end(self, words: list[Any], place: FilePosition, text: str) -> None:
         """Ends the suite and checks the statement count."""
@@ -304,45 +332,45 @@
 
     The count on the closing line counts a `foreach` line as one statement.
     """
-    of = _Builder(file)
-    total = 0
+    builder = _Builder(file)
+    expanded_count = 0
     lines = text.split("\n")
     if lines.pop():
-        of.bad(
+        builder.add_problem(
             FilePosition(file, len(lines) + 1),
             "the last line has no newline: the file may be half written",
             code="E103",
         )
-    for number, row in enumerate(lines, 1):
-        plain = row.split("#")[0]
-        if not plain.strip():
+    for number, raw_line in enumerate(lines, 1):
+        statement = raw_line.split("#")[0]
+        if not statement.strip():
             continue
-        of.count += 1
-        place = FilePosition(file, number, len(row) - len(row.lstrip()) + 1)
-        if of.closed:
-            of.bad(place, "there is a statement after the closing line")
+        builder.count += 1
+        place = FilePosition(file, number, len(raw_line) - len(raw_line.lstrip()) + 1)
+        if builder.closed:
+            builder.add_problem(place, "there is a statement after the closing line")
             continue
         try:
-            for line in expand_foreach(plain):
-                total += 1
-                if total > MAX_STATEMENT_COUNT:
-                    of.bad(place, f"the suite has more than {MAX_STATEMENT_COUNT} statements")
-                    return of.suite, of.problems
-                got = parse_statement(line)
-                if isinstance(got, tuple):
-                    where = f" in {line.strip()!r}" if line != plain else ""
-                    of.bad(FilePosition(file, number, got[1]), got[2] + where, got[3])
+            for line in expand_foreach(statement):
+                expanded_count += 1
+                if expanded_count > MAX_STATEMENT_COUNT:
+                    builder.add_problem(place, f"the suite has more than {MAX_STATEMENT_COUNT} statements")
+                    return builder.suite, builder.problems
+                parsed = parse_statement(line)
+                if isinstance(parsed, tuple):
+                    context = f" in {line.strip()!r}" if line != statement else ""
+                    builder.add_problem(FilePosition(file, number, parsed[1]), parsed[2] + context, parsed[3])
                     break
-                if str(got.data) == "scenario":
-                    of.on_scenario(got.children, place, line)
+                if str(parsed.data) == "scenario":
+                    builder.on_scenario(parsed.children, place, line)
                 else:
-                    of.take(got, place, line)
+                    builder.add_statement(parsed, place, line)
         except ValueError as error:
-            of.bad(place, str(error))
-    if not of.closed:
-        of.bad(
+            builder.add_problem(place, str(error))
+    if not builder.closed:
+        builder.add_problem(
             FilePosition(file, len(lines) + 1),
             "there is no closing line 'end N': the file may be half written",
             code="E102",
         )
-    return of.suite, of.problems
+    return builder.suite, builder.problems
--- a/umberlead/routing_tests/model.py
+++ b/umberlead/routing_tests/model.py
@@ -88,11 +88,11 @@
 
     def describe(self) -> str:
         """The conditions in the syntax of the suite."""
-        made = [f"{k} {v}" for k, v in (("class", self.class_name), ("plan", self.plan)) if v]
-        made += [f"collection {self.collection}"] if self.collection else []
-        made += [f"shard {self.shard}"] if self.shard is not None else []
-        made += ["new"] if self.new else []
-        return " ".join(made) or "all"
+        conditions = [f"{k} {v}" for k, v in (("class", self.class_name), ("plan", self.plan)) if v]
+        conditions += [f"collection {self.collection}"] if self.collection else []
+        conditions += [f"shard {self.shard}"] if self.shard is not None else []
+        conditions += ["new"] if self.new else []
+        return " ".join(conditions) or "all"
 
 
 @dataclass(frozen=True, slots=True)
--- a/umberlead/routing_tests/proportion.py
+++ b/umberlead/routing_tests/proportion.py
@@ -10,7 +10,7 @@
 )
 
 
-class Judged(Enum):
+class IntervalPosition(Enum):
     """Position of the confidence interval relative to the tolerated range."""
 
     INSIDE = "inside"
@@ -19,10 +19,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class MeasuredShare:
     """A measured share with its confidence interval."""
 
-    judged: Judged
+    position: IntervalPosition
     measured: float
     low: float
     high: float
@@ -34,35 +34,42 @@
         return f"measured {self.measured:.2%} of {self.sample_count} ({interval})"
 
 
-def judge(hits: int, sample: int, want: float, tolerance: float) -> Share:
-    """Compares the Wilson score interval of a sample with `want` plus or minus `tolerance`.
+def measure_share(hit_count: int, sample_count: int, expected: float, tolerance: float) -> MeasuredShare:
+    """Compares the Wilson score interval of a sample with `expected` plus or minus `tolerance`.
 
     The interval lies inside or outside of that range, or overlaps its edge; then the result is undecided, and
     more requests or a wider tolerance are needed.
     """
-    if not sample:
-        return Share(Judged.UNDECIDED, 0.0, 0.0, 1.0, 0)
-    found = binomtest(hits, sample).proportion_ci(CONFIDENCE_PROBABILITY, "wilson")
-    low = float(found.low)
-    high = float(found.high)
-    if want - tolerance <= low and high <= want + tolerance:
-        judged = Judged.INSIDE
-    elif high < want - tolerance or low > want + tolerance:
-        judged = Judged.OUTSIDE
+    if not sample_count:
+        return MeasuredShare(IntervalPosition.UNDECIDED, 0.0, 0.0, 1.0, 0)
+    interval = binomtest(hit_count, sample_count).proportion_ci(CONFIDENCE_PROBABILITY, "wilson")
+    low = float(interval.low)
+    high = float(interval.high)
+    if expected - tolerance <= low and high <= expected + tolerance:
+        position = IntervalPosition.INSIDE
+    elif high < expected - tolerance or low > expected + tolerance:
+        position = IntervalPosition.OUTSIDE
     else:
-        judged = Judged.UNDECIDED
-    return Share(judged, hits / sample, low, high, sample)
+        position = IntervalPosition.UNDECIDED
+    return MeasuredShare(position, hit_count / sample_count, low, high, sample_count)
 
 
-def required_sample_count(want: float, tolerance: float) -> int:
-    """About how many requests it takes to confirm a share that is exactly `want`, within `tolerance`."""
+def required_sample_count(expected: float, tolerance: float) -> int:
+    """About how many requests it takes to confirm a share that is exactly `expected`, within `tolerance`."""
     low = 1
     high = 1
-    while judge(round(want * high), high, want, tolerance).judged is not Judged.INSIDE and high < 1 << 24:
+    while (
+        measure_share(round(expected * high), high, expected, tolerance).position
+        is not IntervalPosition.INSIDE
+        and high < 1 << 24
+    ):
         low = high
         high = high * 2
     while low + 1 < high:
         middle = (low + high) // 2
-        inside = judge(round(want * middle), middle, want, tolerance).judged is Judged.INSIDE
+        inside = (
+            measure_share(round(expected * middle), middle, expected, tolerance).position
+            is IntervalPosition.INSIDE
+        )
         low, high = (low, middle) if inside else (middle, high)
     return high
--- a/umberlead/routing_tests/reach.py
+++ b/umberlead/routing_tests/reach.py
@@ -1,9 +1,9 @@
 """Explores every sequence of attempt results of one request, up to its last attempt.
 
 Covered: one request of each matching class, plan and shard, alone on idle servers of the list in force, with
-each attempt ending with each of the seven results in `ENDS`. Not covered: effects of load (concurrency
-limits, priority weights, reserves), concurrent requests, and list changes during an attempt. Each sequence is
-replayed from its start, so that the state of the lifecycle need not be copied.
+each attempt ending with each of the seven results in `ATTEMPT_RESULTS`. Not covered: effects of load
+(concurrency limits, priority weights, reserves), concurrent requests, and list changes during an attempt.
+Each sequence is replayed from its start, so that the state of the lifecycle need not be copied.
 """
 
 from collections.abc import Iterator
@@ -20,12 +20,12 @@
     Selector,
     Verdict,
 )
-from umberlead.routing_tests.verdict import sent_again
+from umberlead.routing_tests.verdict import find_unsafe_resend
 from umberlead.routing_tests.world import SETTLING_US, START_US, ServerModel, World
 from umberlead.scheduling.events import AttemptResult
 from umberlead.scheduling.settings import Settings
 
-ENDS = (
+ATTEMPT_RESULTS = (
     AttemptResult.OK,
     AttemptResult.ERROR,
     AttemptResult.REJECTED,
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class RequestShape:
     """Class, plan and shard of a request."""
 
     class_name: str
@@ -54,25 +54,25 @@
     """A shape of request has more than `MAX_BRANCH_COUNT` sequences of attempt results."""
 
 
-class _Scripted(World):
+class _ScriptedWorld(World):
     """A world whose attempts end with the given results, in order; further attempts wait."""
 
-    def __init__(self, settings: Settings, listing: CheckedList, ends: tuple[AttemptResult, ...]) -> None:
+    def __init__(self, settings: Settings, listing: CheckedList, results: tuple[AttemptResult, ...]) -> None:
         super().__init__(settings, listing, 1, explain=True)
-        self.ends = ends
+        self.results = results
         self.used_count = 0
         self.draw_count = 0
 
-    def _drawn(self, model: ServerModel) -> AttemptResult:
+    def _draw_result(self, model: ServerModel) -> AttemptResult:
         self.draw_count += 1
-        if self.used_count < len(self.ends):
+        if self.used_count < len(self.results):
             self.used_count += 1
-            return self.ends[self.used_count - 1]
+            return self.results[self.used_count - 1]
         return AttemptResult.OK
 
 
-def walk(
-    shape: Shape, settings: Settings, listing: CheckedList, units: float = 1.0
+def explore(
+    shape: RequestShape, settings: Settings, listing: CheckedList, units: float = 1.0
 ) -> Iterator[RequestTrace]:
     """Yields the trace of a request of this shape for each sequence of attempt results.
 
@@ -81,90 +81,94 @@
     """
     collection = Collection("reach", shape.plan, (max(shape.shard, 0),))
     load = Load("reach", shape.class_name, 1.0, 0, 1, units, shape.shard < 0)
-    stack: list[tuple[AttemptResult, ...]] = [(end,) for end in ENDS]
-    seen = 0
+    stack: list[tuple[AttemptResult, ...]] = [(end,) for end in ATTEMPT_RESULTS]
+    sequence_count = 0
     while stack:
-        ends = stack.pop()
-        seen += 1
-        if seen > MAX_BRANCH_COUNT:
+        results = stack.pop()
+        sequence_count += 1
+        if sequence_count > MAX_BRANCH_COUNT:
             raise TooManyBranchesError(
                 f"{shape.describe()}: more than {MAX_BRANCH_COUNT} sequences of outcomes"
             )
-        world = _Scripted(settings, listing, ends)
-        life = world.take(collection, "reach.0", load, shape.shard, 0, "0" * 16)
+        world = _ScriptedWorld(settings, listing, results)
+        trace = world.take(collection, "reach.0", load, shape.shard, 0, "0" * 16)
         tickets = world.lifecycle.open_requests
-        world.loop.run(START_US + SETTLING_US, lambda: bool(life.answers()) and not len(tickets))  # noqa: B023
-        yield life
+        world.loop.run(START_US + SETTLING_US, lambda: bool(trace.answers()) and not len(tickets))  # noqa: B023
+        yield trace
         if world.draw_count > len(
-            ends
+            results
         ):  # there was one more attempt than the sequence has results: try each result of it
-            stack += [(*ends, end) for end in ENDS]
+            stack += [(*results, end) for end in ATTEMPT_RESULTS]
 
 
-def shapes(
-    of: Selector, settings: Settings, listing: CheckedList, collections: dict[str, Collection]
-) -> list[Shape]:
+def matching_shapes(
+    selector: Selector, settings: Settings, listing: CheckedList, collections: dict[str, Collection]
+) -> list[RequestShape]:
     """All shapes that match a selector: each class, plan and shard.
 
     The shards are those of the list, limited to the selected collection or shard; -1 for new objects.
     """
-    classes = [c.name for c in settings.classes if of.class_name in ("", c.name)]
-    plans = [p.name for p in settings.plans if of.plan in ("", p.name)]
+    classes = [c.name for c in settings.classes if selector.class_name in ("", c.name)]
+    plans = [p.name for p in settings.plans if selector.plan in ("", p.name)]
     shards = sorted({s.shard for s in listing.endpoints.values()})
-    if of.collection:
-        collection = collections[of.collection]
+    if selector.collection:
+        collection = collections[selector.collection]
         plans = [p for p in plans if p == collection.plan]
         shards = [s for s in shards if s in collection.shards]
-    if of.shard is not None:
-        shards = [of.shard]
-    if of.new:
+    if selector.shard is not None:
+        shards = [selector.shard]
+    if selector.new:
         shards = [-1]
-    return [Shape(c, p, s) for c in classes for p in plans for s in shards]
+    return [RequestShape(c, p, s) for c in classes for p in plans for s in shards]
 
 
-def _fault(of: Expectation, life: RequestTrace) -> str:
-    if of.rule in ("may-only", "may-never"):
-        for step in life.attempts():
-            if (step.server in of.servers) == (of.rule == "may-never"):
+def _violation(expectation: Expectation, trace: RequestTrace) -> str:
+    if expectation.rule in ("may-only", "may-never"):
+        for step in trace.attempts():
+            if (step.server in expectation.servers) == (expectation.rule == "may-never"):
                 return f"it can be sent to {step.server}"
-    elif of.rule == "may-attempts":
-        n = len(life.attempts())
-        return f"it can be sent {n} times" if n > of.limit else ""
+    elif expectation.rule == "may-attempts":
+        count = len(trace.attempts())
+        return f"it can be sent {count} times" if count > expectation.limit else ""
     return ""
 
 
-def proved(
-    of: Expectation,
+def check_all_sequences(
+    expectation: Expectation,
     settings: Settings,
     listing: CheckedList,
     collections: dict[str, Collection],
     scenario: str,
-    walked: dict[Shape, list[RequestTrace]],
+    traces_by_shape: dict[RequestShape, list[RequestTrace]],
 ) -> Verdict:
     """Checks an expectation over every sequence of attempt results of every matching shape.
 
-    The shortest trace that violates it becomes the witness. `walked` caches the traces by shape.
+    The shortest trace that violates it becomes the witness. `traces_by_shape` caches the traces by shape.
     """
-    fitting = shapes(of.selector, settings, listing, collections)
+    shapes = matching_shapes(expectation.selector, settings, listing, collections)
     count = 0
-    if not fitting:
-        return Verdict(of, scenario, Outcome.ERROR, "no class, plan and shard match the expectation")
-    worst: tuple[int, RequestTrace, str] | None = None
-    for shape in fitting:
+    if not shapes:
+        return Verdict(expectation, scenario, Outcome.ERROR, "no class, plan and shard match the expectation")
+    shortest: tuple[int, RequestTrace, str] | None = None
+    for shape in shapes:
         try:
-            if shape not in walked:
-                walked[shape] = list(walk(shape, settings, listing))
-            for life in walked[shape]:
+            if shape not in traces_by_shape:
+                traces_by_shape[shape] = list(explore(shape, settings, listing))
+            for trace in traces_by_shape[shape]:
                 count += 1
-                why = _fault(of, life)
-                if of.rule == "may-once" and (step := sent_again(life)) is not None:
-                    why = f"it can be sent to {step.server} after an attempt that may have run"
-                if why and (worst is None or len(life.steps) < worst[0]):
-                    ends = ", ".join(s.result for s in life.steps if s.kind == "ended")
-                    worst = len(life.steps), life, f"{shape.describe()}: {why} when attempts end in: {ends}"
-        except TooManyBranchesError as fault:
-            return Verdict(of, scenario, Outcome.ERROR, str(fault), None, count)
-    if worst is not None:
-        return Verdict(of, scenario, Outcome.FAILED, worst[2], worst[1], count)
-    why = f"all {count} sequences of outcomes of {len(fitting)} shapes"
-    return Verdict(of, scenario, Outcome.PASSED, why, None, count)
+                reason = _violation(expectation, trace)
+                if expectation.rule == "may-once" and (step := find_unsafe_resend(trace)) is not None:
+                    reason = f"it can be sent to {step.server} after an attempt that may have run"
+                if reason and (shortest is None or len(trace.steps) < shortest[0]):
+                    result_names = ", ".join(s.result for s in trace.steps if s.kind == "ended")
+                    shortest = (
+                        len(trace.steps),
+                        trace,
+                        f"{shape.describe()}: {reason} when attempts end in: {result_names}",
+                    )
+        except TooManyBranchesError as error:
+            return Verdict(expectation, scenario, Outcome.ERROR, str(error), None, count)
+    if shortest is not None:
+        return Verdict(expectation, scenario, Outcome.FAILED, shortest[2], shortest[1], count)
+    reason = f"all {count} sequences of outcomes of {len(shapes)} shapes"
+    return Verdict(expectation, scenario, Outcome.PASSED, reason, None, count)
--- a/umberlead/routing_tests/smallest.py
+++ b/umberlead/routing_tests/smallest.py
@@ -12,7 +12,7 @@
 
 from umberlead.routing_tests.model import Collection, Expectation, Happening, Load, Outcome, Scenario
 from umberlead.routing_tests.running import trace_requests
-from umberlead.routing_tests.suites import Ready
+from umberlead.routing_tests.suites import LoadedSuite
 from umberlead.routing_tests.verdict import judged
 from umberlead.routing_tests.world import UnlistedServerError
 
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Smallest:
+class ReducedScenario:
     """The smallest scenario found that still fails."""
 
     scenario: Scenario
@@ -32,114 +32,129 @@
 
 
 def smallest(
-    ready: Ready, of: Expectation, scenario: Scenario, most: int = MAX_PLAY_COUNT
-) -> Smallest | None:
-    """Reduces `scenario` with `of` as its only expectation, in at most `most` plays.
+    loaded: LoadedSuite, expectation: Expectation, scenario: Scenario, max_plays: int = MAX_PLAY_COUNT
+) -> ReducedScenario | None:
+    """Reduces `scenario` with `expectation` as its only one, in at most `max_plays` plays.
 
-    Returns None if the scenario does not fail `of`, or if `of` is a `may` rule, which needs no play.
+    Returns None if the scenario does not fail it, or if it is a `may` rule, which needs no play.
     """
     plays = 0
 
-    def fails(one: Scenario) -> int:
-        """The number of requests if the scenario fails `of`; 0 if `of` holds or can't be decided."""
+    def fails(candidate: Scenario) -> int:
+        """The number of requests if the candidate fails the expectation, otherwise 0."""
         nonlocal plays
         plays += 1
         try:
-            lives, faults = trace_requests(ready, one)
+            traces, scheduler_errors = trace_requests(loaded, candidate)
         except UnlistedServerError:
             return 0
-        bad = not faults and judged(of, lives, ready.settings, one.name).outcome is Outcome.FAILED
-        return len(lives) if bad else 0
+        failed = (
+            not scheduler_errors
+            and judged(expectation, traces, loaded.settings, candidate.name).outcome is Outcome.FAILED
+        )
+        return len(traces) if failed else 0
 
-    if of.rule.startswith("may"):
+    if expectation.rule.startswith("may"):
         return None
-    best = replace(scenario, expectations=[of])
+    best = replace(scenario, expectations=[expectation])
     count = before = fails(best)
     if not before:
         return None
-    moved = True
-    while moved and plays < most:
-        moved = False
-        for smaller in _smaller(best):
-            if plays >= most:
+    reduced = True
+    while reduced and plays < max_plays:
+        reduced = False
+        for smaller in _reductions(best):
+            if plays >= max_plays:
                 break
-            if got := fails(smaller):
+            if request_count := fails(smaller):
                 best = smaller
-                count = got
-                moved = True
+                count = request_count
+                reduced = True
                 break
-    return Smallest(best, count, before, plays, plays >= most)
+    return ReducedScenario(best, count, before, plays, plays >= max_plays)
 
 
-def _smaller(of: Scenario) -> Iterator[Scenario]:
+def _reductions(scenario: Scenario) -> Iterator[Scenario]:
     """Yields each scenario that has one thing less: loads first, then changes, half loads, and servers."""
-    for k in range(len(of.loads)):
-        if len(of.loads) > 1:
-            yield replace(of, loads=of.loads[:k] + of.loads[k + 1 :])
-    for k in range(len(of.happenings)):
-        yield replace(of, happenings=of.happenings[:k] + of.happenings[k + 1 :])
-    for k, load in enumerate(of.loads):
+    for index in range(len(scenario.loads)):
+        if len(scenario.loads) > 1:
+            yield replace(scenario, loads=scenario.loads[:index] + scenario.loads[index + 1 :])
+    for index in range(len(scenario.happenings)):
+        yield replace(scenario, happenings=scenario.happenings[:index] + scenario.happenings[index + 1 :])
+    for index, load in enumerate(scenario.loads):
         half = (load.end_us - load.begin_us) // 2
         if half >= MIN_HALVED_LOAD_US:
             for begin, end in ((load.begin_us, load.begin_us + half), (load.begin_us + half, load.end_us)):
                 yield replace(
-                    of, loads=[*of.loads[:k], replace(load, begin_us=begin, end_us=end), *of.loads[k + 1 :]]
+                    scenario,
+                    loads=[
+                        *scenario.loads[:index],
+                        replace(load, begin_us=begin, end_us=end),
+                        *scenario.loads[index + 1 :],
+                    ],
                 )
-    for k, what in enumerate(of.happenings):
-        for name in what.servers if len(what.servers) > 1 else ():
-            fewer = replace(what, servers=tuple(n for n in what.servers if n != name))
-            yield replace(of, happenings=[*of.happenings[:k], fewer, *of.happenings[k + 1 :]])
+    for index, happening in enumerate(scenario.happenings):
+        for name in happening.servers if len(happening.servers) > 1 else ():
+            fewer = replace(happening, servers=tuple(n for n in happening.servers if n != name))
+            yield replace(
+                scenario, happenings=[*scenario.happenings[:index], fewer, *scenario.happenings[index + 1 :]]
+            )
 
 
 # The reduced scenario as a suite
 
 
-def suite(found: Smallest, ready: Ready, config: Path, listed: Path, folder: Path) -> str:
+def suite(reduced: ReducedScenario, loaded: LoadedSuite, config: Path, listed: Path, folder: Path) -> str:
     """The text of a suite with the reduced scenario; list files are looked up in `folder`."""
-    of = found.scenario
-    expected = of.expectations[0]
-    used = [ready.suite.collections[n] for n in dict.fromkeys(load.collection for load in of.loads)]
-    if expected.selector.collection and all(c.name != expected.selector.collection for c in used):
-        used.append(ready.suite.collections[expected.selector.collection])
+    scenario = reduced.scenario
+    expected = scenario.expectations[0]
+    collections = [
+        loaded.suite.collections[n] for n in dict.fromkeys(load.collection for load in scenario.loads)
+    ]
+    if expected.selector.collection and all(c.name != expected.selector.collection for c in collections):
+        collections.append(loaded.suite.collections[expected.selector.collection])
     lines = ["format 1", f"config {config}", f"list {listed}"]
     for name in dict.fromkeys(re.findall(r"@([^\s#]+)", expected.text)):
-        lines.append(f"group {name} {' '.join(ready.suite.groups['@' + name])}")
-    lines += [_collection(c) for c in used]
-    lines.append(f"scenario {of.name} seed {of.seed}")
-    lines += [_load(load) for load in of.loads]
-    lines += [_happening(what, folder) for what in of.happenings]
+        lines.append(f"group {name} {' '.join(loaded.suite.groups['@' + name])}")
+    lines += [_collection(c) for c in collections]
+    lines.append(f"scenario {scenario.name} seed {scenario.seed}")
+    lines += [_load(load) for load in scenario.loads]
+    lines += [_happening(happening, folder) for happening in scenario.happenings]
     lines.append(expected.text)
-    head = f"# Smallest failing scenario found for {ready.suite.file}:{expected.place.line}: "
-    head += f"{found.requests} of {found.before} requests."
-    return "\n".join([head, *lines, f"end {len(lines)}", ""])
+    comment = f"# Smallest failing scenario found for {loaded.suite.file}:{expected.place.line}: "
+    comment += f"{reduced.requests} of {reduced.before} requests."
+    return "\n".join([comment, *lines, f"end {len(lines)}", ""])
 
 
 def _time(us: int) -> str:
     return f"{us / 1000:.3f}".rstrip("0").rstrip(".") + "ms"
 
 
-def _number(of: float) -> str:
-    return f"{of:.6f}".rstrip("0").rstrip(".")
+def _number(value: float) -> str:
+    return f"{value:.6f}".rstrip("0").rstrip(".")
 
 
-def _collection(of: Collection) -> str:
-    shards = ",".join(map(str, of.shards))
-    return f"collection {of.name} plan {of.plan} shards {shards} volumes {of.volumes} hosts {of.hosts}"
+def _collection(collection: Collection) -> str:
+    shards = ",".join(map(str, collection.shards))
+    return (
+        f"collection {collection.name} plan {collection.plan} shards {shards}"
+        f" volumes {collection.volumes} hosts {collection.hosts}"
+    )
 
 
-def _load(of: Load) -> str:
-    words = f"load {of.collection} class {of.class_name} rate {_number(of.requests_per_second)}"
-    words += f" from {_time(of.begin_us)} to {_time(of.end_us)} units {_number(of.units)}"
-    return words + (" new" if of.new else "")
+def _load(load: Load) -> str:
+    statement = f"load {load.collection} class {load.class_name} rate {_number(load.requests_per_second)}"
+    statement += f" from {_time(load.begin_us)} to {_time(load.end_us)} units {_number(load.units)}"
+    return statement + (" new" if load.new else "")
 
 
-def _happening(of: Happening, folder: Path) -> str:
-    at = f"at {_time(of.at_us)}"
-    names = " ".join(of.servers)
-    if of.kind == "list":
-        return f"{at} list {folder / of.label}"
-    if of.kind == "slow":
-        return f"{at} slow {_number(of.value)} {names}"
-    if of.kind == "outcome":
-        return f"{at} outcome {of.label} part {_number(100 * of.value)}% {names}"
-    return f"{at} {of.kind} {names}"
+def _happening(happening: Happening, folder: Path) -> str:
+    at = f"at {_time(happening.at_us)}"
+    names = " ".join(happening.servers)
+    if happening.kind == "list":
+        return f"{at} list {folder / happening.label}"
+    if happening.kind == "slow":
+        return f"{at} slow {_number(happening.value)} {names}"
+    if happening.kind == "outcome":
+        return f"{at} outcome {happening.label} part {_number(100 * happening.value)}% {names}"
+    return f"{at} {happening.kind} {names}"
--- a/umberlead/routing_tests/suggest.py
+++ b/umberlead/routing_tests/suggest.py
@@ -17,19 +17,19 @@
 LOAD_SECONDS = 4
 
 
-def suite(settings: Settings, listing: CheckedList, config: str, listed: str) -> str:
-    """The text of the suite; `config` and `listed` are the paths to write into it, relative to its folder."""
+def suite(settings: Settings, listing: CheckedList, config_path: str, list_path: str) -> str:
+    """The text of the suite; `config_path` and `list_path` are relative to its folder."""
     by_shard: dict[int, list[str]] = defaultdict(list)
     for name, server in sorted(listing.endpoints.items()):
         by_shard[server.shard].append(name)
     shards = sorted(by_shard)
-    lines = ["format 1", f"config {config}", f"list {listed}"]
+    lines = ["format 1", f"config {config_path}", f"list {list_path}"]
     lines += [f"group shard-{n} {' '.join(by_shard[n])}" for n in shards]
     lines += [
         f"collection {p.name}-all plan {p.name} shards {_ranges(shards)} volumes 4" for p in settings.plans
     ]
-    once = [c.name for c in settings.classes if c.repeatability is Repeatability.AT_MOST_ONCE]
-    rest = [c.name for c in settings.classes if c.repeatability is not Repeatability.AT_MOST_ONCE]
+    at_most_once = [c.name for c in settings.classes if c.repeatability is Repeatability.AT_MOST_ONCE]
+    repeatable = [c.name for c in settings.classes if c.repeatability is not Repeatability.AT_MOST_ONCE]
 
     lines += [
         "",
@@ -37,34 +37,34 @@
         "scenario reach",
     ]
     lines += [f"expect may shard {n} only @shard-{n}" for n in shards]
-    lines += [f"expect may class {c} attempts at-most {settings.max_attempts}" for c in rest]
-    lines += [f"expect may class {c} sent once" for c in once]
+    lines += [f"expect may class {c} attempts at-most {settings.max_attempts}" for c in repeatable]
+    lines += [f"expect may class {c} sent once" for c in at_most_once]
 
     lines += ["", "# Without faults, each request gets exactly one answer.", "scenario calm seed 1"]
-    lines += _loads(settings, len(listing.endpoints), once) + ["expect answered-once"]
-    lines += [f"expect class {c} sent once" for c in once]
+    lines += _loads(settings, len(listing.endpoints), at_most_once) + ["expect answered-once"]
+    lines += [f"expect class {c} sent once" for c in at_most_once]
 
-    ready = {n: [s for s in by_shard[n] if listing.endpoints[s].status is EndpointStatus.UP] for n in shards}
-    drains = [names[0] for names in ready.values() if len(names) > 1][:MAX_DRAIN_COUNT]
-    for name in drains:
+    up = {n: [s for s in by_shard[n] if listing.endpoints[s].status is EndpointStatus.UP] for n in shards}
+    drained = [names[0] for names in up.values() if len(names) > 1][:MAX_DRAIN_COUNT]
+    for name in drained:
         shard = listing.endpoints[name].shard
         lines += ["", f"# {name} gets no new requests once it drains; its shard has other servers."]
-        lines += [f"scenario drain-{name} seed 1", *_loads(settings, len(listing.endpoints), once)]
+        lines += [f"scenario drain-{name} seed 1", *_loads(settings, len(listing.endpoints), at_most_once)]
         lines += [f"at 1s drain {name}", "expect answered-once", f"expect shard {shard} only @shard-{shard}"]
         lines += [f"expect never {name} after 1s"]
     count = sum(1 for line in lines if line and not line.startswith("#"))
-    head = [
+    comments = [
         "# A first suite, written by `umberlead expect --suggest`: what holds today, not what you intend.",
         "# Remove what you do not intend, make the rest stricter (docs/routing-tests.md), then update `end`.",
     ]
-    return "\n".join([*head, *lines, f"end {count}", ""])
+    return "\n".join([*comments, *lines, f"end {count}", ""])
 
 
-def _loads(settings: Settings, servers: int, once: list[str]) -> list[str]:
-    each = min(MAX_RATE_REQUESTS, max(servers, 1) * 4.0) / len(settings.plans)
+def _loads(settings: Settings, server_count: int, at_most_once: list[str]) -> list[str]:
+    rate = min(MAX_RATE_REQUESTS, max(server_count, 1) * 4.0) / len(settings.plans)
     return [
-        f"load {p.name}-all class {c.name} rate {each:g} from 0s to {LOAD_SECONDS}s units 1"
-        + (" new" if c.name in once else "")
+        f"load {p.name}-all class {c.name} rate {rate:g} from 0s to {LOAD_SECONDS}s units 1"
+        + (" new" if c.name in at_most_once else "")
         for p in settings.plans
         for c in settings.classes
     ]
@@ -72,18 +72,18 @@
 
 def _ranges(numbers: list[int]) -> str:
     """Formats sorted numbers as ranges: `0..4,7` for [0, 1, 2, 3, 4, 7]."""
-    made: list[list[int]] = []
+    ranges: list[list[int]] = []
     for n in numbers:
-        if made and made[-1][1] == n - 1:
-            made[-1][1] = n
+        if ranges and ranges[-1][1] == n - 1:
+            ranges[-1][1] = n
         else:
-            made.append([n, n])
-    return ",".join(str(a) if a == b else f"{a}..{b}" for a, b in made)
+            ranges.append([n, n])
+    return ",".join(str(a) if a == b else f"{a}..{b}" for a, b in ranges)
 
 
 def beside(path: Path, folder: Path) -> str:
     """Returns `path` relative to `folder`, or unchanged if that is shorter."""
     import os
 
-    near = os.path.relpath(path, folder)
-    return near if len(near) <= len(str(path)) else str(path)
+    relative = os.path.relpath(path, folder)
+    return relative if len(relative) <= len(str(path)) else str(path)
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -82,7 +82,7 @@
         self.loop = Loop()
         self.rng = random.Random(seed)
         loop = self.loop
-        self.wheel = TimerWheel(lambda: loop.now, self._alarm, TIMER_TICK_US)
+        self.wheel = TimerWheel(lambda: loop.now, self._start_alarm, TIMER_TICK_US)
         self.lifecycle = RequestLifecycle(
             settings, seed, lambda: loop.now, self.wheel, loop.soon, Counters(), self._log
         )
@@ -96,20 +96,20 @@
         self.errors: list[str] = []
         self.membership = Membership(MembershipSettings(1.0, 10**12, FlapDampingSettings(1, 7000.0, 1000.0)))
         self.apply_membership(self.membership.apply_files(loop.now, listing))
-        self._now: dict[str, EndpointSpec] = dict(listing.endpoints)
-        self._lists = 0
+        self._current_servers: dict[str, EndpointSpec] = dict(listing.endpoints)
+        self._list_version = 0
         if explain:
             self.lifecycle.decision_loop.action_observer = self._observe
-        self._notes: dict[str, str] = {}
+        self._candidate_notes: dict[str, str] = {}
 
-    def _alarm(self, delay: int, what: Callable[[], None]) -> Alarm:
-        made = Alarm(what)
-        self.loop.at(self.loop.now + delay, made)
-        return made
+    def _start_alarm(self, delay_us: int, callback: Callable[[], None]) -> Alarm:
+        alarm = Alarm(callback)
+        self.loop.at(self.loop.now + delay_us, alarm)
+        return alarm
 
-    def _log(self, event: str, **pairs: Any) -> None:
+    def _log(self, event: str, **fields: Any) -> None:
         if event == "module_error":
-            self.errors.append(str(pairs.get("trace", event)))
+            self.errors.append(str(fields.get("trace", event)))
 
     # Membership
 
@@ -122,68 +122,73 @@
     def close_unlisted(self, addresses: set[Any]) -> None:
         """Does nothing: a pool would close its idle connections to unlisted addresses."""
 
-    def relist(self, servers: dict[str, EndpointSpec]) -> None:
+    def replace_list(self, servers: dict[str, EndpointSpec]) -> None:
         """Puts a new list of servers in force; confirms it if it is held back."""
-        self._lists += 1
-        self._now = servers
-        listing = CheckedList(self._lists, f"{self._lists:064d}", dict(servers))
-        old = self.membership.file_list.endpoints if self.membership.file_list else {}
-        delta = diff_endpoints(old, listing.endpoints)
+        self._list_version += 1
+        self._current_servers = servers
+        listing = CheckedList(self._list_version, f"{self._list_version:064d}", dict(servers))
+        old_endpoints = self.membership.file_list.endpoints if self.membership.file_list else {}
+        delta = diff_endpoints(old_endpoints, listing.endpoints)
         change = self.membership.apply_files(self.loop.now, listing, delta, "")
         if self.membership.pending is not None:  # expectations check routing, not whether a list is accepted
             change = self.membership.confirm(self.loop.now, listing.digest)
         self.apply_membership(change)
 
-    def happen(self, of: Happening, lists: dict[str, CheckedList]) -> None:
+    def happen(self, happening: Happening, lists: dict[str, CheckedList]) -> None:
         """Applies a change of a scenario.
 
         Raises:
             UnlistedServerError: A changed server is not in the list at that time.
         """
-        if of.kind == "list":
-            return self.relist(dict(lists[of.label].endpoints))
-        servers = dict(self._now)
-        for name in of.servers:
+        if happening.kind == "list":
+            return self.replace_list(dict(lists[happening.label].endpoints))
+        servers = dict(self._current_servers)
+        for name in happening.servers:
             model = self.models.setdefault(name, ServerModel())
-            if name not in servers and (of.kind != "back" or name not in self._first):
+            if name not in servers and (happening.kind != "back" or name not in self._initial_servers):
                 raise UnlistedServerError(
-                    f"{of.place}: {of.kind} at {of.at_us / 1e6:g} s: no server {name} is listed then"
+                    f"{happening.place}: {happening.kind} at {happening.at_us / 1e6:g} s:"
+                    f" no server {name} is listed then"
                 )
-            if of.kind == "drain":
+            if happening.kind == "drain":
                 servers[name] = replace(servers[name], status=EndpointStatus.DRAINING)
-            elif of.kind == "back":
+            elif happening.kind == "back":
                 model.alive = True
                 model.slow = 1.0
                 model.mix = {}
-                servers[name] = replace(servers.get(name) or self._first[name], status=EndpointStatus.UP)
-            elif of.kind == "leave":
+                servers[name] = replace(
+                    servers.get(name) or self._initial_servers[name], status=EndpointStatus.UP
+                )
+            elif happening.kind == "leave":
                 servers.pop(name, None)
-            elif of.kind == "cold":
+            elif happening.kind == "cold":
                 servers[name] = replace(servers[name], status=EndpointStatus.UP, started_us=self.loop.now)
-            elif of.kind == "slow":
-                model.slow = of.value
-            elif of.kind == "outcome":
-                model.mix[of.label] = of.value
-            elif of.kind == "over":
-                model.slow = 1.0 if of.label == "slow" else model.slow
-                model.mix.pop(of.label, None)
+            elif happening.kind == "slow":
+                model.slow = happening.value
+            elif happening.kind == "outcome":
+                model.mix[happening.label] = happening.value
+            elif happening.kind == "over":
+                model.slow = 1.0 if happening.label == "slow" else model.slow
+                model.mix.pop(happening.label, None)
             else:
                 self.apply_membership(
-                    self.membership.set_manual_drain(self.loop.now, name, of.kind == "out", self.loop.now)
+                    self.membership.set_manual_drain(
+                        self.loop.now, name, happening.kind == "out", self.loop.now
+                    )
                 )
-        if servers != self._now:
-            self.relist(servers)
+        if servers != self._current_servers:
+            self.replace_list(servers)
 
     # Requests
 
     def take(
-        self, collection: Collection, volume: str, load: Load, shard: int, name: int, key: str
+        self, collection: Collection, volume: str, load: Load, shard: int, number: int, key: str
     ) -> RequestTrace:
         """Passes one request to the lifecycle; returns its trace, which later events are added to."""
-        cls = next(c for c in self.settings.classes if c.name == load.class_name)
+        request_class = next(c for c in self.settings.classes if c.name == load.class_name)
         now = self.loop.now
-        life = RequestTrace(
-            f"{collection.name}/{name}",
+        trace = RequestTrace(
+            f"{collection.name}/{number}",
             now - START_US,
             collection.name,
             load.class_name,
@@ -192,119 +197,121 @@
             load.units,
             load.new,
         )
-        life.steps.append(TraceStep(now - START_US, "taken"))
-        self.traces.append(life)
-        ask = IncomingRequest(
+        trace.steps.append(TraceStep(now - START_US, "taken"))
+        self.traces.append(trace)
+        request = IncomingRequest(
             load.class_name,
             collection.plan,
             volume,
             key,
             shard,
             load.units,
-            now + cls.timeout_us,
-            life,
+            now + request_class.timeout_us,
+            trace,
             collection.hosts,
         )
-        self.lifecycle.accept(ask, lambda answer: self._answered(life, answer))
-        return life
+        self.lifecycle.accept(request, lambda answer: self._answered(trace, answer))
+        return trace
 
-    def _answered(self, life: RequestTrace, answer: Answer) -> None:
-        note = "" if answer.kind.value == "served" else self._notes.get(life.id, "")
-        life.steps.append(TraceStep(self.loop.now - START_US, "answered", "", answer.kind.value, note))
+    def _answered(self, trace: RequestTrace, answer: Answer) -> None:
+        note = "" if answer.kind.value == "served" else self._candidate_notes.get(trace.id, "")
+        trace.steps.append(TraceStep(self.loop.now - START_US, "answered", "", answer.kind.value, note))
 
-    def _observe(self, now: int, acts: list[Action]) -> None:
+    def _observe(self, now: int, actions: list[Action]) -> None:
         """Records the state of the candidate servers for each request that is sent, refused or failed."""
-        for act in acts:
-            if isinstance(act, Send | Reject | Fail):
-                pending = self.lifecycle.open_requests.find(act.request_id)
+        for action in actions:
+            if isinstance(action, Send | Reject | Fail):
+                pending = self.lifecycle.open_requests.find(action.request_id)
                 if pending is not None and isinstance(pending.incoming.payload, RequestTrace):
-                    self._notes[pending.incoming.payload.id] = self._saw(
+                    self._candidate_notes[pending.incoming.payload.id] = self._describe_candidates(
                         pending.incoming.shard, pending.incoming.units
                     )
 
-    def _saw(self, shard: int, units: float) -> str:
-        head = self.lifecycle.scheduler
+    def _describe_candidates(self, shard: int, units: float) -> str:
+        scheduler = self.lifecycle.scheduler
         now = self.loop.now
-        made = []
-        for node, view in list(head.directory.endpoints.items()):
-            if shard >= 0 and view.endpoint.shard != shard:
+        descriptions = []
+        for endpoint_id, state in list(scheduler.directory.endpoints.items()):
+            if shard >= 0 and state.endpoint.shard != shard:
                 continue
-            why = []
-            if node in head.directory.manual_drains:
-                why.append("manually drained")
-            if view.endpoint.status is not EndpointStatus.UP:
-                why.append(view.endpoint.status.value)
-            if shard < 0 and view.endpoint.weight == 0:
-                why.append("weight 0")
-            if view.ejected_until_us > now:
-                why.append(f"rests {(view.ejected_until_us - now) / 1000:.0f} ms")
-            if view.units_in_flight and view.units_in_flight + units > min(
-                view.concurrency_limit_units, view.max_concurrency_units()
+            reasons = []
+            if endpoint_id in scheduler.directory.manual_drains:
+                reasons.append("manually drained")
+            if state.endpoint.status is not EndpointStatus.UP:
+                reasons.append(state.endpoint.status.value)
+            if shard < 0 and state.endpoint.weight == 0:
+                reasons.append("weight 0")
+            if state.ejected_until_us > now:
+                reasons.append(f"rests {(state.ejected_until_us - now) / 1000:.0f} ms")
+            if state.units_in_flight and state.units_in_flight + units > min(
+                state.concurrency_limit_units, state.max_concurrency_units()
             ):
-                bound_units = min(view.concurrency_limit_units, view.max_concurrency_units())
-                why.append(f"{view.units_in_flight:g} units in flight, limit {bound_units:.1f}")
-            if view.slow_start_cost_us(now, units) and view.ready_at_us(now, units) > now:
-                why.append("warming up")
-            made.append(f"{node}: {', '.join(why) or 'free'}")
-        return "; ".join(made[:6]) or f"no server of shard {shard} is listed"
+                bound_units = min(state.concurrency_limit_units, state.max_concurrency_units())
+                reasons.append(f"{state.units_in_flight:g} units in flight, limit {bound_units:.1f}")
+            if state.slow_start_cost_us(now, units) and state.ready_at_us(now, units) > now:
+                reasons.append("warming up")
+            descriptions.append(f"{endpoint_id}: {', '.join(reasons) or 'free'}")
+        return "; ".join(descriptions[:6]) or f"no server of shard {shard} is listed"
 
     # Transport
 
     def start(self, attempt: Attempt) -> None:
         """Sends an attempt to the modelled server."""
-        life: RequestTrace = attempt.request.incoming.payload
+        trace: RequestTrace = attempt.request.incoming.payload
         name = self.names.get(attempt.endpoint, attempt.endpoint)
-        note = self._notes.get(life.id, "")
-        life.steps.append(TraceStep(self.loop.now - START_US, "sent", name, str(attempt.number), note))
+        note = self._candidate_notes.get(trace.id, "")
+        trace.steps.append(TraceStep(self.loop.now - START_US, "sent", name, str(attempt.number), note))
         model = self.models.setdefault(name, ServerModel())
         attempt.transport_state = model
-        end = self._drawn(model)
-        if end in (AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED, AttemptResult.NOT_SENT):
-            attempt.misdirected = end is AttemptResult.NOT_SENT
-            return self.loop.at(self.loop.now + ROUND_TRIP_US, lambda: self._end(attempt, end))
-        if end is AttemptResult.TIMEOUT:
+        result = self._draw_result(model)
+        if result in (AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED, AttemptResult.NOT_SENT):
+            attempt.misdirected = result is AttemptResult.NOT_SENT
+            return self.loop.at(self.loop.now + ROUND_TRIP_US, lambda: self._end_attempt(attempt, result))
+        if result is AttemptResult.TIMEOUT:
             return None  # no answer: the lifecycle stops the attempt at its time-out
-        job = lambda: self.loop.at(  # noqa: E731
+        begin_work = lambda: self.loop.at(  # noqa: E731
             self.loop.now
             + int(WORK_PER_UNIT_US * model.slow * attempt.request.incoming.units)
             + ROUND_TRIP_US,
-            lambda: self._worked(attempt, model, end),
+            lambda: self._finish_work(attempt, model, result),
         )
         if model.busy < CORE_COUNT:
             model.busy += 1
-            job()
+            begin_work()
         elif len(model.waiting) < QUEUE_LIMIT:
-            model.waiting.append(job)
+            model.waiting.append(begin_work)
         else:
-            self.loop.at(self.loop.now + ROUND_TRIP_US, lambda: self._end(attempt, AttemptResult.REJECTED))
+            self.loop.at(
+                self.loop.now + ROUND_TRIP_US, lambda: self._end_attempt(attempt, AttemptResult.REJECTED)
+            )
 
-    def _drawn(self, model: ServerModel) -> AttemptResult:
+    def _draw_result(self, model: ServerModel) -> AttemptResult:
         draw = self.rng.random()
-        for word, part in model.mix.items():
-            if draw < part:
-                return RESULTS[word]
-            draw -= part
+        for outcome, share in model.mix.items():
+            if draw < share:
+                return RESULTS[outcome]
+            draw -= share
         return AttemptResult.OK
 
-    def _worked(self, attempt: Attempt, model: ServerModel, end: AttemptResult) -> None:
+    def _finish_work(self, attempt: Attempt, model: ServerModel, result: AttemptResult) -> None:
         """Ends the work on a request. Cancelling an attempt does not stop its work on the server."""
         if model.waiting:
             model.waiting.popleft()()
         else:
             model.busy -= 1
-        self._end(attempt, end)
+        self._end_attempt(attempt, result)
 
-    def _end(self, attempt: Attempt, result: AttemptResult) -> None:
+    def _end_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.request.attempt is attempt:
-            life: RequestTrace = attempt.request.incoming.payload
+            trace: RequestTrace = attempt.request.incoming.payload
             name = self.names.get(attempt.endpoint, attempt.endpoint)
-            word = "astray" if attempt.misdirected else result.value
-            life.steps.append(TraceStep(self.loop.now - START_US, "ended", name, word))
+            outcome = "astray" if attempt.misdirected else result.value
+            trace.steps.append(TraceStep(self.loop.now - START_US, "ended", name, outcome))
             self.lifecycle.attempt_ended(attempt, result)
 
     def stop(self, attempt: Attempt, why: AttemptResult) -> None:
         """Ends an attempt early."""
-        self.loop.soon(lambda: self._end(attempt, why))
+        self.loop.soon(lambda: self._end_attempt(attempt, why))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
         """Always false: an attempt is sent at once, so it is never still unsent."""
@@ -312,31 +319,31 @@
 
     # Scenario
 
-    _first: dict[str, EndpointSpec] = {}
+    _initial_servers: dict[str, EndpointSpec] = {}
 
     def play(
-        self, of: Scenario, collections: dict[str, Collection], lists: dict[str, CheckedList]
+        self, scenario: Scenario, collections: dict[str, Collection], lists: dict[str, CheckedList]
     ) -> list[RequestTrace]:
         """Plays a scenario up to `SETTLING_US` after its last load or change; returns all traces."""
-        self._first = dict(self.membership.file_list.endpoints) if self.membership.file_list else {}
-        for happening in of.happenings:
+        self._initial_servers = dict(self.membership.file_list.endpoints) if self.membership.file_list else {}
+        for happening in scenario.happenings:
             self.loop.at(START_US + happening.at_us, partial(self.happen, happening, lists))
             if happening.until_us:
-                word = happening.label or happening.kind
-                over = replace(happening, at_us=happening.until_us, kind="over", label=word)
-                self.loop.at(START_US + over.at_us, partial(self.happen, over, lists))
-        last = 0
+                label = happening.label or happening.kind
+                reversal = replace(happening, at_us=happening.until_us, kind="over", label=label)
+                self.loop.at(START_US + reversal.at_us, partial(self.happen, reversal, lists))
+        last_us = 0
         number = count()
-        for load in of.loads:
+        for load in scenario.loads:
             collection = collections[load.collection]
-            at = float(load.begin_us)
-            last = max(last, load.end_us)
-            while (at := at + self.rng.expovariate(load.requests_per_second) * 1e6) < load.end_us:
+            at_us = float(load.begin_us)
+            last_us = max(last_us, load.end_us)
+            while (at_us := at_us + self.rng.expovariate(load.requests_per_second) * 1e6) < load.end_us:
                 volume = f"{collection.name}.{self.rng.randrange(collection.volumes)}"
                 shard = -1 if load.new else self.rng.choice(collection.shards)
                 key = f"{self.rng.getrandbits(64):016x}"
-                call = partial(self.take, collection, volume, load, shard, next(number), key)
-                self.loop.at(START_US + int(at), call)
-        last = max([last, *(h.at_us for h in of.happenings)])
-        self.loop.run(START_US + last + SETTLING_US)
+                take = partial(self.take, collection, volume, load, shard, next(number), key)
+                self.loop.at(START_US + int(at_us), take)
+        last_us = max([last_us, *(h.at_us for h in scenario.happenings)])
+        self.loop.run(START_US + last_us + SETTLING_US)
         return self.traces
