--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -1,4 +1,4 @@
-"""Routing tests: their language, their verdicts, and that what they hold is what the program does."""
+"""Tests of routing tests: parsing of suites, checking of expectations, and the `umberlead expect` command."""
 
 import itertools
 import json
@@ -34,22 +34,28 @@
 )
 
 
-def steps(text: str) -> list[TraceStep]:
-    """`a` sends to a, `+` and a word end the attempt, `=` and a word answer; a step each ms."""
-    made, last = [TraceStep(0, "taken")], ""
-    for at, word in enumerate(text.split(), 1):
+def parse_steps(text: str) -> list[TraceStep]:
+    """Makes trace steps of words: `a` sends to server a, `+ok` ends the attempt with ok, `=served` answers.
+
+    The steps are 1 ms apart.
+    """
+    parsed, last_server = [TraceStep(0, "taken")], ""
+    for at_ms, word in enumerate(text.split(), 1):
         kind = {"+": "ended", "=": "answered"}.get(word[0], "sent")
-        last = word if kind == "sent" else last
-        made.append(
+        last_server = word if kind == "sent" else last_server
+        parsed.append(
             TraceStep(
-                at * 1000, kind, last if kind != "answered" else "", word.lstrip("+=") * (kind != "sent")
+                at_ms * 1000,
+                kind,
+                last_server if kind != "answered" else "",
+                word.lstrip("+=") * (kind != "sent"),
             )
         )
-    return made
+    return parsed
 
 
-def life(text: str, cls: str = "read", **more: Any) -> RequestTrace:
-    base: dict[str, Any] = {
+def make_trace(text: str, class_name: str = "read", **fields: Any) -> RequestTrace:
+    defaults: dict[str, Any] = {
         "plan": "p",
         "collection": "c",
         "shard": 0,
@@ -57,19 +63,19 @@
         "new": False,
         "arrived_us": 0,
     }
-    return RequestTrace(id="r", class_name=cls, steps=steps(text), **(base | more))
+    return RequestTrace(id="r", class_name=class_name, steps=parse_steps(text), **(defaults | fields))
 
 
-def test_the_example_suite_holds() -> None:
-    """Over 300 expectations on the configuration that `make run` starts."""
-    _, played = running.run(SUITE, None, None, workers=4)
-    verdicts = [v for of in played for v in of.verdicts]
+def test_example_suite_passes() -> None:
+    """The suite has at least 300 expectations on the configuration that `make run` uses."""
+    _, results = running.run(SUITE, None, None, workers=4)
+    verdicts = [v for result in results for v in result.verdicts]
     assert [v for v in verdicts if v.outcome is not Outcome.PASSED] == []
     assert len(verdicts) >= 300 and all(v.request_count for v in verdicts)
 
 
 @pytest.mark.parametrize(
-    ("row", "column", "said", "near"),
+    ("line", "column", "message", "suggestion"),
     [
         ("expct served", 1, "found 'expct'", "expect"),
         ("expect class read onyl a", 19, "found 'onyl'", "only"),
@@ -86,32 +92,34 @@
         ("config x", 1, "config must come before the first scenario", ""),
     ],
 )
-def test_errors_name_place_and_reason(row: str, column: int, said: str, near: str) -> None:
-    text = f"format 1\ncollection c plan p shards 0..1\nscenario s\n{row}\nexpect served\nend 5\n"
+def test_syntax_errors_report_position_reason_and_suggestion(
+    line: str, column: int, message: str, suggestion: str
+) -> None:
+    text = f"format 1\ncollection c plan p shards 0..1\nscenario s\n{line}\nexpect served\nend 5\n"
     _, problems = parse(text, "f")
     assert [(p.position.line, p.position.column) for p in problems] == [(4, column)], problems
-    assert said in problems[0].message and problems[0].suggestion == near
+    assert message in problems[0].message and problems[0].suggestion == suggestion
 
 
-def test_no_part_of_a_suite_passes_for_the_whole() -> None:
+def test_truncated_suite_is_rejected() -> None:
     text = "format 1\ncollection c plan p shards 0..1\nscenario s\nexpect served\nend 4\n"
     assert parse(text, "f")[1] == []
-    for cut in range(len(text)):
-        assert parse(text[:cut], "f")[1], cut
+    for length in range(len(text)):
+        assert parse(text[:length], "f")[1], length
 
 
-def test_foreach_is_written_out_and_bounded() -> None:
+def test_foreach_is_expanded_and_limited() -> None:
     lines = list(expand_foreach("foreach a in x 1..2 : foreach b in 3 4 : {a}{b}"))
     assert lines == ["x3", "x4", "13", "14", "23", "24"]
     with pytest.raises(ValueError, match="deep"):
         list(expand_foreach("foreach a in 1 : " * 4 + "x"))
-    many = "foreach a in 0..999 : foreach b in 0..99 : expect served"
-    _, problems = parse(f"format 1\nscenario s\n{many}\nend 3\n", "f")
+    nested_foreach = "foreach a in 0..999 : foreach b in 0..99 : expect served"
+    _, problems = parse(f"format 1\nscenario s\n{nested_foreach}\nend 3\n", "f")
     assert ["more than 20000 statements" in p.message for p in problems] == [True]
 
 
 @pytest.mark.parametrize(
-    ("text", "found"),
+    ("text", "unsafe"),
     [
         ("a +reset b", True),
         ("a +full b +ok", False),
@@ -122,17 +130,17 @@
         ("a +error b +ok", True),
     ],
 )
-def test_a_second_sending_is_judged_by_what_the_first_proved(text: str, found: bool) -> None:
-    """Whatever the configuration says of the class: that may be what is wrong."""
-    for cls in ("read", "once"):
-        assert (find_unsafe_resend(life(text, cls)) is not None) == found
+def test_resend_is_unsafe_unless_earlier_attempts_never_ran(text: str, unsafe: bool) -> None:
+    """The repeatability of the class does not matter, because the configuration may be what is wrong."""
+    for class_name in ("read", "once"):
+        assert (find_unsafe_resend(make_trace(text, class_name)) is not None) == unsafe
 
 
-def test_an_attempt_that_is_out_may_have_run() -> None:
-    assert may_have_run(steps("a")) and not may_have_run(steps("a +full"))
+def test_attempt_in_flight_may_have_run() -> None:
+    assert may_have_run(parse_steps("a")) and not may_have_run(parse_steps("a +full"))
 
 
-RULES: list[tuple[Expectation, str, str]] = [
+RULE_EXAMPLES: list[tuple[Expectation, str, str]] = [
     (Expectation("only", Selector(), ("a",)), "a +ok =served", "b +ok =served"),
     (Expectation("never", Selector(), ("b",)), "a +ok =served", "a +full b +ok =served"),
     (Expectation("never", Selector(), ("b",), after_us=3000), "b +ok =served", "a +full b +ok =served"),
@@ -147,144 +155,170 @@
 ]
 
 
-@pytest.mark.parametrize(("of", "good", "bad"), RULES)
-def test_each_rule_holds_and_fails(of: Expectation, good: str, bad: str) -> None:
-    cls = of.selector.class_name or "read"
-    assert judged(of, [life(good, cls)], SETTINGS, "s").outcome is Outcome.PASSED
-    wrong = judged(of, [life(good, cls), life(bad, cls)], SETTINGS, "s")
-    assert wrong.outcome is Outcome.FAILED and wrong.witness is not None and wrong.reason
-    other = Expectation(of.rule, Selector(plan="q"), of.servers, of.limit)
-    assert judged(other, [life(good, cls)], SETTINGS, "s").outcome is Outcome.ERROR  # nothing fits
+@pytest.mark.parametrize(("expectation", "passing", "failing"), RULE_EXAMPLES)
+def test_each_rule_passes_and_fails(expectation: Expectation, passing: str, failing: str) -> None:
+    class_name = expectation.selector.class_name or "read"
+    assert judged(expectation, [make_trace(passing, class_name)], SETTINGS, "s").outcome is Outcome.PASSED
+    verdict = judged(
+        expectation, [make_trace(passing, class_name), make_trace(failing, class_name)], SETTINGS, "s"
+    )
+    assert verdict.outcome is Outcome.FAILED and verdict.witness is not None and verdict.reason
+    unmatched = Expectation(expectation.rule, Selector(plan="q"), expectation.servers, expectation.limit)
+    # no request matches
+    assert judged(unmatched, [make_trace(passing, class_name)], SETTINGS, "s").outcome is Outcome.ERROR
 
 
-def test_a_sample_that_cant_tell_is_an_error_and_no_pass() -> None:
+def test_undecided_share_is_an_error() -> None:
     assert measure_share(500, 1000, 0.5, 0.05).position is IntervalPosition.INSIDE
     assert measure_share(600, 1000, 0.5, 0.05).position is IntervalPosition.OUTSIDE
     assert measure_share(5, 10, 0.5, 0.05).position is IntervalPosition.UNDECIDED
     assert measure_share(0, 0, 0.5, 0.05).position is IntervalPosition.UNDECIDED
-    n = required_sample_count(0.5, 0.05)
-    assert measure_share(round(n / 2), n, 0.5, 0.05).position is IntervalPosition.INSIDE
-    assert measure_share(round(n / 4), n // 2, 0.5, 0.05).position is IntervalPosition.UNDECIDED
-    of = Expectation("share", Selector(), ("a",), 0.5, 0.05)
-    lives = [life("a +ok =served"), life("b +ok =served")] * 5
-    got = judged(of, lives, SETTINGS, "s")
-    assert got.outcome is Outcome.ERROR and f"about {n} requests" in got.reason
-    assert judged(of, lives * 200, SETTINGS, "s").outcome is Outcome.PASSED
-    one_sided = judged(of, [life("a +ok =served")] * 500, SETTINGS, "s")
+    count = required_sample_count(0.5, 0.05)
+    assert measure_share(round(count / 2), count, 0.5, 0.05).position is IntervalPosition.INSIDE
+    assert measure_share(round(count / 4), count // 2, 0.5, 0.05).position is IntervalPosition.UNDECIDED
+    expectation = Expectation("share", Selector(), ("a",), 0.5, 0.05)
+    traces = [make_trace("a +ok =served"), make_trace("b +ok =served")] * 5
+    verdict = judged(expectation, traces, SETTINGS, "s")
+    assert verdict.outcome is Outcome.ERROR and f"about {count} requests" in verdict.reason
+    assert judged(expectation, traces * 200, SETTINGS, "s").outcome is Outcome.PASSED
+    one_sided = judged(expectation, [make_trace("a +ok =served")] * 500, SETTINGS, "s")
     assert one_sided.outcome is Outcome.FAILED and one_sided.witness is not None
 
 
-def test_a_share_that_holds_in_the_mean_alone_fails_where_it_is_asked_of_each() -> None:
-    lives = [life("a +ok =served", collection="c")] * 500 + [life("b +ok =served", collection="d")] * 500
-    whole = Expectation("share", Selector(), ("a",), 0.5, 0.05)
-    each = [Expectation("share", Selector(collection=c), ("a",), 0.5, 0.05) for c in "cd"]
-    assert judged(whole, lives, SETTINGS, "s").outcome is Outcome.PASSED
-    assert [judged(of, lives, SETTINGS, "s").outcome for of in each] == [Outcome.FAILED] * 2
-
-
-def test_expectations_that_contradict_each_other_are_named_before_anything_is_played() -> None:
-    x, y = Selector(plan="p"), Selector(plan="q")
-    for a, b, found in (
-        (Expectation("only", x, ("a",)), Expectation("only", x, ("b",)), True),
-        (Expectation("only", x, ("a",)), Expectation("only", y, ("b",)), False),
-        (Expectation("only", x, ("a",)), Expectation("never", x, ("a", "b")), True),
-        (Expectation("only", x, ("a", "c")), Expectation("never", x, ("a",)), False),
-        (Expectation("served", x), Expectation("refused", x), True),
-        (Expectation("share", x, ("a",), 0.7, 0.05), Expectation("share", x, ("b",), 0.5, 0.05), True),
-        (Expectation("share", x, ("a",), 0.6, 0.1), Expectation("share", x, ("b",), 0.5, 0.1), False),
+def test_share_of_each_collection_can_fail_where_the_overall_share_passes() -> None:
+    traces = [make_trace("a +ok =served", collection="c")] * 500 + [
+        make_trace("b +ok =served", collection="d")
+    ] * 500
+    overall = Expectation("share", Selector(), ("a",), 0.5, 0.05)
+    by_collection = [Expectation("share", Selector(collection=c), ("a",), 0.5, 0.05) for c in "cd"]
+    assert judged(overall, traces, SETTINGS, "s").outcome is Outcome.PASSED
+    assert [judged(expectation, traces, SETTINGS, "s").outcome for expectation in by_collection] == [
+        Outcome.FAILED
+    ] * 2
+
+
+def test_contradictory_expectations_are_detected() -> None:
+    plan_p, plan_q = Selector(plan="p"), Selector(plan="q")
+    for a, b, contradictory in (
+        (Expectation("only", plan_p, ("a",)), Expectation("only", plan_p, ("b",)), True),
+        (Expectation("only", plan_p, ("a",)), Expectation("only", plan_q, ("b",)), False),
+        (Expectation("only", plan_p, ("a",)), Expectation("never", plan_p, ("a", "b")), True),
+        (Expectation("only", plan_p, ("a", "c")), Expectation("never", plan_p, ("a",)), False),
+        (Expectation("served", plan_p), Expectation("refused", plan_p), True),
+        (
+            Expectation("share", plan_p, ("a",), 0.7, 0.05),
+            Expectation("share", plan_p, ("b",), 0.5, 0.05),
+            True,
+        ),
+        (
+            Expectation("share", plan_p, ("a",), 0.6, 0.1),
+            Expectation("share", plan_p, ("b",), 0.5, 0.1),
+            False,
+        ),
     ):
-        assert bool(contradictions([a, b])) == found, (a, b)
+        assert bool(contradictions([a, b])) == contradictory, (a, b)
 
 
-def test_reach_walks_every_sequence_and_finds_the_shortest_that_breaks() -> None:
-    """A read may be sent three times whatever became of the others; an upload never after it may have run."""
+def test_all_sequences_are_explored_and_the_shortest_violation_is_reported() -> None:
+    """A read is sent up to three times, whatever the first results; an at-most-once request is not sent again
+    after an attempt that may have run.
+    """
     reads = list(reach.explore(reach.RequestShape("read", "p", 0), SETTINGS, LISTING))
-    ends = {tuple(s.result for s in of.steps if s.kind == "ended") for of in reads}
-    assert max(map(len, ends)) == 3 and {s.server for of in reads for s in of.attempts()} == {"a", "c"}
-    again = ("error", "reset")  # after a refused link or a full queue a server rests past the aim
-    pairs = {e[:2] for e in ends if len(e) == 3}
-    assert pairs >= set(itertools.product(again, again))
-    assert ("full", "full") not in pairs  # both servers rest: a third try would come too late
+    sequences = {tuple(s.result for s in trace.steps if s.kind == "ended") for trace in reads}
+    assert max(map(len, sequences)) == 3 and {s.server for trace in reads for s in trace.attempts()} == {
+        "a",
+        "c",
+    }
+    # After a refused connection or a full queue a server is ejected past the latency objective.
+    retried_results = ("error", "reset")
+    pairs = {sequence[:2] for sequence in sequences if len(sequence) == 3}
+    assert pairs >= set(itertools.product(retried_results, retried_results))
+    assert ("full", "full") not in pairs  # both servers are ejected: a third attempt would be too late
     writes = list(reach.explore(reach.RequestShape("once", "p", 0), SETTINGS, LISTING))
-    seconds = {of.steps[2].result for of in writes if len(of.attempts()) > 1}
-    assert seconds <= {"full", "no_link", "astray"} and {"full", "no_link"} <= seconds
-    of = Expectation("may-attempts", Selector(class_name="read", shard=0), limit=2)
-    got = reach.check_all_sequences(of, SETTINGS, LISTING, {}, "s", {})
-    assert got.outcome is Outcome.FAILED and "it can be sent 3 times" in got.reason
-    assert got.witness is not None and len(got.witness.attempts()) == 3
+    first_results = {trace.steps[2].result for trace in writes if len(trace.attempts()) > 1}
+    assert first_results <= {"full", "no_link", "astray"} and {"full", "no_link"} <= first_results
+    expectation = Expectation("may-attempts", Selector(class_name="read", shard=0), limit=2)
+    verdict = reach.check_all_sequences(expectation, SETTINGS, LISTING, {}, "s", {})
+    assert verdict.outcome is Outcome.FAILED and "it can be sent 3 times" in verdict.reason
+    assert verdict.witness is not None and len(verdict.witness.attempts()) == 3
     only = Expectation("may-only", Selector(shard=1), ("b", "d"))
     assert reach.check_all_sequences(only, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.PASSED
-    none = Expectation("may-once", Selector(class_name="nobody"))
-    assert reach.check_all_sequences(none, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.ERROR
+    unmatched = Expectation("may-once", Selector(class_name="nobody"))
+    assert reach.check_all_sequences(unmatched, SETTINGS, LISTING, {}, "s", {}).outcome is Outcome.ERROR
 
 
-def test_a_walk_without_end_is_cut_off_and_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_too_many_sequences_are_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reach, "MAX_BRANCH_COUNT", 20)
-    got = reach.check_all_sequences(Expectation("may-once", Selector()), SETTINGS, LISTING, {}, "s", {})
-    assert got.outcome is Outcome.ERROR and "more than 20 sequences" in got.reason
+    verdict = reach.check_all_sequences(Expectation("may-once", Selector()), SETTINGS, LISTING, {}, "s", {})
+    assert verdict.outcome is Outcome.ERROR and "more than 20 sequences" in verdict.reason
 
 
-def write(folder: Path, *rows: str) -> Path:
+def write_suite(folder: Path, *statements: str) -> Path:
     lines = ["format 1", f"config {ROOT}/deploy/watched.toml", f"list {ROOT}/deploy/watched/servers.list"]
-    lines += ["collection scans plan priority shards 0..4 volumes 4", "scenario s", *rows]
+    lines += ["collection scans plan priority shards 0..4 volumes 4", "scenario s", *statements]
     path = folder / "x.suite"
     path.write_text("\n".join([*lines, f"end {len(lines)}", ""]))
     return path
 
 
-def expect(*words: str) -> Any:
-    return CliRunner().invoke(command, ["expect", *words])
+def run_expect(*arguments: str) -> Any:
+    return CliRunner().invoke(command, ["expect", *arguments])
 
 
 LOAD = "load scans class image-read rate 30 from 0s to 3s"
 
 
-def test_a_failure_shows_the_request_its_life_and_how_to_play_it_again(tmp_path: Path) -> None:
-    path = write(tmp_path, LOAD, "at 1s drain node-a0", "expect shard 0 only node-a0", "expect served")
-    got = expect(str(path))
-    assert got.exit_code == 1
-    assert "FAILED x.suite:8:1: scenario s: expect shard 0 only node-a0" in got.stdout
-    assert "rule only: it was sent to node-b0, which is none of node-a0" in got.stdout
-    assert f"replay: umberlead expect {path} --scenario s" in got.stdout
-    assert "node-a0: " in got.stdout  # what the module saw of the other one
-    told = json.loads(expect(str(path), "--json", "--junit", str(tmp_path / "j.xml")).stdout)[str(path)]
-    assert (told["held"], told["failed"], told["expectations"]) == (1, 1, 2)
-    assert "outcome" in told["untouched"] and 'failures="1"' in (tmp_path / "j.xml").read_text()
+def test_failure_report_has_the_trace_and_the_replay_command(tmp_path: Path) -> None:
+    path = write_suite(tmp_path, LOAD, "at 1s drain node-a0", "expect shard 0 only node-a0", "expect served")
+    result = run_expect(str(path))
+    assert result.exit_code == 1
+    assert "FAILED x.suite:8:1: scenario s: expect shard 0 only node-a0" in result.stdout
+    assert "rule only: it was sent to node-b0, which is none of node-a0" in result.stdout
+    assert f"replay: umberlead expect {path} --scenario s" in result.stdout
+    assert "node-a0: " in result.stdout  # the state of the other server at the decision
+    report = json.loads(run_expect(str(path), "--json", "--junit", str(tmp_path / "j.xml")).stdout)[str(path)]
+    assert (report["held"], report["failed"], report["expectations"]) == (1, 1, 2)
+    assert "outcome" in report["untouched"] and 'failures="1"' in (tmp_path / "j.xml").read_text()
 
 
-def test_exit_codes_and_names_that_are_not_there(tmp_path: Path) -> None:
-    assert expect(str(write(tmp_path, LOAD, "expect served"))).exit_code == 0
-    for row, said in (
+def test_exit_codes_and_unknown_names(tmp_path: Path) -> None:
+    assert run_expect(str(write_suite(tmp_path, LOAD, "expect served"))).exit_code == 0
+    for statement, message in (
         ("expect only nodea0", "there is no server nodea0; did you mean 'node-a0'?"),
         ("expect class image-raed served", "there is no class image-raed; did you mean 'image-read'?"),
         ("expect refused", "contradicts line 7: a request can't be both served and refused"),
     ):
-        got = expect(str(write(tmp_path, LOAD, "expect served", row)))
-        assert got.exit_code == 2 and said in got.stderr and ":8:1:" in got.stderr
-    assert "has no expectations" in expect(str(write(tmp_path, LOAD))).stderr
-    assert expect(str(write(tmp_path, LOAD, "expect served")), "--scenario", "t").exit_code == 2
-    assert expect(str(tmp_path / "none")).exit_code == 2
-    got = expect(str(write(tmp_path, LOAD, "expect plan basic served")))
-    assert got.exit_code == 1 and "no request of this scenario matches" in got.stdout
-
-
-def test_two_plays_of_a_seed_are_the_same_and_of_another_differ(tmp_path: Path) -> None:
-    row = "at 500ms outcome reset part 40% node-a0 node-b0"
-    ready = suites.load(write(tmp_path, LOAD, row, "expect answered-once"))
-    scenario = ready.suite.scenarios[0]
-    tracks = [running._comparable_traces(running.trace_requests(ready, scenario)[0]) for _ in range(2)]
+        result = run_expect(str(write_suite(tmp_path, LOAD, "expect served", statement)))
+        assert result.exit_code == 2 and message in result.stderr and ":8:1:" in result.stderr
+    assert "has no expectations" in run_expect(str(write_suite(tmp_path, LOAD))).stderr
+    assert run_expect(str(write_suite(tmp_path, LOAD, "expect served")), "--scenario", "t").exit_code == 2
+    assert run_expect(str(tmp_path / "none")).exit_code == 2
+    result = run_expect(str(write_suite(tmp_path, LOAD, "expect plan basic served")))
+    assert result.exit_code == 1 and "no request of this scenario matches" in result.stdout
+
+
+def test_same_seed_gives_same_traces_and_another_seed_does_not(tmp_path: Path) -> None:
+    statement = "at 500ms outcome reset part 40% node-a0 node-b0"
+    loaded = suites.load(write_suite(tmp_path, LOAD, statement, "expect answered-once"))
+    scenario = loaded.suite.scenarios[0]
+    runs = [running._comparable_traces(running.trace_requests(loaded, scenario)[0]) for _ in range(2)]
     scenario.seed = 2
-    assert tracks[0] == tracks[1] != running._comparable_traces(running.trace_requests(ready, scenario)[0])
+    assert runs[0] == runs[1] != running._comparable_traces(running.trace_requests(loaded, scenario)[0])
 
 
-def test_what_befalls_a_server_that_is_not_listed_then_is_an_error_of_the_suite(tmp_path: Path) -> None:
-    rows = ("at 1s leave node-a0", "at 2s drain node-a0", "expect served")
-    got = expect(str(write(tmp_path, LOAD, *rows)))
-    assert got.exit_code == 1
-    assert "x.suite:8:1: drain at 2 s: no server node-a0 is listed then" in got.stdout
+def test_change_of_an_unlisted_server_is_an_error(tmp_path: Path) -> None:
+    statements = ("at 1s leave node-a0", "at 2s drain node-a0", "expect served")
+    result = run_expect(str(write_suite(tmp_path, LOAD, *statements)))
+    assert result.exit_code == 1
+    assert "x.suite:8:1: drain at 2 s: no server node-a0 is listed then" in result.stdout
 
 
-def test_draining_and_gone_in_one_change_end_all_new_work(tmp_path: Path) -> None:
-    rows = ("at 1s drain node-a0", "at 1s leave node-a0", "expect never node-a0 after 1s", "expect served")
-    got = expect(str(write(tmp_path, LOAD, *rows)))
-    assert got.exit_code == 0, got.stdout
+def test_server_that_drains_and_leaves_at_once_gets_no_requests(tmp_path: Path) -> None:
+    statements = (
+        "at 1s drain node-a0",
+        "at 1s leave node-a0",
+        "expect never node-a0 after 1s",
+        "expect served",
+    )
+    result = run_expect(str(write_suite(tmp_path, LOAD, *statements)))
+    assert result.exit_code == 0, result.stdout
