--- a/umberlead/routing_tests/altered.py
+++ b/umberlead/routing_tests/altered.py
@@ -20,11 +20,11 @@
     """What can happen to a request of one shape, over all sequences of attempt results."""
 
     servers: frozenset[str] = frozenset()
-    attempts: int = 0  # the largest number of attempts
-    answers: frozenset[str] = frozenset()  # the kinds of answer that occur
+    max_attempts: int = 0  # the largest number of attempts over all sequences
+    answer_kinds: frozenset[str] = frozenset()  # the kinds of answer that occur
 
     @staticmethod
-    def of(shape: RequestShape, settings: Settings, listing: CheckedList) -> "ReachableResults":
+    def compute(shape: RequestShape, settings: Settings, listing: CheckedList) -> "ReachableResults":
         """Explores every sequence of attempt results of a shape."""
         servers = set[str]()
         attempts = 0
@@ -166,10 +166,12 @@
                 else ", ".join(_name_pairs(pairs, plans))
             )
             notes = []
-            if a.attempts != b.attempts:
-                notes.append(f"at most {a.attempts} -> {b.attempts} attempts")
-            if a.answers != b.answers:
-                notes.append(f"answers {'/'.join(sorted(a.answers))} -> {'/'.join(sorted(b.answers))}")
+            if a.max_attempts != b.max_attempts:
+                notes.append(f"at most {a.max_attempts} -> {b.max_attempts} attempts")
+            if a.answer_kinds != b.answer_kinds:
+                notes.append(
+                    f"answers {'/'.join(sorted(a.answer_kinds))} -> {'/'.join(sorted(b.answer_kinds))}"
+                )
             if not b.servers:
                 notes.append("no server can serve it")
             gained = tuple(sorted(b.servers - a.servers))
@@ -194,6 +196,8 @@
     if not endpoints:
         return ReachableResults()
     try:
-        return ReachableResults.of(shape, settings, CheckedList(listing.version, listing.digest, endpoints))
+        return ReachableResults.compute(
+            shape, settings, CheckedList(listing.version, listing.digest, endpoints)
+        )
     except TooManyBranchesError as error:
         raise TooManyBranchesError(f"{error}: the difference can't be determined") from None
--- a/umberlead/routing_tests/language.py
+++ b/umberlead/routing_tests/language.py
@@ -30,7 +30,7 @@
 )
 
 FORMAT = 1
-FLEET_ONLY = frozenset(
+FLEET_CHANGES = frozenset(
     (
         "surge",
         "costly",
@@ -200,12 +200,12 @@
         kind = str(tree.data)
         arguments = tree.children
         has_fleet = self.scenario.fleet is not None
-        if kind in FLEET_ONLY and not has_fleet:
+        if kind in FLEET_CHANGES and not has_fleet:
             raise SuiteError(f"{kind} belongs in a scenario with a fleet")
         if kind == "newlist" and has_fleet:
             raise SuiteError("a fleet's lists are its own: it takes no list file")
         happening = Happening(at_us, kind, place=place)
-        change = self._fleet_change if kind in FLEET_ONLY else self._server_change
+        change = self._fleet_change if kind in FLEET_CHANGES else self._server_change
         happening = replace(happening, **change(kind, arguments))
         if kind not in ("newlist", "state", "deploy", "kill") and arguments[-1] is not None:
             happening = replace(happening, until_us=at_us + parse_duration_us(arguments[-1]))
--- a/umberlead/routing_tests/smallest.py
+++ b/umberlead/routing_tests/smallest.py
@@ -57,8 +57,8 @@
     if expectation.rule.startswith("may"):
         return None
     best = replace(scenario, expectations=[expectation])
-    count = before = fails(best)
-    if not before:
+    best_count = original_count = fails(best)
+    if not original_count:
         return None
     reduced = True
     while reduced and plays < max_plays:
@@ -68,10 +68,10 @@
                 break
             if request_count := fails(smaller):
                 best = smaller
-                count = request_count
+                best_count = request_count
                 reduced = True
                 break
-    return ReducedScenario(best, count, before, plays, plays >= max_plays)
+    return ReducedScenario(best, best_count, original_count, plays, plays >= max_plays)
 
 
 def _reductions(scenario: Scenario) -> Iterator[Scenario]:
--- a/umberlead/routing_tests/verdict.py
+++ b/umberlead/routing_tests/verdict.py
@@ -6,7 +6,7 @@
 from umberlead.routing_tests.proportion import IntervalPosition, measure_share, required_sample_count
 from umberlead.scheduling.settings import Settings
 
-NEVER_RAN = frozenset(("full", "no_link", "astray"))
+NEVER_RAN_RESULTS = frozenset(("full", "no_link", "astray"))
 
 
 def matches_selector(selector: Selector, trace: RequestTrace) -> bool:
@@ -29,7 +29,7 @@
             in_flight_count += 1
         elif step.kind == "ended":
             in_flight_count -= 1
-            if step.result not in NEVER_RAN:
+            if step.result not in NEVER_RAN_RESULTS:
                 return True
     return in_flight_count > 0
 
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -36,7 +36,7 @@
 ROUND_TRIP_US = 500  # network time to a server and back
 SETTLING_US = 10_000_000  # time after the last load in which all requests must be answered
 TIMER_TICK_US = 2000
-RESULTS = {
+RESULT_BY_OUTCOME = {
     "error": AttemptResult.ERROR,
     "full": AttemptResult.REJECTED,
     "timeout": AttemptResult.TIMEOUT,
@@ -289,7 +289,7 @@
         draw = self.rng.random()
         for outcome, share in model.mix.items():
             if draw < share:
-                return RESULTS[outcome]
+                return RESULT_BY_OUTCOME[outcome]
             draw -= share
         return AttemptResult.OK
 
