--- a/umberlead/routing_tests/grammar.py
+++ b/umberlead/routing_tests/grammar.py
@@ -20,7 +20,7 @@
 from umberlead.routing_tests.errors import SuiteError
 from umberlead.routing_tests.model import Selector
 
-# Most statements of a suite after the expansion of foreach; a longer suite is an error.
+# Limit of a suite's statements after the expansion of foreach; a longer suite is an error.
 MAX_STATEMENT_COUNT = 20_000
 FOREACH_DEPTH_LIMIT = 3
 
@@ -132,7 +132,7 @@
     """The distinct numbers of a text such as `0..3,7`, in order of first appearance.
 
     Raises:
-        SuiteError: A range has more than `MAX_STATEMENT_COUNT` numbers.
+        SuiteError: A range spans more than `MAX_STATEMENT_COUNT`.
     """
     result: dict[int, None] = {}
     for piece in text.split(","):
--- a/umberlead/routing_tests/language.py
+++ b/umberlead/routing_tests/language.py
@@ -59,12 +59,12 @@
     def add_problem(
         self, place: FilePosition, message: str, suggestion: str = "", code: str = "E101"
     ) -> None:
-        """Adds a problem."""
+        """Records a problem at a position, with the nearest valid word as a suggestion."""
         self.problems.append(ListProblem(code, place, message, suggestion))
 
     @property
     def scenario(self) -> Scenario | None:
-        """The scenario that statements belong to now."""
+        """The current scenario, None before the first `scenario` statement."""
         return self.suite.scenarios[-1] if self.suite.scenarios else None
 
     def add_statement(self, tree: Tree[Token], place: FilePosition, text: str) -> None:
@@ -151,7 +151,9 @@
             )
         copies = int(words[3] or 1)
         if not 0 < copies <= rooms or servers % copies:
-            raise SuiteError("copies must not exceed the rooms, and servers must be a multiple of copies")
+            raise SuiteError(
+                "each copy of a shard needs its own room, and servers must be a multiple of copies"
+            )
         scenario.fleet = Fleet(servers, fronts, rooms, copies=copies, place=place)
 
     def on_day(self, words: list[Any], place: FilePosition, text: str) -> None:
@@ -193,7 +195,7 @@
         self.scenario.loads.append(load)
 
     def on_at(self, words: list[Any], place: FilePosition, text: str) -> None:
-        """Adds a change at a time to the current scenario."""
+        """Adds a timed change to the current scenario."""
         at_us = parse_duration_us(words[0])
         tree = words[1]
         assert self.scenario is not None
--- a/umberlead/routing_tests/reach.py
+++ b/umberlead/routing_tests/reach.py
@@ -46,7 +46,7 @@
     shard: int  # -1: a write of a new object, which any server may take
 
     def describe(self) -> str:
-        """The shape as messages name it."""
+        """The class, plan and shard, as messages print them."""
         return f"{self.class_name} on {self.plan}, " + ("new" if self.shard < 0 else f"shard {self.shard}")
 
 
--- a/umberlead/routing_tests/world.py
+++ b/umberlead/routing_tests/world.py
@@ -310,7 +310,7 @@
             self.lifecycle.attempt_ended(attempt, result)
 
     def stop(self, attempt: Attempt, why: AttemptResult) -> None:
-        """Ends an attempt early."""
+        """Ends an attempt early, on behalf of the lifecycle."""
         self.loop.soon(lambda: self._end_attempt(attempt, why))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
