--- a/umberlead/routing_tests/altered.py
+++ b/umberlead/routing_tests/altered.py
@@ -1,61 +1,61 @@
-"""What a change of configuration and list alters in who may reach whom, before it is deployed.
+"""Compares the routing of two configurations with their lists, before the new one is deployed.
 
-Each side is walked on the serving engine (`reach`), every sequence of outcomes of every shape of request, so
-that what is compared is what the module does and not what the files seem to say. A shard whose servers and
-settings are the same on both sides can't differ and is not walked. New objects may go to any server that
-takes them: there the servers and the parts of their weights are compared.
+For each side, every sequence of attempt results of every shape of request is explored with the request
+lifecycle (`reach`), so that the comparison covers what the program does, and not only the text of the files.
+A shard whose servers and settings are the same on both sides can't differ and is not explored. New objects
+may go to any server that accepts them; for them the servers and their shares of the weight are compared.
 """
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
 from umberlead.membership.model import CheckedList, EndpointSpec
-from umberlead.routing_tests.reach import Shape, TooManyBranchesError, walk
+from umberlead.routing_tests.reach import RequestShape, TooManyBranchesError, explore
 from umberlead.scheduling.events import EndpointStatus
 from umberlead.scheduling.settings import Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Reach:
-    """What may become of a shape of request, whatever its attempts end in."""
+class ReachableResults:
+    """What can happen to a request of one shape, over all sequences of attempt results."""
 
     servers: frozenset[str] = frozenset()
-    attempts: int = 0  # at most
-    answers: frozenset[str] = frozenset()  # kinds that occur
+    max_attempts: int = 0  # the largest number of attempts over all sequences
+    answer_kinds: frozenset[str] = frozenset()  # the kinds of answer that occur
 
     @staticmethod
-    def of(shape: Shape, settings: Settings, listing: CheckedList) -> "Reach":
-        """Walks every sequence of outcomes of a shape."""
+    def compute(shape: RequestShape, settings: Settings, listing: CheckedList) -> "ReachableResults":
+        """Explores every sequence of attempt results of a shape."""
         servers = set[str]()
         attempts = 0
         answers = set[str]()
-        for life in walk(shape, settings, listing):
-            sent = life.attempts()
+        for trace in explore(shape, settings, listing):
+            sent = trace.attempts()
             servers |= {step.server for step in sent}
             attempts = max(attempts, len(sent))
-            answers |= {step.result for step in life.answers()}
-        return Reach(frozenset(servers), attempts, frozenset(answers))
+            answers |= {step.result for step in trace.answers()}
+        return ReachableResults(frozenset(servers), attempts, frozenset(answers))
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One shape, or several shards that change alike, and what is other about it."""
+    """One difference in routing, for one or several shapes of request, or in a class or plan."""
 
-    what: str
-    gained: tuple[str, ...] = ()  # servers that it may reach now
-    lost: tuple[str, ...] = ()
+    subject: str
+    gained: tuple[str, ...] = ()  # servers that only the new side can send to
+    lost: tuple[str, ...] = ()  # servers that only the old side can send to
     notes: tuple[str, ...] = ()
 
     def __str__(self) -> str:
         """The difference in one line."""
         parts = [f"+ {' '.join(self.gained)}"] * bool(self.gained)
         parts += [f"- {' '.join(self.lost)}"] * bool(self.lost)
-        return f"{self.what}: " + "; ".join([*parts, *self.notes])
+        return f"{self.subject}: " + "; ".join([*parts, *self.notes])
 
     def row(self) -> dict[str, object]:
-        """The difference as JSON has it."""
+        """The difference as `--json` prints it."""
         return {
-            "what": self.what,
+            "what": self.subject,
             "gained": list(self.gained),
             "lost": list(self.lost),
             "notes": list(self.notes),
@@ -65,17 +65,21 @@
 Side = tuple[Settings, CheckedList]
 
 
-def _of_shard(listing: CheckedList, shard: int) -> dict[str, EndpointSpec]:
+def _endpoints_of_shard(listing: CheckedList, shard: int) -> dict[str, EndpointSpec]:
     return {n: s for n, s in listing.endpoints.items() if s.shard == shard}
 
 
 def differences(old: Side, new: Side) -> list[Difference]:
-    """What is other under `new`, in order of class, plan and shard; empty where nothing is."""
-    return [*_words(old[0], new[0]), *_new_objects(old, new), *_shards(old, new)]
+    """Lists the differences: classes and plans, then new objects, then shards; empty if there are none."""
+    return [
+        *_changed_definitions(old[0], new[0]),
+        *_new_object_differences(old, new),
+        *_shard_differences(old, new),
+    ]
 
 
-def _words(old: Settings, new: Settings) -> Iterator[Difference]:
-    """Classes and plans that only one side has, or that changed in themselves."""
+def _changed_definitions(old: Settings, new: Settings) -> Iterator[Difference]:
+    """Yields the classes and plans that only one side has or whose fields differ."""
     for kind, before, after in (
         ("class", {c.name: c for c in old.classes}, {c.name: c for c in new.classes}),
         ("plan", {p.name: p for p in old.plans}, {p.name: p for p in new.plans}),
@@ -88,13 +92,13 @@
             elif a != b:
                 changed = [f for f in a.__dataclass_fields__ if getattr(a, f) != getattr(b, f)]
                 notes = tuple(
-                    f"{PRINTED_FIELDS.get(f, f)} {_told(getattr(a, f))} -> {_told(getattr(b, f))}"
+                    f"{PRINTED_FIELDS.get(f, f)} {_printed(getattr(a, f))} -> {_printed(getattr(b, f))}"
                     for f in changed
                 )
                 yield Difference(f"{kind} {name}", notes=notes)
 
 
-# What the command prints for the fields of classes and plans: operators know them by these words.
+# Printed names of the fields of classes and plans, as operators know them from the settings.
 PRINTED_FIELDS = {
     "latency_objective_us": "aim",
     "timeout_us": "deadline",
@@ -112,12 +116,12 @@
 }
 
 
-def _told(value: object) -> str:
+def _printed(value: object) -> str:
     return str(getattr(value, "value", value))
 
 
-def _new_objects(old: Side, new: Side) -> Iterator[Difference]:
-    before, after = (_parts(listing) for _, listing in (old, new))
+def _new_object_differences(old: Side, new: Side) -> Iterator[Difference]:
+    before, after = (_weight_shares(listing) for _, listing in (old, new))
     gained = sorted(set(after) - set(before))
     lost = sorted(set(before) - set(after))
     notes = [
@@ -126,66 +130,74 @@
         if abs(before[name] - after[name]) > 0.0005
     ]
     if gained or lost or notes:
-        more = [f"and {len(notes) - 8} more"] if len(notes) > 8 else []
-        yield Difference("new objects", tuple(gained), tuple(lost), (*notes[:8], *more))
+        omitted = [f"and {len(notes) - 8} more"] if len(notes) > 8 else []
+        yield Difference("new objects", tuple(gained), tuple(lost), (*notes[:8], *omitted))
 
 
-def _parts(listing: CheckedList) -> dict[str, float]:
-    """Who takes new objects, and which part of them while all can."""
-    takes = {
+def _weight_shares(listing: CheckedList) -> dict[str, float]:
+    """The servers that accept new objects, and the share of new objects of each while all are available."""
+    weights = {
         n: 1.0 if s.weight is None else s.weight
         for n, s in listing.endpoints.items()
         if s.status is EndpointStatus.UP and s.weight != 0
     }
-    whole = sum(takes.values())
-    return {n: w / whole for n, w in takes.items()}
+    total_weight = sum(weights.values())
+    return {n: w / total_weight for n, w in weights.items()}
 
 
-def _shards(old: Side, new: Side) -> Iterator[Difference]:
+def _shard_differences(old: Side, new: Side) -> Iterator[Difference]:
     shards = sorted({s.shard for _, listing in (old, new) for s in listing.endpoints.values()})
     if old[0] == new[0]:
-        shards = [n for n in shards if _of_shard(old[1], n) != _of_shard(new[1], n)]
+        shards = [n for n in shards if _endpoints_of_shard(old[1], n) != _endpoints_of_shard(new[1], n)]
     classes = [c.name for c in old[0].classes if c.name in {k.name for k in new[0].classes}]
     plans = [p.name for p in old[0].plans if p.name in {k.name for k in new[0].plans}]
     for shard in shards:
-        alike: dict[tuple[Reach, Reach], list[tuple[str, str]]] = {}
+        pairs_by_change: dict[tuple[ReachableResults, ReachableResults], list[tuple[str, str]]] = {}
         for class_name in classes:
             for plan in plans:
-                shape = Shape(class_name, plan, shard)
-                pair = _reach(shape, *old), _reach(shape, *new)
-                if pair[0] != pair[1]:
-                    alike.setdefault(pair, []).append((class_name, plan))
-        for (a, b), who in alike.items():
-            of = "any request" if len(who) == len(classes) * len(plans) else ", ".join(_named(who, plans))
+                shape = RequestShape(class_name, plan, shard)
+                change = _reachable_results(shape, *old), _reachable_results(shape, *new)
+                if change[0] != change[1]:
+                    pairs_by_change.setdefault(change, []).append((class_name, plan))
+        for (a, b), pairs in pairs_by_change.items():
+            requests = (
+                "any request"
+                if len(pairs) == len(classes) * len(plans)
+                else ", ".join(_name_pairs(pairs, plans))
+            )
             notes = []
-            if a.attempts != b.attempts:
-                notes.append(f"at most {a.attempts} -> {b.attempts} attempts")
-            if a.answers != b.answers:
-                notes.append(f"answers {'/'.join(sorted(a.answers))} -> {'/'.join(sorted(b.answers))}")
+            if a.max_attempts != b.max_attempts:
+                notes.append(f"at most {a.max_attempts} -> {b.max_attempts} attempts")
+            if a.answer_kinds != b.answer_kinds:
+                notes.append(
+                    f"answers {'/'.join(sorted(a.answer_kinds))} -> {'/'.join(sorted(b.answer_kinds))}"
+                )
             if not b.servers:
-                notes.append("nobody can serve it")
+                notes.append("no server can serve it")
             gained = tuple(sorted(b.servers - a.servers))
             lost = tuple(sorted(a.servers - b.servers))
-            yield Difference(f"{of}, shard {shard}", gained, lost, tuple(notes))
+            yield Difference(f"{requests}, shard {shard}", gained, lost, tuple(notes))
 
 
-def _named(who: list[tuple[str, str]], plans: list[str]) -> list[str]:
-    """A class of which all plans are meant goes by its own name."""
+def _name_pairs(pairs: list[tuple[str, str]], plans: list[str]) -> list[str]:
+    """Names the pairs of class and plan; a class with all plans is named without them."""
     by_class: dict[str, list[str]] = {}
-    for class_name, plan in who:
+    for class_name, plan in pairs:
         by_class.setdefault(class_name, []).append(plan)
     return [
-        name if len(of) == len(plans) else " and ".join(f"{name} on {plan}" for plan in of)
-        for name, of in by_class.items()
+        name if len(class_plans) == len(plans) else " and ".join(f"{name} on {plan}" for plan in class_plans)
+        for name, class_plans in by_class.items()
     ]
 
 
-def _reach(shape: Shape, settings: Settings, listing: CheckedList) -> Reach:
-    """Only the shard's own servers can matter, and others would only be carried along."""
-    own = _of_shard(listing, shape.shard)
-    if not own:
-        return Reach()
+def _reachable_results(shape: RequestShape, settings: Settings, listing: CheckedList) -> ReachableResults:
+    """Explores a shape with the servers of its shard only, since requests go to no others."""
+    endpoints = _endpoints_of_shard(listing, shape.shard)
+    if not endpoints:
+        return ReachableResults()
     try:
-        return Reach.of(shape, settings, CheckedList(listing.version, listing.digest, own))
-    except TooManyBranchesError as fault:
-        raise TooManyBranchesError(f"{fault}: the difference can't be told") from None
+        return ReachableResults.compute(
+            shape, settings, CheckedList(listing.version, listing.digest, endpoints)
+        )
+    except TooManyBranchesError as error:
+        raise TooManyBranchesError(f"{error}: the difference can't be determined") from None
