--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -33,7 +33,7 @@
 class StandingClock(Clock):
     """A clock that only the test advances once the front has started."""
 
-    stood: int | None = None
+    start_us: int | None = None
 
     def __call__(self) -> int:
         return super().__call__() if self.start_us is None else self.start_us + self.added_us
