--- a/umberlead/emulator/node.py
+++ b/umberlead/emulator/node.py
@@ -111,8 +111,8 @@
 
     begin: int
     end: int
-    kind: str  # slow, neighbour, lag-ms, or one of `ENDS`
-    value: float  # slowdown factor, fraction of the machine, ms, or fraction of the requests
+    kind: str  # slow, neighbour, or how requests end
+    value: float  # slowdown factor, fraction of the machine, or fraction of the requests
 
 
 @dataclass(slots=True)
--- a/umberlead/emulator/plan.py
+++ b/umberlead/emulator/plan.py
@@ -1,5 +1,9 @@
-"""A script's scenario, worked out ahead from its seed: nodes, their spells and ends, successors, and when
-each front is told. Both drivers play the same plan and draw nothing of it anew."""
+"""Compiles a script's scenario into a plan.
+
+A plan has the nodes, their impairments, state changes and replacements, and the notices to each front.
+
+All random values are drawn here from the seed. Both drivers play the same plan and draw none of them again.
+"""
 
 import random
 from collections.abc import Callable, Iterable
@@ -14,13 +18,13 @@
 from umberlead.routing_tests.model import Fleet, Happening, Scenario
 from umberlead.scheduling.settings import Settings
 
-TABLES_BESIDE_SETTINGS = ("rooms", "gossip")  # told to fronts beside their settings
-RUN_ON_US = 8 * SECOND_US  # a day runs on until all is answered
-SHUFFLE_US = 3 * SECOND_US  # how far shuffled notices are thrown about
+TABLES_BESIDE_SETTINGS = ("rooms", "gossip")  # configuration tables outside the fronts' `settings`
+RUN_ON_US = 8 * SECOND_US  # after the last arrival, for requests still in flight
+SHUFFLE_US = 3 * SECOND_US  # longest extra delay of a notice while lists are shuffled
 
 
 class ScriptError(ValueError):
-    """A scenario that can't be played; `problems` name the places."""
+    """The scenario can't be played; `problems` name the lines at fault."""
 
     def __init__(self, problems: list[ListProblem]) -> None:
         super().__init__("\n".join(map(str, problems)))
@@ -39,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A server changes: draining, gone, up."""
+    """A server changes its state: draining, gone, up."""
 
     at: int
     server: str
@@ -48,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """What a front is told: the server's state, and when it started (us; 0: long ago)."""
+    """A notice to a front of a server's state and start time (us; 0: before the scenario)."""
 
     at: int
     front: int
     server: str
     state: str
     started: int = 0
-    since: int = 0  # when what it says became true
+    since: int = 0  # when the server entered that state
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +67,7 @@
     begin: int
     end: int
     zone: int
-    powered_off: bool = False  # its machines are off: fronts there reach them no more than others do
+    powered_off: bool = False  # the zone's servers are off: its own fronts can't reach them either
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,33 +79,33 @@
 
 @dataclass(slots=True)
 class Plan:
-    """All of a rehearsal but what fronts make of it."""
+    """Everything that a rehearsal plays, apart from the decisions of the fronts."""
 
     name: str
     seed: int
     figures: Figures
     fleet: Fleet
     day: Day
-    front_settings: dict[str, Any]  # fronts' settings
+    front_settings: dict[str, Any]  # the `settings` table, and `rooms` and `gossip` where present
     node_starts: list[NodeStart]
-    front_zones: list[int]  # of fronts
-    one_way_delays_us: dict[tuple[int, int], int] = field(default_factory=dict)  # us one way, by rooms
+    front_zones: list[int]  # the zone of each front
+    one_way_delays_us: dict[tuple[int, int], int] = field(default_factory=dict)  # by the zones of both ends
     client_delay_us: int = 50
     state_changes: list[StateChange] = field(default_factory=list)
     notices: list[Notice] = field(default_factory=list)
     impairments: dict[str, list[Impairment]] = field(default_factory=dict)
     partitions: list[ZonePartition] = field(default_factory=list)
     manual_drains: list[ManualDrain] = field(default_factory=list)
-    collector_stops: list[tuple[int, int]] = field(default_factory=list)  # of the log collector
-    rates: dict[str, float] = field(default_factory=dict)  # units a second of a volume's plan
-    meter: tuple[int, int] = (500_000, 800_000)  # period and lateness, us
+    collector_stops: list[tuple[int, int]] = field(default_factory=list)  # times it reads no log lines
+    rates: dict[str, float] = field(default_factory=dict)  # units per second of each volume's plan
+    meter: tuple[int, int] = (500_000, 800_000)  # period and delay of the meter, us
 
     @property
     def length_us(self) -> int:
         return int(self.day.seconds * SECOND_US)
 
     def node(self, birth: NodeStart, start: int) -> Node:
-        """`start` is the driver's clock at the day's start."""
+        """Make a node; `start` is the time of the driver's clock at the scenario's start."""
         made = Node(
             birth.name,
             birth.shard,
@@ -120,7 +124,7 @@
         return self.one_way_delays_us[self.front_zones[front], server_room]
 
     def is_partitioned(self, at: int, front: int, room: int) -> bool:
-        """Whether a front reaches nothing of a room."""
+        """Return whether a front can't reach the servers of a zone at a time."""
         mine = self.front_zones[front]
         return any(
             c.begin <= at < c.end
@@ -139,8 +143,17 @@
     seed: int | None = None,
     alter: Callable[[dict[str, Any]], None] | None = None,
 ) -> Plan:
-    """`seed` goes before the script's; `alter` changes what fronts are told, and nothing else. ScriptError
-    for what makes no sense."""
+    """Compile a scenario.
+
+    Args:
+        of: the scenario.
+        figures: the operators' figures.
+        seed: replaces the script's seed.
+        alter: changes the fronts' settings, and nothing else of the plan.
+
+    Raises:
+        ScriptError: the scenario is inconsistent; it lists every problem.
+    """
     fleet, problems = of.fleet, list[ListProblem]()
     if fleet is None or not fleet.seconds:
         raise ScriptError(
@@ -217,7 +230,7 @@
 
 
 class _HappeningCompiler:
-    """Happenings to turns, notices, spells and successors."""
+    """Compiles a script's happenings into state changes, notices, impairments and replacement nodes."""
 
     def __init__(self, made: Plan, happenings: Iterable[Happening], chance: random.Random) -> None:
         self.made, self.of, self.chance = made, sorted(happenings, key=lambda h: h.at_us), chance
@@ -242,8 +255,11 @@
         made.manual_drains.sort(key=lambda h: (h.at, h.server))
 
     def tell(self, at: int, server: str, state: str, wait: float, started: int = 0) -> None:
-        """Each front hears of it late, each a little apart; scripts delay lists or throw them about."""
-        if started:  # a server whose clock is off tells its start by that clock
+        """Schedule a notice to each front after `wait` and the front's own spread.
+
+        Scripts can delay notices further or shuffle them.
+        """
+        if started:  # a server whose clock is wrong reports its start by that clock
             started += sum(by for begin, end, by in self.clock if begin <= at < end)
         for front in range(len(self.made.front_zones)):
             late = wait + self.spread[front]
@@ -258,13 +274,13 @@
             spells.append(Impairment(h.at_us, h.until_us or FOREVER_US, kind, value))
 
     def on_nothing(self, h: Happening) -> None:
-        """Surges and costly requests are the day's; lists and clocks are looked up by `tell`."""
+        """Surges and costly requests are part of the day; `tell` reads happenings of lists and clocks."""
 
     def on_slow(self, h: Happening) -> None:
         self.spell(h, "slow", h.value)
 
     def on_neighbour(self, h: Happening) -> None:
-        """On and off, as another program comes and goes."""
+        """Another program on the machine runs and stops by turns."""
         for name in h.servers:
             at, spells = float(h.at_us), self.made.impairments.setdefault(name, [])
             while at < h.until_us:
@@ -284,8 +300,10 @@
         self.made.partitions.append(ZonePartition(h.at_us, h.until_us, int(h.value)))
 
     def on_dark(self, h: Happening) -> None:
-        """Its machines go without a word and come back cold. The list tells of either late, and of a silent
-        end only after a while."""
+        """The zone's servers stop without draining and restart cold.
+
+        The endpoint list reports both with a delay, and the silent stop only after `silent_notice_s`.
+        """
         room = int(h.value)
         self.made.partitions.append(ZonePartition(h.at_us, h.until_us, room, True))
         silent = self.made.figures.list.draw("silent_notice_s", self.chance) * SECOND_US
@@ -325,13 +343,13 @@
     on_kill = on_leave
 
     def on_cold(self, h: Happening) -> None:
-        """Its process starts anew: what it held is lost, and it is cold; its name stays."""
+        """The server's process restarts under the same name: its requests are lost and it is cold."""
         for name in h.servers:
             self.made.state_changes.append(StateChange(h.at_us, name, "cold"))
             self.tell(h.at_us, name, "up", self.add, h.at_us or 1)
 
     def on_deploy(self, h: Happening) -> None:
-        """Batches drain, end, and are each replaced by a cold successor of the same shard."""
+        """Servers drain and end in batches; a cold server of the same shard replaces each of them."""
         batch, drain, over = h.parameters
         live = [b for b in self.made.node_starts if b.name not in self.ended]
         chosen = self.chance.sample(live, max(round(h.value * len(live)), 1))
@@ -356,7 +374,7 @@
 
 
 def zones_table(made: Plan, front: int) -> dict[str, Any]:
-    """A front's table [rooms]: what is told to all, with its own room and the others by their distance."""
+    """Return a front's table [rooms]: the common settings, its own zone, and the others by distance."""
     own = made.front_zones[front]
     others = sorted(
         (r for r in range(made.fleet.zones) if r != own), key=lambda r: made.one_way_delays_us[own, r]
@@ -365,7 +383,7 @@
 
 
 def parsed_settings(made: Plan) -> Settings:
-    """The fronts' settings through the one reader of configurations."""
+    """Return the fronts' settings, parsed as those of a configuration file."""
     from umberlead import configuration
 
     told = {k: v for k, v in made.front_settings.items() if k not in TABLES_BESIDE_SETTINGS}
--- a/umberlead/emulator/price.py
+++ b/umberlead/emulator/price.py
@@ -1,9 +1,11 @@
-"""Service as the operators price it: worth answered within the aim over worth due, by volume and second.
+"""Computes the service as the operators define it.
 
-Units inside a volume's reserve earn in full; units inside its share by weight, node by node, of what nine
-tenths of the nodes' power leave beyond the reserves earn `share`; the rest `spare`. A request served in time
-takes the best that is still due to its volume for its second, a late one the worst, at its class's late
-worth. A client's retries belong to its first try.
+Service is the value of the requests that were served divided by the value of all requests, by volume and
+second of arrival. Units within a volume's reservation have their full value. The capacity of each node (nine
+tenths of its power) beyond the reservations is divided among the volumes by weight; units within that share
+have the value `share`, all others `spare`. A request served within its latency objective takes the most
+valuable units that its volume has left in that second; a late one takes the least valuable, multiplied by its
+class's late priority weight. A client's retries count as part of its first try.
 """
 
 from collections import defaultdict
@@ -19,13 +21,13 @@
 
 @dataclass(slots=True)
 class Tiers:
-    """What a volume-second still has: units by what they earn, best first."""
+    """Units of one volume and second that are left, grouped by value, the most valuable first."""
 
     left: list[float]
     worths: tuple[float, ...]
 
     def take(self, units: float, best: bool) -> float:
-        """Take units, the best or the worst first; return what they earn."""
+        """Take units, the most or the least valuable first; return their value."""
         made = 0.0
         order = range(len(self.left))
         for k in order if best else reversed(order):
@@ -40,7 +42,10 @@
 
 @dataclass(slots=True)
 class Service:
-    """Parts of what was due; a class whose units took more than an even part of it stands above 1."""
+    """Service as fractions of the value due.
+
+    A class that takes more than its even part of a volume's value has a fraction above 1.
+    """
 
     figure: float
     whole: float
@@ -49,12 +54,12 @@
     waste: float
     classes: dict[str, float] = field(default_factory=dict)
     plans: dict[str, float] = field(default_factory=dict)
-    seconds: list[float] = field(default_factory=list)  # of each second of arrival
-    counts: dict[str, int] = field(default_factory=dict)  # of first tries: in time, late, and so on
-    held_back: int = 0  # refused after more than half of their time, with no attempt at a server
+    seconds: list[float] = field(default_factory=list)  # by second of arrival
+    counts: dict[str, int] = field(default_factory=dict)  # first tries: asked, in time, late, unserved
+    held_back: int = 0  # refused after more than half of their time, without an attempt at a server
 
     def rows(self) -> dict[str, Any]:
-        """Return all figures by name."""
+        """Return all values by name."""
         made: dict[str, Any] = {
             "service": self.figure,
             "whole": self.whole,
@@ -71,15 +76,15 @@
 def allocate_by_weight(
     want: dict[tuple[str, int], float], room: dict[int, float], weights: dict[str, float]
 ) -> dict[str, float]:
-    """Divide each node's capacity by weight among the volumes that want more there.
+    """Divide each node's capacity by weight among the volumes that have requests there.
 
     Args:
-        want: units, by volume and node.
-        room: units, by node.
-        weights: by volume.
+        want: units asked for, by volume and node.
+        room: capacity in units, by node.
+        weights: weight of each volume.
 
     Returns:
-        Units by volume; none gets more than it wants.
+        Units by volume; no volume gets more than it asked for.
     """
     made: dict[str, float] = defaultdict(float)
     at: dict[int, dict[str, float]] = defaultdict(dict)
@@ -104,10 +109,10 @@
 
 
 class Pricing:
-    """Prices records of one plan."""
+    """Computes the service from the records of one plan."""
 
     def __init__(self, plan: Plan) -> None:
-        """Take prices, weights and capacities from `plan`."""
+        """Read values, weights and capacities from `plan`."""
         self.plan = plan
         day = plan.day
         figures = plan.figures
@@ -122,7 +127,7 @@
         self.weights = {v.name: self.plans[v.plan].one("weight") for v in day.volumes}
 
     def tiers(self) -> dict[tuple[str, int], Tiers]:
-        """Return what is due, by volume and second of arrival."""
+        """Return the units due, by volume and second of arrival."""
         day = self.plan.day
         seconds = int(day.seconds) + 1
         by_second: list[list[Request]] = [[] for _ in range(seconds)]
@@ -164,12 +169,12 @@
         return self.plans[v.plan].one("reserve") * v.rate
 
     def _burst(self, volume: str) -> float:
-        """A second of the reserve, and one largest request."""
+        """Return the burst of a reservation: one second of it, and one request of the largest size."""
         reserve = self._reserve(volume)
         return reserve + self.plan.day.max_units if reserve else 0.0
 
     def service(self, records: Records) -> Service:
-        """Return the service that the records show."""
+        """Return the service according to the records."""
         day = self.plan.day
         kinds = {k.name: k for k in day.kinds}
         first = {a.id: a.first for a in records.asked}
@@ -181,8 +186,9 @@
         def price(r: Request) -> float:
             return kinds[r.class_name].priority_weight * self.plans[r.plan].one("price")
 
-        # What a volume's second takes is spread evenly over the requests that took it: who was answered first
-        # is no merit of its class. (The operators' reports show classes above 1, which only this gives.)
+        # The value that a volume takes in a second is divided evenly among its requests by units: the order
+        # of their answers must not favour a class. (The operators' reports show classes above 1, which only
+        # this rule produces.)
         tiers = self.tiers()
         seconds = defaultdict[tuple[str, int], list[Request]](list)
         for r in day.requests:
@@ -277,5 +283,5 @@
 
 
 def service(plan: Plan, records: Records) -> Service:
-    """Return the service that the records of a plan show."""
+    """Return the service according to the records of a plan."""
     return Pricing(plan).service(records)
--- a/umberlead/emulator/records.py
+++ b/umberlead/emulator/records.py
@@ -1,6 +1,6 @@
-"""What clients, servers and the list saw of a rehearsal: all that the judge goes by.
+"""Records of a rehearsal by its clients, its servers and the endpoint list; the judge uses nothing else.
 
-Times are microseconds after the scenario's start. Nothing here is reported by a front.
+Times are microseconds after the scenario's start. Fronts report none of these records.
 """
 
 from dataclasses import dataclass, field
@@ -8,11 +8,11 @@
 
 @dataclass(slots=True)
 class Asked:
-    """A client's request, whole on its way."""
+    """A client sent a request."""
 
     at: int
     id: str
-    first: int  # number of the first try that it belongs to
+    first: int  # number of the request; a retry has that of its first try
     front: int
     class_name: str
     plan: str
@@ -21,24 +21,24 @@
     shard: int
     units: int
     write: bool
-    until: int  # the client leaves then
-    body: str = ""  # digest of what it sends
+    until: int  # the client gives up at this time
+    body: str = ""  # identifies the bytes that the client sends
 
 
 @dataclass(slots=True)
 class Answered:
-    """An answer's last byte at its client."""
+    """A client received the last byte of an answer."""
 
     at: int
     id: str
     kind: str  # served, refused, failed
     body: str = ""
-    behind: int = 0  # us that who wrote this down was late itself: it may have been there for so long
+    behind: int = 0  # us by which the recording process may have read the answer late
 
 
 @dataclass(slots=True)
 class Came:
-    """A request's last byte at a server, and what that did with it at once."""
+    """A server received the last byte of a request, and accepted or rejected it (`word`)."""
 
     at: int
     server: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Ended:
-    """What was taken has run, or its server died with it."""
+    """A request that a server accepted has finished, or was lost with the server's process."""
 
     at: int
     server: str
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class Left:
-    """The front ended an attempt's connection before its answer."""
+    """A front closed an attempt's connection before the answer."""
 
     at: int
     server: str
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class Told:
-    """What a front was told of a server."""
+    """A front was notified of a server's state."""
 
     at: int
     front: int
@@ -85,13 +85,13 @@
 
 @dataclass(slots=True)
 class Life:
-    """A server's own: born, cold, draining, gone, fallen."""
+    """A server changed its state: born, cold, draining, gone, fallen."""
 
     at: int
     server: str
     what: str
     shard: int = -1
-    power: float = 0.0  # units of work (us) a us, warm
+    power: float = 0.0  # us of work per us when warm
 
 
 @dataclass(slots=True)
@@ -99,13 +99,13 @@
     """All records of a rehearsal, by kind.
 
     Attributes:
-        asked: clients' requests.
-        answered: answers at clients.
-        came: requests at servers.
-        ended: ends of what servers took.
-        left: attempts that fronts closed.
-        told: what fronts were told of servers.
-        lives: what became of servers.
+        asked: requests that clients sent.
+        answered: answers that clients received.
+        came: requests that servers received.
+        ended: ends of requests that servers accepted.
+        left: attempts that fronts closed before the answer.
+        told: notices to fronts.
+        lives: state changes of servers.
     """
 
     asked: list[Asked] = field(default_factory=list)
@@ -117,7 +117,7 @@
     lives: list[Life] = field(default_factory=list)
 
     def sort(self) -> None:
-        """Sort all by time; records of the same time stay in their order."""
+        """Sort each list by time; records of the same time keep their order."""
         for rows in (
             self.asked,
             self.answered,
--- a/umberlead/emulator/world.py
+++ b/umberlead/emulator/world.py
@@ -1,6 +1,6 @@
-"""What both drivers share of a rehearsal in play: servers alive, requests under way, records.
+"""State of a running rehearsal that both drivers share: servers, open requests and records.
 
-No I/O and no clock: times are microseconds from the scenario's start.
+The module has no I/O and no clock: times are microseconds from the scenario's start.
 """
 
 from collections import Counter
@@ -13,21 +13,21 @@
 
 
 class ScenarioState:
-    """Servers and clients of a plan, and all that is recorded of them.
+    """Servers and clients of a plan, and the records of both.
 
     Attributes:
-        plan: of the rehearsal.
-        records: so far.
-        clients: decide who asks again.
-        nodes: by name.
-        meter: of volumes' use.
-        placed: the shard of each new object, by the number of the write that put it there.
-        tries: by call id.
+        plan: the rehearsal's plan.
+        records: the records so far.
+        clients: decide whether a client retries.
+        nodes: the servers, by name.
+        meter: meters the use of volumes.
+        placed: the shard of each new object, by the number of the write that stored it.
+        tries: all tries, by call id.
         open: tries without an answer, by call id.
     """
 
     def __init__(self, plan: Plan) -> None:
-        """Begin without servers."""
+        """Start without servers."""
         self.plan = plan
         self.records = Records()
         self.clients = Clients(plan.day)
@@ -50,7 +50,7 @@
         return node
 
     def change_state(self, at: int, turn: StateChange) -> list[Job]:
-        """Change a server's state; return the requests that are lost with its process."""
+        """Change a server's state; return the requests that are lost if its process ends."""
         node = self.nodes[turn.server]
         if node.state == "fallen" and turn.state != "cold":
             return []
@@ -69,22 +69,22 @@
         return lost
 
     def drop_jobs(self, at: int, node: Node) -> list[Job]:
-        """Let a server fall; return the requests that are lost with it."""
+        """End a server's process; return the requests that are lost with it."""
         lost = node.fall()
         for job in lost:
             self.records.ended.append(Ended(at, node.name, job.id, "lost"))
         return lost
 
     def record_notice(self, at: int, front: int, server: str, state: str) -> None:
-        """Record what a front is told of a server."""
+        """Record a notice of a server's state to a front."""
         self.records.told.append(Told(at, front, server, state))
 
     # Clients
 
     def record_request(self, at: int, of: Try) -> tuple[str, int]:
-        """Record a try; return the block and shard that it names.
+        """Record a try; return its block and shard.
 
-        A read of a new object goes wherever that was put.
+        A read of a new object goes to the shard on which the object was stored.
         """
         r = of.of
         shard = self.placed.get(r.of, r.shard) if r.of >= 0 else r.shard
@@ -109,14 +109,14 @@
         return r.block, shard
 
     def answer(self, at: int, of: Try, kind: str, body: str = "", behind: int = 0) -> Try | None:
-        """Record an answer; return the try that its client makes then, if any."""
+        """Record an answer; return the client's retry, if it makes one."""
         self.records.answered.append(Answered(at, of.id, kind, body, behind))
         if self.open.pop(of.id, None) is None:
-            return None  # it has left, or was answered before
+            return None  # the client gave up, or has an answer already
         return self.clients.again(of, kind, at)
 
     def leave(self, at: int, of: Try) -> Try | None:
-        """End a try whose time is over without an answer; return the one that its client makes then."""
+        """End a try whose deadline passed without an answer; return the client's retry, if it makes one."""
         return None if self.open.pop(of.id, None) is None else self.clients.again(of, "none", at)
 
     # Requests at servers
@@ -132,7 +132,7 @@
         shard: int,
         body: str = "",
     ) -> tuple[str, Job]:
-        """Record a request's last byte at a server; return what that does with it, and the job."""
+        """Record that a server received a whole request; return the outcome of `Node.offer`, and the job."""
         of = self.tries.get(name)
         number = self._attempts[name]
         self._attempts[name] += 1
@@ -150,7 +150,7 @@
         return word, job
 
     def record_end(self, node: Node, job: Job, body: str) -> None:
-        """Record that a job has run."""
+        """Record that a job has finished."""
         at = job.answer_at_us or job.arrived_us
         self.records.ended.append(Ended(at, node.name, job.id, job.end, job.work, body))
         of = self.tries.get(job.id)
@@ -160,5 +160,5 @@
             self.meter.add(at, job.volume, job.units)
 
     def record_leave(self, at: int, node: Node, name: str) -> None:
-        """Record that a front ended an attempt's connection before its answer."""
+        """Record that a front closed an attempt's connection before the answer."""
         self.records.left.append(Left(at, node.name, name))
