--- a/umberlead/emulator/__init__.py
+++ b/umberlead/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""Emulated storage nodes, their faults, and a judge of what fronts did.
+"""Emulation of storage nodes and clients with faults, and a judge that checks the fronts' behaviour.
 
-One model serves virtual time and real sockets.
+The same node model runs in virtual time and on real sockets.
 """
--- a/umberlead/emulator/client_connections.py
+++ b/umberlead/emulator/client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections to fronts."""
+"""Connections from emulated clients to fronts."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,10 +14,10 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection to a front: one request at a time."""
+    """A client's connection to a front, with one request at a time."""
 
     def __init__(self, play: ScenarioDriver, front: ConnectedFront) -> None:
-        """A connection to this front."""
+        """Create a connection to `front`."""
         self.play = play
         self.front = front
         self.transport: asyncio.Transport | None = None
@@ -31,33 +31,33 @@
         self.body = list[bytes]()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def ask(self, of: Try, words: Callable[[], bytes], reused: bool) -> None:
-        """Sends a try; `words` makes its text at that moment."""
+        """Send a try; `words` builds the request when it is written."""
         self.of = of
         self.words = words
         self.reused = reused
         self.begun = False
         assert self.transport is not None
-        self.transport.write(words())  # the time that is left counts from now
+        self.transport.write(words())  # X-Budget holds the time left at this moment
 
     def data_received(self, data: bytes) -> None:
-        """Parses; an answer that is no HTTP is strange."""
+        """Parse received bytes; report an answer that is not valid HTTP as a fault."""
         self.begun = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.play.faults.append("an answer that is no HTTP")
+            self.play.faults.append("an answer is not valid HTTP")
             self.abort()
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body."""
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
+        """Handle a complete answer."""
         status = self.parser.get_status_code()
         keep = self.parser.should_keep_alive()
         body = b"".join(self.body)
@@ -73,24 +73,24 @@
             self.play.answered(of, kind, body.decode("latin-1") if kind == "served" else "")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """What was asked is sent once more, or has no answer."""
+        """Send the open request again on a new connection, or report it as unanswered."""
         if self in self.front.idle:
             self.front.idle.remove(self)
         of = self.of
         self.of = None
         if of is not None:
-            # The front's close crossed a request that it had not read: once more, on a new connection.
+            # The front closed an idle connection before it read this request, so it is safe to send again.
             again = self.reused and not self.begun
             self.play.once_more(of, self.words) if again else self.play.broke(of)
 
     def abort(self) -> None:
-        """Breaks the connection."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
 def request_text(of: Try, block: str, shard: int, now: int) -> bytes:
-    """The try's whole request with the time that is left to it at `now`."""
+    """Return the request of a try, with the time that it has left at `now`."""
     r = of.of
     body = r.block.encode() if r.write else b""
     left = max(of.until - now, 1000) / SECOND_US
--- a/umberlead/emulator/discovery_agent.py
+++ b/umberlead/emulator/discovery_agent.py
@@ -1,4 +1,4 @@
-"""An agent of discovery as one front sees it."""
+"""Emulated discovery agent of one front."""
 
 import json
 import re
@@ -8,19 +8,19 @@
 
 
 class AgentConnection(HttpMessages):
-    """A front's connection to its agent: the list, or a watch of it."""
+    """A front's connection to its discovery agent, for the endpoint list or a watch of it."""
 
     def __init__(self, agent: "Agent") -> None:
-        """A connection to this agent."""
+        """Create a connection to `agent`."""
         super().__init__()
         self.agent = agent
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The watch is over."""
+        """End the watch."""
         self.agent.watchers.discard(self)
 
     def on_message_complete(self) -> None:
-        """Answers with the list, or begins a watch."""
+        """Answer with the endpoint list, or start a watch."""
         target = self.target.decode("latin-1")
         self.fresh()
         if "watch=1" not in target:
@@ -33,29 +33,29 @@
         self.line(b"" if known else self.agent.whole())
 
     def line(self, text: bytes) -> None:
-        """One line of a watch, as a chunk."""
+        """Send a line of a watch as one chunk."""
         self.send(b"%x\r\n%s\n\r\n" % (len(text) + 1, text))
 
 
 class Agent:
-    """Discovery as one front sees it: it answers at once with what it has been sent."""
+    """Discovery agent of one front; it answers at once with the entries that it holds."""
 
     def __init__(self) -> None:
-        """Begins with an empty list."""
+        """Start with an empty list."""
         self.index = 1
         self.entries = dict[str, dict[str, Any]]()
         self.watchers: set[AgentConnection] = set()
 
     def message(self, entries: list[dict[str, Any]], whole: bool) -> bytes:
-        """The text of these entries: the whole list, or a change."""
+        """Return the message with these entries: the whole list, or a change."""
         return json.dumps({"index": self.index, "snapshot": whole, "endpoints": entries}).encode()
 
     def whole(self) -> bytes:
-        """The list without servers that are gone."""
+        """Return the message with the whole list, without servers that are gone."""
         return self.message([e for e in self.entries.values() if e["status"] != "gone"], True)
 
     def tell(self, entry: dict[str, Any]) -> None:
-        """Takes one entry's change and sends it to all watchers."""
+        """Store a changed entry and send it to all watchers."""
         self.index += 1
         self.entries[entry["name"]] = entry
         text = self.message([entry], False)
@@ -63,6 +63,6 @@
             watcher.line(text)
 
     def beat(self) -> None:
-        """Sends an empty line to all watchers."""
+        """Send an empty line to all watchers as a heartbeat."""
         for watcher in list(self.watchers):
             watcher.line(b"")
--- a/umberlead/emulator/figures.py
+++ b/umberlead/emulator/figures.py
@@ -1,6 +1,6 @@
-"""The operators' figures, from one file that names each one's source.
+"""The operators' figures, read from a file that names the source of each.
 
-A scenario draws from them by its seed alone.
+A scenario draws values from them with its seed as the only source of randomness.
 """
 
 import random
@@ -13,13 +13,13 @@
 
 
 class FigureError(ValueError):
-    """A figure that is missing, or not of its form; the text names file and key."""
+    """A figure is missing or malformed; the text names the file and the key."""
 
 
 class Group:
     """Figures of one table: ranges to draw from, and single values.
 
-    All methods raise `FigureError` for a figure that is missing or of another form.
+    All methods raise `FigureError` for a figure that is missing or malformed.
     """
 
     def __init__(self, got: Mapping[str, Any], where: str) -> None:
@@ -28,7 +28,7 @@
         self.got = got
 
     def entry(self, key: str) -> Any:
-        """Return a value as it stands; one without a source is an error."""
+        """Return a value as the file has it; a figure must name its source."""
         entry = self.got.get(key)
         if not isinstance(entry, dict) or "is" not in entry:
             raise FigureError(f"{self.where}.{key}: must be a table with `is` and `source`")
@@ -37,7 +37,7 @@
         return entry["is"]
 
     def range(self, key: str) -> tuple[float, float]:
-        """Return the lowest and the highest value; both are the same for a single one."""
+        """Return the lowest and the highest value; they are equal for a single number."""
         value = self.entry(key)
         ends = value if isinstance(value, list) else [value, value]
         sound = len(ends) == 2 and all(isinstance(e, int | float) and not isinstance(e, bool) for e in ends)
@@ -46,7 +46,7 @@
         return float(ends[0]), float(ends[1])
 
     def draw(self, key: str, chance: random.Random) -> float:
-        """Draw from a range."""
+        """Draw a value uniformly from a range."""
         return chance.uniform(*self.range(key))
 
     def draw_int(self, key: str, chance: random.Random) -> int:
@@ -55,7 +55,7 @@
         return chance.randint(round(low), round(high))
 
     def one(self, key: str) -> float:
-        """Return a single value."""
+        """Return a single number."""
         low, high = self.range(key)
         if low != high:
             raise FigureError(f"{self.where}.{key}: must be one number")
@@ -84,7 +84,7 @@
         """Read the file at `path`.
 
         Raises:
-            FigureError: it can't be read, or a table is missing.
+            FigureError: the file can't be read, or a table is missing.
         """
         try:
             got = tomllib.loads(path.read_text())
--- a/umberlead/emulator/front_processes.py
+++ b/umberlead/emulator/front_processes.py
@@ -1,4 +1,4 @@
-"""The fronts of a scenario on real sockets, each a process."""
+"""Processes of the fronts in a scenario on real sockets."""
 
 import asyncio
 import os
@@ -12,12 +12,12 @@
 from umberlead.emulator.discovery_agent import Agent
 from umberlead.emulator.plan import TABLES_BESIDE_SETTINGS, Plan, zones_table
 
-EXIT_TIMEOUT_S = 15.0  # s for a front to end after SIGTERM
+EXIT_TIMEOUT_S = 15.0  # time for a front to exit after SIGTERM, before SIGKILL
 
 
 @dataclass
 class FrontProcess:
-    """A front under test: its process, its agent and where it listens."""
+    """A front under test: its process, its discovery agent and its addresses."""
 
     number: int
     process: asyncio.subprocess.Process | None = None
@@ -29,16 +29,16 @@
 
     @property
     def runs(self) -> bool:
-        """It was started and has not ended."""
+        """Return whether the process was started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
     @property
     def ended(self) -> bool:
-        """It was started and has ended."""
+        """Return whether the process was started and has exited."""
         return self.process is not None and self.process.returncode is not None
 
     async def start(self, python: str, root: Path, configuration: Path) -> None:
-        """Starts the front's program as it lies under `root`."""
+        """Start the program in the directory `root`."""
         self.process = await asyncio.create_subprocess_exec(
             python,
             "-B",
@@ -51,12 +51,12 @@
         )
 
     def terminate(self) -> None:
-        """Asks it to end."""
+        """Send SIGTERM to the process."""
         assert self.process is not None
         self.process.terminate()
 
     async def end(self) -> int:
-        """Its exit code, with patience for its end."""
+        """Wait for the process and return its exit code; kill it after `EXIT_TIMEOUT_S`."""
         assert self.process is not None
         try:
             return await asyncio.wait_for(self.process.wait(), EXIT_TIMEOUT_S)
@@ -66,7 +66,7 @@
 
 
 def configuration_text(plan: Plan, number: int, discovery_port: int, collector: str) -> str:
-    """The configuration file of the front of this number; `collector` may be empty."""
+    """Return the configuration file of the front of this number; `collector` is "" for none."""
     conf: dict[str, Any] = {
         "name": f"f{number}",
         "listen": "127.0.0.1:0",
--- a/umberlead/emulator/http_messages.py
+++ b/umberlead/emulator/http_messages.py
@@ -1,4 +1,4 @@
-"""Whole HTTP requests from a connection; the emulated servers and discovery are made of it."""
+"""Server side of an HTTP connection that handles one complete request after another."""
 
 import asyncio
 from typing import cast
@@ -7,27 +7,27 @@
 
 
 class HttpMessages(asyncio.Protocol):
-    """Requests as they come whole; what both servers here are made of."""
+    """Collects HTTP requests; base of the emulated servers' and the discovery agent's connections."""
 
     transport: asyncio.Transport | None = None
 
     def __init__(self) -> None:
-        """Begins with no connection."""
+        """Prepare for the first request."""
         self.fresh()
 
     def fresh(self) -> None:
-        """Begins with the next request."""
+        """Reset the parser for the next request."""
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
         self.headers = dict[bytes, bytes]()
         self.body = list[bytes]()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parses; a request that is no HTTP breaks the connection."""
+        """Parse received bytes; abort the connection if they are not valid HTTP."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -35,23 +35,23 @@
                 self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Append a part of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header, by its name in small letters."""
+        """Store a header under its lower-case name."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body."""
         self.body.append(body)
 
     def send(self, data: bytes) -> None:
-        """Writes, unless the connection is closing."""
+        """Write `data` unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def abort(self) -> None:
-        """Breaks the connection."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
--- a/umberlead/emulator/latency.py
+++ b/umberlead/emulator/latency.py
@@ -1,6 +1,6 @@
-"""Latencies of a rehearsal by class, from the time at which a first try was due.
+"""Latencies of a rehearsal by class, counted from the time at which the first try was due.
 
-So what a front or a client holds up counts (coordinated omission).
+Delays of the load generator and of retries are thus included, which avoids coordinated omission.
 """
 
 from hdrh.histogram import HdrHistogram
@@ -8,14 +8,14 @@
 from umberlead.emulator.plan import Plan
 from umberlead.emulator.records import Records
 
-MAX_LATENCY_US = 60_000_000  # longer ones count as this
+MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this value
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 def histograms(plan: Plan, records: Records) -> dict[str, HdrHistogram]:
-    """Return histograms of served requests by class, in us to three digits.
+    """Return histograms of served requests by class, in us to three significant digits.
 
-    A retry's answer counts from its first try.
+    The latency of a retry counts from its first try.
     """
     due = {r.number: r for r in plan.day.requests}
     first = {a.id: a.first for a in records.asked}
@@ -31,7 +31,7 @@
 
 
 def rows(plan: Plan, records: Records) -> dict[str, float]:
-    """Return `latency.CLASS.pN` in ms, for classes of which anything was served."""
+    """Return `latency.CLASS.pN` in ms for each class with at least one served request."""
     return {
         f"latency.{name}.p{part:g}": of.get_value_at_percentile(part) / 1000
         for name, of in histograms(plan, records).items()
--- a/umberlead/emulator/log_collector.py
+++ b/umberlead/emulator/log_collector.py
@@ -1,4 +1,4 @@
-"""The collector of fronts' log lines."""
+"""Emulated collector of the fronts' logs."""
 
 import asyncio
 import re
@@ -8,21 +8,21 @@
 
 
 class CollectorConnection(asyncio.Protocol):
-    """Takes fronts' log lines, or for a while does not."""
+    """A front's connection to the log collector; the driver can pause its reading."""
 
     def __init__(self, play: ScenarioDriver) -> None:
-        """Lines go to `play`."""
+        """Pass received lines to `play`."""
         self.play = play
         self.rest = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport, which may be paused."""
+        """Store the transport, whose reading the driver can pause."""
         self.transport = cast(asyncio.Transport, transport)
         self.play.collectors.append(self)
 
     def data_received(self, data: bytes) -> None:
-        """Takes whole lines out of what came."""
-        self.rest += data  # each line behind its count of octets (RFC 6587)
+        """Split the received bytes into lines."""
+        self.rest += data  # octet counting of RFC 6587: each line follows its length
         while (count := re.match(rb"([0-9]{1,7}) ", self.rest)) is not None:
             end = count.end() + int(count[1])
             if len(self.rest) < end:
--- a/umberlead/emulator/loop.py
+++ b/umberlead/emulator/loop.py
@@ -1,4 +1,4 @@
-"""Virtual time."""
+"""Event loop in virtual time."""
 
 import heapq
 from collections import deque
@@ -6,33 +6,33 @@
 from itertools import count
 from typing import Any
 
-START_US = 10_000_000  # at which scenarios begin
+START_US = 10_000_000  # virtual time at which scenarios begin
 
 
 class Loop:
-    """Virtual time, and what is due in it; ties go by the order in which they were set.
+    """Virtual clock with scheduled calls; calls due at the same time run in the order of scheduling.
 
     Attributes:
         now: the time in microseconds.
     """
 
     def __init__(self) -> None:
-        """Begin at `START_US` with nothing due."""
+        """Begin at `START_US` without scheduled calls."""
         self.now = START_US
         self._due: list[tuple[int, int, Callable[[], Any]]] = []
         self._soon = deque[Callable[[], Any]]()
         self._order = count()
 
     def at(self, when: int, what: Callable[[], Any]) -> None:
-        """Call `what` at a time, or now where that is past."""
+        """Schedule a call of `what` at a time, or now if that time is past."""
         heapq.heappush(self._due, (max(when, self.now), next(self._order), what))
 
     def soon(self, what: Callable[[], Any]) -> None:
-        """Call `what` in the next turn, at the same time."""
+        """Schedule a call of `what` in the next turn, without advancing the clock."""
         self._soon.append(what)
 
     def run(self, until: int, over: Callable[[], bool] = lambda: False) -> None:
-        """Call what is due up to `until`, or until `over` says so between two turns."""
+        """Run the calls due up to `until`; stop early when `over`, checked between turns, returns True."""
         while not over():
             while self._soon:
                 self._soon.popleft()()
@@ -44,17 +44,17 @@
 
 
 class Alarm:
-    """What a timer wheel is given as the handle of its alarm."""
+    """Cancellable handle of a scheduled call, as a timer wheel needs it."""
 
     def __init__(self, what: Callable[[], None]) -> None:
-        """Stand for a call of `what`."""
+        """Wrap a call of `what`."""
         self.what: Callable[[], None] | None = what
 
     def cancel(self) -> None:
-        """Drop the call."""
+        """Cancel the call."""
         self.what = None
 
     def __call__(self) -> None:
-        """Make the call unless it was dropped."""
+        """Make the call unless it was cancelled."""
         if self.what is not None:
             self.what()
--- a/umberlead/emulator/loopback.py
+++ b/umberlead/emulator/loopback.py
@@ -1,4 +1,4 @@
-"""Sockets on loopback: addresses that say nothing, and how late this process reads."""
+"""Loopback sockets: addresses that never accept, and a measure of how late this process reads."""
 
 import asyncio
 import socket
@@ -7,14 +7,14 @@
 
 from umberlead.load_generator.day import SECOND_US
 
-LATENESS_INTERVAL_S = 0.005  # s between looks at this process's own lateness; less than that counts as none
+LATENESS_INTERVAL_S = 0.005  # between two measurements; a shorter lateness counts as 0
 
 
 class Blackhole:
-    """An address at which connections never come up: a listener whose queue is full."""
+    """An address at which connections are never established: its listen queue is full."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        """Takes the address and fills its queue."""
+        """Listen at the address and fill the queue."""
         self.sockets = [bound_socket(address)]
         self.sockets[0].listen(0)
         for _ in range(4):
@@ -25,13 +25,13 @@
             self.sockets.append(filler)
 
     def close(self) -> None:
-        """Gives the address back."""
+        """Release the address."""
         for one in self.sockets:
             one.close()
 
 
 def bound_socket(address: tuple[str, int]) -> socket.socket:
-    """A stream socket bound to the address, which may have just been in use."""
+    """Return a TCP socket bound to the address, which may have been in use just before."""
     made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     made.bind(address)
@@ -39,14 +39,14 @@
 
 
 class Lateness:
-    """How far this process is behind, as of the sockets that it reads from now.
+    """Measures how late this process reads from its sockets.
 
-    A loop that was held up runs its timers first, then reads: what it finds may have lain there since it
-    looked last.
+    An event loop that was delayed runs its timers first and reads afterwards. The bytes that it then finds
+    may have arrived at any time since its previous read.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Starts to look at the loop's lateness."""
+        """Start measuring the lateness of `loop`."""
         self.loop = loop
         self._turn = 0.0
         self._due = loop.time()
@@ -60,21 +60,21 @@
         self.loop.call_soon(self.loop.call_soon, self._read)
 
     def _read(self) -> None:
-        self._turn = 0.0  # the turn's reading is over
+        self._turn = 0.0  # the sockets of this turn have been read
 
     def us(self) -> int:
-        """Microseconds behind; 0 below what counts."""
+        """Return the lateness in microseconds; 0 if it is at most `LATENESS_INTERVAL_S`."""
         late = max(self._turn, self.loop.time() - self._due)
         return int(late * SECOND_US) if late > LATENESS_INTERVAL_S else 0
 
 
 def port_of(server: asyncio.Server) -> int:
-    """The port that the server listens on."""
+    """Return the port on which the server listens."""
     return int(server.sockets[0].getsockname()[1])
 
 
 def put(url: str) -> None:
-    """One PUT without a body, past any proxy."""
+    """Send a PUT without a body, bypassing any proxy."""
     request = urllib.request.Request(url, method="PUT")
     with urllib.request.build_opener(urllib.request.ProxyHandler({})).open(request, timeout=5) as answer:
         answer.read()
--- a/umberlead/emulator/outcomes.py
+++ b/umberlead/emulator/outcomes.py
@@ -1,8 +1,8 @@
-"""How a server's ends look to a front, after the platform's protocol: shared by the drivers and the judge."""
+"""Maps outcomes at a server to the attempt results that a front sees; used by the drivers and the judge."""
 
 from umberlead.scheduling.events import AttemptResult
 
-# Turned away, or broken off before its last byte: it never ran.
+# Rejected, or the connection failed: the request did not run to its end.
 RESULT_WITHOUT_RUN = {
     "full": AttemptResult.REJECTED,
     "draining": AttemptResult.REJECTED,
@@ -12,7 +12,7 @@
     "fallen": AttemptResult.RESET,
 }
 NEVER_RAN = frozenset(("full", "draining", "astray", "early", "gone"))
-# Run to its end; None: silence.
+# The request ran; None: the server sends no answer.
 RESULT_AFTER_RUN = {
     "ok": AttemptResult.OK,
     "lag": AttemptResult.OK,
@@ -24,4 +24,5 @@
     "lost": AttemptResult.RESET,
     "silence": None,
 }
-KEEPS_CONNECTION = frozenset(("ok", "lag", "error", "full", "draining", "astray"))  # its connection stays
+# The connection stays open after these.
+KEEPS_CONNECTION = frozenset(("ok", "lag", "error", "full", "draining", "astray"))
--- a/umberlead/emulator/scenario_driver.py
+++ b/umberlead/emulator/scenario_driver.py
@@ -1,4 +1,4 @@
-"""What connections of a scenario on sockets need of its driver."""
+"""Interfaces between the connections of a scenario on sockets and its driver."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,15 +11,15 @@
 
 
 class ScenarioDriver(Protocol):
-    """Plays a scenario on real sockets; times are whole microseconds from the scenario's begin.
+    """Plays a scenario on real sockets; times are whole microseconds from the scenario's start.
 
     Attributes:
-        plan: what is played.
-        state: the emulated servers and what is recorded.
+        plan: the plan that is played.
+        state: the emulated servers, the clients and the records.
         links: fronts' connections to servers, by server.
-        collectors: connections that fronts write their log to.
-        faults: what went wrong, for the report.
-        dials: connections made to servers, by second.
+        collectors: connections to which fronts write their log.
+        faults: unexpected events, for the report.
+        dials: number of connections to servers, by second.
     """
 
     plan: Plan
@@ -30,38 +30,38 @@
     dials: Counter[int]
 
     def now(self) -> int:
-        """Return the time."""
+        """Return the current time."""
 
     def after(self, wait: int, what: Callable[[], Any]) -> None:
-        """Call `what` after a while."""
+        """Schedule a call of `what` after `wait` microseconds."""
 
     def cut(self, front: int, node: Node) -> bool:
-        """Tell whether a front is partitioned from a server."""
+        """Return whether a front is partitioned from a server."""
 
     def arm(self, node: Node) -> None:
-        """Set the timer of a server's next step."""
+        """Set the timer for the next request that a server finishes."""
 
     def fall(self, node: Node) -> None:
-        """End a server that was overloaded."""
+        """End a server that is overloaded."""
 
     def once_more(self, of: Try, words: Callable[[], bytes]) -> None:
-        """Send a request once more on a new connection."""
+        """Send a request again on a new connection."""
 
     def answered(self, of: Try, kind: str, body: str) -> None:
-        """Take note of a request's answer."""
+        """Record the answer to a request."""
 
     def broke(self, of: Try) -> None:
-        """Take note that a request's connection broke."""
+        """Record that a request's connection closed without an answer."""
 
     def line(self, text: str) -> None:
-        """Take a line of a front's log."""
+        """Process a line of a front's log."""
 
 
 class ConnectedFront(Protocol):
-    """What a client's connection needs of its front.
+    """The part of a front that a client's connection uses.
 
     Attributes:
-        idle: connections to it that wait for a request.
+        idle: idle client connections to the front.
     """
 
     idle: list[Any]
--- a/umberlead/emulator/server_connections.py
+++ b/umberlead/emulator/server_connections.py
@@ -1,4 +1,4 @@
-"""Fronts' connections to emulated servers."""
+"""Connections from fronts to emulated servers."""
 
 import asyncio
 
@@ -20,18 +20,18 @@
     """A front's connection to an emulated server."""
 
     def __init__(self, play: ScenarioDriver, name: str, front: int) -> None:
-        """A connection of a front (its number) to the server of this name."""
+        """Create a connection from the front of this number to the server `name`."""
         super().__init__()
         self.play = play
         self.name = name
         self.front = front
         self.node: Node | None = None
         self.job: Job | None = None
-        self.silent = False  # a cut, or a server that says nothing: never again
+        self.silent = False  # set by a partition or a silent server; nothing more is read or sent
         self.used = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The server takes the connection, or breaks it at once."""
+        """Accept the connection, or abort it if the server does not accept it."""
         super().connection_made(transport)
         node = self.play.state.nodes.get(self.name)
         if node is None or not node.connect():
@@ -41,7 +41,7 @@
         self.play.links.setdefault(self.name, set()).add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The server learns that nobody waits for its job."""
+        """Record that the front closed the connection before the answer to its request."""
         if self.node is not None:
             self.node.disconnect()
             self.play.links[self.name].discard(self)
@@ -50,14 +50,14 @@
             self.job = None
 
     def data_received(self, data: bytes) -> None:
-        """Parses, unless a cut lies between."""
+        """Parse received bytes, unless a partition separates the front from the server."""
         if self.node is not None and self.play.cut(self.front, self.node):
             self.silent = True
         if not self.silent:
             super().data_received(data)
 
     def on_message_complete(self) -> None:
-        """A request is on its way to the server."""
+        """Deliver a complete request to the server after the network delay."""
         assert self.node is not None
         target = self.target.decode("latin-1")
         headers = self.headers
@@ -69,7 +69,7 @@
         self.play.after(wait, lambda: self._arrived(target, headers, body))
 
     def _arrived(self, target: str, headers: dict[bytes, bytes], body: bytes) -> None:
-        """It is at the server now, whoever still waits for it."""
+        """Offer the request to the server, even if the front has closed the connection."""
         node = self.node
         play = self.play
         assert node is not None
@@ -97,12 +97,12 @@
 
     @property
     def way(self) -> int:
-        """Microseconds from the server to the front."""
+        """Return the one-way delay from the server to the front, in microseconds."""
         assert self.node is not None
         return self.play.plan.one_way_delay_us(self.front, int(self.node.zone))
 
     def done(self, job: Job, body: str) -> None:
-        """Its answer sets out."""
+        """Send the answer to a finished job after the network delay."""
         if self.job is job:
             wait = max(job.answer_at_us - self.play.now(), 0) + self.way
             self.play.after(wait, lambda: self._answer(job, body.encode()))
--- a/umberlead/emulator/settings.py
+++ b/umberlead/emulator/settings.py
@@ -1,4 +1,4 @@
-"""What fronts are told of a day, in the platform's names: read by the same reader as any configuration."""
+"""Builds the fronts' settings for a day, under the platform's names, as a configuration file has them."""
 
 from typing import Any
 
@@ -6,13 +6,12 @@
 from umberlead.load_generator.day import Day
 
 SECOND_US = 1_000_000
-SLOW_START_PART = (
-    0.5  # of what a node at its coldest bears in the window: from all fronts, whatever the meanwhile
-)
+# Fraction of the work that the coldest node bears in the overload window, allowed to all fronts together.
+SLOW_START_PART = 0.5
 
 
 def settings(of: Figures, day: Day, fronts: int, shards: int) -> dict[str, Any]:
-    """The `settings` table; units and times as the platform gives them."""
+    """Return the `settings` table, with units and times in the form that the platform uses."""
     rates = {v.plan: v.rate for v in day.volumes}
     asked = [r.units for r in day.requests]
     bears = of.cold.one("multiple") * of.cold.one("least") * day.power * of.cold.one("window_s")
--- a/umberlead/emulator/stored.py
+++ b/umberlead/emulator/stored.py
@@ -1,4 +1,4 @@
-"""An emulated node that keeps what it is given: the model's times and turns, real bytes."""
+"""A chunk server that stores real bytes and takes its timing and outcomes from the node model."""
 
 import asyncio
 import random
@@ -9,16 +9,16 @@
 from umberlead.emulator.node import FOREVER_US, SECOND_US, Job, Node, traits
 from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
-UNIT_WORK_US = 25_000.0  # us of work of a unit, near the middle of the operators' days
-WORK_NOISE_SIGMA = 0.45  # sigma of the factor on it
+UNIT_WORK_US = 25_000.0  # mean work of a unit, near the middle of the operators' range
+WORK_NOISE_SIGMA = 0.45  # sigma of the log-normal factor on the work
 DONE = {"ok": "ok", "lag": "ok", "surplus": "ok", "error": "error"}
 
 
 class StoringNode(ChunkServer):
-    """A chunk server with an emulated node's times; it is to be made within a running event loop."""
+    """A chunk server with the timing of an emulated node; create it within a running event loop."""
 
     def __init__(self, name: str, shard: int, model: Model, record: Record, seed: int) -> None:
-        """Draw the node's traits from the published figures, by `seed` and the name."""
+        """Draw the node's traits from the published figures, seeded with `seed` and the name."""
         super().__init__(name, shard, model, record, seed)
         of = traits(Figures(), random.Random(f"{seed}/{name}/traits"))
         self._loop = asyncio.get_event_loop()
@@ -30,20 +30,20 @@
         return int((self._loop.time() - self._begin) * SECOND_US)
 
     def admit(self) -> bool:
-        """Tell whether one more connection may be made."""
+        """Return whether the node accepts one more connection."""
         return self.node.connect()
 
     def released(self) -> None:
-        """Note that a connection has ended."""
+        """Count a closed connection."""
         self.node.disconnect()
 
     def figures(self, volume: str) -> bytes:
-        """Return the load report that every answer has."""
+        """Return the header line of the load report, which every answer carries."""
         load = ",".join(f"{k}={v}" for k, v in self.node.report(self._now()).items())
         return f"X-Load-Report: {load}\r\n".encode()
 
     def serve(self, row: dict[str, Any], units: float, done: Callable[[str], None]) -> bool:
-        """Work as the emulated node does; return False where it rejects the request."""
+        """Offer a request to the node model; return False if the model does not accept it."""
         work = UNIT_WORK_US * units * self.chance.lognormvariate(-(WORK_NOISE_SIGMA**2) / 2, WORK_NOISE_SIGMA)
         write = row["method"] == "PUT"
         job = Job(row["id"], row["class"], "", row["block"], row["shard"], units, work, write, 0, done)
