--- a/umberlead/emulator/rehearsal.py
+++ b/umberlead/emulator/rehearsal.py
@@ -1,6 +1,6 @@
-"""A script's rehearsal from file to result: played by one of the two drivers, judged, priced, checked.
+"""Runs a script's rehearsal: plays it with one of two drivers, judges the records, computes the service.
 
-In virtual time a result is the same, byte for byte, from the same script, figures and seed.
+In virtual time the same script, figures and seed give the same result, byte for byte.
 """
 
 import json
@@ -27,19 +27,19 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a rehearsal showed.
+    """Result of a rehearsal.
 
     Attributes:
-        scenario: its name.
-        seed: that it was drawn from.
+        scenario: the scenario's name.
+        seed: the seed from which the plan was drawn.
         driver: "virtual" or "sockets".
-        rows: service, its parts, and latencies.
+        rows: service, its parts, and latencies, by name.
         seconds: service of each second.
-        breaches: how many, by name.
-        shown: the first breaches in words.
-        verdicts: expectation, outcome and reason of each.
-        faults: the engine's errors, fronts that ended, lost connections.
-        late: seconds that a rehearsal on sockets was behind at most.
+        breaches: number of breaches, by name.
+        shown: descriptions of the first breaches.
+        verdicts: text, outcome and reason of each expectation.
+        faults: errors of the engine, fronts that ended early, lost connections.
+        late: longest delay of the rehearsal's own timers on sockets, in seconds.
     """
 
     scenario: str
@@ -55,11 +55,11 @@
 
     @property
     def held(self) -> bool:
-        """Return whether no rule was broken and all expectations held."""
+        """Return whether there are no breaches and no faults, and all expectations held."""
         return not self.breaches and not self.faults and all(v[1] == "held" for v in self.verdicts)
 
     def text(self) -> str:
-        """Return it as JSON with no trace of when or where it ran."""
+        """Return the result as JSON, without anything that depends on the time or the machine."""
         made = {
             "scenario": self.scenario,
             "seed": self.seed,
@@ -75,10 +75,10 @@
 
 
 def read(path: Path) -> list[Scenario]:
-    """Return the scenarios with a fleet.
+    """Return the scenarios of a file that have a fleet.
 
     Raises:
-        ScriptError: the file can't be read or has no such scenario; it has all that is wrong.
+        ScriptError: the file can't be read or has no such scenario; it lists every problem.
     """
     try:
         suite, problems = parse(path.read_text(), path.name)
@@ -96,7 +96,7 @@
 
 
 def lives(records: Records) -> list[RequestTrace]:
-    """Return requests' lives as the expectations know them, from the records."""
+    """Return the trace of each request, in the form that expectations use, from the records."""
     steps: dict[str, list[TraceStep]] = defaultdict(list)
     for came in records.came:
         steps[came.id].append(TraceStep(came.at, "sent", came.server))
@@ -146,17 +146,17 @@
 
     Args:
         of: the scenario.
-        figures: the operators'.
+        figures: the operators' figures.
         sockets: whether to play on real sockets instead of in virtual time.
-        seed: in place of the scenario's.
-        progress: is called with the part that is played.
-        keep: is given plan and records.
-        root: of the fronts' program, on sockets.
+        seed: replaces the scenario's seed.
+        progress: called with the fraction that is played.
+        keep: called with the plan and the records.
+        root: directory of the fronts' program, on sockets.
         alter: changes the fronts' settings.
 
     Raises:
         ScriptError: the scenario can't be played.
-        FrontStartError: a front does not come up.
+        FrontStartError: a front does not start.
     """
     made = plan(of, figures, seed, alter)
     late = 0.0
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -1,7 +1,7 @@
-"""A scenario on real sockets.
+"""Plays a scenario on real sockets.
 
-Fronts are processes; emulated servers, discovery, log collector and clients are in this one, all on loopback.
-Each front reaches every other party at addresses of its own.
+Each front is a process. The emulated servers, discovery agents, log collector and clients run in this
+process; all connections are on loopback. Each front has its own addresses for every server and its discovery agent.
 """
 
 import asyncio
@@ -30,20 +30,20 @@
 from umberlead.load_generator.clients import Try
 from umberlead.load_generator.day import SECOND_US
 
-START_TIMEOUT_S = 30.0  # s in which every front must listen
-HEARTBEAT_INTERVAL_S = 2.0  # s between empty lines of a watch
+START_TIMEOUT_S = 30.0  # within which every front must listen
+HEARTBEAT_INTERVAL_S = 2.0  # between heartbeats (empty lines) of a watch
 STATUS_BY_STATE = {"up": "ready", "draining": "draining", "gone": "gone"}
 
 
 class FrontStartError(RuntimeError):
-    """A front did not come up; the text has its last lines."""
+    """A front did not start; the text has the last lines of the fronts' logs."""
 
 
 class SocketScenario:
-    """One rehearsal."""
+    """One scenario on real sockets."""
 
     def __init__(self, plan: Plan, python: str = sys.executable, root: Path | None = None) -> None:
-        """`root` is where the program's package lies that fronts run: another version's, for comparisons."""
+        """Create the driver; `root` has the package that fronts run, e.g. another version."""
         self.plan, self.state = plan, ScenarioState(plan)
         self.python, self.root = python, root or Path(__file__).parents[2]
         self.fronts = [FrontProcess(n) for n in range(plan.fleet.fronts)]
@@ -55,9 +55,9 @@
         self.collectors: list[CollectorConnection] = []
         self.faults: list[str] = []
         self.lines: list[str] = []
-        self.dials: Counter[int] = Counter()  # connections to servers by second of the day
-        self.verdicts: dict[int, float] = {}  # fronts' first word that a room is lost: s of the day
-        self.late = 0.0  # s at most that this process was behind with its own timers
+        self.dials: Counter[int] = Counter()  # number of connections to servers, by second
+        self.verdicts: dict[int, float] = {}  # when each front first logged that a zone is lost, in s
+        self.late = 0.0  # longest delay of this process's own timers, in s
         self.begin = 0.0
         self._armed: dict[str, int] = {}
         self._asking: dict[str, ClientConnection] = {}
@@ -81,7 +81,7 @@
     def cut(self, front: int, node: Node) -> bool:
         return self.plan.is_partitioned(self.now(), front, int(node.zone))
 
-    # The course
+    # Running the scenario
 
     async def play(self, progress: Callable[[float], None] | None = None) -> Records:
         self.loop = asyncio.get_running_loop()
@@ -148,7 +148,7 @@
             "since_ms": since,
         }
 
-    unix = 0.0  # of the day's start
+    unix = 0.0  # Unix time of the scenario's start, in s
 
     async def _spawn(self, front: FrontProcess, folder: Path, collector: str) -> None:
         agent = await self.loop.create_server(lambda: AgentConnection(front.agent), "127.0.0.1", 0)
@@ -164,7 +164,7 @@
             self.line(line.decode("utf-8", "replace"))
 
     def line(self, text: str) -> None:
-        """A front's log line: where it listens, and what it did not expect."""
+        """Process a line of a front's log: listening addresses, lost zones and unexpected errors."""
         self.lines.append(text.strip())
         del self.lines[:-200]
         found = re.search(r" (listening|admin_api_listening) .*address=\"127.0.0.1:(\d+)\"", text)
@@ -251,10 +251,10 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # The list, servers and operators
+    # Endpoint list, servers and operators
 
     def _tell(self, notice: Notice, news: dict[tuple[int, str], int]) -> None:
-        """Older news than what is known is none: lists carry versions."""
+        """Send a notice to a front, unless the front has a newer one of that server: lists have versions."""
         key = (notice.front, notice.server)
         if notice.since < news.get(key, 0):
             return
@@ -266,7 +266,7 @@
 
     def _turn(self, turn: StateChange) -> None:
         lost = self.state.change_state(self.now(), turn)
-        del lost  # their connections break with all others of the process
+        del lost  # their connections are aborted with all others of the process
         if turn.state in ("gone", "cold"):
             self._break(turn.server)
         if turn.state == "gone":
@@ -293,7 +293,7 @@
                 one.transport.pause_reading()
 
     async def _holes(self) -> None:
-        """Cuts begin or end: addresses across them stop to answer, or answer again."""
+        """Apply the partitions active now: addresses across them stop accepting, all others accept again."""
         for birth in self.plan.node_starts:
             node = self.state.nodes.get(birth.name)
             if node is None or node.state in ("gone", "fallen"):
@@ -336,8 +336,8 @@
         r = of.of
         words = lambda: request_text(of, block, shard, self.now())  # noqa: E731
 
-        # Where this process was held up, an answer that came in time is here and not read yet: one turn of
-        # the loop reads it.
+        # If this process was delayed, an answer that arrived in time may not have been read yet. One further
+        # turn of the loop reads it.
         leave = lambda: self.loop.call_soon(self._leave, of)  # noqa: E731
         self.at(of.until + SOCKET_SLACK_US, lambda: self.loop.call_soon(leave))
         front = self.fronts[r.front]
@@ -369,7 +369,7 @@
         self._again(self.state.answer(self.now(), of, kind, body, self.lateness.us()))
 
     def broke(self, of: Try) -> None:
-        """Its front ended the connection without an answer."""
+        """Record that the front closed a request's connection without an answer."""
         self._asking.pop(of.id, None)
         self.faults.append(f"request {of.id}: its connection ended without an answer")
         self._again(self.state.leave(self.now(), of))
@@ -389,7 +389,7 @@
 def play(
     plan: Plan, progress: Callable[[float], None] | None = None, root: Path | None = None
 ) -> tuple[Records, list[str], float]:
-    """The records, what was strange, and how far (s) the rehearsal's own process was behind at most."""
+    """Return the records, the faults, and the longest delay of this process's timers in seconds."""
     import uvloop
 
     made = SocketScenario(plan, root=root)
--- a/umberlead/emulator/virtual.py
+++ b/umberlead/emulator/virtual.py
@@ -1,4 +1,4 @@
-"""A rehearsal in virtual time: the fronts' engines over emulated nodes and clients."""
+"""Plays a rehearsal in virtual time: the fronts' engines with emulated nodes and clients."""
 
 from collections.abc import Callable, Iterator
 from functools import partial
@@ -17,22 +17,22 @@
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
 
 SWEEP_INTERVAL_US = 1_000_000
-ZONE_TICK_US = 100_000  # between looks of what decides by zones
+ZONE_TICK_US = 100_000  # between ticks of zone routing and gossip
 
 
 class VirtualScenario:
     """One scenario in virtual time.
 
     Attributes:
-        plan: of the rehearsal.
+        plan: the rehearsal's plan.
         loop: virtual time.
         state: the nodes, the clients and the records.
-        faults: the engine's own errors.
-        fronts: by their numbers.
+        faults: errors of the fronts' engines.
+        fronts: the fronts, by number.
     """
 
     def __init__(self, plan: Plan) -> None:
-        """Begin a scenario of `plan`."""
+        """Create the fronts of `plan`."""
         self.plan = plan
         self.loop = Loop()
         self.state = ScenarioState(plan)
@@ -44,11 +44,11 @@
 
     @property
     def now(self) -> int:
-        """Return the time since the scenario began."""
+        """Return the time since the scenario's start."""
         return self.loop.now - START_US
 
     def play(self, progress: Callable[[float], None] | None = None) -> Records:
-        """Play to the last answer; `progress` is called with the part that is played."""
+        """Play to the end; `progress` is called with the fraction that is played."""
         self._start_nodes()
         self._schedule_changes()
         self._next(iter(self.plan.day.requests))
@@ -65,7 +65,7 @@
         return self.state.records
 
     def _start_nodes(self) -> None:
-        """Start the nodes that are there from the first moment, and let the fronts know them."""
+        """Start the nodes of the first list and give the fronts that list; schedule the other nodes."""
         for start in self.plan.node_starts:
             if start.at_us:
                 self.loop.at(START_US + start.at_us, partial(self.state.start_node, start))
@@ -108,7 +108,7 @@
     # Clients
 
     def _next(self, requests: Iterator[Request]) -> None:
-        """Arrivals one after the other: a long day must not fill the loop."""
+        """Schedule the next request only, so that a long day does not fill the loop's heap."""
         request = next(requests, None)
         if request is not None:
             self.loop.at(START_US + request.at, partial(self._first, request, requests))
@@ -123,7 +123,7 @@
         self.loop.at(self.loop.now + self.plan.client_delay_us, lambda: front.take(of, block, shard))
 
     def answered(self, of: Try, answer: Answer) -> None:
-        """Take a front's answer to a client, who has it a moment later."""
+        """Deliver a front's answer to the client after the network delay."""
         body = answer.reply.body.decode() if answer.reply is not None else ""
         kind = answer.kind.value
         self.loop.at(self.loop.now + self.plan.client_delay_us, lambda: self._answer(of, kind, body))
@@ -132,7 +132,7 @@
         self._again(self.state.answer(self.now, of, kind, body))
 
     def left(self, of: Try) -> None:
-        """Take note that a client gave up; it may come again."""
+        """Record that a client gave up; schedule its retry, if it makes one."""
         self._again(self.state.leave(self.now, of))
 
     def _again(self, of: Try | None) -> None:
@@ -159,7 +159,7 @@
         return self.plan.is_partitioned(self.now, front.number, int(node.zone))
 
     def arrived(self, front: Front, out: AttemptUnderWay, way: int) -> None:
-        """Take a request whose last byte is at its node, whoever still waits for it."""
+        """Offer a request that its node has received, even if the front has closed the connection."""
         ask = out.attempt.request.incoming
         of, block = ask.payload
         node = out.node
@@ -215,7 +215,7 @@
         self.loop.at(at, lambda: front.end(out, result, reply, job.end in KEEPS_CONNECTION))
 
     def _reply(self, node: Node, job: Job, body: str) -> Reply:
-        """What an answer tells: loads always, the meter's figures with what was served."""
+        """Build a reply: always with the load report, and with the meter's figures if a body was served."""
         reply = Reply(200 if body else 503, body.encode(), node.report(self.now))
         if body and job.volume:
             reply.used_rate_percent = self.state.meter.percent(self.now, job.volume) + 1
@@ -224,6 +224,6 @@
 
 
 def play(plan: Plan, progress: Callable[[float], None] | None = None) -> tuple[Records, list[str]]:
-    """Return the records of a rehearsal, and the engine's own errors in it."""
+    """Return the records of a rehearsal, and the errors of the fronts' engines."""
     world = VirtualScenario(plan)
     return world.play(progress), world.faults
--- a/umberlead/emulator/virtual_front.py
+++ b/umberlead/emulator/virtual_front.py
@@ -1,6 +1,6 @@
-"""A front in virtual time: the serving engine, with links of its own to the emulated nodes.
+"""A front in virtual time: the request engine with emulated connections to the nodes.
 
-What the links and the pool do is this module's; decisions are the engine's own.
+Connections and their pool are emulated here; all decisions are those of the engine.
 """
 
 from collections.abc import Callable
@@ -19,8 +19,8 @@
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
 from umberlead.scheduling.settings import Settings
 
-TIME_MARGIN_US = 15_000  # of a request's time that a front keeps to itself, as it does on sockets
-RETIRE_RATIO = 0.6  # of the idle time, at which a front closes a kept connection itself
+TIME_MARGIN_US = 15_000  # a front's deadline is earlier than its client's, as on sockets
+RETIRE_RATIO = 0.6  # fraction of the keepalive time after which a front closes an idle connection
 STATUS_BY_STATE = {
     "up": EndpointStatus.UP,
     "draining": EndpointStatus.DRAINING,
@@ -29,29 +29,29 @@
 
 
 def parsed_zones(plan: Plan, front: int) -> Any:
-    """Return a front's zones, its own one and the others by distance filled in; through the one reader."""
+    """Return a front's parsed zone settings, with its own zone and the others by distance."""
     from umberlead import configuration
 
     return configuration.parse_zones(configuration.Keys(zones_table(plan, front), "rooms"))
 
 
 class AttemptUnderWay:
-    """An attempt under way.
+    """An attempt in progress.
 
     Attributes:
-        attempt: the engine's.
-        node: where it goes.
-        linked: whether its connection is up, or counted as one that comes up.
-        written: whether it is on its way to the node.
-        arrived: whether the node has it.
-        over: whether it has ended for its front.
-        left: whether its front closed the connection behind it.
+        attempt: the engine's attempt.
+        node: the node that it is sent to.
+        linked: whether it has a connection, established or being established.
+        written: whether the request was sent to the node.
+        arrived: whether the node has received the request.
+        over: whether the attempt has ended for its front.
+        left: whether its front closed the connection after it sent the request.
     """
 
     __slots__ = ("attempt", "node", "linked", "written", "arrived", "over", "left")
 
     def __init__(self, attempt: Attempt, node: Node) -> None:
-        """Begin an attempt that goes to `node`."""
+        """Create an attempt at `node`."""
         self.attempt = attempt
         self.node = node
         self.linked = False
@@ -62,14 +62,14 @@
 
 
 class Scenario(Protocol):
-    """What a front needs of the scenario that it is played in.
+    """The part of a scenario that a front uses.
 
     Attributes:
-        plan: of the rehearsal.
+        plan: the rehearsal's plan.
         loop: virtual time.
         state: the nodes and the records.
-        faults: the engine's own errors.
-        now: microseconds since the scenario began.
+        faults: errors of the fronts' engines.
+        now: microseconds since the scenario's start.
     """
 
     plan: Plan
@@ -79,23 +79,23 @@
 
     @property
     def now(self) -> int:
-        """Return the time since the scenario began."""
+        """Return the time since the scenario's start."""
 
     def answered(self, of: Try, answer: Answer) -> None:
-        """Take a front's answer to a client."""
+        """Deliver a front's answer to a client."""
 
     def left(self, of: Try) -> None:
-        """Take note that a client gave up."""
+        """Record that a client gave up."""
 
     def arrived(self, front: "Front", out: "AttemptUnderWay", way: int) -> None:
-        """Take a request whose last byte is at its node."""
+        """Offer a request that its node has received."""
 
 
 class Front:
-    """One front: its engine, and the links that carry its attempts."""
+    """One front: its engine, and the connections for its attempts."""
 
     def __init__(self, number: int, world: Scenario, settings: Settings) -> None:
-        """Begin without any request, in the scenario `world`."""
+        """Create a front without requests in the scenario `world`."""
         self.number = number
         self.world = world
         loop = world.loop
@@ -114,7 +114,7 @@
         self.idle: dict[str, list[tuple[int, Node]]] = {}
         self.timeout = settings.connect_timeout_us
         self.retire = int(world.plan.front_settings["bounds"]["keepalive"] * RETIRE_RATIO)
-        self._news: dict[str, int] = {}  # when what it was told of a server was true
+        self._news: dict[str, int] = {}  # time of the state in the newest notice of each server
 
     def _alarm(self, delay: int, what: Callable[[], None]) -> Alarm:
         made = Alarm(what)
@@ -128,7 +128,7 @@
     # Clients
 
     def take(self, of: Try, block: str, shard: int) -> None:
-        """Take a client's request for `block` of `shard`."""
+        """Accept a client's request for `block` of `shard`."""
         request = of.of
         now = self.world.loop.now
         until = START_US + of.until
@@ -152,7 +152,7 @@
             self.engine.on_client_disconnected(ticket)
         self.world.left(of)
 
-    # Links
+    # Connections
 
     def _kept(self, name: str) -> Node | None:
         resting = self.idle.get(name, [])
@@ -167,14 +167,14 @@
         return None
 
     def sweep(self) -> None:
-        """Close connections that rested for too long."""
+        """Close connections that have been idle for too long."""
         old = self.world.loop.now - self.retire
         for resting in self.idle.values():
             while resting and resting[0][0] <= old:
                 resting.pop(0)[1].disconnect()
 
     def start(self, attempt: Attempt) -> None:
-        """Carry an attempt, on a kept connection or a new one."""
+        """Start an attempt on an idle connection or a new one."""
         world = self.world
         name = attempt.endpoint
         now = world.loop.now
@@ -201,13 +201,13 @@
 
     def _write(self, out: AttemptUnderWay, way: int, cut: bool) -> None:
         if out.over:
-            return  # given up while it came up
+            return  # the attempt was stopped while the connection was established
         out.written = True
         if not cut:
             self.world.loop.at(self.world.loop.now + way, lambda: self.world.arrived(self, out, way))
 
     def end(self, out: AttemptUnderWay, result: AttemptResult, reply: Reply | None, keep: bool) -> None:
-        """End an attempt once; `keep` its connection for the next one."""
+        """End an attempt, unless it has ended; `keep` its connection open for further attempts."""
         if out.over:
             return
         out.over = True
@@ -219,7 +219,7 @@
         self.engine.attempt_ended(out.attempt, result, reply)
 
     def stop(self, attempt: Attempt, why: AttemptResult) -> None:
-        """Give an attempt up; its end follows in the next turn."""
+        """Stop an attempt; its end is reported to the engine in the next turn."""
         out: AttemptUnderWay = attempt.transport_state
         if out.over:
             return
@@ -227,7 +227,7 @@
         if out.linked:
             out.node.disconnect()
         if out.written:
-            out.left = True  # the server sees the end behind the request, which may still be under way
+            out.left = True  # the node sees the close after the request, which may still be in transit
             if out.arrived:
                 self.world.state.record_leave(
                     self.world.now, out.node, attempt.request.incoming.payload[0].id
@@ -236,16 +236,16 @@
         self.world.loop.soon(lambda: self.engine.attempt_ended(attempt, result))
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
-        """End an attempt as not sent unless it is on its way; return whether it was."""
+        """End an attempt as not sent unless its request was sent; return whether it was ended."""
         if attempt.transport_state.over or attempt.transport_state.written:
             return False
         self.stop(attempt, AttemptResult.NOT_SENT)
         return True
 
-    # The list
+    # The endpoint list
 
     def told(self, notice: Notice, at: int) -> None:
-        """Take what a list tells of a node; what is older than what is known is passed by."""
+        """Apply a notice of a node's state; a notice older than the newest one of that node is ignored."""
         if at < self._news.get(notice.server, 0):
             return
         self._news[notice.server] = at
--- a/umberlead/emulator/virtual_gossip.py
+++ b/umberlead/emulator/virtual_gossip.py
@@ -10,7 +10,7 @@
 
 
 class GossipScenario(Protocol):
-    """What gossip needs of a scenario."""
+    """The part of a scenario that gossip uses."""
 
     @property
     def plan(self) -> Plan:
@@ -22,23 +22,23 @@
 
     @property
     def fronts(self) -> Sequence[Front]:
-        """Return the fronts by their numbers."""
+        """Return the fronts, by number."""
 
     @property
     def now(self) -> int:
-        """Return the time since the scenario began."""
+        """Return the time since the scenario's start."""
 
 
 class GossipNetwork:
-    """Fronts' gossip; datagrams between zones are lost where these are partitioned.
+    """Gossip between fronts; datagrams between partitioned zones are lost.
 
     Attributes:
-        kind: what a third of the fronts do: "liars" report every zone down whatever they see, "mute" ones say
-            nothing; any other word for none.
+        kind: fault of every third front: "liars" report every zone as down, "mute" ones send nothing; any
+            other text means that no front is faulty.
     """
 
     def __init__(self, world: GossipScenario, kind: str) -> None:
-        """Let all fronts of `world` gossip."""
+        """Create a gossip member for each front of `world`."""
         from umberlead.gossip.messages import GossipKeys
         from umberlead.gossip.swim import Gossip
 
@@ -57,7 +57,7 @@
         front.zones.router.zone_health.record_peer_state(self.world.loop.now, peer, room, state)
 
     def tick(self) -> None:
-        """Let each front take its turn."""
+        """Run one gossip tick of each front."""
         from umberlead.zones.model import ZoneState
 
         for front, member in zip(self.world.fronts, self.members, strict=True):
