--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The node's model, the day's draw, and plans of scripts."""
+"""Tests of the node model, of the draw of a day's requests, and of the plans of scripts."""
 
 import random
 from pathlib import Path
@@ -52,19 +52,20 @@
     for k in range(16):
         full.offer(0, job(f"j{k}"))
     assert calm.rate(0) == 1.0
-    assert full.rate(0) == pytest.approx(1 / (1 + 0.3 * 2))  # 16 held, 4 at which it begins: two doublings
+    # 16 in flight with a threshold of 4: two doublings
+    assert full.rate(0) == pytest.approx(1 / (1 + 0.3 * 2))
 
 
 def test_a_cold_one_warms_up_evenly_and_falls_when_overfed() -> None:
     of = {"initial_warmth": 0.2, "warm_up_us": 10.0 * SECOND_US, "queue_capacity": 10_000}
     n = node(True, **of)
     assert [n.warmth(t * SECOND_US) for t in (0, 5, 10, 20)] == pytest.approx([0.2, 0.6, 1.0, 1.0])
-    # It bears 4 times what it can do at that moment in 3 s: 2 cores at 0.2 make 4.8 s of work.
+    # It bears 4 times the work that it can do in 3 s at its present speed: 2 cores at 0.2 make 4.8 s.
     fed = [n.offer(0, job(f"j{k}", 100_000)) for k in range(49)]
     assert fed == ["taken"] * 48 + ["fallen"]
     lost = n.fall()
     assert len(lost) == 48 and n.offer(SECOND_US, job("later")) == "gone" and not n.connect()
-    slow = node(True, **of)  # the same work over a longer time is borne
+    slow = node(True, **of)  # the same work over a longer time does not overload it
     assert {slow.offer(k * 100_000, job(f"j{k}", 100_000)) for k in range(49)} == {"taken"}
     warm = node(False, **of)
     assert {warm.offer(0, job(f"j{k}", 100_000)) for k in range(500)} == {"taken"}
@@ -99,7 +100,7 @@
     assert [j.answer_at_us for j in run(n)] == [50_000]
     assert n.deferred_work_us == 50_000
     n.offer(110_000, job("r", 10_000))
-    n.offer(110_000, job("s", 10_000))  # waits for the put-off work: it is done once a core is free
+    n.offer(110_000, job("s", 10_000))  # waits for the deferred work, which runs once a core is free
     assert [(j.id, j.answer_at_us) for j in run(n)] == [("r", 120_000), ("s", 180_000)]
     assert n.deferred_work_us == 0
 
@@ -137,7 +138,7 @@
     assert n.report(0)["inflight"] == 0
     for k in range(5):
         n.offer(400_000, job(f"j{k}", 10 * SECOND_US))
-    assert n.report(450_000)["inflight"] == 0  # made now, told later
+    assert n.report(450_000)["inflight"] == 0  # the report is made now and sent later
     assert n.report(649_999)["inflight"] == 0
     assert n.report(650_000)["inflight"] == 5
 
@@ -156,7 +157,7 @@
     assert m.percent(600_000, "v") == -1
     m.add(100_000, "v", 10)
     assert m.percent(1_299_999, "v") == -1
-    assert m.percent(1_300_000, "v") == 200  # 10 units in half a second, of 10 a second
+    assert m.percent(1_300_000, "v") == 200  # 10 units in half a second at a rate of 10 per second
     assert m.percent(1_800_000, "v") == 0
 
 
@@ -235,7 +236,7 @@
     made = [day(k, excess=0.0, seconds=60) for k in range(6)]
     for d in made:
         asked = sum(r.work for r in d.requests) / (60 * SECOND_US * 10 * 2)
-        assert 0.36 < asked < 0.56  # half of nine tenths, give or take what 60 s leave to chance
+        assert 0.36 < asked < 0.56  # half of nine tenths, with the random variation of 60 s
         assert {r.units for r in d.requests} == set(range(1, 7))
         assert all(r.shard == -1 for r in d.requests if r.write)
         assert all(4 <= len(d.volumes) / 10 <= 10 for d in made)
@@ -277,7 +278,7 @@
     assert clients.again(upload, "refused", upload.at) is not None
     assert clients.again(upload, "failed", upload.at) is None
     assert clients.again(upload, "none", upload.until) is None
-    assert clients.again(read, "refused", read.until - 60_000) is None  # no time is left
+    assert clients.again(read, "refused", read.until - 60_000) is None  # the deadline is too close
     assert clients.again(read, "served", read.at) is None
 
 
@@ -299,7 +300,7 @@
     )
     assert [c.latency_objective_us for c in got.classes] == [300_000, 600_000, 2_000_000]
     assert got.front_count == 4 and got.shard_count == 10 and got.slow_start_overload_factor == 4.0
-    # What a cold node always bears is less than what pushes the slowest of them over.
+    # The work allowed to a cold node is less than the work that overloads the slowest node.
     assert got.slow_start_units * d.unit < 4 * 3 * SECOND_US * 2 * 0.85 * 0.17
 
 
@@ -339,7 +340,7 @@
         5 * SECOND_US,
         13_500_000,
         22 * SECOND_US,
-    ]  # three batches of two, the last ends at 25 s
+    ]  # three batches of two; the last one ends at 25 s
     for t in made.state_changes:
         heard = [n.at for n in made.notices if (n.server, n.state) == (t.server, t.state)]
         assert len(heard) == 3 and all(1.3 * SECOND_US <= at - t.at <= 4.3 * SECOND_US for at in heard)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge and the price, on records written by hand: each breach by its name, and none without one."""
+"""Tests of the judge and of the service computation, on records written by hand."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -26,7 +26,7 @@
 
 
 def records() -> Records:
-    """A read that is served, an upload that is, and an upload that is refused: nothing wrong."""
+    """Return records without a breach: a served read, a served upload and a refused upload."""
     of = Records()
     for front in (0, 1):
         of.told += [Told(0, front, name, "up") for name in ("n00", "n01")]
@@ -69,7 +69,7 @@
 
 
 def _gone_after_draining(of: Records) -> None:
-    """No grace anew."""
+    """The notice "gone" after "draining" does not start another grace period."""
     of.told += [Told(0, 0, "n00", "draining"), Told(S - 10, 0, "n00", "gone")]
     of.came[0] = replace(of.came[0], at=S + 1)
 
@@ -83,12 +83,12 @@
 
 
 def _fed(of: Records, part: float, told: bool = True) -> None:
-    """A start, and within one window the given part of what the budget and chance leave, in small work."""
+    """Record a cold start, and requests in one window that use `part` of the budget and its tolerance."""
     s, day = parsed_settings(DAY), DAY.day
     n, mean = s.slow_start_units / s.mean_request_units, sum(r.work for r in day.requests) / len(day.requests)
     of.lives.append(Life(2 * S, "n00", "cold", 0))
     of.told += [Told(2 * S, 0, "n00", "up")] if told else []
-    for k in range(200):  # all at the start, when the least is allowed
+    for k in range(200):  # all right after the start, when the budget is smallest
         came(of, 0, at=2 * S + k, id=f"x{k}", word="full", work=part * (n + 2 * n**0.5 + 2) * mean / 200)
 
 
@@ -142,9 +142,9 @@
 
 def test_what_the_rules_allow_is_no_breach(made: Plan) -> None:
     of = records()
-    of.told.append(Told(100_000, 0, "n00", "draining"))  # 0.9 s before
+    of.told.append(Told(100_000, 0, "n00", "draining"))  # 0.9 s before the request arrives
     of.ended[0] = replace(of.ended[0], word="error", body="")
-    came(of, 0, at=S + 9100)  # a read again, after its error
+    came(of, 0, at=S + 9100)  # a retry of the read after its error
     of.ended.append(Ended(S + 9300, "n00", "r", "ok", body="n00:r"))
     of.sort()
     assert Judge(made, of).breaches() == []
@@ -170,7 +170,7 @@
 
 
 def test_a_cold_budget_holds_with_what_chance_adds_and_counts_fronts_that_were_told(made: Plan) -> None:
-    """Beyond N + 2 root N + 2 from fronts that know; what those send that don't is not the program's."""
+    """The limit is N + 2 * sqrt(N) + 2; requests from fronts without a notice of the start are no breach."""
     for part, told, wanted in ((0.99, True, []), (1.01, True, ["cold-over-budget"]), (1.5, False, [])):
         of = records()
         _fed(of, part, told)
@@ -179,7 +179,7 @@
         assert found == wanted, (part, told)
 
 
-# The price
+# The service
 
 
 def test_a_tier_gives_the_best_first_and_the_worst_to_late_ones() -> None:
@@ -241,7 +241,7 @@
 
 
 def test_refusing_what_lies_beyond_reserve_and_share_costs_little(made: Plan) -> None:
-    """The dearest units first: service falls by less than what is refused."""
+    """The most valuable units are served, so service falls by less than the fraction that is refused."""
     pricing = Pricing(made)
     kept = {"priority", "standard"}
     got = pricing.service(_perfect(made, lambda r: 1000 if r.plan in kept else -1))
@@ -276,7 +276,7 @@
 
     of = _perfect(made, lambda r: 200_000)
     for row in of.asked:
-        row.at += 150_000  # the generator was late: that is no merit
+        row.at += 150_000  # a delay of the load generator does not shorten the latency
     late = replace(of.asked[0], id="again", at=of.asked[0].at + 500_000)
     of.asked.append(late)
     of.answered = [a for a in of.answered if a.id != of.asked[0].id]
--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -1,5 +1,4 @@
-"""Rehearsals whole: the same result twice, fronts that break rules found out, and sockets beside virtual
-time."""
+"""Tests of whole rehearsals in virtual time and on sockets, and of the judge on faulty fronts."""
 
 import asyncio
 import contextlib
@@ -75,15 +74,15 @@
     inside = [t for at, t in took if 2_000_000 <= at < 5_000_000]
     outside = [t for at, t in took if at < 2_000_000]
     assert sum(inside) / len(inside) > 1.5 * sum(outside) / len(outside)
-    assert of.left  # silent ones were given up
+    assert of.left  # attempts at silent servers were given up
     assert {t.front for t in of.told} == {0, 1} == {r.front for r in made.day.requests}
 
 
-# Fronts that break the rules, each in one way: the judge names it from servers' and clients' records.
+# Each of these fronts breaks one rule, which the judge must find in the records of servers and clients.
 
 
 class Rogue(Front):
-    """A front with a fault planted in it."""
+    """A front with a planted fault."""
 
 
 def _started(change: Callable[[Rogue, Attempt], None]) -> type[Rogue]:
@@ -99,7 +98,7 @@
 
 
 def _copy(front: Front, attempt: Attempt, wait: int) -> None:
-    """The request of an attempt once more, past the engine."""
+    """Send the request of an attempt once more, without the engine."""
     out = attempt.transport_state
     if isinstance(out, AttemptUnderWay):
         again = AttemptUnderWay(attempt, out.node)
@@ -117,7 +116,7 @@
 
 
 def _elsewhere(front: Rogue, attempt: Attempt) -> None:
-    """To a server of another shard."""
+    """Send to a server of another shard."""
     names = sorted(front.world.state.nodes)
     attempt.endpoint = names[(names.index(attempt.endpoint) + 1) % len(names)]
     Front.start(front, attempt)
@@ -140,7 +139,7 @@
 
 
 class Deaf(Rogue):
-    """Does not hear that servers drain."""
+    """Ignores notices that servers drain or are gone."""
 
     def told(self, notice: Any, at: int) -> None:
         if notice.state != "up":
@@ -150,7 +149,7 @@
 
 
 class Ahead(Rogue):
-    """Sends to the newest server, whether its list has named that or not."""
+    """Sends to the newest server, even if its endpoint list does not have that server yet."""
 
     def start(self, attempt: Attempt) -> None:
         attempt.endpoint = max(self.world.state.nodes)
@@ -199,14 +198,14 @@
 
 
 def _harmless(world: VirtualScenario, of: Any, answer: Answer) -> None:
-    """Failed uploads are told as refused."""
+    """Report failed uploads as refused."""
     if answer.kind is AnswerKind.FAILED:
         answer.kind = AnswerKind.REJECTED
     VirtualScenario.answered(world, of, answer)
 
 
 def _to_the_drained(front: Rogue, attempt: Attempt) -> None:
-    """Once more, to a server that turns it away."""
+    """Send a second copy to a draining server, which rejects it."""
     Front.start(front, attempt)
     node = front.world.state.nodes["n02"]
     again = AttemptUnderWay(attempt, node)
@@ -215,7 +214,7 @@
 
 
 class Overfeeds(Rogue):
-    """All to the successors as soon as they are told, ten times over."""
+    """Sends many more copies of each request that goes to a server that warms up."""
 
     def start(self, attempt: Attempt) -> None:
         super().start(attempt)
@@ -266,13 +265,13 @@
 
 
 def test_a_rehearsal_on_sockets_holds_what_virtual_time_holds(tmp_path: Path) -> None:
-    """Not its figure, which is the machine's too: rules, expectations, and that work was done."""
+    """The service value depends on the machine; rules, expectations and completed work are checked."""
     kept: list[Any] = []
     text = SHORT.replace("seconds 8 load 60%", "seconds 5 load 30%").replace("over 4s", "over 3s")
     text += "at 1s cut room 1 for 1s\nat 1s collector stops for 1s\nat 2s out n01\nat 3s in n01\n"
     text = text.replace("expect service at-least 30%\n", "")
     got = rehearsal.rehearse(script(text), Figures(), sockets=True, keep=lambda p, r: kept.extend((p, r)))
-    # What a stalled machine can bring about by itself is left to `make rehearsals`.
+    # Breaches that a stalled machine alone can cause are checked by `make rehearsals` only.
     timed = {"no-answer", "two-out", *(n for n in NAMES if n.startswith("sent-"))}
     assert not set(got.breaches) - timed and not got.faults, got.text()
     made, of = kept
@@ -284,8 +283,11 @@
 
 
 class Judged:
-    """One request of a rehearsal's client to a front of this test's own, which answers from a thread when it
-    is told to: while the judge's process is held up, or after the request's time."""
+    """One client request to a front emulated by the test.
+
+    The front answers from a thread when `tell` is set: while the event loop is blocked, or after the
+    request's deadline.
+    """
 
     def __init__(self, wait: float = 0.1) -> None:
         self.made = SocketScenario(plan(script(), Figures()))
@@ -314,7 +316,7 @@
             await asyncio.sleep(0.001)
 
     async def over(self) -> list[str]:
-        """What the judge finds, once its client has its answer or has left."""
+        """Return the names of the breaches, once the client has an answer or has given up."""
         while self.of.id in self.made.state.open:
             await asyncio.sleep(0.001)
         records = self.made.state.records
@@ -330,7 +332,7 @@
         await of.heard()
 
         class HeldUp(asyncio.Protocol):
-            """While it reads elsewhere: the client's timer, due meanwhile, may come before it reads again."""
+            """Blocks the loop while it reads another socket, until the client's timer is due."""
 
             def data_received(self, data: bytes) -> None:
                 of.tell.set()
@@ -355,7 +357,7 @@
 def test_an_answer_that_is_not_there_in_time_is_a_breach_however_late_the_judge_is(
     loop: Any, held_up: bool
 ) -> None:
-    """Its client leaves where it reads all the time, and where it was held up just then and then read."""
+    """The client gives up, whether the loop reads all the time or is blocked around the deadline."""
 
     async def test() -> None:
         of = Judged()
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -1,7 +1,8 @@
 """Plays a scenario on real sockets.
 
 Each front is a process. The emulated servers, discovery agents, log collector and clients run in this
-process; all connections are on loopback. Each front has its own addresses for every server and its discovery agent.
+process; all connections are on loopback. Each front reaches the servers and its discovery agent at addresses
+of its own.
 """
 
 import asyncio
