--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -34,7 +34,7 @@
     return made
 
 
-def test_two_cores_serve_in_turn_and_the_room_turns_away() -> None:
+def test_requests_run_in_order_and_a_full_queue_rejects() -> None:
     n = node(queue_capacity=2)
     words = [n.offer(0, job(f"j{k}")) for k in range(5)]
     assert words == ["taken"] * 4 + ["full"]
@@ -47,7 +47,7 @@
     assert n.offer(30_000, job("astray", shard=4)) == "astray"
 
 
-def test_too_many_held_slow_it_down() -> None:
+def test_many_requests_in_flight_slow_the_node_down() -> None:
     calm, full = node(thrash=0.3, thrash_at=2.0), node(thrash=0.3, thrash_at=2.0)
     for k in range(16):
         full.offer(0, job(f"j{k}"))
@@ -56,7 +56,7 @@
     assert full.rate(0) == pytest.approx(1 / (1 + 0.3 * 2))
 
 
-def test_a_cold_one_warms_up_evenly_and_falls_when_overfed() -> None:
+def test_cold_node_warms_up_linearly_and_ends_when_overloaded() -> None:
     of = {"initial_warmth": 0.2, "warm_up_us": 10.0 * SECOND_US, "queue_capacity": 10_000}
     n = node(True, **of)
     assert [n.warmth(t * SECOND_US) for t in (0, 5, 10, 20)] == pytest.approx([0.2, 0.6, 1.0, 1.0])
@@ -72,7 +72,7 @@
 
 
 @given(st.integers(0, 60 * SECOND_US), st.floats(1_000, 3_000_000), st.integers(1, 1 << 30))
-def test_pauses_stretch_what_they_meet_and_nothing_else(start: int, work: float, seed: int) -> None:
+def test_pauses_delay_only_the_work_that_they_overlap(start: int, work: float, seed: int) -> None:
     n = Node(
         "n",
         0,
@@ -94,7 +94,7 @@
     assert all(2.1 * SECOND_US - 1 <= g <= 9 * SECOND_US for g in gaps)
 
 
-def test_part_of_a_write_is_put_off_and_done_in_one_go() -> None:
+def test_deferred_write_work_runs_in_one_flush() -> None:
     n = node(defer=0.5, flush_interval_us=100_000.0, cores=1)
     n.offer(0, job("w", 100_000, write=True))
     assert [j.answer_at_us for j in run(n)] == [50_000]
@@ -105,7 +105,7 @@
     assert n.deferred_work_us == 0
 
 
-def test_a_repeat_of_a_recent_piece_is_cheaper_at_its_first_attempt_alone() -> None:
+def test_reading_a_recent_block_is_cheaper_on_the_first_attempt_only() -> None:
     n = node(seek=0.5, remembers=2, cores=1)
     times = []
     for name, block in (("a", "x"), ("b", "x"), ("b", "x"), ("c", "y"), ("d", "z"), ("e", "x")):
@@ -123,7 +123,7 @@
     ]
 
 
-def test_connections_cost_work_and_are_capped() -> None:
+def test_connections_cost_work_and_are_limited() -> None:
     n = node(max_connections=2, handshake_us=1_000.0, full_tax=0.1, cores=1)
     assert [n.connect() for _ in range(3)] == [True, True, False]
     assert n.rate(0) == pytest.approx(0.9)
@@ -133,7 +133,7 @@
     assert n.connect()
 
 
-def test_reports_are_refreshed_now_and_then_and_come_late() -> None:
+def test_load_reports_are_periodic_and_delayed() -> None:
     n = node(report_interval_us=400_000.0, report_delay_us=200_000.0, cores=1)
     assert n.report(0)["inflight"] == 0
     for k in range(5):
@@ -143,7 +143,7 @@
     assert n.report(650_000)["inflight"] == 5
 
 
-def test_what_others_were_served_is_told_once() -> None:
+def test_units_served_through_other_fronts_are_reported_once() -> None:
     n = node()
     for front, units in ((0, 2), (1, 3), (1, 4)):
         n.served["v"] += units
@@ -152,7 +152,7 @@
     assert n.elsewhere("v", 0, 0) == 0
 
 
-def test_the_meter_tells_a_finished_period_late() -> None:
+def test_meter_reports_a_finished_period_after_a_delay() -> None:
     m = Meter(500_000, 800_000, {"v": 10.0})
     assert m.percent(600_000, "v") == -1
     m.add(100_000, "v", 10)
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("kind", ["error", "reset", "silence", "half", "spoilt", "surplus", "lag"])
-def test_spells_end_what_they_are_told_to_in_their_time_alone(kind: str) -> None:
+def test_impairment_sets_the_outcome_only_while_it_is_active(kind: str) -> None:
     n = node()
     n.impairments = [
         Impairment(SECOND_US, 2 * SECOND_US, kind, 1.0),
@@ -177,20 +177,20 @@
 
 
 @pytest.mark.parametrize("kind", ["full", "astray", "early"])
-def test_what_is_turned_away_never_runs(kind: str) -> None:
+def test_rejected_requests_never_run(kind: str) -> None:
     n = node()
     n.impairments = [Impairment(0, SECOND_US, kind, 1.0)]
     assert n.offer(0, job("a")) == kind
     assert n.due() == FOREVER_US and not n.done_work
 
 
-def test_slow_and_neighbours_take_their_part() -> None:
+def test_slowdown_and_neighbour_reduce_the_rate() -> None:
     n = node()
     n.impairments = [Impairment(0, SECOND_US, "slow", 4.0), Impairment(500_000, SECOND_US, "neighbour", 0.5)]
     assert [n.rate(t) for t in (0, 600_000, SECOND_US)] == [0.25, 0.125, 1.0]
 
 
-def test_traits_lie_in_the_published_ranges() -> None:
+def test_traits_are_within_the_published_ranges() -> None:
     drawn = [traits(FIGURES, random.Random(k)) for k in range(200)]
     assert {t.cores for t in drawn} == {2}
     assert all(0.85 <= t.speed <= 1.1 and 0.17 <= t.initial_warmth <= 0.35 for t in drawn)
@@ -210,7 +210,7 @@
         ("[node]", "[node", "figures.toml"),
     ],
 )
-def test_a_bad_figure_names_file_and_key(tmp_path: Path, old: str, new: str, why: str) -> None:
+def test_figure_error_names_file_and_key(tmp_path: Path, old: str, new: str, why: str) -> None:
     text = Path("umberlead/emulator/figures.toml").read_text()
     assert old in text
     (tmp_path / "figures.toml").write_text(text.replace(old, new))
@@ -227,12 +227,12 @@
     return draw(FIGURES, seed=seed, **of)  # type: ignore[arg-type]
 
 
-def test_a_day_is_drawn_from_its_seed_alone() -> None:
+def test_day_depends_only_on_its_seed() -> None:
     assert day(3).requests == day(3).requests
     assert day(3).requests != day(4).requests
 
 
-def test_a_day_asks_what_the_figures_say() -> None:
+def test_requests_of_a_day_match_the_figures() -> None:
     made = [day(k, excess=0.0, seconds=60) for k in range(6)]
     for d in made:
         asked = sum(r.work for r in d.requests) / (60 * SECOND_US * 10 * 2)
@@ -250,7 +250,7 @@
     assert all(r.of < r.number and not r.write for r in fresh)
 
 
-def test_surges_come_on_top_and_waves_from_scripts_only_in_their_time() -> None:
+def test_surges_add_load_and_scripted_waves_only_while_active() -> None:
     calm, more = day(2, excess=0.0), day(2)
     assert sum(r.units for r in more.requests) > 1.2 * sum(r.units for r in calm.requests)
     waves = (Wave(10 * SECOND_US, 20 * SECOND_US, 3.0), Wave(0, 40 * SECOND_US, 20.0, "image-read", 0.02))
@@ -266,7 +266,7 @@
     assert sum(reads) / len(reads) / mean == pytest.approx(1 + 0.02 * 19, rel=0.2)
 
 
-def test_clients_ask_again_once_and_never_an_upload_that_may_have_run() -> None:
+def test_clients_retry_once_and_never_an_upload_that_may_have_run() -> None:
     d = day(1)
     d.retries, d.retry_wait = 1, 50_000
     clients = Clients(d)
@@ -282,7 +282,7 @@
     assert clients.again(read, "served", read.at) is None
 
 
-def test_an_attempts_noise_is_its_names_own() -> None:
+def test_noise_depends_on_the_seed_and_the_attempt() -> None:
     kind = day().kind("image-read")
     assert noise(1, "a", 0, kind) == noise(1, "a", 0, kind)
     assert len({noise(s, i, k, kind) for s in (1, 2) for i in "ab" for k in (0, 1)}) == 8
@@ -290,7 +290,7 @@
     assert sum(drawn) / len(drawn) == pytest.approx(1.0, abs=0.03)
 
 
-def test_fronts_are_told_what_the_reader_of_configurations_takes() -> None:
+def test_front_settings_parse_as_configuration() -> None:
     from umberlead import configuration
 
     d = day()
@@ -316,7 +316,7 @@
     return suite.scenarios[0]
 
 
-def test_a_plan_is_drawn_from_its_seed_alone() -> None:
+def test_plan_depends_only_on_its_seed() -> None:
     of = script("at 5s deploy 60% batch 20% drain 3s over 20s", "at 1s lists shuffled for 30s")
     a, b, c = plan(of, FIGURES), plan(of, FIGURES), plan(of, FIGURES, 6)
     assert (a.node_starts, a.state_changes, a.notices, a.day.requests) == (
@@ -328,7 +328,7 @@
     assert a.node_starts != c.node_starts
 
 
-def test_a_deploy_replaces_in_batches_with_cold_successors_of_the_same_shard() -> None:
+def test_deploy_replaces_batches_with_cold_servers_of_the_same_shard() -> None:
     made = plan(script("at 5s deploy 60% batch 20% drain 3s over 20s"), FIGURES)
     new = [b for b in made.node_starts if b.slow_start]
     old = [t.server for t in made.state_changes if t.state == "draining"]
@@ -349,7 +349,7 @@
         assert started == {b.at_us}
 
 
-def test_lists_come_late_or_out_of_order_and_clocks_step_only_in_their_time() -> None:
+def test_lists_are_late_or_shuffled_and_clocks_wrong_only_while_scripted() -> None:
     calm = plan(script("at 9s drain n01", "at 30s drain n02"), FIGURES)
     late = plan(script("at 8s lists late 4s for 5s", "at 9s drain n01", "at 30s drain n02"), FIGURES)
     for a, b in zip(calm.notices, late.notices, strict=True):
@@ -370,7 +370,7 @@
         ("at 5s cut room 3 for 1s", "E124 s.script:5"),
     ],
 )
-def test_a_plan_that_makes_no_sense_names_its_line(line: str, why: str) -> None:
+def test_inconsistent_plan_error_names_the_line(line: str, why: str) -> None:
     with pytest.raises(ScriptError) as caught:
         plan(script(line), FIGURES)
     code, place = why.split()
@@ -389,6 +389,6 @@
         ("format 1\nscenario s\nexpect service at-least 5%\n", "service belongs in a scenario with a fleet"),
     ],
 )
-def test_a_script_that_can_not_be_read_says_why(text: str, why: str) -> None:
+def test_unreadable_script_reports_the_reason(text: str, why: str) -> None:
     _, problems = parse(f"{text}end {text.count(chr(10))}\n", "s.script")
     assert any(why in str(p) for p in problems), problems
--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -31,7 +31,7 @@
 from umberlead.routing_tests.language import parse
 from umberlead.scheduling.events import AttemptResult
 
-PATIENCE = 20.0
+WAIT_TIMEOUT_S = 20.0
 SHORT = """format 1
 scenario short seed 4
 fleet servers 5 fronts 2
@@ -55,14 +55,14 @@
     return suite.scenarios[0]
 
 
-def test_a_rehearsal_in_virtual_time_is_the_same_to_the_byte() -> None:
+def test_rehearsal_in_virtual_time_is_reproducible_byte_for_byte() -> None:
     a, b = (rehearsal.rehearse(script(), Figures()) for _ in range(2))
     assert a.text() == b.text()
     assert a.held, a.text()
     assert rehearsal.rehearse(script(), Figures(), seed=5).text() != a.text()
 
 
-def test_what_a_script_does_is_seen_in_the_records() -> None:
+def test_records_show_the_events_of_a_script() -> None:
     kept: list[Any] = []
     rehearsal.rehearse(script(), Figures(), keep=lambda p, r: kept.extend((p, r)))
     made, of = kept
@@ -81,64 +81,64 @@
 # Each of these fronts breaks one rule, which the judge must find in the records of servers and clients.
 
 
-class Rogue(Front):
+class FaultyFront(Front):
     """A front with a planted fault."""
 
 
-def _started(change: Callable[[Rogue, Attempt], None]) -> type[Rogue]:
-    class Planted(Rogue):
+def _with_start(change: Callable[[FaultyFront, Attempt], None]) -> type[FaultyFront]:
+    class Planted(FaultyFront):
         def start(self, attempt: Attempt) -> None:
             change(self, attempt)
 
     return Planted
 
 
-def _later(front: Front, wait: int, what: Callable[[], None]) -> None:
+def _call_after(front: Front, wait: int, what: Callable[[], None]) -> None:
     front.world.loop.at(front.world.loop.now + wait, what)
 
 
-def _copy(front: Front, attempt: Attempt, wait: int) -> None:
+def _send_copy(front: Front, attempt: Attempt, wait: int) -> None:
     """Send the request of an attempt once more, without the engine."""
     out = attempt.transport_state
     if isinstance(out, AttemptUnderWay):
         again = AttemptUnderWay(attempt, out.node)
         again.over = again.written = True
-        _later(front, wait, lambda: front.world.arrived(front, again, 0))
+        _call_after(front, wait, lambda: front.world.arrived(front, again, 0))
 
 
-def _copies(*waits: int) -> Callable[[Rogue, Attempt], None]:
-    def change(front: Rogue, attempt: Attempt) -> None:
+def _with_copies(*waits: int) -> Callable[[FaultyFront, Attempt], None]:
+    def change(front: FaultyFront, attempt: Attempt) -> None:
         Front.start(front, attempt)
         for wait in waits:
-            _copy(front, attempt, wait)
+            _send_copy(front, attempt, wait)
 
     return change
 
 
-def _elsewhere(front: Rogue, attempt: Attempt) -> None:
+def _send_to_other_shard(front: FaultyFront, attempt: Attempt) -> None:
     """Send to a server of another shard."""
     names = sorted(front.world.state.nodes)
     attempt.endpoint = names[(names.index(attempt.endpoint) + 1) % len(names)]
     Front.start(front, attempt)
 
 
-def _invented(front: Rogue, attempt: Attempt) -> None:
+def _invent_answer(front: FaultyFront, attempt: Attempt) -> None:
     front.engine.attempt_ended(attempt, AttemptResult.OK, Reply(200, b"made up"))
 
 
-def _renamed(front: Rogue, attempt: Attempt) -> None:
+def _change_call_id(front: FaultyFront, attempt: Attempt) -> None:
     of, block = attempt.request.incoming.payload
     attempt.request.incoming.payload = (Try(of.of, 99, of.at, of.until), block)
     Front.start(front, attempt)
 
 
-def _other_block(front: Rogue, attempt: Attempt) -> None:
+def _change_block(front: FaultyFront, attempt: Attempt) -> None:
     of, _ = attempt.request.incoming.payload
     attempt.request.incoming.payload = (of, "0" * 16)
     Front.start(front, attempt)
 
 
-class Deaf(Rogue):
+class IgnoresDrainNotices(FaultyFront):
     """Ignores notices that servers drain or are gone."""
 
     def told(self, notice: Any, at: int) -> None:
@@ -148,7 +148,7 @@
             super().told(notice, at)
 
 
-class Ahead(Rogue):
+class SendsToUnlistedServer(FaultyFront):
     """Sends to the newest server, even if its endpoint list does not have that server yet."""
 
     def start(self, attempt: Attempt) -> None:
@@ -156,7 +156,7 @@
         super().start(attempt)
 
 
-class Silent(Rogue):
+class LosesRequests(FaultyFront):
     """Loses one request in twenty."""
 
     count = 0
@@ -166,10 +166,10 @@
         if self.count % 20:
             super().take(of, block, shard)
         else:
-            _later(self, 7_000_000, lambda: self.world.left(of))
+            _call_after(self, 7_000_000, lambda: self.world.left(of))
 
 
-def _answering(change: Callable[[VirtualScenario, Any, Answer], None]) -> type[VirtualScenario]:
+def _with_answered(change: Callable[[VirtualScenario, Any, Answer], None]) -> type[VirtualScenario]:
     class Planted(VirtualScenario):
         def answered(self, of: Any, answer: Answer) -> None:
             change(self, of, answer)
@@ -177,76 +177,76 @@
     return Planted
 
 
-def _twice_answered(world: VirtualScenario, of: Any, answer: Answer) -> None:
+def _answer_twice(world: VirtualScenario, of: Any, answer: Answer) -> None:
     VirtualScenario.answered(world, of, answer)
     VirtualScenario.answered(world, of, answer)
 
 
-def _altered(world: VirtualScenario, of: Any, answer: Answer) -> None:
+def _alter_body(world: VirtualScenario, of: Any, answer: Answer) -> None:
     if answer.reply is not None:
         answer.reply.body += b"x"
     VirtualScenario.answered(world, of, answer)
 
 
-_last: list[bytes] = [b""]
+_last_body: list[bytes] = [b""]
 
 
-def _of_another(world: VirtualScenario, of: Any, answer: Answer) -> None:
+def _swap_bodies(world: VirtualScenario, of: Any, answer: Answer) -> None:
     if answer.reply is not None and answer.reply.body:
-        _last[0], answer.reply.body = answer.reply.body, _last[0] or answer.reply.body
+        _last_body[0], answer.reply.body = answer.reply.body, _last_body[0] or answer.reply.body
     VirtualScenario.answered(world, of, answer)
 
 
-def _harmless(world: VirtualScenario, of: Any, answer: Answer) -> None:
+def _report_failed_as_refused(world: VirtualScenario, of: Any, answer: Answer) -> None:
     """Report failed uploads as refused."""
     if answer.kind is AnswerKind.FAILED:
         answer.kind = AnswerKind.REJECTED
     VirtualScenario.answered(world, of, answer)
 
 
-def _to_the_drained(front: Rogue, attempt: Attempt) -> None:
+def _send_copy_to_draining_server(front: FaultyFront, attempt: Attempt) -> None:
     """Send a second copy to a draining server, which rejects it."""
     Front.start(front, attempt)
     node = front.world.state.nodes["n02"]
     again = AttemptUnderWay(attempt, node)
     again.over = again.written = True
-    _later(front, 20_000, lambda: front.world.arrived(front, again, 0))
+    _call_after(front, 20_000, lambda: front.world.arrived(front, again, 0))
 
 
-class Overfeeds(Rogue):
+class OverloadsColdServers(FaultyFront):
     """Sends many more copies of each request that goes to a server that warms up."""
 
     def start(self, attempt: Attempt) -> None:
         super().start(attempt)
         if attempt.transport_state.node.warmth(self.world.now) < 1:
             for k in range(80):
-                _copy(self, attempt, 1000 + k)
+                _send_copy(self, attempt, 1000 + k)
 
 
 PLANTED: dict[str, Any] = {
-    "upload-twice": _started(_copies(1500)),
-    "two-out": _started(_copies(1500)),
-    "sent-after-answer": _started(_copies(1_900_000)),
-    "sent-after-time": _started(_copies(7_000_000)),
-    "wrong-shard": _started(_elsewhere),
-    "answer-invented": _started(_invented),
-    "too-many-attempts": _started(_copies(100_000, 200_000, 300_000)),
-    "unknown-request": _started(_renamed),
-    "request-altered": _started(_other_block),
-    "sent-to-draining": Deaf,
-    "never-listed": Ahead,
-    "no-answer": Silent,
-    "cold-pushed-over": Overfeeds,
-    "two-answers": _answering(_twice_answered),
-    "answer-altered": _answering(_altered),
-    "answer-of-another": _answering(_of_another),
-    "refused-though-run": _answering(_harmless),
-    "upload-resent": _started(_to_the_drained),
+    "upload-twice": _with_start(_with_copies(1500)),
+    "two-out": _with_start(_with_copies(1500)),
+    "sent-after-answer": _with_start(_with_copies(1_900_000)),
+    "sent-after-time": _with_start(_with_copies(7_000_000)),
+    "wrong-shard": _with_start(_send_to_other_shard),
+    "answer-invented": _with_start(_invent_answer),
+    "too-many-attempts": _with_start(_with_copies(100_000, 200_000, 300_000)),
+    "unknown-request": _with_start(_change_call_id),
+    "request-altered": _with_start(_change_block),
+    "sent-to-draining": IgnoresDrainNotices,
+    "never-listed": SendsToUnlistedServer,
+    "no-answer": LosesRequests,
+    "cold-pushed-over": OverloadsColdServers,
+    "two-answers": _with_answered(_answer_twice),
+    "answer-altered": _with_answered(_alter_body),
+    "answer-of-another": _with_answered(_swap_bodies),
+    "refused-though-run": _with_answered(_report_failed_as_refused),
+    "upload-resent": _with_start(_send_copy_to_draining_server),
 }
 
 
 @pytest.mark.parametrize("name", sorted(PLANTED))
-def test_a_front_that_breaks_a_rule_is_found_out(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_judge_finds_a_front_that_breaks_a_rule(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     fault, world = PLANTED[name], VirtualScenario
     if issubclass(fault, VirtualScenario):
         world = fault
@@ -257,14 +257,14 @@
     assert name in found, found
 
 
-def test_fifteen_breaches_and_more_are_planted() -> None:
+def test_at_least_fifteen_breaches_are_planted() -> None:
     assert len(PLANTED) >= 15
 
 
 # Sockets
 
 
-def test_a_rehearsal_on_sockets_holds_what_virtual_time_holds(tmp_path: Path) -> None:
+def test_rehearsal_on_sockets_keeps_the_rules(tmp_path: Path) -> None:
     """The service value depends on the machine; rules, expectations and completed work are checked."""
     kept: list[Any] = []
     text = SHORT.replace("seconds 8 load 60%", "seconds 5 load 30%").replace("over 4s", "over 3s")
@@ -282,7 +282,7 @@
     assert all(re.fullmatch(r"n\d\d:[0-9a-f]{16}", a.body) for a in served)
 
 
-class Judged:
+class SingleRequest:
     """One client request to a front emulated by the test.
 
     The front answers from a thread when `tell` is set: while the event loop is blocked, or after the
@@ -305,7 +305,7 @@
         link, _ = self.socket.accept()
         self.got = link.recv(9999)
         self.asked.set()
-        if self.tell.wait(PATIENCE):
+        if self.tell.wait(WAIT_TIMEOUT_S):
             with contextlib.suppress(OSError):
                 link.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             self.told.set()
@@ -325,9 +325,9 @@
 
 
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop])
-def test_an_answer_that_came_while_the_judge_was_held_up_is_no_breach(loop: Any) -> None:
+def test_answer_received_while_the_loop_is_blocked_is_no_breach(loop: Any) -> None:
     async def test() -> None:
-        of = Judged()
+        of = SingleRequest()
         of.made._ask(of.of)
         await of.heard()
 
@@ -336,7 +336,7 @@
 
             def data_received(self, data: bytes) -> None:
                 of.tell.set()
-                assert of.told.wait(PATIENCE)
+                assert of.told.wait(WAIT_TIMEOUT_S)
                 while of.made.now() <= of.of.until + 2 * SOCKET_SLACK_US:
                     pass
 
@@ -354,13 +354,11 @@
 
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop])
 @pytest.mark.parametrize("held_up", [False, True])
-def test_an_answer_that_is_not_there_in_time_is_a_breach_however_late_the_judge_is(
-    loop: Any, held_up: bool
-) -> None:
+def test_late_answer_is_a_breach_even_if_the_loop_is_blocked(loop: Any, held_up: bool) -> None:
     """The client gives up, whether the loop reads all the time or is blocked around the deadline."""
 
     async def test() -> None:
-        of = Judged()
+        of = SingleRequest()
         of.made._ask(of.of)
         await of.heard()
         while (over := of.made.now() - of.of.until - SOCKET_SLACK_US) <= 40_000:
@@ -373,9 +371,9 @@
         runner.run(test())
 
 
-def test_a_budget_counts_from_the_sending_however_long_the_connection_took() -> None:
+def test_budget_counts_from_the_send_after_a_slow_connect() -> None:
     async def test() -> None:
-        of, gate = Judged(wait=2.0), asyncio.Event()
+        of, gate = SingleRequest(wait=2.0), asyncio.Event()
         connect, sent = of.made.loop.create_connection, 0
 
         async def slowly(*words: Any) -> Any:
@@ -399,7 +397,7 @@
     asyncio.run(test())
 
 
-def test_connections_to_a_black_hole_never_come_up() -> None:
+def test_connections_to_a_black_hole_time_out() -> None:
     async def test() -> None:
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()
@@ -415,7 +413,7 @@
     asyncio.run(test())
 
 
-def test_an_agent_tells_the_whole_list_and_changes_by_version() -> None:
+def test_agent_list_has_the_version_and_the_current_servers() -> None:
     of = Agent()
     of.tell({"name": "a", "status": "ready"})
     of.tell({"name": "b", "status": "ready"})
@@ -430,7 +428,7 @@
 # The command
 
 
-def test_the_command_tells_what_held_and_what_did_not(tmp_path: Path) -> None:
+def test_command_reports_which_expectations_held(tmp_path: Path) -> None:
     file = tmp_path / "s.script"
     file.write_text(f"{SHORT}end {SHORT.count(chr(10))}\n")
     runner, out = CliRunner(), tmp_path / "out.json"
@@ -454,23 +452,21 @@
         (SHORT, "there is no closing line"),
     ],
 )
-def test_a_script_that_can_not_be_played_is_an_error_with_its_place(
-    tmp_path: Path, text: str, why: str
-) -> None:
+def test_unplayable_script_is_an_error_with_its_line(tmp_path: Path, text: str, why: str) -> None:
     file = tmp_path / "s.script"
     file.write_text(text)
     got = CliRunner().invoke(command, ["rehearse", str(file)])
     assert got.exit_code == 2 and why in got.output, got.output
 
 
-def test_routing_tests_send_a_fleet_to_rehearse(tmp_path: Path) -> None:
+def test_expect_refers_scenarios_with_a_fleet_to_rehearse(tmp_path: Path) -> None:
     file = tmp_path / "s.script"
     file.write_text(f"{SHORT}end {SHORT.count(chr(10))}\n")
     got = CliRunner().invoke(command, ["expect", str(file)])
     assert got.exit_code == 2 and "E130" in got.output, got.output
 
 
-def test_times_in_records_count_from_the_days_start() -> None:
+def test_record_times_count_from_the_scenario_start() -> None:
     made = plan(script(), Figures())
     world = VirtualScenario(made)
     of = world.play()
