--- a/umberlead/emulator/client_connections.py
+++ b/umberlead/emulator/client_connections.py
@@ -24,9 +24,9 @@
         self.of: Try | None = None
         self.words: Callable[[], bytes] = bytes
         self.reused = self.begun = False
-        self._fresh()
+        self._reset_parser()
 
-    def _fresh(self) -> None:
+    def _reset_parser(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.body = list[bytes]()
 
@@ -63,7 +63,7 @@
         body = b"".join(self.body)
         of = self.of
         self.of = None
-        self._fresh()
+        self._reset_parser()
         if keep:
             self.front.idle.append(self)
         elif self.transport is not None:
--- a/umberlead/emulator/judge.py
+++ b/umberlead/emulator/judge.py
@@ -109,18 +109,23 @@
 
     def breaches(self) -> list[Breach]:
         """Return all breaches in order of time."""
-        made = [*self._answers(), *self._fallen(), *self._over_budget(), *self._listed()]
+        made = [
+            *self._check_answers(),
+            *self._check_fallen(),
+            *self._check_cold_budget(),
+            *self._check_notices(),
+        ]
         for id_, rows in self.arrivals.items():
             asked = self.requests.get(id_)
             if asked is None:
                 made += [Breach("unknown-request", r.at, id_, r.server) for r in rows]
                 continue
-            made += self._as_asked(asked, rows)
-            made += self._attempts(asked, rows)
+            made += self._check_unaltered(asked, rows)
+            made += self._check_attempts(asked, rows)
         made.sort(key=lambda b: (b.at, b.name, b.id))
         return made
 
-    def _answers(self) -> Iterator[Breach]:
+    def _check_answers(self) -> Iterator[Breach]:
         bodies = {e.body: i for i, ends in self.ended.items() for e in ends if e.body}
         for id_, asked in self.requests.items():
             answers = self.answered.get(id_, [])
@@ -135,12 +140,12 @@
             if answer.kind == "refused" and asked.write and ran:
                 yield Breach("refused-though-run", answer.at, id_, ran[0].server)
             if answer.kind == "served":
-                yield from self._served(id_, answer.at, answer.body, bodies)
+                yield from self._check_served(id_, answer.at, answer.body, bodies)
         for id_, answers in self.answered.items():
             if id_ not in self.requests:
                 yield Breach("stranger-answered", answers[0].at, id_)
 
-    def _served(self, id_: str, at: int, body: str, bodies: dict[str, str]) -> Iterator[Breach]:
+    def _check_served(self, id_: str, at: int, body: str, bodies: dict[str, str]) -> Iterator[Breach]:
         ends = [e for e in self.ended.get(id_, []) if RESULT_AFTER_RUN[e.word] is not None and e.body]
         if not ends:
             yield Breach("answer-invented", at, id_)
@@ -148,7 +153,7 @@
             name = "answer-of-another" if body in bodies else "answer-altered"
             yield Breach(name, at, id_, ends[0].server)
 
-    def _as_asked(self, asked: Asked, rows: list[Came]) -> Iterator[Breach]:
+    def _check_unaltered(self, asked: Asked, rows: list[Came]) -> Iterator[Breach]:
         for r in rows:
             if (r.class_name, r.block, r.shard) != (asked.class_name, asked.block, asked.shard):
                 yield Breach("request-altered", r.at, r.id, r.server)
@@ -159,7 +164,7 @@
             if r.shard not in (-1, self.shards.get(r.server, r.shard)):
                 yield Breach("wrong-shard", r.at, r.id, r.server)
 
-    def _attempts(self, asked: Asked, rows: list[Came]) -> Iterator[Breach]:
+    def _check_attempts(self, asked: Asked, rows: list[Came]) -> Iterator[Breach]:
         id_ = asked.id
         if len(rows) > MAX_ATTEMPTS:
             yield Breach("too-many-attempts", rows[MAX_ATTEMPTS].at, id_, rows[MAX_ATTEMPTS].server)
@@ -173,10 +178,10 @@
             if earlier and asked.write:
                 word = "upload-twice" if row.word == "taken" else "upload-resent"
                 yield Breach(word, row.at, id_, row.server)
-            if any(self._over(r) > row.at for r in earlier):
+            if any(self._end_of_attempt(r) > row.at for r in earlier):
                 yield Breach("two-out", row.at, id_, row.server)
 
-    def _over(self, row: Came) -> int:
+    def _end_of_attempt(self, row: Came) -> int:
         """Return when an accepted attempt ended: by an answer, a reset, or a close by the front."""
         ends = [
             e.at
@@ -186,12 +191,12 @@
         leaves = [at for at in self.left.get((row.id, row.server), []) if at >= row.at]
         return min([*ends, *leaves, NEVER_US])
 
-    def _fallen(self) -> Iterator[Breach]:
+    def _check_fallen(self) -> Iterator[Breach]:
         for life in self.records.lives:
             if life.what == "fallen":
                 yield Breach("cold-pushed-over", life.at, "", life.server)
 
-    def _over_budget(self) -> Iterator[Breach]:
+    def _check_cold_budget(self) -> Iterator[Breach]:
         """Find cold servers that received more in a window than the settings and random variation allow.
 
         The settings allow N requests of mean work in a window after a start; up to 2 * sqrt(N) + 2 more are
@@ -216,10 +221,10 @@
             again = [o.at for o in starts if o.server == life.server and o.at > life.at]
             end = min([life.at + settings.warm_up_us, *again])
             rows = [row for row in came[life.server] if life.at <= row.at < end]
-            yield from self._first_over_budget(life, rows, settings, mean, told)
+            yield from self._first_window_over_budget(life, rows, settings, mean, told)
 
     @staticmethod
-    def _first_over_budget(
+    def _first_window_over_budget(
         life: Life,
         rows: list[Came],
         settings: Settings,
@@ -252,7 +257,7 @@
                 yield Breach("cold-over-budget", row.at, row.id, life.server, why)
                 return
 
-    def _listed(self) -> Iterator[Breach]:
+    def _check_notices(self) -> Iterator[Breach]:
         told: dict[tuple[int, str], tuple[list[int], list[str]]] = defaultdict(lambda: ([], []))
         for news in self.records.told:
             times, states = told[news.front, news.server]
--- a/umberlead/emulator/loopback.py
+++ b/umberlead/emulator/loopback.py
@@ -48,23 +48,23 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         """Start measuring the lateness of `loop`."""
         self.loop = loop
-        self._turn = 0.0
+        self._turn_delay = 0.0
         self._due = loop.time()
-        self._beat()
+        self._measure()
 
-    def _beat(self) -> None:
+    def _measure(self) -> None:
         now = self.loop.time()
-        self._turn = now - self._due
+        self._turn_delay = now - self._due
         self._due = now + LATENESS_INTERVAL_S
-        self.loop.call_at(self._due, self._beat)
-        self.loop.call_soon(self.loop.call_soon, self._read)
+        self.loop.call_at(self._due, self._measure)
+        self.loop.call_soon(self.loop.call_soon, self._reset_turn_delay)
 
-    def _read(self) -> None:
-        self._turn = 0.0  # the sockets of this turn have been read
+    def _reset_turn_delay(self) -> None:
+        self._turn_delay = 0.0  # the sockets of this turn have been read
 
     def us(self) -> int:
         """Return the lateness in microseconds; 0 if it is at most `LATENESS_INTERVAL_S`."""
-        late = max(self._turn, self.loop.time() - self._due)
+        late = max(self._turn_delay, self.loop.time() - self._due)
         return int(late * SECOND_US) if late > LATENESS_INTERVAL_S else 0
 
 
--- a/umberlead/emulator/node.py
+++ b/umberlead/emulator/node.py
@@ -121,8 +121,9 @@
     latency: float = 0.0
 
 
-ENDS = ("error", "reset", "silence", "half", "spoilt", "surplus", "lag", "full", "astray", "early")
-BEFORE = ("full", "astray", "early")  # rejected, or the connection is reset, before the request runs
+OUTCOMES = ("error", "reset", "silence", "half", "spoilt", "surplus", "lag", "full", "astray", "early")
+# Rejected, or the connection is reset, before the request runs.
+REJECTED_OUTCOMES = ("full", "astray", "early")
 
 
 class Node:
@@ -160,8 +161,8 @@
         self.zone = room
         self.started_us = born
         self.chance = random.Random(f"{seed}/{name}/ends")
-        self._quiet = random.Random(f"{seed}/{name}/pauses")
-        self._noise = random.Random(f"{seed}/{name}/reports")
+        self._pause_chance = random.Random(f"{seed}/{name}/pauses")
+        self._report_chance = random.Random(f"{seed}/{name}/reports")
         self.slow_start_since_us = born if cold else -FOREVER_US
         self.state = "up"
         self.impairments: list[Impairment] = []
@@ -169,7 +170,7 @@
         self.busy: list[tuple[int, int, Job | None]] = []
         self._order = 0
         self._pauses: list[tuple[int, int]] = []
-        self._last_pause = born
+        self._last_pause_end = born
         self.deferred_work_us = 0.0
         self._flush_at = born + int(of.flush_interval_us)
         self.handshake_work_us = 0.0
@@ -177,11 +178,13 @@
         self.seen: set[str] = set()
         self.connections = 0
         self.served: Counter[str] = Counter()
-        self._through: dict[tuple[str, int], int] = {}  # units reported so far, by volume and front
-        self._sent: deque[tuple[int, float]] = deque()  # arrival time and work within the overload window
-        self._sum = 0.0
+        self._reported_units: dict[tuple[str, int], int] = {}  # units reported so far, by volume and front
+        self._recent_work: deque[tuple[int, float]] = (
+            deque()
+        )  # arrival time and work within the overload window
+        self._recent_work_sum = 0.0
         self._reports: deque[tuple[int, _Load]] = deque([(born, _Load())])
-        self._took: deque[float] = deque(maxlen=20)
+        self._recent_durations: deque[float] = deque(maxlen=20)
         self.done_work = 0.0
 
     # Speed at a given time
@@ -193,7 +196,7 @@
         part = (now - self.slow_start_since_us) / self.traits.warm_up_us
         return min(self.traits.initial_warmth + (1 - self.traits.initial_warmth) * max(part, 0.0), 1.0)
 
-    def _value(self, now: int, kind: str) -> float:
+    def _impairment_value(self, now: int, kind: str) -> float:
         return max(
             (s.value for s in self.impairments if s.kind == kind and s.begin <= now < s.end), default=0.0
         )
@@ -202,8 +205,8 @@
         """Return the speed of one core at `now`, relative to a core of speed 1."""
         of = self.traits
         held = self.in_flight
-        made = of.speed * self.warmth(now) / max(self._value(now, "slow"), 1.0)
-        made *= 1 - min(self._value(now, "neighbour"), 0.95)
+        made = of.speed * self.warmth(now) / max(self._impairment_value(now, "slow"), 1.0)
+        made *= 1 - min(self._impairment_value(now, "neighbour"), 0.95)
         made *= 1 - of.full_tax * min(self.connections / of.max_connections, 1.0)
         over = held / (of.thrash_at * of.cores)
         return made / (1 + of.thrash * math.log2(over)) if over > 1 else made
@@ -218,9 +221,9 @@
         if not self.traits.pause_interval_us[1]:
             return FOREVER_US, FOREVER_US
         while not self._pauses or self._pauses[-1][1] <= at:
-            begin = self._last_pause + int(self._quiet.uniform(*self.traits.pause_interval_us))
-            self._last_pause = begin + int(self._quiet.uniform(*self.traits.pause_us))
-            self._pauses.append((begin, self._last_pause))
+            begin = self._last_pause_end + int(self._pause_chance.uniform(*self.traits.pause_interval_us))
+            self._last_pause_end = begin + int(self._pause_chance.uniform(*self.traits.pause_us))
+            self._pauses.append((begin, self._last_pause_end))
             if len(self._pauses) > 64:
                 del self._pauses[:32]
         return next(p for p in self._pauses if p[1] > at)
@@ -263,14 +266,14 @@
         if self.state in ("gone", "fallen"):
             return "gone"
         job.arrived_us = now
-        end = self._drawn(now)
-        if end in BEFORE:
+        end = self._draw_outcome(now)
+        if end in REJECTED_OUTCOMES:
             return end
         if self.state == "draining":
             return "draining"
         if job.shard not in (-1, self.shard):
             return "astray"
-        if self._pushed(now, job.work):
+        if self._is_overloaded_by(now, job.work):
             return "fallen"
         if len(self.busy) >= self.traits.cores and len(self.waiting) >= self.traits.queue_capacity:
             return "full"
@@ -286,16 +289,16 @@
             self.waiting.append(job)
         return "taken"
 
-    def _drawn(self, now: int) -> str:
+    def _draw_outcome(self, now: int) -> str:
         draw = self.chance.random()
         for spell in self.impairments:
-            if spell.kind in ENDS and spell.begin <= now < spell.end:
+            if spell.kind in OUTCOMES and spell.begin <= now < spell.end:
                 if draw < spell.value:
                     return spell.kind
                 draw -= spell.value
         return "error" if draw < self.traits.errors else "ok"
 
-    def _pushed(self, now: int, work: float) -> bool:
+    def _is_overloaded_by(self, now: int, work: float) -> bool:
         """Return whether this work overloads a node that warms up.
 
         That is so when the work offered within the overload window exceeds `overload_multiple` times the work
@@ -304,12 +307,12 @@
         if self.warmth(now) >= 1.0:
             return False
         since = now - self.traits.overload_window_us
-        while self._sent and self._sent[0][0] <= since:
-            self._sum -= self._sent.popleft()[1]
-        self._sent.append((now, work))
-        self._sum += work
+        while self._recent_work and self._recent_work[0][0] <= since:
+            self._recent_work_sum -= self._recent_work.popleft()[1]
+        self._recent_work.append((now, work))
+        self._recent_work_sum += work
         can = self.traits.cores * self.traits.speed * self.warmth(now) * self.traits.overload_window_us
-        return self._sum > self.traits.overload_multiple * can
+        return self._recent_work_sum > self.traits.overload_multiple * can
 
     def fall(self) -> list[Job]:
         """End the overloaded node; return its running and queued requests, which are lost."""
@@ -344,12 +347,12 @@
         while self.busy and self.busy[0][0] <= now:
             at, _, job = heappop(self.busy)
             if job is not None:
-                self._ended(at, job)
+                self._finish(at, job)
                 made.append(job)
-            self._next(at)
+            self._start_next(at)
         return made
 
-    def _next(self, at: int) -> None:
+    def _start_next(self, at: int) -> None:
         if self.deferred_work_us and at >= self._flush_at:
             work = self.deferred_work_us
             self.deferred_work_us = 0.0
@@ -358,9 +361,9 @@
         elif self.waiting:
             self._begin(at, self.waiting.popleft())
 
-    def _ended(self, at: int, job: Job) -> None:
-        job.answer_at_us = at + int(self._value(at, "lag-ms") * 1000) if job.end == "lag" else at
-        self._took.append(float(at - job.started_us))
+    def _finish(self, at: int, job: Job) -> None:
+        job.answer_at_us = at + int(self._impairment_value(at, "lag-ms") * 1000) if job.end == "lag" else at
+        self._recent_durations.append(float(at - job.started_us))
         self.served[job.volume] += int(job.units)
 
     # Figures in the node's answers
@@ -371,16 +374,20 @@
         `units` are those of the present answer; they are not counted.
         """
         total = self.served[volume]
-        told = self._through.get((volume, front), 0)
-        self._through[volume, front] = total
+        told = self._reported_units.get((volume, front), 0)
+        self._reported_units[volume, front] = total
         return max(total - told - int(units), 0)
 
     def report(self, now: int) -> dict[str, float]:
         """Return `inflight` and `latency_ms` of a load report, which is `report_delay_us` old or older."""
         of = self.traits
         if now - self._reports[-1][0] >= of.report_interval_us:
-            took = sum(self._took) / len(self._took) / 1000 if self._took else 0.0
-            factor = max(1 + self._noise.gauss(0, of.report_noise), 0.0)
+            took = (
+                sum(self._recent_durations) / len(self._recent_durations) / 1000
+                if self._recent_durations
+                else 0.0
+            )
+            factor = max(1 + self._report_chance.gauss(0, of.report_noise), 0.0)
             self._reports.append((now, _Load(self.in_flight * factor, took * factor)))
         while len(self._reports) > 1 and self._reports[1][0] <= now - of.report_delay_us:
             self._reports.popleft()
--- a/umberlead/emulator/price.py
+++ b/umberlead/emulator/price.py
@@ -214,9 +214,9 @@
                     worth = 1.0 if best else kinds[r.class_name].late_priority_weight
                     earned[r.number] = taken * r.units / units * price(r) * worth
             late += len(after)
-        return self._summed(records, due, earned, served, late)
+        return self._summarize(records, due, earned, served, late)
 
-    def _summed(
+    def _summarize(
         self,
         records: Records,
         due: dict[int, float],
--- a/umberlead/emulator/rehearsal.py
+++ b/umberlead/emulator/rehearsal.py
@@ -117,7 +117,7 @@
     return made
 
 
-def _verdicts(of: Scenario, made: Plan, records: Records, figure: float) -> list[Verdict]:
+def _check_expectations(of: Scenario, made: Plan, records: Records, figure: float) -> list[Verdict]:
     got = lives(records)
     settings = parsed_settings(made)
 
@@ -173,7 +173,8 @@
     breaches = Judge(made, records, SOCKET_SLACK_US if sockets else 0).breaches()
     priced = service(made, records)
     verdicts = [
-        (v.expectation.text, v.outcome.value, v.reason) for v in _verdicts(of, made, records, priced.figure)
+        (v.expectation.text, v.outcome.value, v.reason)
+        for v in _check_expectations(of, made, records, priced.figure)
     ]
     return Result(
         of.name,
--- a/umberlead/emulator/server_connections.py
+++ b/umberlead/emulator/server_connections.py
@@ -66,9 +66,9 @@
         way = self.play.plan.one_way_delay_us(self.front, int(self.node.zone))
         wait = way if self.used else way + int(2 * way * self.node.traits.handshake_round_trips)
         self.used = True
-        self.play.after(wait, lambda: self._arrived(target, headers, body))
+        self.play.after(wait, lambda: self._offer(target, headers, body))
 
-    def _arrived(self, target: str, headers: dict[bytes, bytes], body: bytes) -> None:
+    def _offer(self, target: str, headers: dict[bytes, bytes], body: bytes) -> None:
         """Offer the request to the server, even if the front has closed the connection."""
         node = self.node
         play = self.play
@@ -124,13 +124,13 @@
         elif word == "error":
             self._reply(STATUS_LINES["error"], b"failed\n", b"")
         else:
-            self._reply(b"200 OK", body, self._figures(job))
+            self._reply(b"200 OK", body, self._meter_headers(job))
             if word == "surplus":
                 self.send(b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nsurplus")
         if word not in KEEPS_CONNECTION and self.transport is not None:
             self.transport.close()
 
-    def _figures(self, job: Job) -> bytes:
+    def _meter_headers(self, job: Job) -> bytes:
         play = self.play
         node = self.node
         assert node is not None
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -60,8 +60,8 @@
         self.verdicts: dict[int, float] = {}  # when each front first logged that a zone is lost, in s
         self.late = 0.0  # longest delay of this process's own timers, in s
         self.begin = 0.0
-        self._armed: dict[str, int] = {}
-        self._asking: dict[str, ClientConnection] = {}
+        self._timer_due: dict[str, int] = {}
+        self._client_of_call: dict[str, ClientConnection] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     # Time
@@ -90,7 +90,7 @@
         with tempfile.TemporaryDirectory(dir="/dev/shm" if os.path.isdir("/dev/shm") else None) as folder:
             try:
                 await self._start(Path(folder))
-                await self._day(progress)
+                await self._play_day(progress)
             finally:
                 await self._end()
         self.state.records.sort()
@@ -111,7 +111,7 @@
                     front.agent.entries[birth.name] = self._entry(
                         front.number, birth.name, birth.shard, "up", 0
                     )
-            await self._spawn(front, folder, collector)
+            await self._start_front(front, folder, collector)
         end = time.monotonic() + START_TIMEOUT_S
         while not all(
             front.address[1] and front.admin_port and front.agent.watchers for front in self.fronts
@@ -151,15 +151,15 @@
 
     unix = 0.0  # Unix time of the scenario's start, in s
 
-    async def _spawn(self, front: FrontProcess, folder: Path, collector: str) -> None:
+    async def _start_front(self, front: FrontProcess, folder: Path, collector: str) -> None:
         agent = await self.loop.create_server(lambda: AgentConnection(front.agent), "127.0.0.1", 0)
         self.servers["discovery", front.number] = agent
         path = folder / f"front-{front.number}.toml"
         path.write_text(configuration_text(self.plan, front.number, port_of(agent), collector))
         await front.start(self.python, self.root, path)
-        front.reader = self.loop.create_task(self._read(front))
+        front.reader = self.loop.create_task(self._read_log(front))
 
-    async def _read(self, front: FrontProcess) -> None:
+    async def _read_log(self, front: FrontProcess) -> None:
         assert front.process is not None and front.process.stderr is not None
         while line := await front.process.stderr.readline():
             self.line(line.decode("utf-8", "replace"))
@@ -181,7 +181,7 @@
         if " module_error " in text or " unexpected_error " in text:
             self.faults.append(text.strip()[:500])
 
-    async def _day(self, progress: Callable[[float], None] | None) -> None:
+    async def _play_day(self, progress: Callable[[float], None] | None) -> None:
         plan = self.plan
         self.begin, self.unix = self.loop.time() + 0.5, time.time() + 0.5
         for birth in plan.node_starts:
@@ -195,17 +195,17 @@
                     self.state.record_notice(0, front.number, birth.name, "up")
         news: dict[tuple[int, str], int] = {}
         for notice in plan.notices:
-            self.at(notice.at, lambda n=notice: self._tell(n, news))  # type: ignore[misc]
+            self.at(notice.at, lambda n=notice: self._send_notice(n, news))  # type: ignore[misc]
         for turn in plan.state_changes:
-            self.at(turn.at, lambda t=turn: self._turn(t))  # type: ignore[misc]
+            self.at(turn.at, lambda t=turn: self._change_state(t))  # type: ignore[misc]
         for hand in plan.manual_drains:
-            self.at(hand.at, lambda h=hand: self._hand(h))  # type: ignore[misc]
+            self.at(hand.at, lambda h=hand: self._apply_manual_drain(h))  # type: ignore[misc]
         for cut in plan.partitions:
-            self.at(cut.begin, lambda: self._spawned(self._holes()))
-            self.at(cut.end, lambda: self._spawned(self._holes()))
+            self.at(cut.begin, lambda: self._start_task(self._apply_partitions()))
+            self.at(cut.end, lambda: self._start_task(self._apply_partitions()))
         for begin, end in plan.collector_stops:
-            self.at(begin, lambda: self._collect(False))
-            self.at(end, lambda: self._collect(True))
+            self.at(begin, lambda: self._set_collector_reading(False))
+            self.at(end, lambda: self._set_collector_reading(True))
         beat, whole = 0.0, plan.length_us + RUN_ON
         requests, k = plan.day.requests, 0
         while (now := self.now()) < whole:
@@ -226,7 +226,7 @@
     async def _end(self) -> None:
         for task in list(self._tasks):
             task.cancel()
-        for client in list(self._asking.values()):
+        for client in list(self._client_of_call.values()):
             client.of = None
         for front in self.fronts:
             if front.runs:
@@ -247,14 +247,14 @@
             for link in list(links):
                 link.abort()
 
-    def _spawned(self, call: Any) -> None:
+    def _start_task(self, call: Any) -> None:
         task = self.loop.create_task(call)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     # Endpoint list, servers and operators
 
-    def _tell(self, notice: Notice, news: dict[tuple[int, str], int]) -> None:
+    def _send_notice(self, notice: Notice, news: dict[tuple[int, str], int]) -> None:
         """Send a notice to a front, unless the front has a newer one of that server: lists have versions."""
         key = (notice.front, notice.server)
         if notice.since < news.get(key, 0):
@@ -265,16 +265,16 @@
         entry = self._entry(notice.front, notice.server, shard, notice.state, notice.started)
         self.fronts[notice.front].agent.tell(entry)
 
-    def _turn(self, turn: StateChange) -> None:
+    def _change_state(self, turn: StateChange) -> None:
         lost = self.state.change_state(self.now(), turn)
         del lost  # their connections are aborted with all others of the process
         if turn.state in ("gone", "cold"):
-            self._break(turn.server)
+            self._abort_connections(turn.server)
         if turn.state == "gone":
             for front in self.fronts:
                 self.servers[turn.server, front.number].close()
 
-    def _break(self, name: str) -> None:
+    def _abort_connections(self, name: str) -> None:
         for link in list(self.links.get(name, ())):
             link.job = None
             if not (link.node is not None and self.cut(link.front, link.node)):
@@ -282,18 +282,18 @@
 
     def fall(self, node: Node) -> None:
         self.state.drop_jobs(self.now(), node)
-        self._break(node.name)
+        self._abort_connections(node.name)
         for front in self.fronts:
             self.servers[node.name, front.number].close()
 
-    def _collect(self, on: bool) -> None:
+    def _set_collector_reading(self, on: bool) -> None:
         for one in self.collectors:
             if on:
                 one.transport.resume_reading()
             else:
                 one.transport.pause_reading()
 
-    async def _holes(self) -> None:
+    async def _apply_partitions(self) -> None:
         """Apply the partitions active now: addresses across them stop accepting, all others accept again."""
         for birth in self.plan.node_starts:
             node = self.state.nodes.get(birth.name)
@@ -310,20 +310,20 @@
                     self.holes.pop(key).close()
                     await self._listen(birth.name, front.number, self.ports[key])
 
-    def _hand(self, hand: ManualDrain) -> None:
+    def _apply_manual_drain(self, hand: ManualDrain) -> None:
         for front in self.fronts:
             word = "offline" if hand.drained else "online"
             url = f"http://127.0.0.1:{front.admin_port}/control/chunk-servers/{hand.server}/{word}"
-            self._spawned(asyncio.to_thread(put, url))
+            self._start_task(asyncio.to_thread(put, url))
 
     def arm(self, node: Node) -> None:
         due = node.due()
-        if due < self._armed.get(node.name, FOREVER_US):
-            self._armed[node.name] = due
+        if due < self._timer_due.get(node.name, FOREVER_US):
+            self._timer_due[node.name] = due
             self.at(due, lambda: self._advance(node))
 
     def _advance(self, node: Node) -> None:
-        self._armed[node.name] = FOREVER_US
+        self._timer_due[node.name] = FOREVER_US
         for job in node.advance(self.now()):
             body = f"{node.name}:{job.id}"
             self.state.record_end(node, job, body)
@@ -339,14 +339,14 @@
 
         # If this process was delayed, an answer that arrived in time may not have been read yet. One further
         # turn of the loop reads it.
-        leave = lambda: self.loop.call_soon(self._leave, of)  # noqa: E731
+        leave = lambda: self.loop.call_soon(self._give_up, of)  # noqa: E731
         self.at(of.until + SOCKET_SLACK_US, lambda: self.loop.call_soon(leave))
         front = self.fronts[r.front]
         if front.idle:
             client = front.idle.pop()
-            self._asking[of.id] = client
+            self._client_of_call[of.id] = client
             return client.ask(of, words, True)
-        self._spawned(self._connect(of, words))
+        self._start_task(self._connect(of, words))
 
     async def _connect(self, of: Try, words: Callable[[], bytes]) -> None:
         front = self.fronts[of.of.front]
@@ -358,31 +358,31 @@
             return self.broke(of)
         if of.id not in self.state.open:
             return client.abort()
-        self._asking[of.id] = client
+        self._client_of_call[of.id] = client
         client.ask(of, words, False)
 
     def once_more(self, of: Try, words: Callable[[], bytes]) -> None:
         if of.id in self.state.open:
-            self._spawned(self._connect(of, words))
+            self._start_task(self._connect(of, words))
 
     def answered(self, of: Try, kind: str, body: str) -> None:
-        self._asking.pop(of.id, None)
-        self._again(self.state.answer(self.now(), of, kind, body, self.lateness.us()))
+        self._client_of_call.pop(of.id, None)
+        self._schedule_retry(self.state.answer(self.now(), of, kind, body, self.lateness.us()))
 
     def broke(self, of: Try) -> None:
         """Record that the front closed a request's connection without an answer."""
-        self._asking.pop(of.id, None)
+        self._client_of_call.pop(of.id, None)
         self.faults.append(f"request {of.id}: its connection ended without an answer")
-        self._again(self.state.leave(self.now(), of))
+        self._schedule_retry(self.state.leave(self.now(), of))
 
-    def _leave(self, of: Try) -> None:
-        client = self._asking.pop(of.id, None)
+    def _give_up(self, of: Try) -> None:
+        client = self._client_of_call.pop(of.id, None)
         if client is not None and client.of is of:
             client.of = None
             client.abort()
-        self._again(self.state.leave(self.now(), of))
+        self._schedule_retry(self.state.leave(self.now(), of))
 
-    def _again(self, of: Try | None) -> None:
+    def _schedule_retry(self, of: Try | None) -> None:
         if of is not None:
             self.at(of.at, lambda: self._ask(of))
 
--- a/umberlead/emulator/stored.py
+++ b/umberlead/emulator/stored.py
@@ -22,12 +22,12 @@
         super().__init__(name, shard, model, record, seed)
         of = traits(Figures(), random.Random(f"{seed}/{name}/traits"))
         self._loop = asyncio.get_event_loop()
-        self._begin = self._loop.time()
+        self._start_s = self._loop.time()
         self.node = Node(name, shard, of, seed, 0)
-        self._armed = FOREVER_US
+        self._timer_due = FOREVER_US
 
     def _now(self) -> int:
-        return int((self._loop.time() - self._begin) * SECOND_US)
+        return int((self._loop.time() - self._start_s) * SECOND_US)
 
     def admit(self) -> bool:
         """Return whether the node accepts one more connection."""
@@ -49,17 +49,17 @@
         job = Job(row["id"], row["class"], "", row["block"], row["shard"], units, work, write, 0, done)
         if self.node.offer(self._now(), job) != "taken":
             return False
-        self._arm()
+        self._set_timer()
         return True
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         due = self.node.due()
-        if due < self._armed:
-            self._armed = due
-            self._loop.call_at(self._begin + due / SECOND_US, self._advance)
+        if due < self._timer_due:
+            self._timer_due = due
+            self._loop.call_at(self._start_s + due / SECOND_US, self._advance)
 
     def _advance(self) -> None:
-        self._armed = FOREVER_US
+        self._timer_due = FOREVER_US
         for job in self.node.advance(self._now()):
             job.token(self.force or DONE.get(job.end, "reset"))
-        self._arm()
+        self._set_timer()
--- a/umberlead/emulator/virtual.py
+++ b/umberlead/emulator/virtual.py
@@ -37,7 +37,7 @@
         self.loop = Loop()
         self.state = ScenarioState(plan)
         self.faults: list[str] = []
-        self._armed: dict[str, int] = {}
+        self._timer_due: dict[str, int] = {}
         self.gossip: GossipNetwork | None = None
         settings = parsed_settings(plan)
         self.fronts = [Front(n, self, settings) for n in range(plan.fleet.fronts)]
@@ -51,7 +51,7 @@
         """Play to the end; `progress` is called with the fraction that is played."""
         self._start_nodes()
         self._schedule_changes()
-        self._next(iter(self.plan.day.requests))
+        self._schedule_next_request(iter(self.plan.day.requests))
         self._start_zones()
         end = self.plan.length_us + RUN_ON_US
         for second in range(0, end, SWEEP_INTERVAL_US):
@@ -85,11 +85,11 @@
         plan = self.plan
         loop = self.loop
         for turn in plan.state_changes:
-            loop.at(START_US + turn.at, partial(self._turn, turn))
+            loop.at(START_US + turn.at, partial(self._change_state, turn))
         for notice in plan.notices:
             loop.at(START_US + notice.at, partial(self.fronts[notice.front].told, notice, notice.since))
         for hand in plan.manual_drains:
-            loop.at(START_US + hand.at, partial(self._hand, hand))
+            loop.at(START_US + hand.at, partial(self._apply_manual_drain, hand))
 
     def _start_zones(self) -> None:
         front_settings = self.plan.front_settings
@@ -107,17 +107,17 @@
 
     # Clients
 
-    def _next(self, requests: Iterator[Request]) -> None:
+    def _schedule_next_request(self, requests: Iterator[Request]) -> None:
         """Schedule the next request only, so that a long day does not fill the loop's heap."""
         request = next(requests, None)
         if request is not None:
-            self.loop.at(START_US + request.at, partial(self._first, request, requests))
+            self.loop.at(START_US + request.at, partial(self._send_first_try, request, requests))
 
-    def _first(self, request: Request, requests: Iterator[Request]) -> None:
-        self._ask(self.state.clients.first(request))
-        self._next(requests)
+    def _send_first_try(self, request: Request, requests: Iterator[Request]) -> None:
+        self._send_try(self.state.clients.first(request))
+        self._schedule_next_request(requests)
 
-    def _ask(self, of: Try) -> None:
+    def _send_try(self, of: Try) -> None:
         block, shard = self.state.record_request(self.now, of)
         front = self.fronts[of.of.front]
         self.loop.at(self.loop.now + self.plan.client_delay_us, lambda: front.take(of, block, shard))
@@ -126,36 +126,36 @@
         """Deliver a front's answer to the client after the network delay."""
         body = answer.reply.body.decode() if answer.reply is not None else ""
         kind = answer.kind.value
-        self.loop.at(self.loop.now + self.plan.client_delay_us, lambda: self._answer(of, kind, body))
+        self.loop.at(self.loop.now + self.plan.client_delay_us, lambda: self._deliver_answer(of, kind, body))
 
-    def _answer(self, of: Try, kind: str, body: str) -> None:
-        self._again(self.state.answer(self.now, of, kind, body))
+    def _deliver_answer(self, of: Try, kind: str, body: str) -> None:
+        self._schedule_retry(self.state.answer(self.now, of, kind, body))
 
     def left(self, of: Try) -> None:
         """Record that a client gave up; schedule its retry, if it makes one."""
-        self._again(self.state.leave(self.now, of))
+        self._schedule_retry(self.state.leave(self.now, of))
 
-    def _again(self, of: Try | None) -> None:
+    def _schedule_retry(self, of: Try | None) -> None:
         if of is not None:
-            self.loop.at(START_US + of.at, lambda: self._ask(of))
+            self.loop.at(START_US + of.at, lambda: self._send_try(of))
 
     # Servers
 
-    def _turn(self, turn: StateChange) -> None:
+    def _change_state(self, turn: StateChange) -> None:
         for job in self.state.change_state(self.now, turn):
-            self._reset(job)
+            self._reset_attempt(job)
 
-    def _hand(self, hand: ManualDrain) -> None:
+    def _apply_manual_drain(self, hand: ManualDrain) -> None:
         for front in self.fronts:
             front.engine.set_manual_drain(hand.server, hand.drained, self.loop.now)
 
-    def _reset(self, job: Job) -> None:
+    def _reset_attempt(self, job: Job) -> None:
         front, out = job.token
         way = self.plan.one_way_delay_us(job.front, int(out.node.zone))
-        if not self._cut(front, out.node):
+        if not self._is_partitioned(front, out.node):
             self.loop.at(self.loop.now + way, lambda: front.end(out, AttemptResult.RESET, None, False))
 
-    def _cut(self, front: Front, node: Node) -> bool:
+    def _is_partitioned(self, front: Front, node: Node) -> bool:
         return self.plan.is_partitioned(self.now, front.number, int(node.zone))
 
     def arrived(self, front: Front, out: AttemptUnderWay, way: int) -> None:
@@ -178,43 +178,45 @@
         if out.left:
             self.state.record_leave(self.now, node, of.id)
         if word == "taken":
-            return self._arm(node)
+            return self._set_timer(node)
         if word == "fallen":
             for lost in self.state.drop_jobs(self.now, node):
-                self._reset(lost)
-        if self._cut(front, node):
+                self._reset_attempt(lost)
+        if self._is_partitioned(front, node):
             return
         if word == "astray":
             out.attempt.misdirected = True
         result = RESULT_WITHOUT_RUN[word]
         keep = word in KEEPS_CONNECTION
-        self.loop.at(self.loop.now + way, lambda: front.end(out, result, self._reply(node, job, ""), keep))
+        self.loop.at(
+            self.loop.now + way, lambda: front.end(out, result, self._build_reply(node, job, ""), keep)
+        )
 
-    def _arm(self, node: Node) -> None:
+    def _set_timer(self, node: Node) -> None:
         due = node.due()
-        if due < self._armed.get(node.name, FOREVER_US):
-            self._armed[node.name] = due
+        if due < self._timer_due.get(node.name, FOREVER_US):
+            self._timer_due[node.name] = due
             self.loop.at(START_US + due, lambda: self._advance(node))
 
     def _advance(self, node: Node) -> None:
-        self._armed[node.name] = FOREVER_US
+        self._timer_due[node.name] = FOREVER_US
         for job in node.advance(self.now):
-            self._done(node, job)
-        self._arm(node)
+            self._finish_job(node, job)
+        self._set_timer(node)
 
-    def _done(self, node: Node, job: Job) -> None:
+    def _finish_job(self, node: Node, job: Job) -> None:
         front, out = job.token
         body = f"{node.name}:{job.id}"
         self.state.record_end(node, job, body)
         result = RESULT_AFTER_RUN[job.end]
-        if result is None or self._cut(front, node):
+        if result is None or self._is_partitioned(front, node):
             return
-        reply = self._reply(node, job, body if result is AttemptResult.OK else "")
+        reply = self._build_reply(node, job, body if result is AttemptResult.OK else "")
         way = self.plan.one_way_delay_us(front.number, int(node.zone))
         at = max(START_US + job.answer_at_us, self.loop.now) + way
         self.loop.at(at, lambda: front.end(out, result, reply, job.end in KEEPS_CONNECTION))
 
-    def _reply(self, node: Node, job: Job, body: str) -> Reply:
+    def _build_reply(self, node: Node, job: Job, body: str) -> Reply:
         """Build a reply: always with the load report, and with the meter's figures if a body was served."""
         reply = Reply(200 if body else 503, body.encode(), node.report(self.now))
         if body and job.volume:
--- a/umberlead/emulator/virtual_front.py
+++ b/umberlead/emulator/virtual_front.py
@@ -99,7 +99,7 @@
         self.number = number
         self.world = world
         loop = world.loop
-        self.wheel = TimerWheel(lambda: loop.now, self._alarm, 2000)
+        self.wheel = TimerWheel(lambda: loop.now, self._set_alarm, 2000)
         seed = world.plan.seed * 1000 + number
         self.engine = RequestLifecycle(
             settings, seed, lambda: loop.now, self.wheel, loop.soon, Counters(), self._log
@@ -114,9 +114,9 @@
         self.idle: dict[str, list[tuple[int, Node]]] = {}
         self.timeout = settings.connect_timeout_us
         self.retire = int(world.plan.front_settings["bounds"]["keepalive"] * RETIRE_RATIO)
-        self._news: dict[str, int] = {}  # time of the state in the newest notice of each server
+        self._latest_notice_us: dict[str, int] = {}  # time of the state in the newest notice of each server
 
-    def _alarm(self, delay: int, what: Callable[[], None]) -> Alarm:
+    def _set_alarm(self, delay: int, what: Callable[[], None]) -> Alarm:
         made = Alarm(what)
         self.world.loop.at(self.world.loop.now + delay, made)
         return made
@@ -145,16 +145,16 @@
         )
         ticket = self.engine.accept(ask, lambda answer: self.world.answered(of, answer))
         if not ticket.answered:
-            self.world.loop.at(max(until, now), partial(self._left, of, ticket))
+            self.world.loop.at(max(until, now), partial(self._on_client_deadline, of, ticket))
 
-    def _left(self, of: Try, ticket: Any) -> None:
+    def _on_client_deadline(self, of: Try, ticket: Any) -> None:
         if not ticket.answered:
             self.engine.on_client_disconnected(ticket)
         self.world.left(of)
 
     # Connections
 
-    def _kept(self, name: str) -> Node | None:
+    def _take_idle_connection(self, name: str) -> Node | None:
         resting = self.idle.get(name, [])
         now = self.world.loop.now
         while resting:
@@ -184,9 +184,9 @@
         out = attempt.transport_state = AttemptUnderWay(attempt, node)
         way = world.plan.one_way_delay_us(self.number, int(node.zone))
         cut = world.plan.is_partitioned(now - START_US, self.number, int(node.zone))
-        if self._kept(name) is not None:
+        if self._take_idle_connection(name) is not None:
             out.linked = True
-            return self._write(out, way, cut)
+            return self._send_request(out, way, cut)
         if cut:
             return world.loop.at(
                 now + self.timeout, lambda: self.end(out, AttemptResult.CONNECT_FAILED, None, False)
@@ -197,9 +197,9 @@
             )
         out.linked = True
         up = now + int(2 * way * node.traits.handshake_round_trips)
-        return world.loop.at(up, lambda: self._write(out, way, False))
+        return world.loop.at(up, lambda: self._send_request(out, way, False))
 
-    def _write(self, out: AttemptUnderWay, way: int, cut: bool) -> None:
+    def _send_request(self, out: AttemptUnderWay, way: int, cut: bool) -> None:
         if out.over:
             return  # the attempt was stopped while the connection was established
         out.written = True
@@ -246,9 +246,9 @@
 
     def told(self, notice: Notice, at: int) -> None:
         """Apply a notice of a node's state; a notice older than the newest one of that node is ignored."""
-        if at < self._news.get(notice.server, 0):
+        if at < self._latest_notice_us.get(notice.server, 0):
             return
-        self._news[notice.server] = at
+        self._latest_notice_us[notice.server] = at
         self.world.state.record_notice(self.world.now, self.number, notice.server, notice.state)
         shard = self.world.state.nodes[notice.server].shard
         started = notice.started and notice.started + START_US
--- a/umberlead/emulator/virtual_gossip.py
+++ b/umberlead/emulator/virtual_gossip.py
@@ -51,9 +51,9 @@
             for n in range(len(world.fronts))
         ]
         for front, member in zip(world.fronts, self.members, strict=True):
-            member.on_observation = partial(self._heard, front)
+            member.on_observation = partial(self._record_peer_state, front)
 
-    def _heard(self, front: Front, peer: str, room: str, state: Any) -> None:
+    def _record_peer_state(self, front: Front, peer: str, room: str, state: Any) -> None:
         front.zones.router.zone_health.record_peer_state(self.world.loop.now, peer, room, state)
 
     def tick(self) -> None:
@@ -76,7 +76,7 @@
             if plan.is_partitioned(self.world.now, source, plan.front_zones[to]):
                 continue
             way = plan.one_way_delays_us[plan.front_zones[source], plan.front_zones[to]]
-            loop.at(loop.now + way, partial(self._got, to, data))
+            loop.at(loop.now + way, partial(self._receive, to, data))
 
-    def _got(self, to: int, data: bytes) -> None:
+    def _receive(self, to: int, data: bytes) -> None:
         self._send(to, self.members[to].receive(self.world.loop.now, data))
