--- a/umberlead/testing/__init__.py
+++ b/umberlead/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a front meets, and checkers of its rules: for tests, measurements and first steps."""
+"""Simulated chunk servers and reference models of a front, for tests, measurements and trial set-ups."""
--- a/umberlead/testing/soak/__init__.py
+++ b/umberlead/testing/soak/__init__.py
@@ -1,7 +1,8 @@
-"""Soak test: some dozen real processes on loopback and faults that overlap, judged by invariants.
+"""Soak test: about a dozen real processes on loopback, overlapping faults, and a check of invariants.
 
-`python -m umberlead.testing.soak --seed 7` plays one run and prints its verdict; `make soak` does so. Fronts
-run as on the platform, under a preloaded library that fails system calls (`faults.c`). Chunk servers, clients
-and the proxies between fronts and chunk servers are processes of their own; each writes what it saw as lines
-of JSON on the system's monotonic clock, and the judge reads only these and the fronts' logs.
+`python -m umberlead.testing.soak --seed 7` performs one run and prints its verdict; so does
+`make soak`. Fronts run as they do on the platform, with a preloaded library that makes system calls fail
+(`faults.c`). Chunk servers, clients and the proxies between fronts and chunk servers are processes of their
+own. Each records its observations as lines of JSON with timestamps of the system's monotonic clock; the judge
+reads only these records and the logs of the fronts.
 """
--- a/umberlead/testing/soak/__main__.py
+++ b/umberlead/testing/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m umberlead.testing.soak`: play soak runs and print their verdicts."""
+"""`python -m umberlead.testing.soak`: perform soak runs and print their verdicts."""
 
 import sys
 import tempfile
@@ -15,7 +15,7 @@
 
 
 def show(seed: int, verdict: Verdict, verbose: bool) -> None:
-    """Print a verdict."""
+    """Print the verdict of a run; `verbose` adds counts of faults, requests and counters."""
     if verbose:
         click.echo("faults: " + ", ".join(f"{k} {n}" for k, n in sorted(verdict.faults.items())))
         click.echo("requests: " + ", ".join(f"{k} {n}" for k, n in sorted(verdict.counts.items())))
@@ -26,7 +26,7 @@
     total = sum(verdict.counts.values())
     click.echo(
         f"seed {seed} ({verdict.mix}): {verdict.outcome()}, {total} requests,"
-        f" {verdict.injected} system calls failed by order,"
+        f" {verdict.injected} injected system call failures,"
         f" driver late by {verdict.late_seconds * 1000:.0f} ms,"
         f" SIGKILL by {verdict.kill_late_seconds * 1000:.0f} ms"
     )
@@ -35,18 +35,18 @@
 @click.command()
 @click.option("--seed", default=1, show_default=True, help="The first run's seed.")
 @click.option("--runs", default=1, show_default=True, help="How many runs, each with the next seed.")
-@click.option("--seconds", default=30.0, show_default=True, help="How long clients ask.")
+@click.option("--seconds", default=30.0, show_default=True, help="How long clients send requests.")
 @click.option("--fronts", default=5, show_default=True)
 @click.option("--nodes", default=8, show_default=True, help="Chunk servers, each with a proxy.")
-@click.option("--clients", default=5, show_default=True, help="Processes of clients.")
+@click.option("--clients", default=5, show_default=True, help="Client processes.")
 @click.option(
-    "--trouble", "names", multiple=True, type=click.Choice([t.value for t in Fault]), help="Only these."
+    "--trouble", "names", multiple=True, type=click.Choice([t.value for t in Fault]), help="Only these kinds."
 )
-@click.option("--keep", type=click.Path(path_type=Path), help="A folder for the records and logs.")
+@click.option("--keep", type=click.Path(path_type=Path), help="Folder in which records and logs are kept.")
 @click.option(
     "--results",
     type=click.Path(path_type=Path),
-    help="A file of results, a line of JSON each; seeds that it holds for this commit are not played again.",
+    help="File of results, one JSON line per run; seeds already in it for this commit are skipped.",
 )
 @click.option("--verbose", is_flag=True)
 def main(
@@ -61,7 +61,7 @@
     results: Path | None,
     verbose: bool,
 ) -> None:
-    """Play soak runs; exits with 1 where a rule was broken."""
+    """Perform soak runs; exit with 1 if an invariant was violated."""
     faults = [Fault(name) for name in names] or list(Fault)
     failed = False
     known = played_seeds(results, program_commit()) if results is not None else frozenset()
--- a/umberlead/testing/soak/client.py
+++ b/umberlead/testing/soak/client.py
@@ -2,8 +2,8 @@
 
 `python -m umberlead.testing.soak.client SEED SECONDS RATE DEADLINE IMPATIENT SHARDS FILE FRONT=ADDRESS...`.
 
-Each client asks one front on a connection of its own and behaves in one way, well or badly. All write down
-what they sent, when, and how it ended.
+Each client sends requests to one front on a connection of its own, with one kind of behaviour, good or bad.
+All clients record which requests they sent, when, and how each ended.
 """
 
 import asyncio
@@ -24,26 +24,26 @@
 from umberlead.testing.soak.records import ClientRecord, Writer
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-CROSSING_SECONDS = 0.05  # behind an end, in which a reset shows that what was sent went unread
-PATIENCE_SECONDS = 1.5  # behind a request's time, until which its answer is still looked for
+CROSSING_SECONDS = 0.05  # after EOF; a reset in this time shows that the last data went unread
+PATIENCE_SECONDS = 1.5  # after a request's deadline, for which its answer is still awaited
 CONNECT_SECONDS = 2.0
 MAX_PIPELINED = 5
-CLIENT_RATE = 4.0  # requests a second of one client
-BUSY_PAUSE_SECONDS = 0.02  # at most, of a busy client between an answer and its next request
+CLIENT_RATE = 4.0  # requests per second of one client
+BUSY_PAUSE_SECONDS = 0.02  # longest pause of a busy client between an answer and its next request
 BUDGETS = (0.3, 0.6, 1.5, 2.5)
 
 
 class Kind(Enum):
     """How a client behaves."""
 
-    STEADY = "steady"  # one request at a time on a kept connection
-    BUSY = "busy"  # the same, and asks again at once: also on a front that ends, until that closes it
+    STEADY = "steady"  # one request at a time on a persistent connection
+    BUSY = "busy"  # like STEADY, almost without pauses, also at a front that shuts down, until it closes
     FRESH = "fresh"  # a new connection for each request
-    RESTING = "resting"  # rests between requests, until the front ends the connection or it asks again
+    RESTING = "resting"  # pauses between requests, in which the front may close the connection
     PIPELINE = "pipeline"  # several requests at once
-    SLOW = "slow"  # writes in pieces
-    LEAVER = "leaver"  # closes, resets or ends its sending while its request is open
-    HALF = "half"  # sends half a request and stays
+    SLOW = "slow"  # writes its request in pieces
+    LEAVER = "leaver"  # closes, resets or half-closes its connection while its request is open
+    HALF = "half"  # sends part of a request and keeps the connection open
 
 
 KINDS = (
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class Sent:
-    """A request that was written, and what became of it."""
+    """A request that was sent, and how it ended."""
 
     id: str
     class_name: str
@@ -79,7 +79,7 @@
     done: asyncio.Event = field(default_factory=asyncio.Event)
 
     def finish(self, end: str, status: int = 0, sound: bool = True) -> None:
-        """Note the end, once."""
+        """Record how the request ended; later calls are ignored."""
         if self.end == "open":
             self.end = end
             self.status = status
@@ -89,10 +89,10 @@
 
 
 class Connection(asyncio.Protocol):
-    """A connection to a front: requests in order, answers in the same order."""
+    """A connection to a front: answers arrive in the order of the requests."""
 
     def __init__(self) -> None:
-        """Begin before the connection is made."""
+        """Create the protocol before the connection is established."""
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.connected = 0
         self.waiting: list[Sent] = []
@@ -102,13 +102,13 @@
         self._body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note when it came up."""
+        """Record when the connection was established."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
         self.connected = time.monotonic_ns()
 
     def data_received(self, data: bytes) -> None:
-        """Parse answers."""
+        """Parse answers; abort the connection on malformed data."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -116,11 +116,11 @@
             self.transport.abort()
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of an answer's body."""
+        """Append a piece of an answer's body."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Give the oldest request its answer."""
+        """Assign the answer to the oldest open request."""
         status = self._parser.get_status_code()
         body = self._body
         self._body = b""
@@ -137,7 +137,7 @@
             self._end("closing")
 
     def eof_received(self) -> bool:
-        """Look whether a reset follows: then what was sent last was not read."""
+        """Check shortly after EOF whether a reset follows: if so, the last data sent was not read."""
         self.ended = True
         asyncio.get_running_loop().call_later(CROSSING_SECONDS, self._crossed)
         return True
@@ -147,14 +147,14 @@
         self.transport.abort()
 
     def _was_reset(self) -> bool:
-        """Tell whether a reset followed the end: nothing is read any more that would tell of it."""
+        """Return whether a reset followed EOF; after EOF only the socket's error status shows it."""
         sock = self.transport.get_extra_info("socket")
         if sock is None or sock.fileno() < 0:
             return False
         return bool(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End what waits."""
+        """Finish all open requests."""
         self.ended = True
         self._end("reset" if exc is not None else "eof")
 
@@ -164,11 +164,11 @@
         self.waiting.clear()
 
     def usable(self) -> bool:
-        """Tell whether another request can go out on it."""
+        """Return whether another request can be sent on the connection."""
         return not (self.closing or self.ended or self.transport.is_closing())
 
     def reset(self) -> None:
-        """Close it with a reset."""
+        """Close the connection with a TCP reset."""
         sock = self.transport.get_extra_info("socket")
         if sock is not None and sock.fileno() >= 0:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -176,7 +176,7 @@
 
 
 class Clients:
-    """All clients of the process."""
+    """All clients of this process."""
 
     def __init__(
         self,
@@ -186,7 +186,10 @@
         shards: int,
         deadline_seconds: float,
     ) -> None:
-        """Ask `fronts`, by name, for data of `shards`, drawn from `seed`, for that time at most."""
+        """Create clients of `fronts` (addresses by name); `seed` seeds their random choices.
+
+        Requests are for data of `shards` shards, with budgets up to `deadline_seconds`.
+        """
         self.budgets = [budget for budget in BUDGETS if budget < deadline_seconds] + [deadline_seconds]
         self.chance = random.Random(f"clients/{seed}")
         self.record = record
@@ -196,7 +199,7 @@
         self.number = 0
 
     def request(self, connection: Connection, behind: int, budget: float) -> tuple[Sent, bytes]:
-        """Draw a request; return it and its bytes."""
+        """Generate a random request; return it and its bytes."""
         chance = self.chance
         self.number += 1
         id_ = f"{self.seed:04x}{self.number:012x}"
@@ -217,7 +220,7 @@
         return sent, head.encode() + b"\r\n" + body
 
     def write_down(self, front: str, kind: Kind, connection: Connection, sent: Sent) -> None:
-        """Record a request that has ended, or will not."""
+        """Record a request once it has ended or its answer is no longer awaited."""
         self.record.add(
             ClientRecord(
                 sent.id,
@@ -238,7 +241,7 @@
         )
 
     async def live(self, kind: Kind, rate: float, until: float) -> None:
-        """Be one client until then, asking `rate` times a second in the mean."""
+        """Act as one client until `until`, with `rate` requests per second on average."""
         loop = asyncio.get_running_loop()
         front = self.chance.choice(sorted(self.fronts))
         connection: Connection | None = None
@@ -277,7 +280,8 @@
 
     async def _ask(self, kind: Kind, front: str, connection: Connection) -> None:
         count = self.chance.randint(2, MAX_PIPELINED) if kind is Kind.PIPELINE else 1
-        budget = self.chance.choice(self.budgets)  # one for all: an answer waits for those before it
+        # The same for all requests: a pipelined answer waits for the earlier ones.
+        budget = self.chance.choice(self.budgets)
         made = [self.request(connection, behind, budget) for behind in range(count)]
         sent = [request for request, _ in made]
         data = b"".join(part for _, part in made)
@@ -307,7 +311,7 @@
             self.write_down(front, kind, connection, request)
 
     async def _wait(self, request: Sent) -> None:
-        """Wait for an answer, up to some time behind the request's own."""
+        """Wait for an answer until PATIENCE_SECONDS after the request's deadline."""
         if request.done.is_set():
             return
         elapsed = (time.monotonic_ns() - (request.sent_last or request.sent_first)) / 1e9
@@ -323,7 +327,7 @@
         await asyncio.sleep(self.chance.uniform(1.0, 4.0))
 
     async def _send_slowly(self, connection: Connection, data: bytes) -> bool:
-        """Return whether all of it was written."""
+        """Write the data in pieces; return whether all of it was written."""
         pieces = self.chance.randint(2, 8)
         size = len(data) // pieces + 1
         for at in range(0, len(data), size):
@@ -352,7 +356,7 @@
 
 
 async def run(clients: Clients, seconds: float, rate: float, choice: Sequence[Kind]) -> None:
-    """Be all clients of this process, of kinds drawn from `choice`, `rate` requests a second, for so long."""
+    """Run clients of kinds drawn from `choice` for `seconds`, with `rate` requests per second in total."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     kinds = [clients.chance.choice(choice) for _ in range(max(int(rate / CLIENT_RATE), 1))]
@@ -369,7 +373,7 @@
 
 
 def main(words: list[str]) -> None:
-    """Run the clients that the words describe."""
+    """Run the clients described by the command-line arguments."""
     seed, seconds, rate, deadline, impatient, shards, path, *fronts = words
     clients = Clients(int(seed), Writer(Path(path)), _fronts(fronts), int(shards), float(deadline))
     kinds = IMPATIENT_KINDS if int(impatient) else KINDS
--- a/umberlead/testing/soak/crowd.py
+++ b/umberlead/testing/soak/crowd.py
@@ -1,6 +1,8 @@
-"""Idle clients that fill a front: `python -m umberlead.testing.soak.crowd ADDRESS COUNT SECONDS`.
+"""Idle clients that use up the descriptors of a front.
 
-Some say nothing, others ask whether the front is ready and then rest on their connections.
+`python -m umberlead.testing.soak.crowd ADDRESS COUNT SECONDS`.
+
+Half of them send nothing; the others send one health check and then keep the connection idle.
 """
 
 import asyncio
@@ -9,13 +11,13 @@
 import uvloop
 
 ASK = b"GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n"
-ASKING_EVERY = 2  # one of so many asks
+ASKING_EVERY = 2  # one of this many clients sends a health check
 DIAL_SECONDS = 2.0
-RECONNECT_SECONDS = 0.1  # after a front ended a connection
+RECONNECT_SECONDS = 0.1  # after a front closed a connection
 
 
 async def _rest(host: str, port: int, asks: bool, until: float) -> None:
-    """Hold a connection until then, and open another where the front ends it."""
+    """Hold a connection until `until`, and reconnect whenever the front closes it."""
     loop = asyncio.get_running_loop()
     while loop.time() < until:
         try:
@@ -37,7 +39,7 @@
 
 
 async def run(address: str, count: int, seconds: float) -> None:
-    """Rest on `count` connections for so long."""
+    """Hold `count` idle connections for `seconds`."""
     host, _, port = address.partition(":")
     until = asyncio.get_running_loop().time() + seconds
     await asyncio.gather(
--- a/umberlead/testing/soak/lists.py
+++ b/umberlead/testing/soak/lists.py
@@ -1,4 +1,4 @@
-"""Discovery of the soak test: each front's agent, which answers at once with what it has been sent."""
+"""Discovery of the soak test: each front has an agent that answers watches without delay."""
 
 import asyncio
 import json
@@ -9,13 +9,13 @@
 
 import httptools
 
-BEAT_SECONDS = 2.0  # between empty lines of a watch
-TOLD_AFTER_SILENCE_SECONDS = 6.0  # after a watch fell silent, by which what it misses counts as told
+BEAT_SECONDS = 2.0  # between the empty lines (heartbeats) of a watch
+TOLD_AFTER_SILENCE_SECONDS = 6.0  # after a watch fell silent, the front must have caught up
 
 
 @dataclass(slots=True)
 class Entry:
-    """A chunk server as a list tells of it."""
+    """A chunk server as listed by discovery."""
 
     name: str
     address: str
@@ -24,7 +24,7 @@
     since_ms: int = 0
 
     def shown(self) -> dict[str, Any]:
-        """Return it in discovery's form."""
+        """Return the entry in the format of discovery."""
         return {
             "name": self.name,
             "address": self.address,
@@ -41,31 +41,31 @@
     """A front's connection to its agent."""
 
     def __init__(self, agent: "Agent") -> None:
-        """Serve it by `agent`."""
+        """Create a connection that `agent` serves."""
         self.agent = agent
         self.target = b""
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self._parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and register with the agent."""
         self.transport = cast(asyncio.Transport, transport)
         self.agent.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget it."""
+        """Unregister from the agent."""
         self.agent.connections.discard(self)
         self.agent.watchers.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse the call."""
+        """Parse the HTTP request."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the target."""
+        """Append a piece of the request target."""
         self.target += url
 
     def on_message_complete(self) -> None:
@@ -79,32 +79,32 @@
         self.line(b"" if known else self.agent.whole())
 
     def line(self, text: bytes) -> None:
-        """Write a line."""
+        """Write a line as an HTTP chunk."""
         if not self.transport.is_closing():
             self.transport.write(b"%x\r\n%s\n\r\n" % (len(text) + 1, text))
 
 
 class Agent:
-    """The lists as one front sees them."""
+    """The discovery service as seen by one front."""
 
     def __init__(self) -> None:
-        """Begin with an empty list."""
+        """Create an agent with an empty list."""
         self.index = 1
         self.entries: dict[str, Entry] = {}
         self.watchers: set[Watcher] = set()
         self.connections: set[Watcher] = set()
         self.silent = False
         self._servers: list[asyncio.Server] = []
-        self.told_by = 0.0  # when, at the latest, what was sent so far counts as told
+        self.told_by = 0.0  # by when the front must know all changes sent so far
 
     async def listen(self, *addresses: tuple[str, int]) -> None:
-        """Answer at all these addresses."""
+        """Listen on all these addresses."""
         loop = asyncio.get_running_loop()
         for address in addresses:
             self._servers.append(await loop.create_server(lambda: Watcher(self), *address))
 
     def close(self) -> None:
-        """Listen no more, and break what stands."""
+        """Stop listening, and abort all open connections."""
         for server in self._servers:
             server.close()
         self.reset()
@@ -114,11 +114,11 @@
         return json.dumps({"index": self.index, "snapshot": whole, "endpoints": shown}).encode()
 
     def whole(self) -> bytes:
-        """Return the whole list."""
+        """Return the snapshot of the list as a message."""
         return self._message([e for e in self.entries.values() if e.status != "gone"], True)
 
     def tell(self, entry: Entry) -> None:
-        """Send a change."""
+        """Send a change of one entry to all watchers."""
         self.index += 1
         self.entries[entry.name] = entry
         self.told_by = max(self.told_by, time.monotonic())
@@ -127,21 +127,21 @@
             watcher.line(text)
 
     def beat(self) -> None:
-        """Send an empty line to whoever still hears."""
+        """Send an empty line to every watcher."""
         for watcher in list(self.watchers):
             watcher.line(b"")
 
     def fall_silent(self) -> None:
-        """Say nothing any more on what stands, and to what comes."""
+        """Stop sending on open watches, and do not answer new ones."""
         self.silent = True
         self.watchers.clear()
         self.told_by = time.monotonic() + TOLD_AFTER_SILENCE_SECONDS
 
     def speak(self) -> None:
-        """Answer new calls again."""
+        """Resume answering new watches."""
         self.silent = False
 
     def reset(self) -> None:
-        """Break what stands."""
+        """Abort all open connections."""
         for connection in list(self.connections):
             connection.transport.abort()
--- a/umberlead/testing/soak/plan.py
+++ b/umberlead/testing/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a run of the soak test: faults over intervals, drawn from a seed. Free of I/O."""
+"""The schedule of faults of a soak run: intervals drawn from a seed. Performs no I/O."""
 
 import random
 from collections.abc import Sequence
@@ -9,44 +9,44 @@
 QUIET_SECONDS = 4.0  # without a fault, at its end
 MIN_FAULT_SECONDS = 0.4
 MAX_FAULT_SECONDS = 3.0
-GAP_SECONDS = (0.6, 1.6)  # between the begins of two bundles of faults
-BUNDLES = (2, 3)  # faults that overlap
-# In which a front that was told to end, killed or replaced gets no second such fault.
+GAP_SECONDS = (0.6, 1.6)  # between the starts of two groups of faults
+BUNDLES = (2, 3)  # minimum and maximum number of faults in a group; they overlap
+# After a front was stopped, killed or replaced, it gets no second fault of that sort for this long.
 FRONT_ENDS_SECONDS = 6.5
 
 
 class Fault(Enum):
-    """One kind of fault; the comment names what it befalls."""
+    """The kind of a fault; each comment names the affected component."""
 
     FRONT_RESTART = "front_restart"  # a front: SIGTERM, then a new process
     FRONT_KILL = "front_kill"  # a front: SIGKILL, then a new process
     FRONT_HANDOVER = "front_handover"  # a front: a new process beside it, then SIGTERM
-    FRONT_RELOAD = "front_reload"  # a front: SIGHUP, and lists come from another address
+    FRONT_RELOAD = "front_reload"  # a front: SIGHUP, after which it reads endpoint lists from another address
     FRONT_PAUSE = "front_pause"  # a front: SIGSTOP for up to 0.15 s
     NODE_DRAIN = "node_drain"  # a chunk server drains, and its successor joins cold
-    NODE_KILL = "node_kill"  # a chunk server is killed, and comes back cold
-    NODE_HANG = "node_hang"  # a chunk server answers nothing
-    NODE_ERRORS = "node_errors"  # a chunk server's answers are errors, spoilt, unsized or surplus
-    NODE_BY_HAND = "node_by_hand"  # a chunk server is taken out by an operator at all fronts, and put back
-    LINK_STALL = "link_stall"  # the way to a chunk server carries nothing
-    LINK_RESET = "link_reset"  # connections on the way to a chunk server are reset
-    LINK_PIECES = "link_pieces"  # messages on the way to a chunk server come in pieces
-    LISTS_SILENT = "lists_silent"  # a front's agent says nothing
+    NODE_KILL = "node_kill"  # a chunk server is killed, and restarts cold
+    NODE_HANG = "node_hang"  # a chunk server sends no answers
+    NODE_ERRORS = "node_errors"  # a chunk server sends errors, and malformed, unsized or surplus answers
+    NODE_BY_HAND = "node_by_hand"  # an operator drains a chunk server at all fronts, and later restores it
+    LINK_STALL = "link_stall"  # the link to a chunk server carries no data
+    LINK_RESET = "link_reset"  # connections on the link to a chunk server are reset
+    LINK_PIECES = "link_pieces"  # messages on the link to a chunk server arrive in pieces
+    LISTS_SILENT = "lists_silent"  # a front's discovery agent sends nothing
     LISTS_RESET = "lists_reset"  # a front's watch is reset
     ACCEPT_FAILS = "accept_fails"  # a front's accept fails
     CONNECT_FAILS = "connect_fails"  # a front's connect or socket fails
-    SHORT_IO = "short_io"  # a front's reads and writes move little, or are interrupted
+    SHORT_IO = "short_io"  # a front's reads and writes are short, or fail with EINTR
     CONNECTIONS_BREAK = "connections_break"  # a front's connections to chunk servers break
-    FOLDER_FAILS = "folder_fails"  # a front's state folder takes no writes
+    FOLDER_FAILS = "folder_fails"  # writes to a front's state folder fail
     CLOCK_STEP = "clock_step"  # a front's wall clock steps
     CLOCK_STEP_ALL = "clock_step_all"  # the wall clock of all machines steps
     FRONT_TERM_TWICE = "front_term_twice"  # a front: SIGTERM three times within 0.1 s
-    FRONT_RELOAD_BURST = "front_reload_burst"  # a front: SIGHUP six times, each with another configuration
+    FRONT_RELOAD_BURST = "front_reload_burst"  # a front: six times a new configuration and SIGHUP
     FRONT_RELOAD_AND_TERM = "front_reload_and_term"  # a front: SIGHUP before, with and after SIGTERM
     FRONT_TERM_EARLY = "front_term_early"  # a front: SIGTERM to a process that is not ready yet
     FRONT_TERM_BOTH = "front_term_both"  # a front: SIGTERM to both processes of a hand-over
-    FRONT_HANDOVER_TWICE = "front_handover_twice"  # a front: a hand-over while the one before still ends
-    CROWD = "crowd"  # a front: idle clients fill its descriptors, at times while its agent says nothing
+    FRONT_HANDOVER_TWICE = "front_handover_twice"  # a front: a hand-over before the previous one is complete
+    CROWD = "crowd"  # a front: idle clients use up its descriptors, sometimes while its agent is silent
 
 
 SIGNAL_SERIES = (
@@ -82,8 +82,8 @@
     """A fault from `begin` to `end`, in seconds from the start of the load.
 
     Attributes:
-        target: the number of the front or chunk server that it befalls.
-        variant: which of its forms it takes, from 0 to 1.
+        target: number of the affected front or chunk server.
+        variant: from 0 to 1; selects among the forms of the fault.
     """
 
     begin: float
@@ -103,7 +103,7 @@
 
 
 def draw(seed: int, seconds: float, size: Size, faults: Sequence[Fault] = tuple(Fault)) -> list[Interval]:
-    """Return the faults of a run by their begins: two or three overlap at any time."""
+    """Return the faults of a run in order of their starts; two or three overlap at any time."""
     chance = random.Random(f"soak/{seed}")
     at = WARM_UP_SECONDS
     found: list[Interval] = []
--- a/umberlead/testing/soak/results.py
+++ b/umberlead/testing/soak/results.py
@@ -1,4 +1,4 @@
-"""Results of soak runs in a file, a line of JSON each, and the table that is made of them.
+"""Results of soak runs: a file with a line of JSON per run, and a Markdown table made from it.
 
 `python -m umberlead.testing.soak.results FILE` prints the table.
 """
@@ -20,18 +20,18 @@
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """One run.
+    """The result of one run.
 
     Attributes:
-        seed: of the run.
-        commit: the program's.
-        mix: what was played.
-        seconds: how long clients asked.
-        requests: that clients sent.
-        faults: how often each was played.
-        late_ms: how far the driver was behind its own time at worst, a due SIGKILL included.
-        judged: whether that left the verdict valid.
-        violations: what was broken, as text.
+        seed: seed of the run.
+        commit: commit of the program.
+        mix: name of the mix of faults and clients.
+        seconds: how long clients sent requests.
+        requests: number of requests that clients sent.
+        faults: number of injections of each fault.
+        late_ms: the largest delay of the driver behind its schedule, due SIGKILLs included.
+        judged: whether that delay was small enough for the verdict to be valid.
+        violations: violations that were found, as text.
     """
 
     seed: int
@@ -46,24 +46,24 @@
 
 
 def program_commit() -> str:
-    """Return the commit of the working tree, with a plus sign where files differ from it."""
+    """Return the commit of the working tree, with a plus sign appended if files differ from it."""
     call = ["git", "describe", "--always", "--abbrev=7", "--dirty=+", "--exclude=*"]
     return subprocess.run(call, check=True, capture_output=True, text=True).stdout.strip()
 
 
 def read_results(path: Path) -> list[RunResult]:
-    """Return the results in a file; none where there is no such file."""
+    """Return the results in a file; an empty list if the file does not exist."""
     lines = path.read_bytes().splitlines() if path.exists() else []
     return [msgspec.json.decode(line, type=RunResult) for line in lines]
 
 
 def played_seeds(path: Path, commit: str) -> frozenset[int]:
-    """Return the seeds that were played, and could be judged, with a program."""
+    """Return the seeds that have a valid verdict for a commit."""
     return frozenset(row.seed for row in read_results(path) if row.commit == commit and row.judged)
 
 
 def add_result(path: Path, seed: int, seconds: float, verdict: Verdict) -> None:
-    """Append a run to a file."""
+    """Append the result of a run to a file."""
     late_seconds = max(verdict.late_seconds, verdict.kill_late_seconds)
     row = RunResult(
         seed,
@@ -81,7 +81,7 @@
 
 
 def table(rows: Iterable[RunResult]) -> str:
-    """Return the results as a table of Markdown."""
+    """Return the results as a Markdown table."""
     lines = [TABLE_HEAD]
     for row in rows:
         most = sorted(row.faults.items(), key=lambda pair: -pair[1])[:MAX_SHOWN_VIOLATIONS]
--- a/umberlead/testing/soak/scenario.py
+++ b/umberlead/testing/soak/scenario.py
@@ -1,4 +1,4 @@
-"""The scenario of the soak test: settings of the fronts, what they allow, and which system calls fail."""
+"""The scenario of the soak test: settings of the fronts, limits for the judge, and failing system calls."""
 
 import errno
 from typing import Any
@@ -9,24 +9,24 @@
 PORT = 8000
 LISTS_PORT = 8003
 OTHER_LISTS_PORT = 8004
-# Of the admin API: another one for each process of a front, so that a call reaches the one it is for.
+# Ports of the admin API: each process of a front gets its own, so that a call reaches that very process.
 FIRST_MANAGEMENT_PORT = 8010
 MANAGEMENT_PORTS_COUNT = 50
-# The last part of the address of the first of each.
+# Last octet of the address of the first front, chunk server and proxy.
 FRONT_HOST = 10
 NODE_HOST = 50
 PROXY_HOST = 120
-CLIENT_PROCESS_RATE = 70.0  # requests a second of each process of clients
-# SIGKILL follows SIGTERM by the longest deadline, counted as 3 s at most, and this time.
+CLIENT_PROCESS_RATE = 70.0  # requests per second of each client process
+# SIGKILL follows SIGTERM after the longest request deadline, capped at 3 s, plus this grace period.
 KILL_GRACE_SECONDS = 0.7
 MAX_KILL_DEADLINE_SECONDS = 3.0
-READY_SECONDS = 10.0  # in which a restarted front has to be ready
-DRAINED_AFTER_SECONDS = 3.5  # after all fronts were told of a drain, until the server goes
-LOOK_SECONDS = 0.25  # between looks at descriptors and memory
+READY_SECONDS = 10.0  # time within which a restarted front must be ready
+DRAINED_AFTER_SECONDS = 3.5  # from when all fronts know of a drain until the server is removed
+LOOK_SECONDS = 0.25  # between checks of descriptors and memory
 DESCRIPTORS = 256
 MEMORY_MB = 128
-CROWD_CLIENTS = 140  # more than a front of so many descriptors has places for clients
-MAX_DRIVER_LATE_SECONDS = MACHINE_SLACK_NS / 1e9  # what the judge allows: beyond it a run can't be judged
+CROWD_CLIENTS = 140  # more clients than a front with DESCRIPTORS descriptors admits
+MAX_DRIVER_LATE_SECONDS = MACHINE_SLACK_NS / 1e9  # the judge's tolerance; beyond it a verdict is invalid
 COLD_UNITS = 24.0
 COLD_SHARE = 0.2
 MEAN_UNITS = 1.75
@@ -34,7 +34,7 @@
 COLD_WINDOW_SECONDS = 2.0
 UNSAFE_CLASS = "store"
 SAFE_CLASS = "fetch"
-ACCEPT_FAILS_SECONDS = 0.25  # that none is accepted: a request has a final answer in time all the same
+ACCEPT_FAILS_SECONDS = 0.25  # short enough that requests still get a final answer in time
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS)
 DIAL_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
 BREAK_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
@@ -42,12 +42,12 @@
 
 
 def kill_delay_seconds(deadline_seconds: float) -> float:
-    """Return how long after SIGTERM the platform's SIGKILL comes at the earliest."""
+    """Return the shortest delay between SIGTERM and SIGKILL on the platform."""
     return min(deadline_seconds, MAX_KILL_DEADLINE_SECONDS) + KILL_GRACE_SECONDS
 
 
 def settings(size: Size, deadline_seconds: float) -> dict[str, Any]:
-    """Return the settings of the run, as the platform gives them."""
+    """Return the settings of the run in the form in which the platform supplies them."""
     second = 1_000_000
     grades = [
         {
@@ -86,7 +86,7 @@
 
 
 def limits() -> Limits:
-    """Return what the settings of the run allow, for the judge."""
+    """Return the limits that the settings of the run imply, for the judge."""
     window_ns = int(COLD_WINDOW_SECONDS * 1e9)
     return Limits(
         unsafe=frozenset((UNSAFE_CLASS,)),
@@ -100,7 +100,7 @@
 
 
 def faults_of(interval: Interval) -> dict[str, int]:
-    """Return what a fault with system calls changes of `SystemFaults`."""
+    """Return the fields of `SystemFaults` that a fault in system calls sets, with their values."""
 
     def one_of(errors: tuple[int, ...]) -> int:
         return errors[int(interval.variant * len(errors)) % len(errors)]
@@ -109,7 +109,7 @@
     match interval.fault:
         case Fault.ACCEPT_FAILS:
             code = one_of(ACCEPT_ERRORS)
-            passing = code == errno.ECONNABORTED  # any other lasts for a while, and then is over
+            passing = code == errno.ECONNABORTED  # any other error lasts for a while
             return {"accept_rate": rate if passing else 1000, "accept_errno": code}
         case Fault.CONNECT_FAILS:
             code = one_of(DIAL_ERRORS)
--- a/umberlead/testing/soak/signals.py
+++ b/umberlead/testing/soak/signals.py
@@ -1,4 +1,4 @@
-"""Signals in series to a front's processes: repeated, in bursts, crossing starts, reloads and hand-overs."""
+"""Series of signals to the processes of a front: repeated, in bursts, during start, reload and hand-over."""
 
 import asyncio
 import random
@@ -11,14 +11,14 @@
 
 MAX_GAP_SECONDS = 0.05  # between two signals of a series
 BURST_COUNT = 6
-MAX_EARLY_SECONDS = 0.5  # after a process began, in which it is told to end before it is ready
+MAX_EARLY_SECONDS = 0.5  # latest SIGTERM to a process that is still starting
 
 
 class SignalSeries:
     """Sends series of signals to fronts of a fleet."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Send them to the fronts of `fleet`."""
+        """Send signals to the fronts of `fleet`."""
         self._fleet = fleet
         self.plays: dict[Fault, Callable[[Front, random.Random], Awaitable[None]]] = {
             Fault.FRONT_TERM_TWICE: self._term_twice,
@@ -30,7 +30,7 @@
         }
 
     async def play(self, front: Front, interval: Interval) -> None:
-        """Play the series that `interval` names; its gaps are drawn from the interval's variant."""
+        """Send the series of `interval.fault`; the interval's variant seeds the gaps."""
         await self.plays[interval.fault](front, random.Random(interval.variant))
 
     @staticmethod
@@ -38,7 +38,7 @@
         await asyncio.sleep(chance.uniform(0.0, MAX_GAP_SECONDS))
 
     def _reload(self, front: Front, process: FrontProcess) -> None:
-        """Give a front another configuration, and have one process read it."""
+        """Change the configuration of a front, and make one process reload it."""
         front.moved = not front.moved
         self._fleet.configure(front)
         process.signal(signal.SIGHUP)
@@ -62,7 +62,7 @@
                 await self._gap(chance)
 
     async def _reload_and_term(self, front: Front, chance: random.Random) -> None:
-        """Reload just before, with and just after the signal to end."""
+        """Reload just before, together with and just after SIGTERM."""
         for process in front.live():
             self._reload(front, process)
             await self._gap(chance)
@@ -75,7 +75,7 @@
         await self._fleet.start_process(front)
 
     async def _term_early(self, front: Front, chance: random.Random) -> None:
-        """End a process before it is ready: in place of the front's processes, or beside them."""
+        """Stop a process before it is ready, either alone or while the front's other processes run."""
         beside = chance.random() < 0.5
         if not beside:
             for process in front.live():
@@ -87,7 +87,7 @@
             await self._fleet.start_process(front)
 
     async def _term_both(self, front: Front, chance: random.Random) -> None:
-        """Tell both processes of a hand-over to end."""
+        """Send SIGTERM to both processes of a hand-over."""
         await self._fleet.start_process(front)
         ending = []
         for process in front.live():
@@ -97,7 +97,7 @@
         await self._fleet.start_process(front)
 
     async def _handover_twice(self, front: Front, chance: random.Random) -> None:
-        """Begin a second hand-over while the first process still ends."""
+        """Start a second hand-over while the old process of the first one still ends."""
         ending = []
         for _ in range(2):
             old = front.live()
--- a/umberlead/testing/soak/verdict.py
+++ b/umberlead/testing/soak/verdict.py
@@ -1,4 +1,4 @@
-"""How a run of the soak test went, and what the fronts' logs tell of it."""
+"""The verdict of a soak run, and helpers that read the logs of its fronts."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """How a run went.
+    """The result of a run.
 
     Attributes:
-        violations: what was broken.
-        counts: how requests ended.
-        faults: how often each fault was played.
-        counters: the fronts' counters, summed over their processes.
-        injected: system calls that failed by order.
-        mix: the mix that was played.
-        late_seconds: how far the driver was behind its own time at worst.
-        kill_late_seconds: how long after its time a SIGKILL came that was due, at worst.
+        violations: violations of invariants that were found.
+        counts: number of requests by how they ended.
+        faults: number of injections of each fault.
+        counters: counters of the fronts, summed over their processes.
+        injected: number of system calls that the fault library made fail.
+        mix: name of the mix of faults and clients.
+        late_seconds: the largest delay of the driver behind its own schedule.
+        kill_late_seconds: the largest delay of a SIGKILL behind its due time.
     """
 
     violations: list[Violation]
@@ -33,23 +33,23 @@
     kill_late_seconds: float = 0.0
 
     def is_judged(self) -> bool:
-        """Tell whether the driver kept its own times, so that the verdict holds."""
+        """Return whether the driver kept to its schedule closely enough for the verdict to be valid."""
         return max(self.late_seconds, self.kill_late_seconds) <= MAX_DRIVER_LATE_SECONDS
 
     def outcome(self) -> str:
-        """Return the verdict in a few words."""
+        """Return a one-line summary of the verdict."""
         found = f"{len(self.violations)} violations" if self.violations else "all kept"
         return found if self.is_judged() else f"not judged, the driver was late ({found})"
 
 
 def log_lines(folder: Path) -> list[str]:
-    """Return the lines of all fronts' logs."""
+    """Return the lines of the logs of all fronts."""
     paths = sorted(folder.glob("f*-*.log"))
     return [line for path in paths for line in path.read_text(errors="replace").splitlines()]
 
 
 def last_counters(folder: Path) -> Counter[str]:
-    """Sum the last counters that each process logged."""
+    """Return the last counters that each process logged, summed over all processes."""
     total: Counter[str] = Counter()
     for path in folder.glob("f*-*.log"):
         lines = [line for line in path.read_text(errors="replace").splitlines() if " counters [" in line]
