--- a/umberlead/testing/chunkserver.py
+++ b/umberlead/testing/chunkserver.py
@@ -1,8 +1,8 @@
-"""A stand-in chunk server: the published protocol over a small model of a node, seeded.
+"""A simulated chunk server: the published protocol over a small, seeded model of a node.
 
-Two cores serve requests in the order of their arrival, a queue holds some more, and what finds it full is
-rejected. Blocks are stored in memory. Every request that is read completely is a line in the record, which is
-what tests and measurements judge by: monotonic time in ns, server, id, class, block, shard and its end.
+Two cores serve requests in order of arrival, a bounded queue holds more, and requests that find it full are
+rejected. Blocks are stored in memory. Every request that is read completely adds a line to the record, which
+tests and measurements evaluate: monotonic time in ns, server, id, class, block, shard and outcome.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """How a server behaves.
+    """The behaviour of a simulated server.
 
     Attributes:
-        cores: requests that are served at once.
-        waiting: requests that may wait.
+        cores: number of requests that are served concurrently.
+        waiting: number of requests that may queue.
         unit: mean work of a unit, in seconds.
-        spread: sigma of the log-normal factor on it.
-        errors: part, to 1, that is answered with 500 after the work.
-        resets: part, to 1, whose connection breaks after the work.
-        keep: blocks that are stored; the oldest are dropped first.
-        synthetic: whether reads of unknown blocks are answered with a body of their own.
+        spread: sigma of the log-normal factor on the mean work.
+        errors: fraction of requests, 0 to 1, answered with 500 after the work.
+        resets: fraction of requests, 0 to 1, whose connection is aborted after the work.
+        keep: maximum number of stored blocks; the oldest are dropped first.
+        synthetic: whether reads of unknown blocks are answered with a generated body.
     """
 
     cores: int = 2
@@ -44,16 +44,16 @@
 
 
 class Record:
-    """Lines of what servers were asked, in a file or in memory."""
+    """A record of the requests of all servers, in a file or in memory."""
 
     def __init__(self, file: IO[str] | None = None) -> None:
-        """Write to `file`; without one, keep the rows."""
+        """Create a record that writes to `file`, or keeps its rows in memory without one."""
         self.file = file
         self.rows: list[dict[str, Any]] = []
         self.counts: Counter[str] = Counter()
 
     def add(self, row: dict[str, Any]) -> None:
-        """Add a line."""
+        """Add a request."""
         self.counts[row["server"]] += 1
         if self.file is None:
             self.rows.append(row)
@@ -61,23 +61,23 @@
             self.file.write(json.dumps(row) + "\n")
 
     def flush(self) -> None:
-        """Hand what is written to the system."""
+        """Flush the file."""
         if self.file is not None:
             self.file.flush()
 
 
 class ChunkServer:
-    """One server at one address."""
+    """One simulated chunk server at one address."""
 
     def __init__(self, name: str, shard: int, model: Model, record: Record, seed: int) -> None:
-        """Begin without blocks; what `model` leaves to chance is drawn from `seed` and the name."""
+        """Create a server without blocks; `seed` and `name` seed the random choices of `model`."""
         self.name = name
         self.shard = shard
         self.model = model
         self.record = record
         self.chance = random.Random(f"{seed}/{name}")
         self.blocks: dict[str, bytes] = {}
-        # How each request ends: error, reset, full, astray, timeout; "" leaves that to the model.
+        # Forced outcome of each request: error, reset, full, astray, timeout; "" lets the model decide.
         self.force = ""
         self.address = ("", 0)
         self.busy = 0
@@ -93,12 +93,12 @@
         return self.address[1]
 
     def down(self) -> None:
-        """Nobody listens any longer, and what stood is gone; `listen` at its address brings it back."""
+        """Stop listening and abort all connections; `listen` at the same address restarts the server."""
         self.close()
         self.listener = None
 
     def close(self) -> None:
-        """Listen no more, and abort all connections."""
+        """Stop listening, and abort all connections."""
         if self.listener is not None:
             self.listener.close()
         for conn in list(self.connections):
@@ -106,25 +106,25 @@
                 conn.transport.abort()
 
     def admit(self) -> bool:
-        """Whether one more connection may stand."""
+        """Return whether one more connection is accepted."""
         return True
 
     def released(self) -> None:
-        """A connection has ended."""
+        """Called when an admitted connection has ended."""
 
     def figures(self, volume: str) -> bytes:
-        """What every answer tells beside its body: header lines."""
+        """Return header lines that are added to every answer."""
         return b""
 
     def work(self, units: float) -> float:
-        """Draw the seconds that a request of `units` takes."""
+        """Return a random service time in seconds for a request of `units`."""
         factor = self.chance.lognormvariate(-(self.model.spread**2) / 2, self.model.spread)
         return self.model.unit * units * factor
 
     def serve(self, row: dict[str, Any], units: float, done: Callable[[str], None]) -> bool:
-        """Work on a request, then call `done` with how it ends; return False where the queue is full.
+        """Work on a request, then call `done` with its outcome; return False if the queue is full.
 
-        A cancel stops nothing: what has begun runs to its end, whoever still listens.
+        A request that has begun runs to its end even if its client has disconnected.
         """
         loop = asyncio.get_running_loop()
 
@@ -141,7 +141,7 @@
         return "reset" if draw < self.model.errors + self.model.resets else "ok"
 
     def begin(self, job: Callable[[], Any]) -> bool:
-        """Run `job` once a core is free; return False where the queue is full."""
+        """Run `job` once a core is free; return False if the queue is full."""
         if self.busy < self.model.cores:
             self.busy += 1
             job()
@@ -152,24 +152,24 @@
         return True
 
     def finished(self) -> None:
-        """Free a core: the next request that waits takes it."""
+        """Free a core, or start the next queued request on it."""
         if self.waiting:
             self.waiting.popleft()()
         else:
             self.busy -= 1
 
     def store(self, block: str, body: bytes) -> None:
-        """Store a block; the oldest are dropped beyond the limit."""
+        """Store a block; drop the oldest blocks beyond the limit."""
         self.blocks[block] = body
         while len(self.blocks) > self.model.keep:
             del self.blocks[next(iter(self.blocks))]
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of a front's."""
+    """One connection of a front."""
 
     def __init__(self, server: ChunkServer) -> None:
-        """Serve by `server`."""
+        """Create a connection that `server` serves."""
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.volume = ""
@@ -182,7 +182,7 @@
         self.body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, or abort where no more connections are admitted."""
+        """Store the transport, or abort it if no more connections are admitted."""
         self.transport = cast(asyncio.Transport, transport)
         if self.server.admit():
             self.server.connections.add(self)
@@ -190,13 +190,13 @@
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         if self in self.server.connections:
             self.server.connections.discard(self)
             self.server.released()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; what is no HTTP ends the connection."""
+        """Parse received data; abort the connection if it is not HTTP."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -204,15 +204,15 @@
                 self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the target."""
+        """Append a piece of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header field."""
+        """Store a header field."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
+        """Append a piece of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
@@ -249,10 +249,10 @@
     def _end(self, row: dict[str, Any], method: bytes, block: str, body: bytes, end: str) -> None:
         server = self.server
         if method == b"PUT":
-            server.store(block, body)  # an answer that gets lost, or is an error, may have run
+            server.store(block, body)  # a request with a lost answer or an error may have run, too
         server.record.add(row | {"end": end})
         if end == "timeout":
-            return  # it has run, and says nothing
+            return  # it has run, but sends no answer
         if end == "reset":
             if self.transport is not None:
                 self.transport.abort()
--- a/umberlead/testing/explore.py
+++ b/umberlead/testing/explore.py
@@ -1,8 +1,8 @@
-"""Walks all orders of a small alphabet of events through the membership machine, to a stated depth.
+"""Explores all sequences of a small set of events in the membership state machine, up to a given depth.
 
-States that were met before at the same depth or less are not walked again. `python -m
-umberlead.testing.explore DEPTH` prints how many states and steps there were; any broken rule ends it with
-the events that led there."""
+A state that was already explored with as many or more steps left is skipped. `python -m
+umberlead.testing.explore DEPTH` prints the numbers of states and steps; a violated invariant ends it with an
+error that lists the events that led there."""
 
 import copy
 import sys
@@ -63,7 +63,7 @@
     def apply_change(self, change: MembershipChange) -> None:
         self.follower.take(change, self.now, self.membership.settings.identity_retention_us)
 
-    # Each event goes to the machine and, as a fact, to the reference.
+    # Each event is applied to the state machine and to the facts of the reference.
 
     def files(self, of: CheckedList) -> None:
         facts, membership = self.reference.facts, self.membership
@@ -73,13 +73,13 @@
         if allowed or same:
             facts.listing = of
             if membership.pending is not None or membership.rejection_problems:
-                raise Broken("a list was taken, and is complained of")
+                raise Broken("a list was applied, but a rejection is still reported or pending")
         elif (
             membership.pending is None
             or membership.pending.checked_list is not of
             or not membership.rejection_problems
         ):
-            raise Broken("a list that takes away too much is not held")
+            raise Broken("a list that withdraws too many servers is not pending confirmation")
 
     def reject_files(self) -> None:
         before = dict(self.membership.active_endpoints)
@@ -89,7 +89,7 @@
             or self.membership.pending is not None
             or not self.membership.rejection_problems
         ):
-            raise Broken("a broken file changed the list, or was not complained of")
+            raise Broken("a malformed file changed the list, or its problems are not reported")
 
     def confirm(self, digest: str) -> None:
         pending = self.membership.pending
@@ -97,10 +97,10 @@
             change = self.membership.confirm(self.now, digest)
         except NoPendingListError:
             if pending is not None and len(digest) >= 8 and pending.checked_list.digest.startswith(digest):
-                raise Broken("the list that is held was not taken when confirmed") from None
+                raise Broken("the pending list was not applied when confirmed") from None
             return
         if pending is None or len(digest) < 8 or not pending.checked_list.digest.startswith(digest):
-            raise Broken("a list was confirmed that is not held")
+            raise Broken("a list was confirmed that is not pending")
         self.reference.facts.listing = pending.checked_list
         self.apply_change(change)
 
@@ -130,15 +130,15 @@
         self._held()
 
     def _held(self) -> None:
-        """A held server is let in by `longest` at the latest, and `next` tells when something is due."""
+        """Check that a suppressed server has a due time, at most `max_suppression_us` from now."""
         due = self.membership.next_change_us()
         if due is None and self.reference.facts.held:
-            raise Broken("somebody is held, and nothing will ever let it in")
+            raise Broken("a server is suppressed without a time at which it is readmitted")
         if due is not None and due > self.now + self.membership.settings.flap_damping.max_suppression_us:
-            raise Broken("a server is held for longer than the rules allow")
+            raise Broken("a server is suppressed for longer than the settings allow")
 
     def key(self) -> object:
-        """What decides what may still come. Ids and generations are left out: they only grow."""
+        """Return the state that determines future behaviour, without ids and generations, which only grow."""
         m, facts = self.membership, self.reference.facts
         ages = sorted((n, round(v), self.now - at) for n, (v, at) in facts.penalty.items())
         return (
@@ -183,7 +183,11 @@
 
 
 def explore(depth: int, rules: MembershipSettings = RULES) -> tuple[int, int]:
-    """States and steps walked; `Broken` with the events that led there."""
+    """Return the numbers of explored states and steps.
+
+    Raises:
+        Broken: an invariant is violated; the message lists the events that led there.
+    """
     events = list(alphabet())
     met: dict[object, int] = {}
     steps = 0
@@ -211,4 +215,4 @@
 
 if __name__ == "__main__":
     states, steps = explore(int(sys.argv[1]) if len(sys.argv) > 1 else 4)
-    print(f"{states} states, {steps} steps, no rule broken")
+    print(f"{states} states, {steps} steps, no invariant violated")
--- a/umberlead/testing/fleet.py
+++ b/umberlead/testing/fleet.py
@@ -1,4 +1,4 @@
-"""All servers of a list as stand-ins in one process: `umberlead standin LIST`."""
+"""Simulates all servers of a list in one process: `umberlead standin LIST`."""
 
 import asyncio
 import signal
@@ -11,27 +11,27 @@
 from umberlead.membership.model import EndpointSpec
 from umberlead.testing.chunkserver import ChunkServer, Model, Record
 
-REPORT_INTERVAL_SECONDS = 2.0  # between two lines of what was asked
+REPORT_INTERVAL_SECONDS = 2.0  # between two lines of request rates
 
 
 class NotLoopbackError(UmberleadError, ValueError):
-    """A stand-in listens on loopback alone; the text names the server."""
+    """A simulated server may listen on loopback only; the message names the server."""
 
 
 async def start(
     servers: list[EndpointSpec], model: Model, record: Record, seed: int, emulated: bool = False
 ) -> list[ChunkServer]:
-    """Start stand-ins for all servers; those of one shard share what they store, as replicas would.
+    """Start simulated servers; those of one shard share their stored blocks, like replicas.
 
     Args:
-        servers: of the list.
-        model: how they behave.
-        record: of what they are asked.
-        seed: for what the model leaves to chance.
-        emulated: whether they work by the operators' figures; `model` then tells only what they store.
+        servers: servers of the list.
+        model: their behaviour.
+        record: where their requests are recorded.
+        seed: seed of the random choices of the model.
+        emulated: whether they follow the emulator's node model; `model` then sets only what they store.
 
     Raises:
-        NotLoopbackError: a server's address is no loopback address.
+        NotLoopbackError: the address of a server is not a loopback address.
     """
     kind: type[ChunkServer] = ChunkServer
     if emulated:
@@ -53,14 +53,14 @@
 
 
 def format_rates(counts: Counter[str], before: Counter[str], names: list[str], elapsed_seconds: float) -> str:
-    """Return requests a second by server, also of those that get none any more."""
+    """Return requests per second of each server, including servers without requests."""
     return "  ".join(f"{name} {(counts[name] - before[name]) / elapsed_seconds:.0f}/s" for name in names)
 
 
 async def run(
     servers: list[EndpointSpec], model: Model, record: Record, seed: int, quiet: bool, emulated: bool = False
 ) -> None:
-    """Run stand-ins until SIGTERM or SIGINT, and print what they are asked unless `quiet`."""
+    """Run simulated servers until SIGTERM or SIGINT; print their request rates unless `quiet`."""
     loop = asyncio.get_running_loop()
     done = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -94,9 +94,9 @@
     quiet: bool,
     emulated: bool = False,
 ) -> None:
-    """Run stand-ins in an event loop of their own, with their record in a file, or counted alone."""
+    """Run simulated servers in a new event loop; record requests in a file, or only count them."""
     if record is None:
-        # Counted, not kept: a long run must not fill memory.
+        # Rows are only counted: keeping them would use up memory in a long run.
         with open("/dev/null", "w") as nowhere:
             asyncio.run(run(servers, model, Record(nowhere), seed, quiet, emulated))
         return
--- a/umberlead/testing/reference.py
+++ b/umberlead/testing/reference.py
@@ -1,9 +1,9 @@
-"""A slow and plain account of what the list in force must be, to hold the membership machine against.
+"""A slow, simple reference model of the active endpoint list, to check the membership state machine against.
 
-It keeps the facts alone (what each source last said, who is out by hand, when whom came back) and works the
-whole list out anew after each event. `Watcher` follows the changes that the machine tells, as a front does,
-and finds what no single state shows: ids used twice, generations that jump, marks told for the wrong
-server."""
+It stores only facts (the last report of each source, manual drains, when servers returned) and computes the
+whole list anew after each event. `Follower` applies the changes that the state machine reports, as a front
+does, and finds errors that no single state shows: ids used twice, generations that jump, manual drains
+reported for the wrong server."""
 
 from dataclasses import dataclass, field, replace
 
@@ -13,20 +13,20 @@
 
 
 class Broken(AssertionError):
-    """A rule of the list in force was broken."""
+    """An invariant of the active endpoint list is violated."""
 
 
 @dataclass
 class Facts:
-    """What was told, and by whom."""
+    """The inputs so far, by source, and the state derived from them."""
 
     listing: CheckedList | None = None
     discovered: dict[str, EndpointSpec] = field(default_factory=dict)
     marks: set[str] = field(default_factory=set)
     ready_before: set[str] = field(default_factory=set)
     places: dict[str, tuple[object, ...]] = field(default_factory=dict)  # last address and shard by name
-    lost: dict[str, int] = field(default_factory=dict)  # was ready, is not, since when
-    gone: dict[str, int] = field(default_factory=dict)  # is in no source, since when
+    lost: dict[str, int] = field(default_factory=dict)  # no longer ready, since when
+    gone: dict[str, int] = field(default_factory=dict)  # in no source, since when
     penalty: dict[str, tuple[float, int]] = field(default_factory=dict)
     held: set[str] = field(default_factory=set)
 
@@ -49,7 +49,7 @@
         self.rules, self.facts = rules_of.settings, Facts()
 
     def say(self, name: str) -> tuple[EndpointSpec, Source] | None:
-        """What all sources together want of a server."""
+        """Return the merged entry of a server and the source that it comes from."""
         listed = self.facts.listing.endpoints.get(name) if self.facts.listing else None
         other = self.facts.discovered.get(name)
         if listed is None and other is None:
@@ -74,7 +74,7 @@
         return faded if faded >= 50.0 else 0.0
 
     def settle(self, now: int, spoken_of: set[str] | None = None) -> None:
-        """After an event: who came back is charged, whose time is over is let go."""
+        """Update the facts after an event: penalize servers that returned, and note lost and gone ones."""
         facts, damping = self.facts, self.rules.flap_damping
         ready = set()
         for name in self.names() | facts.ready_before:
@@ -112,7 +112,7 @@
                 del facts.gone[name], facts.places[name]
 
     def in_force(self) -> dict[str, tuple[EndpointSpec, bool]]:
-        """The list that must be in force, and who is held."""
+        """Return the expected active list; the flag marks suppressed servers."""
         facts, made = self.facts, {}
         for name in self.names():
             got = self.say(name)
@@ -132,7 +132,7 @@
         return got[0].shard if got is not None else -1
 
     def allows(self, listing: CheckedList) -> bool:
-        """Whether a list may be taken without an operator's word."""
+        """Return whether a list may be applied without confirmation by an operator."""
         old = self.facts.listing
         if old is None:
             return True
@@ -146,13 +146,13 @@
 
 
 class Follower:
-    """What a front makes of the changes told: servers by id, and marks by id."""
+    """The view of a front that applies all reported changes: servers by id, and manual drains by id."""
 
     def __init__(self) -> None:
         self.servers: dict[str, EndpointSpec] = {}
         self.marks: set[str] = set()
-        self.meant: dict[str, tuple[object, int]] = {}  # id to its address and shard
-        self.gone: dict[str, int] = {}  # ids that went, and when
+        self.meant: dict[str, tuple[object, int]] = {}  # address and shard by id
+        self.gone: dict[str, int] = {}  # removed ids, with the time of removal
         self.generation = 0
 
     def copy(self) -> "Follower":
@@ -162,8 +162,11 @@
         return made
 
     def take(self, change: MembershipChange, now: int, remember: int) -> None:
-        """An id may mean another server once it has been gone for `remember`, by when nothing of it is
-        out."""
+        """Apply a change and check it.
+
+        An id may be reused for another server once it has been gone for `remember`: by then no request with
+        the old meaning is open.
+        """
         for node in [n for n, at in self.gone.items() if at <= now - remember]:
             del self.gone[node], self.meant[node]
         moved = bool(change.added or change.changed or change.removed)
@@ -172,19 +175,19 @@
         self.generation = change.generation
         for node, out, _ in change.manual_drains:
             if out == (node in self.marks):
-                raise Broken(f"the mark of {node} is told twice")
+                raise Broken(f"the manual drain of {node} is reported twice")
             (self.marks.add if out else self.marks.discard)(node)
         for member in change.removed:
             if self.servers.pop(member.id, None) is None:
-                raise Broken(f"{member.id} went without being there")
+                raise Broken(f"{member.id} was removed but did not exist")
             self.gone[member.id] = now
         for before, after in change.changed:
             if before.id != after.id or self.servers.get(before.id) != before.endpoint:
-                raise Broken(f"{before.id} changed from what it was not")
+                raise Broken(f"{before.id} changed from a value that it did not have")
             self.servers[after.id] = after.endpoint
         for member in change.added:
             if member.id in self.servers:
-                raise Broken(f"{member.id} came twice")
+                raise Broken(f"{member.id} was added twice")
             self.servers[member.id] = member.endpoint
             self.gone.pop(member.id, None)
         for node, server in self.servers.items():
@@ -194,13 +197,17 @@
 
 
 def compare(machine: Membership, reference: Reference, follower: Follower) -> None:
-    """`Broken` where the machine, what it told, and the plain account differ."""
+    """Compare the state machine, the changes that it reported, and the reference model.
+
+    Raises:
+        Broken: they differ.
+    """
     want = reference.in_force()
     have = {name: (m.endpoint, m.suppressed) for name, m in machine.active_endpoints.items()}
     if have != want:
-        raise Broken(f"in force is {have}, must be {want}")
+        raise Broken(f"the active list is {have}, expected {want}")
     if {m.id: m.endpoint for m in machine.active_endpoints.values()} != follower.servers:
-        raise Broken("what was told adds up to something else than what is in force")
+        raise Broken("the reported changes do not add up to the active list")
     marked = {machine.active_endpoints[n].id for n in reference.facts.marks if n in machine.active_endpoints}
     if marked != follower.marks:
-        raise Broken(f"marked by what was told: {follower.marks}; must be {marked}")
+        raise Broken(f"manual drains by the reported changes: {follower.marks}; expected {marked}")
--- a/umberlead/testing/soak/fault_player.py
+++ b/umberlead/testing/soak/fault_player.py
@@ -1,4 +1,4 @@
-"""Plays faults on a running fleet of the soak test."""
+"""Injects faults into a running fleet of the soak test."""
 
 import asyncio
 import signal
@@ -14,20 +14,20 @@
 
 
 class FaultPlayer:
-    """Plays faults on a fleet.
+    """Injects faults into a fleet.
 
     Attributes:
-        played: how often each kind was.
+        played: number of injections of each kind.
     """
 
     def __init__(self, run: Fleet) -> None:
-        """Play on the fleet of `run`."""
+        """Create a player for the fleet of `run`."""
         self._run = run
         self._signals = SignalSeries(run)
         self.played: Counter[str] = Counter()
 
     async def play(self, intervals: list[Interval], seconds: float) -> None:
-        """Play all faults at their times, and wait until each is over and so many seconds have gone by."""
+        """Inject all faults at their times; return when all are over and `seconds` have passed."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         tasks = []
@@ -106,7 +106,7 @@
             process.signal(signal.SIGCONT)
 
     def _tell(self, entry: Entry) -> float:
-        """Tell all agents; return when all fronts count as told."""
+        """Send an entry through all agents; return the time by when all fronts must know it."""
         for front in self._run.fronts:
             front.agent.tell(entry)
         return max(front.agent.told_by for front in self._run.fronts)
@@ -146,7 +146,7 @@
         server.node.order(flaw_rate=0.0)
 
     async def _switch(self, server: Server, word: str) -> bool:
-        """Have all fronts take a server out, or put it back; a front that is away is called again."""
+        """Set or clear the manual drain of a server at all fronts; retry at a front that does not answer."""
         path = f"/control/chunk-servers/{server.name}/{word}"
         for front in self._run.fronts:
             for _ in range(40):
@@ -197,7 +197,7 @@
         await self._signals.play(self._front(interval), interval)
 
     async def _crowd(self, interval: Interval) -> None:
-        """Fill a front with idle clients; every other time its agent says nothing meanwhile."""
+        """Use up a front's descriptors with idle clients; half of the time its agent is silent meanwhile."""
         front = self._front(interval)
         silent = interval.variant < 0.5
         if silent:
@@ -207,7 +207,7 @@
             front.agent.speak()
 
     async def _system_faults(self, interval: Interval) -> None:
-        """Have system calls of a front's processes fail for a while; its clock stays stepped."""
+        """Make system calls of a front's processes fail for a while; a clock step is not undone."""
         front = self._front(interval)
         changed = faults_of(interval)
         for process in front.processes:
--- a/umberlead/testing/soak/faults.c
+++ b/umberlead/testing/soak/faults.c
@@ -1,7 +1,7 @@
-/* Fails system calls of one process as Linux documents: preloaded into a front under test.
+/* Makes system calls of one process fail in ways that Linux documents; preloaded into a front under test.
  *
  * FAULTS_FILE names a file of `struct faults`, which the soak test maps and changes while the front runs. Each
- * rate is a part of 1000 calls. Only what the file asks for fails; all else goes through unchanged.
+ * rate is per 1000 calls. Only calls that the file selects fail; all others pass through unchanged.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -28,11 +28,11 @@
     int32_t accept_rate, accept_errno;
     int32_t socket_rate, socket_errno;
     int32_t connect_rate, connect_errno;
-    int32_t short_rate;                     /* reads and writes of sockets that move less than they could */
+    int32_t short_rate;                     /* short reads and writes of sockets */
     int32_t eintr_rate;
-    int32_t break_rate, break_errno;        /* reads on connections that were dialled */
+    int32_t break_rate, break_errno;        /* reads on outgoing connections */
     int32_t folder_rate, folder_errno;      /* writes and syncs under `folder` */
-    int64_t injected;                       /* how many calls failed so far */
+    int64_t injected;                       /* calls made to fail so far */
     char folder[FOLDER_BYTES];
 };
 
@@ -157,7 +157,7 @@
 
 static int broken(int fd) { return known(fd) && dialled[fd] && hit(faults->break_rate); }
 
-/* What a peer sees of a connection that broke: nothing more comes. */
+/* Fails a read, and makes the later close reset the connection. */
 static ssize_t break_off(int fd) {
     struct linger reset = {1, 0};
     setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
@@ -185,7 +185,7 @@
 ssize_t write(int fd, const void *from, size_t size) {
     if (known(fd) && in_folder[fd]) {
         if (faults->folder_errno == ENOSPC && size > 1 && hit(faults->folder_rate))
-            return REAL(write)(fd, from, size / 2); /* the last of the room: half a write */
+            return REAL(write)(fd, from, size / 2); /* a full disk takes half of the write */
         FAIL(faults->folder_rate, faults->folder_errno);
     } else if (is_socket(fd)) {
         FAIL(faults->eintr_rate, EINTR);
--- a/umberlead/testing/soak/fleet.py
+++ b/umberlead/testing/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak run: started, ordered about, ended, and looked at."""
+"""The processes of a soak run: starts, controls, stops and inspects them."""
 
 import asyncio
 import mmap
@@ -16,23 +16,23 @@
 
 import msgspec
 
-START_SECONDS = 30.0  # in which a process must be ready
+START_SECONDS = 30.0  # time within which a process must be ready
 READY_LOOK_SECONDS = 0.03
-CALL_SECONDS = 1.0  # for an operator's call
+CALL_SECONDS = 1.0  # timeout of a call of the admin API
 FAULTS_SOURCE = Path(__file__).with_name("faults.c")
 FAULTS_FORMAT = struct.Struct("<q12iq256s")  # `struct faults`
 MODULE = "umberlead.testing.soak"
 
 
 class StartError(RuntimeError):
-    """A process did not come up; the text has its last lines."""
+    """A process did not start; the message has the last lines of its log."""
 
 
 def build_faults(folder: Path) -> Path:
-    """Compile the library of failing system calls.
+    """Compile the library that makes system calls fail.
 
     Raises:
-        CalledProcessError: it does not compile.
+        CalledProcessError: the library does not compile.
     """
     library = folder / "faults.so"
     call = ["cc", "-O2", "-shared", "-fPIC", "-o", str(library), str(FAULTS_SOURCE), "-ldl"]
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class SystemFaults:
-    """What fails in one process; see `struct faults` in faults.c. Rates are parts of 1000."""
+    """The injected faults of one process; see `struct faults` in faults.c. Rates are per 1000 calls."""
 
     clock_step_ns: int = 0
     accept_rate: int = 0
@@ -60,10 +60,10 @@
 
 
 class FaultsFile:
-    """The mapped file through which a process is told what fails."""
+    """The memory-mapped file that tells a process which system calls fail."""
 
     def __init__(self, path: Path, folder: Path) -> None:
-        """Make it at `path`; writes under `folder` may fail."""
+        """Create the file at `path`; `folder` is where writes fail if ordered."""
         self.path = path
         self.faults = SystemFaults()
         self._folder = str(folder).encode()
@@ -73,7 +73,7 @@
         self.apply()
 
     def apply(self) -> None:
-        """Put the present faults in force."""
+        """Write the current faults to the file, so that they take effect."""
         f = self.faults
         values = (
             f.clock_step_ns,
@@ -93,13 +93,13 @@
         self._map[:] = FAULTS_FORMAT.pack(*values, self.injected(), self._folder)
 
     def injected(self) -> int:
-        """Return how many calls failed so far."""
+        """Return how many system calls were made to fail so far."""
         return int(FAULTS_FORMAT.unpack(self._map[:])[13])
 
 
 @dataclass(slots=True)
 class Child:
-    """A helper process that says that it is ready, and takes orders."""
+    """A helper process that reports when it is ready, and takes orders on standard input."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -110,7 +110,7 @@
             self.process.stdin.write(msgspec.json.encode(order) + b"\n")
 
     def kill(self) -> None:
-        """Kill it."""
+        """Send SIGKILL unless the process has ended."""
         if self.process.returncode is None:
             self.process.kill()
 
@@ -119,7 +119,7 @@
     """Start a process of this package and wait until it is ready.
 
     Raises:
-        StartError: it ended instead.
+        StartError: the process ended instead.
     """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -141,11 +141,11 @@
     """One process of a front.
 
     Attributes:
-        front: the front's name.
-        management: where its operators call.
-        faults: what fails in it.
-        ends: whether it was told to end, or killed.
-        ready_seconds: what it took to be ready; None before.
+        front: name of the front.
+        management: address of its admin API.
+        faults: its injected faults.
+        ends: whether it was sent SIGTERM or SIGKILL.
+        ready_seconds: time from its start until it was ready; None before.
     """
 
     front: str
@@ -159,7 +159,7 @@
     ready_seconds: float | None = None
 
     async def call(self, method: str, path: str) -> int:
-        """Make an operator's call; return its status, 0 where none came."""
+        """Call the admin API; return the status, or 0 if there was no answer."""
         return await asyncio.get_running_loop().run_in_executor(None, self._call, method, path)
 
     def _call(self, method: str, path: str) -> int:
@@ -173,10 +173,10 @@
             return 0
 
     async def ready(self) -> None:
-        """Wait until it says that it is ready.
+        """Wait until the process reports that it is ready.
 
         Raises:
-            StartError: it ended, or takes too long.
+            StartError: the process ended, or took longer than START_SECONDS.
         """
         while await self.call("GET", "/control/ready") != 200:
             late = time.monotonic() > self.started + START_SECONDS
@@ -187,19 +187,19 @@
         self.ready_seconds = time.monotonic() - self.started
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal if the process still runs."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
     def descriptors(self) -> int:
-        """Count its descriptors; 0 once it has ended."""
+        """Return the number of its open descriptors; 0 once it has ended."""
         try:
             return len(os.listdir(f"/proc/{self.process.pid}/fd"))
         except OSError:
             return 0
 
     def memory_mb(self) -> float:
-        """Return its resident memory; 0 once it has ended."""
+        """Return its resident memory in MiB; 0 once it has ended."""
         try:
             pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         except (OSError, IndexError):
@@ -210,7 +210,7 @@
 async def start_front(
     name: str, env: dict[str, str], management: str, faults: FaultsFile, library: Path, log: Path
 ) -> FrontProcess:
-    """Start a process of a front; it is not ready yet."""
+    """Start a process of a front; return before it is ready."""
     file: BinaryIO
     with open(log, "ab") as file:
         process = await asyncio.create_subprocess_exec(
--- a/umberlead/testing/soak/judge.py
+++ b/umberlead/testing/soak/judge.py
@@ -1,4 +1,4 @@
-"""What a soak run must have kept, read off its records. Free of I/O; times are monotonic nanoseconds."""
+"""Invariants of a soak run, checked on its records. Performs no I/O; times are monotonic nanoseconds."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -8,20 +8,20 @@
 from umberlead.testing.soak.records import ClientRecord, Event, NodeRecord
 
 MS = 1_000_000
-LATE_ANSWER_NS = 500 * MS  # behind a request's time, from which its answer counts as lost
-LEFT_GRACE_NS = 100 * MS  # after a client left, in which an attempt may still begin
+LATE_ANSWER_NS = 500 * MS  # after a request's deadline, from when it counts as lost
+LEFT_GRACE_NS = 100 * MS  # after a client disconnected, in which an attempt may still begin
 BUDGET_SLACK_NS = 150 * MS
-DRAIN_GRACE_NS = 2050 * MS  # after a front was told, in which a send may still begin
+DRAIN_GRACE_NS = 2050 * MS  # after a front learnt of a drain, in which an attempt may still begin
 BY_HAND_GRACE_NS = 1050 * MS
-MACHINE_SLACK_NS = 120 * MS  # that a process of the test itself may be behind, beyond what it noticed
-KILL_SLACK_NS = 400 * MS  # round a kill, in which what broke broke by it
-CROWD_SLACK_NS = 500 * MS  # behind a crowd, until its last connection is closed
-LINK_SLACK_NS = 300 * MS  # behind a fault of a link, in which what it held comes in
+MACHINE_SLACK_NS = 120 * MS  # unnoticed lateness allowed to a process of the test itself
+KILL_SLACK_NS = 400 * MS  # around a kill, in which it explains a broken connection
+CROWD_SLACK_NS = 500 * MS  # after a crowd, until its last connection is closed
+LINK_SLACK_NS = 300 * MS  # after a link fault, in which delayed data still arrives
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken."""
+    """A violation of an invariant: the name of the rule, and a description."""
 
     rule: str
     what: str
@@ -29,16 +29,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the settings of the run allow.
+    """Limits that the settings of the run imply.
 
     Attributes:
         unsafe: classes that must never run twice.
-        max_attempts: of one request.
-        cold_requests: of mean work that a node bears in a window as it starts.
-        cold_share: of its capacity that it has then; it grows evenly.
-        cold_window_ns: that window.
-        warm_up_ns: until it has all of it.
-        mean_units: of a request.
+        max_attempts: maximum number of attempts of one request.
+        cold_requests: requests of mean size that a chunk server can take in a window when it starts.
+        cold_share: the fraction of its capacity that it has then; it grows linearly.
+        cold_window_ns: length of that window.
+        warm_up_ns: time until it has its full capacity.
+        mean_units: mean units of a request.
     """
 
     unsafe: frozenset[str]
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """All that a run wrote down."""
+    """All records of a run."""
 
     clients: list[ClientRecord] = field(default_factory=list)
     nodes: list[NodeRecord] = field(default_factory=list)
@@ -60,7 +60,7 @@
 
 
 def judge(evidence: Evidence, limits: Limits) -> list[Violation]:
-    """Return what was broken, in the order of the rules below."""
+    """Return all violations, in the order of the rules below."""
     return [
         *lost(evidence),
         *forged(evidence.clients),
@@ -73,7 +73,7 @@
 
 
 def _kills(events: Iterable[Event]) -> dict[str, list[int]]:
-    """When processes of each front were killed, in order."""
+    """Return when processes of each front were killed, in order."""
     found = defaultdict(list)
     for event in events:
         if event.what == "front_killed":
@@ -82,7 +82,7 @@
 
 
 def _crowds(events: Iterable[Event]) -> dict[str, list[tuple[int, int]]]:
-    """From when to when idle clients filled each front."""
+    """Return the intervals in which idle clients used up the descriptors of each front."""
     found = defaultdict(list)
     for event in events:
         if event.what == "crowd":
@@ -91,7 +91,7 @@
 
 
 def lost(evidence: Evidence) -> list[Violation]:
-    """Find requests that were sent whole and got no final answer in time, by no fault of their clients."""
+    """Find requests sent completely without a final answer in time, unless their client caused that."""
     kills = _kills(evidence.events)
     crowds = _crowds(evidence.events)
     forwarded = {row.id for row in evidence.nodes}
@@ -103,12 +103,12 @@
         if row.end == "answered" and row.ended <= due:
             continue
         if row.end == "reset" and row.used > 0:
-            continue  # it crossed the end of a resting connection, unread
+            continue  # it crossed the close of an idle connection, unread
         if row.end == "reset" and row.behind > 0:
-            continue  # sent ahead, and unread behind a reply that ended the connection
+            continue  # pipelined, and unread after an answer that closed the connection
         is_new = row.used == 0 and row.end in ("reset", "eof") and row.id not in forwarded
         if is_new and any(begin <= row.connected <= end for begin, end in crowds[row.front]):
-            continue  # a new connection may be shut unread where a crowd fills the front
+            continue  # a front without free descriptors may close a new connection unread
         ended = row.ended or due
         if any(
             row.connected <= at + KILL_SLACK_NS and at <= ended + KILL_SLACK_NS for at in kills[row.front]
@@ -123,12 +123,12 @@
 
 
 def forged(clients: Iterable[ClientRecord]) -> list[Violation]:
-    """Find answers that no chunk server made for their request."""
+    """Find answers that were not produced by a chunk server for that request."""
     return [Violation("forged", f"{row.id} at {row.front}") for row in clients if not row.sound]
 
 
 def repeated(evidence: Evidence, limits: Limits) -> list[Violation]:
-    """Find requests that ran twice though they must not, too often, or twice at once."""
+    """Find requests that ran twice though they must not, had too many attempts, or ran twice at once."""
     by_id: dict[str, list[NodeRecord]] = defaultdict(list)
     for row in _latest(evidence.nodes):
         if row.last:
@@ -144,7 +144,7 @@
 
 
 def _latest(rows: Iterable[NodeRecord]) -> list[NodeRecord]:
-    """One record of each attempt: that of its end, where it has one."""
+    """Return one record per attempt: the one of its end if there is one."""
     found: dict[tuple[str, str, int], NodeRecord] = {}
     for row in rows:
         key = row.id, row.node, row.first
@@ -154,7 +154,7 @@
 
 
 def _arrivals(evidence: Evidence) -> list[NodeRecord]:
-    """The attempts whose time of arrival tells when they were sent: no fault of their link held them up."""
+    """Return the attempts that no link fault delayed: their time of arrival shows when they were sent."""
     held = defaultdict(list)
     for event in evidence.events:
         if event.what in ("link_stall", "link_pieces"):
@@ -167,12 +167,12 @@
 
 
 def _slot(node: str) -> str:
-    """The number of a chunk server's slot, from a record's name for it such as s3-1#0."""
+    """Return the slot number of a chunk server from its name in records, such as s3-1#0."""
     return node.partition("#")[0].partition("-")[0].removeprefix("s")
 
 
 def begun_late(evidence: Evidence) -> list[Violation]:
-    """Find attempts that began over 0.1 s after their client left."""
+    """Find attempts that began more than 0.1 s after their client disconnected."""
     left = {row.id: row.ended for row in evidence.clients if row.end == "left"}
     found = []
     for row in _arrivals(evidence):
@@ -183,7 +183,7 @@
 
 
 def budgets(evidence: Evidence) -> list[Violation]:
-    """Find attempts that were told more time than their client had left."""
+    """Find attempts whose X-Budget exceeds the time that their client had left."""
     by_id = {row.id: row for row in evidence.clients}
     found = []
     for row in _arrivals(evidence):
@@ -193,12 +193,12 @@
         left = client.sent_last + int(client.budget * 1e9) - row.first
         over = int(row.budget * 1e9) - max(left, 0)
         if over > BUDGET_SLACK_NS + row.late + MACHINE_SLACK_NS:
-            found.append(Violation("budget", f"{row.id} was told {row.budget} s, {over // MS} ms too much"))
+            found.append(Violation("budget", f"{row.id} got budget {row.budget} s, {over // MS} ms too much"))
     return found
 
 
 def sent_out_of_service(evidence: Evidence) -> list[Violation]:
-    """Find attempts that began at a chunk server that all fronts knew to drain, to be gone or taken out."""
+    """Find attempts at a chunk server that all fronts knew to be draining, gone or manually drained."""
     spans = _out_of_service(evidence.events)
     found = []
     for row in _arrivals(evidence):
@@ -210,12 +210,12 @@
 
 
 def _out_of_service(events: Iterable[Event]) -> dict[str, list[tuple[int, int]]]:
-    """From when to when nothing may begin at each server."""
+    """Return the intervals in which no attempt may begin at each server."""
     spans: dict[str, list[tuple[int, int]]] = defaultdict(list)
     forever = 1 << 62
     for event in events:
         match event.what:
-            case "node_drains":  # all fronts had been told then
+            case "node_drains":  # recorded for when all fronts know it
                 spans[event.who].append((event.at + DRAIN_GRACE_NS, forever))
             case "node_out":
                 spans[event.who].append((event.at + BY_HAND_GRACE_NS, forever))
@@ -226,7 +226,7 @@
 
 
 def slow_starts(evidence: Evidence, limits: Limits) -> list[Violation]:
-    """Find warming chunk servers that got more in a window than they bear at its end."""
+    """Find warming chunk servers that got more in a window than their limit at its end."""
     by_node: dict[str, list[NodeRecord]] = defaultdict(list)
     for row in _latest(evidence.nodes):
         by_node[row.node].append(row)
@@ -242,7 +242,7 @@
 
 
 def _worst_window(rows: list[NodeRecord], started: int, limits: Limits) -> str:
-    """Return how far the worst window of a start is over its bound; nothing where none is."""
+    """Describe the window that exceeds its bound most after a start; empty if none does."""
     worst = 0.0
     text = ""
     first = 0
--- a/umberlead/testing/soak/mix.py
+++ b/umberlead/testing/soak/mix.py
@@ -1,4 +1,4 @@
-"""Mixes of the soak test: how large a run is, which faults it has, how its clients behave. Free of I/O."""
+"""Mixes of the soak test: size of a run, kinds of faults, behaviour of clients. Performs no I/O."""
 
 import random
 from collections.abc import Sequence
@@ -6,7 +6,7 @@
 
 from umberlead.testing.soak.plan import SIGNAL_SERIES, Fault, Size
 
-DEADLINES_SECONDS = (0.8, 1.5, 2.5, 4.0)  # the longest of a request; SIGKILL follows SIGTERM by it
+DEADLINES_SECONDS = (0.8, 1.5, 2.5, 4.0)  # longest request deadlines; the delay of SIGKILL follows from them
 FLEET_SIZE = Size(fronts=24, nodes=10, clients=6)
 FLEET_FAULTS = (
     Fault.NODE_KILL,
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """What sets a run apart from others.
+    """The size, deadline, faults and clients of a run.
 
     Attributes:
-        name: of the mix.
-        size: how many processes it has.
+        name: name of the mix.
+        size: number of processes.
         deadline_seconds: the longest time that a request may take.
-        faults: drawn from; one that is named twice is drawn twice as often.
-        impatient: whether most clients leave while their request is open.
+        faults: faults to draw from; one that is listed twice is drawn twice as often.
+        impatient: whether most clients disconnect while their request is open.
     """
 
     name: str
@@ -42,12 +42,12 @@
 
 
 def mix_of(seed: int, size: Size, faults: Sequence[Fault]) -> Mix:
-    """Return the mix of a seed: five kinds in turn, each over a drawn deadline.
+    """Return the mix of a seed: five mixes in rotation, each with a random deadline.
 
     Args:
-        seed: of the run.
-        size: of a run of usual size.
-        faults: those that a run of all faults draws from; the other mixes keep to those among them.
+        seed: seed of the run.
+        size: number of processes, for mixes without a size of their own.
+        faults: faults that the mix "all" draws from; other mixes use only faults among these.
     """
     deadline_seconds = random.Random(f"mix/{seed}").choice(DEADLINES_SECONDS)
     allowed = tuple(faults)
--- a/umberlead/testing/soak/node.py
+++ b/umberlead/testing/soak/node.py
@@ -13,15 +13,15 @@
 from umberlead.testing.soak.processes import Lateness, Orders, RequestReader
 from umberlead.testing.soak.records import NodeRecord, Writer
 
-WORK_SECONDS = 0.004  # mean, of a unit
-IDLE_CLOSE_SECONDS = 3.0  # the keepalive of the settings
-BODY_PADDING_BYTES = 64  # of an answer, beyond its request's id
+WORK_SECONDS = 0.004  # mean work of a unit
+IDLE_CLOSE_SECONDS = 3.0  # equals the keepalive of the settings
+BODY_PADDING_BYTES = 64  # in an answer, after the request's id
 FLAWS = ("error", "spoilt", "unsized", "surplus", "interim", "full", "half")
 
 
 @dataclass(slots=True)
 class Behaviour:
-    """How the server acts now; changed by orders."""
+    """Current behaviour of the server; orders from the run change it."""
 
     hangs: bool = False
     flaw_rate: float = 0.0
@@ -29,10 +29,10 @@
 
 
 class Node:
-    """The server: its behaviour, its record and its open connections."""
+    """The chunk server: its behaviour and its record."""
 
     def __init__(self, name: str, path: Path) -> None:
-        """Record what comes to the server `name` at `path`."""
+        """Create the server `name`; its requests are recorded in the file `path`."""
         self.name = name
         self.record = Writer(path)
         self.behaviour = Behaviour()
@@ -49,14 +49,14 @@
     """A connection to the server."""
 
     def __init__(self, node: Node) -> None:
-        """Serve by `node`."""
+        """Create a connection that `node` serves."""
         super().__init__(node.lateness)
         self.node = node
         self.open: NodeRecord | None = None
         self._idle: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Close it once it was idle for the whole keepalive."""
+        """Start the idle timer, which closes the connection after the keepalive."""
         super().connection_made(transport)
         self._rest()
 
@@ -65,7 +65,7 @@
         self._idle = loop.call_later(IDLE_CLOSE_SECONDS, self.transport.close)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Write down what its end cut short."""
+        """Record the request that the end of the connection cut short."""
         if self._idle is not None:
             self._idle.cancel()
         if self.open is not None:
@@ -110,7 +110,7 @@
     def request(
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, first_ns: int
     ) -> None:
-        """Run a request and answer it, as the behaviour has it."""
+        """Run a request and answer it according to the current behaviour."""
         if self._idle is not None:
             self._idle.cancel()
         node = self.node
@@ -118,7 +118,7 @@
         flaw = node.chance.choice(FLAWS) if flawed else ""
         ran = flaw != "full"
         row = self._record(headers, target, first_ns, time.monotonic_ns(), ran)
-        node.record.add(row)  # begun: also where this process is killed before it ends
+        node.record.add(row)  # recorded at its start, in case this process is killed
         self.open = row
         if node.behaviour.hangs:
             return
@@ -158,7 +158,7 @@
 
 
 async def run(address: str, name: str, path: Path) -> None:
-    """Serve at `address` until the orders end."""
+    """Serve at `address` until standard input is closed."""
     host, _, port = address.partition(":")
     node = Node(name, path)
     loop = asyncio.get_running_loop()
--- a/umberlead/testing/soak/parts.py
+++ b/umberlead/testing/soak/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a soak run's fleet: chunk servers with their proxies, and fronts with their processes."""
+"""Components of the fleet of a soak run: chunk servers with proxies, and fronts with their processes."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Server:
-    """A chunk server of the run, and the proxy before it."""
+    """A chunk server of the run, and the proxy in front of it."""
 
     slot: int
     name: str
@@ -23,13 +23,13 @@
 
     @property
     def record_name(self) -> str:
-        """The name under which its records stand: another one after each start."""
+        """The name of the server in records; it differs after each start."""
         return f"{self.name}#{self.incarnation}"
 
 
 @dataclass(slots=True)
 class Front:
-    """A front of the run: its processes, and its agent."""
+    """A front of the run: its processes and its discovery agent."""
 
     name: str
     number: int
@@ -37,20 +37,20 @@
     folder: Path
     processes: list[FrontProcess] = field(default_factory=list)
     past: list[FrontProcess] = field(default_factory=list)
-    moved: bool = False  # lists come from the other address
+    moved: bool = False  # it reads endpoint lists from the second address
 
     def live(self) -> list[FrontProcess]:
-        """Return its processes that run and were not told to end."""
+        """Return its running processes that have not been stopped."""
         return [p for p in self.processes if not p.ends and p.process.returncode is None]
 
 
 class Fleet(Protocol):
-    """What faults need of a run.
+    """The interface of a run that the injection of faults uses.
 
     Attributes:
-        fronts: by their numbers.
-        servers: those in service, by their slots.
-        incarnations: starts so far, by server name and by slot.
+        fronts: all fronts, indexed by number.
+        servers: chunk servers in service, by slot.
+        incarnations: number of starts so far, by server name and by slot.
     """
 
     fronts: list[Front]
@@ -58,13 +58,13 @@
     incarnations: Counter[str]
 
     def note(self, what: str, who: str, at: float | None = None, value: float = 0.0) -> None:
-        """Write an event down, at that monotonic time in seconds or now."""
+        """Record an event at `at`, a monotonic time in seconds, or now."""
 
     def entry(self, server: Server, status: str = "ready", cold: bool = False) -> Entry:
-        """Return a server as lists tell of it."""
+        """Return the list entry of a server."""
 
     def configure(self, front: Front) -> None:
-        """Write a front's configuration anew."""
+        """Rewrite the configuration file of a front."""
 
     def step_clock(self, step_ns: int) -> None:
         """Step the wall clock of all machines."""
@@ -73,16 +73,16 @@
         """Start a chunk server and its proxy."""
 
     async def launch_process(self, front: Front) -> FrontProcess:
-        """Start a process of a front; it is not ready yet."""
+        """Start a process of a front; return before it is ready."""
 
     async def start_process(self, front: Front) -> FrontProcess:
         """Start a process of a front, and wait until it is ready."""
 
     async def end_process(self, front: Front, process: FrontProcess) -> None:
-        """Tell a process to end, and see that it does."""
+        """Stop a process with SIGTERM, and check that it exits."""
 
     async def crowd(self, front: Front, seconds: float) -> None:
-        """Let idle clients fill a front for so long."""
+        """Open idle clients that use up the descriptors of a front, for `seconds`."""
 
     async def kill_process(self, front: Front, process: FrontProcess) -> None:
-        """Kill a process."""
+        """Send SIGKILL to a process."""
--- a/umberlead/testing/soak/processes.py
+++ b/umberlead/testing/soak/processes.py
@@ -1,4 +1,4 @@
-"""What the processes of a soak run share: reading HTTP, orders on standard input, and their own lateness."""
+"""Shared by the processes of a soak run: an HTTP reader, orders on standard input, measured lateness."""
 
 import asyncio
 import json
@@ -9,19 +9,19 @@
 
 import httptools
 
-PULSE_SECONDS = 0.005  # between looks at this process's own lateness
+PULSE_SECONDS = 0.005  # between measurements of the lateness of this process
 
 
 class RequestReader(asyncio.Protocol):
-    """Reads requests, one after the other; subclasses take each as it is whole.
+    """Reads requests one after the other; subclasses handle each complete request.
 
     Attributes:
-        first_ns: when the first byte of the request that is being read came; 0 for none.
-        late_ns: how far this process was behind then.
+        first_ns: arrival of the first byte of the request that is being read; 0 for none.
+        late_ns: lateness of this process at that time.
     """
 
     def __init__(self, lateness: "Lateness") -> None:
-        """Begin before the connection is made."""
+        """Create the protocol before the connection is established."""
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self._lateness = lateness
         self.first_ns = 0
@@ -36,11 +36,11 @@
         self.first_ns = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; what is no HTTP ends the connection."""
+        """Parse received data; abort the connection if it is not HTTP."""
         if not self.first_ns:
             self.first_ns, self.late_ns = time.monotonic_ns(), self._lateness.now_ns()
         try:
@@ -49,19 +49,19 @@
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the target."""
+        """Append a piece of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header field."""
+        """Store a header field."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
+        """Append a piece of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Hand the request over and begin the next."""
+        """Pass the request to `request`, and prepare for the next one."""
         method = self._parser.get_method()
         target = self.target
         headers = self.headers
@@ -73,15 +73,15 @@
     def request(
         self, method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes, first_ns: int
     ) -> None:
-        """Take a whole request, whose first byte came at `first_ns`."""
+        """Handle a complete request whose first byte arrived at `first_ns`."""
         raise NotImplementedError
 
 
 class Lateness:
-    """How far this process is behind, so that its own stalls are not put down to others."""
+    """Measures how late the event loop of this process runs, so that its stalls are not blamed on others."""
 
     def __init__(self) -> None:
-        """Begin to look, every few milliseconds."""
+        """Start measuring, every PULSE_SECONDS."""
         self._loop = asyncio.get_running_loop()
         self._due = self._loop.time()
         self._worst_until = 0.0
@@ -99,26 +99,26 @@
         self._loop.call_at(self._due, self._beat)
 
     def worst_ns(self) -> int:
-        """Return the worst lateness since the latest call of this method."""
+        """Return the worst lateness since the previous call of this method."""
         worst, self._worst_ever = self._worst_ever, 0.0
         return int(max(worst, self._loop.time() - self._due) * 1e9)
 
     def now_ns(self) -> int:
-        """Return the worst lateness of the latest tenth of a second."""
+        """Return the worst lateness of the last 0.1 s."""
         current = self._loop.time() - self._due
         return int(max(current, self._worst, 0.0) * 1e9)
 
 
 class Orders:
-    """Orders from the run, a JSON object a line on standard input; its end ends the process."""
+    """Orders from the run, one JSON object per line on standard input; EOF ends the process."""
 
     def __init__(self, take: Callable[[dict[str, Any]], None]) -> None:
-        """Hand each order to `take`."""
+        """Create a reader that passes each order to `take`."""
         self._take = take
         self.done = asyncio.Event()
 
     async def follow(self) -> None:
-        """Read orders to their end."""
+        """Read orders until EOF."""
         reader = asyncio.StreamReader()
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
--- a/umberlead/testing/soak/proxy.py
+++ b/umberlead/testing/soak/proxy.py
@@ -1,7 +1,7 @@
 """A proxy between fronts and one chunk server: `python -m umberlead.testing.soak.proxy LISTEN TARGET`.
 
-Orders change how it carries: `stalls` carries nothing, `pieces` a few bytes at a time; `reset` breaks, once,
-all connections that stand.
+Orders change how it forwards: with `stalls` it forwards nothing, with `pieces` a few bytes at a time; `reset`
+resets all open connections once.
 """
 
 import asyncio
@@ -16,22 +16,22 @@
 from umberlead.testing.soak.processes import Orders
 
 PIECE_BYTES, PIECE_SECONDS = 24, 0.0005
-RETRY_SECONDS = 0.02  # while it carries nothing
+RETRY_SECONDS = 0.02  # between checks whether a stall is over
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Proxy:
-    """How the proxy carries now, and what stands."""
+    """The state of the proxy: how it forwards, and the open connections."""
 
     def __init__(self, target: tuple[str, int]) -> None:
-        """Carry to `target`."""
+        """Create a proxy that forwards to `target`."""
         self.target = target
         self.stalls = self.pieces = False
         self.ends: set[End] = set()
         self.chance = random.Random(str(target))
 
     def order(self, order: dict[str, Any]) -> None:
-        """Change how it carries."""
+        """Apply an order."""
         self.stalls = bool(order.get("stalls", self.stalls))
         self.pieces = bool(order.get("pieces", self.pieces))
         if order.get("reset"):
@@ -40,17 +40,17 @@
 
 
 class End(asyncio.Protocol):
-    """One end of a connection that is carried."""
+    """One of the two connections of a proxied connection: to the front, or to the chunk server."""
 
     def __init__(self, proxy: Proxy, other: "End | None" = None) -> None:
-        """Begin; `other` is the end at the front of one at the server."""
+        """Create an end; `other` is the end at the front, given for an end at the server."""
         self.proxy, self.other = proxy, other
         self.transport: asyncio.Transport | None = None
         self._held = b""
         self._carrying = self._ends = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Dial the server for a front's connection; carry what came ahead."""
+        """Dial the server for a connection of a front; once dialled, forward the data received so far."""
         self.transport = cast(asyncio.Transport, transport)
         self.proxy.ends.add(self)
         if self.other is None:
@@ -66,18 +66,18 @@
             self.reset()
 
     def data_received(self, data: bytes) -> None:
-        """Carry on what came."""
+        """Forward received data."""
         self._held += data
         self.carry()
 
     def eof_received(self) -> bool:
-        """Carry the end on behind what came before it."""
+        """Forward EOF after the data before it."""
         self._ends = True
         self.carry()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the other end: at once where this one broke."""
+        """Close the other end after pending data, or reset it if this end broke."""
         self.proxy.ends.discard(self)
         self._ends = True
         other = self.other
@@ -87,7 +87,7 @@
             self.carry()
 
     def carry(self) -> None:
-        """Carry what is held, unless that is under way."""
+        """Forward pending data, unless that is already scheduled."""
         if not self._carrying:
             self._carry()
 
@@ -111,7 +111,7 @@
             far.transport.close()
 
     def reset(self) -> None:
-        """Break both ends."""
+        """Reset both ends."""
         for end in (self, self.other):
             if end is None or end.transport is None or end.transport.is_closing():
                 continue
@@ -121,7 +121,7 @@
 
 
 async def run(listen: str, target: str) -> None:
-    """Carry until the orders end."""
+    """Forward connections until standard input is closed."""
     host, _, port = listen.partition(":")
     to, _, to_port = target.partition(":")
     proxy = Proxy((to, int(to_port)))
--- a/umberlead/testing/soak/records.py
+++ b/umberlead/testing/soak/records.py
@@ -1,4 +1,4 @@
-"""What the processes of a soak run write down, as lines of JSON. All times are monotonic nanoseconds."""
+"""Records of the processes of a soak run, as lines of JSON. All times are monotonic nanoseconds."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -10,24 +10,24 @@
 
 
 class ClientRecord(msgspec.Struct, frozen=True):
-    """One request as its client saw it.
+    """One request as observed by its client.
 
     Attributes:
         id: the call id.
-        front: the front's name.
+        front: name of the front.
         kind: how the client behaved.
         class_name: the request's class.
-        budget: seconds that the client waits, from its last byte.
-        used: requests that its connection had carried before.
-        behind: requests sent ahead of it on the connection that were not answered then.
-        connected: when its connection came up; 0 where it did not.
-        sent_first: when its first byte was handed to the system.
-        sent_last: when its last byte was; 0 where it was never sent whole.
-        ended: when the answer, the connection's end or the client's leaving was seen; 0 at the run's end.
-        end: "answered", "eof", "reset", "left", "closing" (behind a reply that said close) or "open"
-            (nothing came).
-        status: of the answer.
-        sound: whether the answer's body is what a chunk server made for this request.
+        budget: seconds that the client waits after it sent the last byte.
+        used: number of requests answered earlier on its connection.
+        behind: number of earlier requests on the connection that were still unanswered.
+        connected: when its connection was established; 0 if it was not.
+        sent_first: when its first byte was passed to the kernel.
+        sent_last: when its last byte was; 0 if it was never sent completely.
+        ended: when it was answered, or the connection ended, or the client left; 0 if none happened.
+        end: "answered", "eof", "reset", "left", "closing" (unanswered when an earlier answer closed the
+            connection) or "open" (no answer).
+        status: status of the answer.
+        sound: whether the body is the one that a chunk server produced for this request.
     """
 
     id: str
@@ -47,19 +47,19 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """One request as a chunk server saw it.
+    """One request as observed by a chunk server.
 
     Attributes:
         id: the call id.
         node: the server's name and incarnation.
         class_name: the request's class.
-        units: its size.
-        budget: seconds that the front said it waits.
+        units: its size in units of work.
+        budget: seconds that the front waits, from X-Budget.
         first: when its first byte was read.
-        last: when its last byte was; 0 where it never came.
-        late: nanoseconds that this process had been held up when it read.
-        ran: whether the request was begun.
-        closed: when its connection ended, or the answer was out; 0 for neither.
+        last: when its last byte was read; 0 if it never arrived.
+        late: how many nanoseconds this process was behind when it read.
+        ran: whether execution of the request began.
+        closed: when its connection ended or the answer was written; 0 for neither.
     """
 
     id: str
@@ -75,13 +75,13 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """Something that the run did: to a front, a node, or what a front was told.
+    """An action of the run on a front or a chunk server, or a change that all fronts know.
 
     Attributes:
-        at: when.
-        what: its name, such as "front_killed", "node_drains", "node_started".
-        who: whom it befell.
-        value: more of it.
+        at: time of the event.
+        what: name of the event, such as "front_killed", "node_drains", "node_started".
+        who: name or number of the affected component.
+        value: a number that depends on the event, such as its duration in seconds.
     """
 
     at: int
@@ -91,7 +91,7 @@
 
 
 def read(path: Path, kind: type[RecordT]) -> Iterator[RecordT]:
-    """Yield the records of a file; a last line that a killed process left half written is passed by."""
+    """Yield the records of a file; skips a last line that a killed process left incomplete."""
     if not path.exists():
         return
     for line in path.read_bytes().split(b"\n")[:-1]:
@@ -100,10 +100,10 @@
 
 
 class Writer:
-    """Appends records to a file, a line each, and hands them to the system at once."""
+    """Appends records to a file, one per line, without buffering."""
 
     def __init__(self, path: Path) -> None:
-        """Write to `path`."""
+        """Open `path` for appending."""
         self._file = open(path, "ab", buffering=0)  # noqa: SIM115 (open until the process ends)
         self._encode = msgspec.json.Encoder().encode
 
--- a/umberlead/testing/soak/run.py
+++ b/umberlead/testing/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak test: the fleet is started, faults are played, all is ended and judged."""
+"""One run of the soak test: starts the fleet, injects faults, stops the fleet and judges the records."""
 
 import asyncio
 import itertools
@@ -41,14 +41,14 @@
 )
 from umberlead.testing.soak.verdict import Verdict, last_counters, log_lines
 
-_numbers = itertools.count()  # of the runs in this process
+_numbers = itertools.count()  # numbers the runs of this process
 
 
 class Run:
-    """A run in a folder of its own."""
+    """A run, with a folder of its own."""
 
     def __init__(self, folder: Path, seed: int, seconds: float, mix: Mix, faults: list[Interval]) -> None:
-        """Play `faults` on a fleet of that mix; addresses differ between runs at the same time."""
+        """Prepare a run of `faults` on a fleet of `mix`; concurrent runs get different addresses."""
         self.folder = folder
         self.seed = seed
         self.seconds = seconds
@@ -62,34 +62,34 @@
         self.net = f"127.{64 + pid % 64}.{(pid // 64 + next(_numbers)) % 250 + 1}"
         self.fronts: list[Front] = []
         self.servers: dict[int, Server] = {}
-        self.first: Server  # that the run began with, in the first slot
+        self.first: Server  # the server that is in the first slot when the run starts
         self.children: list[Child] = []
         self.violations: list[Violation] = []
         self._player = FaultPlayer(self)
-        self._step_ns = 0  # of the wall clock of all machines
+        self._step_ns = 0  # current step of the wall clock of all machines
         self.events = Writer(folder / "events.jsonl")
         self.library = fleet.build_faults(folder)
         self.incarnations: Counter[str] = Counter()
         self._over = False
 
-    # Addresses and notes
+    # Addresses and events
 
     def _host(self, first: int, number: int) -> str:
         return f"{self.net}.{first + number}"
 
     def note(self, what: str, who: str, at: float | None = None, value: float = 0.0) -> None:
-        """Write an event down, at that monotonic time in seconds or now."""
+        """Record an event at `at`, a monotonic time in seconds, or now."""
         at_ns = time.monotonic_ns() if at is None else int(at * 1e9)
         self.events.add(Event(at_ns, what, who, value))
 
     def broken(self, rule: str, what: str) -> None:
-        """Note a violation that the run itself saw."""
+        """Add a violation that the run itself observed."""
         self.violations.append(Violation(rule, what))
 
     # Starting
 
     async def start(self) -> None:
-        """Start all, and wait until the fronts are ready."""
+        """Start all chunk servers and fronts, and wait until the fronts are ready."""
         for slot in range(self.size.nodes):
             server = await self.start_server(slot, f"s{slot}", cold=False)
             if slot == 0:
@@ -99,7 +99,7 @@
         await asyncio.gather(*(self.start_process(front) for front in self.fronts))
 
     async def start_server(self, slot: int, name: str, cold: bool) -> Server:
-        """Start a chunk server and its proxy at addresses of their own, in service at that slot."""
+        """Start a chunk server and its proxy at new addresses, and put them in service at `slot`."""
         incarnation = self.incarnations[name]
         self.incarnations[name] += 1
         port = PORT + self.incarnations[str(slot)]
@@ -117,7 +117,7 @@
         return server
 
     def entry(self, server: Server, status: str = "ready", cold: bool = False) -> Entry:
-        """Return a server as lists tell of it; a cold one has started now, by the machines' wall clock."""
+        """Return the list entry of a server; a cold one starts now, by the wall clock of the machines."""
         since_ms = (time.time_ns() + self._step_ns) // 1_000_000 if cold else 0
         return Entry(server.name, server.shown_address, server.slot, status, since_ms)
 
@@ -132,7 +132,7 @@
         self.fronts.append(Front(f"f{number}", number, agent, folder))
 
     def configure(self, front: Front) -> None:
-        """Write a front's configuration anew, as the platform does."""
+        """Rewrite the configuration file of a front, as the platform does."""
         port = OTHER_LISTS_PORT if front.moved else LISTS_PORT
         known = [e.shown() for e in front.agent.entries.values() if e.status != "gone"]
         config = {
@@ -147,13 +147,13 @@
         (front.folder / "config.json").write_text(json.dumps(config))
 
     async def launch_process(self, front: Front) -> FrontProcess:
-        """Start a process of a front beside those that run; it is not ready yet."""
+        """Start a process of a front beside its running ones; return before it is ready."""
         self.configure(front)
         number = len(front.past) + len(front.processes)
         state = front.folder / "tmp"
         faults = FaultsFile(front.folder / f"faults-{number}.bin", state / "umberlead")
         faults.faults.clock_step_ns = self._step_ns
-        if front.processes:  # the machine's wall clock, and its disk, are one
+        if front.processes:  # processes of one machine share its wall clock and disk
             faults.faults.clock_step_ns = front.processes[-1].faults.faults.clock_step_ns
             faults.faults.folder_rate = front.processes[-1].faults.faults.folder_rate
             faults.faults.folder_errno = front.processes[-1].faults.faults.folder_errno
@@ -177,7 +177,7 @@
         return process
 
     async def start_process(self, front: Front) -> FrontProcess:
-        """Start a process of a front beside those that run, and wait until it is ready."""
+        """Start a process of a front beside its running ones, and wait until it is ready."""
         process = await self.launch_process(front)
         try:
             await process.ready()
@@ -196,15 +196,15 @@
                 process.faults.apply()
 
     def forget_clock_step(self) -> None:
-        """Let lists and processes to come go by the right time; those that run keep their wall clock."""
+        """Use the correct time for new lists and processes; running processes keep their stepped clock."""
         self._step_ns = 0
 
-    # Ends of fronts
+    # Shutdown of fronts
 
     async def end_process(self, front: Front, process: FrontProcess) -> None:
-        """Tell a process to end, and see that it does so with 0 before the platform's earliest SIGKILL.
+        """Send SIGTERM, and check that the process exits with 0 before the earliest SIGKILL of the platform.
 
-        SIGKILL comes at that moment. What it cuts off counts as lost: the front was told in time.
+        SIGKILL is sent at that moment. Requests that it cuts off count as lost: SIGTERM came in time.
         """
         booting = process.ready_seconds is None
         process.ends = True
@@ -214,7 +214,7 @@
         try:
             async with asyncio.timeout_at(kill_at):
                 code = await process.process.wait()
-            # The interpreter itself has no handler yet when it begins.
+            # The interpreter has no signal handler yet while it starts up.
             if code != 0 and not (booting and code == -signal.SIGTERM):
                 tail = process.log.read_text(errors="replace")[-1500:]
                 self.broken("exit", f"{front.name} ended with {code}: {tail}")
@@ -223,11 +223,11 @@
             self._kill_late_seconds = max(self._kill_late_seconds, loop.time() - kill_at)
             await process.process.wait()
             tail = process.log.read_text(errors="replace")[-1500:]
-            self.broken("stands", f"{front.name} stood at the earliest SIGKILL: {tail}")
+            self.broken("stands", f"{front.name} still ran at the earliest SIGKILL: {tail}")
         self._retire(front, process)
 
     async def crowd(self, front: Front, seconds: float) -> None:
-        """Let idle clients fill a front for so long."""
+        """Open idle clients that use up the descriptors of a front, for `seconds`."""
         self.note("crowd", front.name, value=seconds)
         address = f"{self._host(FRONT_HOST, front.number)}:{PORT}"
         words = (address, str(CROWD_CLIENTS), str(seconds))
@@ -237,7 +237,7 @@
         await crowd.wait()
 
     async def kill_process(self, front: Front, process: FrontProcess) -> None:
-        """Kill a process of a front."""
+        """Send SIGKILL to a process of a front."""
         process.ends = process.killed = True
         process.signal(signal.SIGKILL)
         self.note("front_killed", front.name)
@@ -253,7 +253,7 @@
     # The run as a whole
 
     async def _watch(self) -> None:
-        """Look at what fronts hold, and that none ends unasked."""
+        """Check descriptors and memory of the fronts, and that no process ends unexpectedly."""
         beat = 0.0
         lateness = Lateness()
         while not self._over:
@@ -300,7 +300,7 @@
         return made
 
     async def play_all(self) -> Verdict:
-        """Play the run and return its verdict."""
+        """Perform the run and return its verdict."""
         try:
             await self.start()
             watching = asyncio.get_running_loop().create_task(self._watch())
@@ -308,7 +308,7 @@
             await self._player.play(self.intervals, self.seconds)
             for client in clients:
                 if await client.wait() != 0:
-                    self.broken("clients", "a process of clients failed")
+                    self.broken("clients", "a client process failed")
             await asyncio.gather(
                 *(self.end_process(front, process) for front in self.fronts for process in front.live())
             )
@@ -319,7 +319,7 @@
         return self._verdict()
 
     async def close(self) -> None:
-        """Kill what still runs, and wait until it has ended."""
+        """Kill all processes that still run, and wait until they have ended."""
         processes = [*(child.process for child in self.children), *self._crowds]
         processes += [process.process for front in self.fronts for process in front.processes]
         for process in processes:
@@ -357,14 +357,14 @@
 
 
 def play(folder: Path, seed: int, seconds: float, size: Size, faults: list[Fault]) -> Verdict:
-    """Play a run in `folder`, which is empty, and return its verdict.
+    """Perform a run in the empty folder `folder`, and return its verdict.
 
     Args:
-        folder: for records and logs.
-        seed: of the mix, the faults and the clients.
-        seconds: how long clients ask.
-        size: of a run of usual size.
-        faults: those that may be drawn.
+        folder: where records and logs are written.
+        seed: seed of the mix, the faults and the clients.
+        seconds: how long clients send requests.
+        size: number of processes, for mixes without a size of their own.
+        faults: kinds of faults that may be drawn.
     """
     mix = mix_of(seed, size, faults)
     run = Run(folder, seed, seconds, mix, draw(seed, seconds, mix.size, mix.faults))
