--- a/tests/planted_soak.py
+++ b/tests/planted_soak.py
@@ -1,7 +1,8 @@
-"""Guards of the front taken out one at a time, and whether the soak's judge finds it from its own records.
+"""Removes guards of the front one at a time, and checks that the soak's judge finds the violation.
 
-`python -m tests.planted_soak` plays each on three seeds; `make planted-soak` does so. The fronts' own checks
-at run time don't count. A seed on which nothing is found is a miss.
+`python -m tests.planted_soak` runs the soak with each on three seeds; so does `make planted-soak`. The judge
+must find it in its records: the run-time checks of the fronts do not count. A seed on which no expected rule
+is found broken is a miss.
 """
 
 import shutil
@@ -22,12 +23,12 @@
 
 
 class PlantedTextError(UmberleadError, ValueError):
-    """A text that a planted mistake replaces is not there, or more than once."""
+    """A text that a planted mistake replaces does not occur exactly once in its file."""
 
 
 @dataclass(frozen=True)
 class Replacement:
-    """A text of the program, and what stands in its place."""
+    """A text of the program, and the text that replaces it."""
 
     path: str
     old: str
@@ -36,13 +37,13 @@
 
 @dataclass(frozen=True)
 class Planted:
-    """A guard that is taken out.
+    """A planted mistake: a guard that is removed from the program.
 
     Attributes:
-        name: what is off.
-        rules: of the judge, one of which has to be found broken.
-        first_seed: whose mix shows it; seeds of the same mix follow.
-        replacements: that take it out.
+        name: the guard, and the fault without it.
+        rules: rules of the judge; at least one of them must be found broken.
+        first_seed: a seed whose mix shows the mistake; the next seeds of the same mix follow.
+        replacements: replacements that remove the guard.
     """
 
     name: str
@@ -53,7 +54,7 @@
 
 PLANTED = (
     Planted(
-        "drain: sends go on to a server that drains",
+        "drain: requests are still sent to a draining server",
         ("drain",),
         10,
         (
@@ -70,13 +71,13 @@
         ),
     ),
     Planted(
-        "slow start: a cold server gets all at once",
+        "slow start: a cold server gets its full load at once",
         ("slow_start",),
         14,
         (Replacement("scheduling/endpoint_state.py", "        if not cost_us:\n", "        if True:\n"),),
     ),
     Planted(
-        "client left: what waits for a client that left is sent",
+        "client left: queued requests of a disconnected client are sent",
         ("client_left",),
         13,
         (
@@ -96,7 +97,7 @@
         ),
     ),
     Planted(
-        "in time: a server is told half a second more than is left",
+        "in time: a server gets a budget half a second longer than the time left",
         ("budget",),
         10,
         (
@@ -108,7 +109,7 @@
         ),
     ),
     Planted(
-        "never twice: what may have run is sent again",
+        "never twice: an unsafe request that may have run is sent again",
         ("duplicate",),
         10,
         (
@@ -121,7 +122,7 @@
         ),
     ),
     Planted(
-        "answer before the kill: open requests are answered after it",
+        "answer before the kill: open requests are answered only after it",
         ("stands",),
         11,
         (
@@ -134,7 +135,7 @@
         ),
     ),
     Planted(
-        "quota: two processes of a front have all of its descriptors each",
+        "quota: two processes of a front each use its whole quota of descriptors",
         ("descriptors",),
         12,
         (
@@ -154,21 +155,21 @@
 
 
 def apply(planted: Planted, package: Path) -> None:
-    """Take the guard out of a copy of the program.
+    """Remove the guard from a copy of the program.
 
     Raises:
-        PlantedTextError: a text is not there, or more than once.
+        PlantedTextError: a text does not occur exactly once.
     """
     for replacement in planted.replacements:
         path = package / replacement.path
         text = path.read_text()
         if text.count(replacement.old) != 1:
-            raise PlantedTextError(f"{planted.name}: {replacement.path} has {replacement.old!r} not once")
+            raise PlantedTextError(f"{planted.name}: {replacement.path} must have {replacement.old!r} once")
         path.write_text(text.replace(replacement.old, replacement.new))
 
 
 def found_rules(folder: Path, seed: int) -> set[str]:
-    """Play a seed with the program in `folder`; return the rules that the judge found broken."""
+    """Run a seed with the program in `folder`; return the rules that the judge found broken."""
     call = [sys.executable, "-B", "-m", "umberlead.testing.soak", "--seed", str(seed), "--seconds", SECONDS]
     done = subprocess.run([*call, *SIZE], cwd=folder, capture_output=True, text=True, check=False)
     prefix = f"seed {seed}: "
@@ -177,7 +178,7 @@
 
 
 def main() -> int:
-    """Play all; return 1 where a seed missed a planted mistake."""
+    """Run all planted mistakes; return 1 if a seed missed one."""
     missed = 0
     for planted in PLANTED:
         with tempfile.TemporaryDirectory() as made:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak test: its judge and its plan, and one short run of fixed seed."""
+"""Tests of the soak test: its judge, its plan, its results, and short runs with fixed seeds."""
 
 from collections import Counter
 from dataclasses import replace
@@ -71,7 +71,7 @@
     late = client(ended=12 * SECOND)
     for row in (late, client(end="eof"), client(end="reset"), client(end="open", ended=0)):
         assert rules(clients=[row]) == ["lost"], row
-    assert rules(clients=[client(end="eof", used=3)]) == ["lost"]  # it was read, and closed on
+    assert rules(clients=[client(end="eof", used=3)]) == ["lost"]  # EOF shows that it was read
 
 
 def test_what_a_client_or_a_kill_ended_is_not_lost() -> None:
@@ -153,7 +153,7 @@
 
 
 def test_sigkill_comes_as_early_as_the_page_allows() -> None:
-    """The longest deadline, counted as 3 s where it is longer, and 0.7 s."""
+    """SIGKILL follows the longest deadline, capped at 3 s, by 0.7 s."""
     assert [kill_delay_seconds(deadline) for deadline in (0.8, 3.0, 4.0)] == [1.5, 3.7, 3.7]
 
 
@@ -161,7 +161,7 @@
     crowd = Event(10 * SECOND, "crowd", "f0", 1.0)
     row = client(end="reset", connected=int(10.5 * SECOND))
     assert rules(clients=[row], events=[crowd]) == []
-    assert rules(clients=[row], nodes=[node()], events=[crowd]) == ["lost"]  # it was read, and forwarded
+    assert rules(clients=[row], nodes=[node()], events=[crowd]) == ["lost"]  # the front read and forwarded it
     assert rules(clients=[client(end="reset", connected=12 * SECOND)], events=[crowd]) == ["lost"]
 
 
@@ -173,7 +173,7 @@
     for seed, verdict in enumerate((kept, replace(kept, violations=broken), late)):
         add_result(path, seed, 12.0, verdict)
     rows = read_results(path)
-    assert played_seeds(path, rows[0].commit) == {0, 1}  # that of the late driver is played again
+    assert played_seeds(path, rows[0].commit) == {0, 1}  # the run with the late driver has no valid verdict
     assert played_seeds(path, "another") == frozenset()
     shown = table(rows)
     assert "| 0 | crowd |" in shown and "all kept" in shown
@@ -197,5 +197,5 @@
     verdict = play(tmp_path, seed, CI_SECONDS, Size(4, 6, 4), list(Fault))
     assert verdict.violations == [], verdict.violations
     assert sum(verdict.counts.values()) > 1000
-    assert verdict.injected > 0 or verdict.mix == "fleet"  # whose faults fail no system call
+    assert verdict.injected > 0 or verdict.mix == "fleet"  # which has no faults in system calls
     assert verdict.counters["invariant_violations"] == 0
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -1,7 +1,7 @@
-"""Whole fronts as processes while the system fails them: their disk, their wall clock, their accepts.
+"""Fronts as processes while system calls fail: state folder, wall clock, accept, socket.
 
-Each test starts a small fleet of the soak test's parts and forces one crossing; faults are in force before
-the step that meets them, so nothing depends on how fast the machine is.
+Each test starts a small fleet from components of the soak test and forces one race. Faults take effect before
+the step that they concern, so that results do not depend on the speed of the machine.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 def play(folder: Path, nodes: int, steps: Callable[[Run], Awaitable[None]]) -> Run:
-    """Start one front and its chunk servers, carry out the steps, and end all; the run has what was seen."""
+    """Start one front and its chunk servers, carry out the steps, and stop all; return the run."""
 
     async def whole() -> Run:
         run = Run(folder, SEED, 0.0, Mix("one front", Size(1, nodes, 0), DEADLINE_SECONDS, ()), [])
@@ -54,7 +54,7 @@
 
 
 async def ask(run: Run, id_: str, budget: float, shard: int = 0) -> tuple[int, int, int]:
-    """Ask the front on a new connection: when the request was sent, when its answer came, and its status."""
+    """Send a request on a new connection; return when it was sent and answered, and the status."""
     address = f"{run.net}.{FRONT_HOST}"
     reader, writer = await asyncio.open_connection(address, PORT)
     writer.write(message(id_, budget, shard))
@@ -70,7 +70,7 @@
 
 
 def test_a_hand_over_while_the_state_folder_takes_no_writes_serves_and_ends_well(tmp_path: Path) -> None:
-    """The new process took itself for the only one, could not listen beside the old one, and ended with 2."""
+    """A new process that assumes it is alone can't listen beside the old one, and exits with 2."""
     for code in (errno.ENOSPC, errno.EIO):
         folder = tmp_path / errno.errorcode[code]
         folder.mkdir()
@@ -92,15 +92,15 @@
 def test_a_server_that_starts_after_the_wall_clock_stepped_is_warmed_up_like_any_other(
     tmp_path: Path,
 ) -> None:
-    """Its start seemed an hour old, so it got all at once what it can't bear."""
+    """Guards against a start time that seems an hour old: the cold server would get its full load at once."""
 
     async def steps(run: Run) -> None:
-        await asyncio.sleep(COLD_WINDOW_SECONDS)  # in which a new process sends no cold server anything
+        await asyncio.sleep(COLD_WINDOW_SECONDS)  # a new process sends nothing to cold servers in this time
         run.step_clock(-HOUR_NS)
         server = await run.start_server(0, "cold", cold=True)
         run.fronts[0].agent.tell(run.entry(server, cold=True))
         run.fronts[0].agent.tell(run.entry(run.first, status="gone"))
-        await asyncio.sleep(0.3)  # the change is on its way: what is asked sooner goes elsewhere or waits
+        await asyncio.sleep(0.3)  # the front learns of the change: earlier requests go elsewhere or wait
         await asyncio.gather(*(ask(run, f"{n}", 1.2) for n in range(120)))
 
     run = play(tmp_path, 1, steps)
@@ -112,7 +112,7 @@
 def test_a_request_that_waited_for_its_accept_is_given_no_more_time_than_its_client_has(
     tmp_path: Path,
 ) -> None:
-    """Its time ran from the accept: the server was told of time that its client had not."""
+    """Guards against a deadline counted from the accept: it would give the server more time than is left."""
     rows: list[ClientRecord] = []
 
     async def steps(run: Run) -> None:
@@ -135,7 +135,7 @@
 
 
 def test_a_start_while_the_system_has_no_buffers_for_sockets_waits_and_serves(tmp_path: Path) -> None:
-    """socket() fails with ENOBUFS for a second: the start ended with 2, and nothing served."""
+    """socket() fails with ENOBUFS for a second, which must not make the start exit with 2."""
 
     async def steps(run: Run) -> None:
         front = run.fronts[0]
@@ -151,7 +151,7 @@
         ending = await run.launch_process(front)
         set_faults(ending, socket_rate=1000, socket_errno=errno.ENOBUFS)
         await asyncio.sleep(SHORTAGE_SECONDS)
-        await run.end_process(front, ending)  # told to end while it waits
+        await run.end_process(front, ending)  # SIGTERM while it waits
 
     run = play(tmp_path, 1, steps)
     assert run.violations == []
@@ -160,14 +160,17 @@
 def test_a_process_that_begins_on_a_machine_whose_clock_is_off_feeds_no_cold_server_as_a_warm_one(
     tmp_path: Path,
 ) -> None:
-    """No earlier process of its front saw the right time: starts an hour old by its clock counted as warm."""
+    """No earlier process saw the correct time. By the wrong clock, a cold server started an hour ago.
+
+    The front must not take it for a warm one.
+    """
 
     async def whole() -> Run:
         run = Run(tmp_path, SEED, 0.0, Mix("one front", Size(1, 1, 0), DEADLINE_SECONDS, ()), [])
         try:
-            run.step_clock(HOUR_NS)  # of the machine that the front begins on
+            run.step_clock(HOUR_NS)  # the clock of the machine on which the front starts
             await run.start()
-            run.forget_clock_step()  # discovery's is right
+            run.forget_clock_step()  # the clock of discovery is correct
             await asyncio.sleep(COLD_WINDOW_SECONDS)
             server = await run.start_server(0, "cold", cold=True)
             run.fronts[0].agent.tell(run.entry(server, cold=True))
