--- a/tests/planted_soak.py
+++ b/tests/planted_soak.py
@@ -18,8 +18,8 @@
 SEEDS_COUNT = 3
 SECONDS = "14"
 SIZE = ("--fronts", "4", "--nodes", "6", "--clients", "4")
-OWN_CHECKS = ("invariant_violations", "module_errors", "unexpected_errors")
-SEEDS_OF_A_MIX_STEP = 5
+FRONT_CHECKS = ("invariant_violations", "module_errors", "unexpected_errors")
+MIX_SEED_STEP = 5
 
 
 class PlantedTextError(UmberleadError, ValueError):
@@ -170,28 +170,37 @@
 
 def found_rules(folder: Path, seed: int) -> set[str]:
     """Run a seed with the program in `folder`; return the rules that the judge found broken."""
-    call = [sys.executable, "-B", "-m", "umberlead.testing.soak", "--seed", str(seed), "--seconds", SECONDS]
-    done = subprocess.run([*call, *SIZE], cwd=folder, capture_output=True, text=True, check=False)
+    command = [
+        sys.executable,
+        "-B",
+        "-m",
+        "umberlead.testing.soak",
+        "--seed",
+        str(seed),
+        "--seconds",
+        SECONDS,
+    ]
+    completed = subprocess.run([*command, *SIZE], cwd=folder, capture_output=True, text=True, check=False)
     prefix = f"seed {seed}: "
-    lines = [line.removeprefix(prefix) for line in done.stdout.splitlines() if line.startswith(prefix)]
-    return {line.partition(":")[0] for line in lines} - set(OWN_CHECKS)
+    lines = [line.removeprefix(prefix) for line in completed.stdout.splitlines() if line.startswith(prefix)]
+    return {line.partition(":")[0] for line in lines} - set(FRONT_CHECKS)
 
 
 def main() -> int:
     """Run all planted mistakes; return 1 if a seed missed one."""
     missed = 0
     for planted in PLANTED:
-        with tempfile.TemporaryDirectory() as made:
-            folder = Path(made)
+        with tempfile.TemporaryDirectory() as temporary:
+            folder = Path(temporary)
             shutil.copytree(ROOT / "umberlead", folder / "umberlead")
             apply(planted, folder / "umberlead")
             for number in range(SEEDS_COUNT):
-                seed = planted.first_seed + number * SEEDS_OF_A_MIX_STEP
+                seed = planted.first_seed + number * MIX_SEED_STEP
                 rules = found_rules(folder, seed)
                 caught = bool(rules & set(planted.rules))
                 missed += not caught
-                word = "caught" if caught else "MISSED"
-                print(f"{word}: {planted.name}, seed {seed}: {', '.join(sorted(rules))}", flush=True)
+                outcome = "caught" if caught else "MISSED"
+                print(f"{outcome}: {planted.name}, seed {seed}: {', '.join(sorted(rules))}", flush=True)
     print(f"{SEEDS_COUNT * len(PLANTED) - missed} of {SEEDS_COUNT * len(PLANTED)} caught")
     return int(missed > 0)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -63,25 +63,25 @@
     return [v.rule for v in judge(Evidence(**evidence), LIMITS)]
 
 
-def test_a_run_that_kept_all_rules_has_no_violation() -> None:
+def test_judge_accepts_run_without_violations() -> None:
     assert rules(clients=[client()], nodes=[node()]) == []
 
 
-def test_a_request_without_an_answer_in_time_is_lost() -> None:
+def test_judge_reports_request_without_answer_in_time_as_lost() -> None:
     late = client(ended=12 * SECOND)
     for row in (late, client(end="eof"), client(end="reset"), client(end="open", ended=0)):
         assert rules(clients=[row]) == ["lost"], row
     assert rules(clients=[client(end="eof", used=3)]) == ["lost"]  # EOF shows that it was read
 
 
-def test_what_a_client_or_a_kill_ended_is_not_lost() -> None:
+def test_judge_ignores_requests_ended_by_client_or_kill() -> None:
     killed = Event(int(10.5 * SECOND), "front_killed", "f0")
     assert rules(clients=[client(end="reset")], events=[killed]) == []
     for row in (client(end="left"), client(sent_last=0), client(end="reset", used=2)):
         assert rules(clients=[row]) == [], row
 
 
-def test_a_request_that_ran_twice_or_was_sent_too_often_is_found() -> None:
+def test_judge_finds_duplicate_runs_and_too_many_attempts() -> None:
     twice = [node(), node(first=10.3)]
     assert rules(nodes=twice) == ["duplicate"]
     assert rules(nodes=[node(ran=False), node(first=10.3)]) == []
@@ -89,19 +89,19 @@
     assert rules(nodes=four) == ["attempts"]
 
 
-def test_an_attempt_behind_its_client_s_leaving_is_found() -> None:
+def test_judge_finds_attempt_after_client_disconnected() -> None:
     left = client(end="left", ended=10 * SECOND)
     assert rules(clients=[left], nodes=[node(first=10.4, budget=0.1)]) == ["client_left"]
     assert rules(clients=[left], nodes=[node(first=10.05)]) == []
 
 
-def test_a_time_told_beyond_the_client_s_is_found() -> None:
+def test_judge_finds_budget_beyond_client_deadline() -> None:
     assert rules(clients=[client()], nodes=[node(first=10.5, budget=0.9)]) == ["budget"]
     held = Event(10 * SECOND, "link_stall", "0", 1.0)
     assert rules(clients=[client()], nodes=[node(first=10.5, budget=0.9)], events=[held]) == []
 
 
-def test_an_attempt_at_a_server_that_drains_or_is_out_by_hand_is_found() -> None:
+def test_judge_finds_attempt_at_draining_or_manually_drained_server() -> None:
     drains = Event(10 * SECOND, "node_drains", "s0#0")
     assert rules(nodes=[node(first=12.5)], events=[drains]) == ["drain"]
     assert rules(nodes=[node(first=11.9)], events=[drains]) == []
@@ -110,7 +110,7 @@
     assert rules(nodes=[node(first=13.1)], events=[out, back]) == []
 
 
-def test_a_cold_server_that_gets_more_than_it_bears_is_found() -> None:
+def test_judge_finds_overloaded_cold_server() -> None:
     started = Event(10 * SECOND, "node_started", "s0#0")
     bound = int(10 + 3 * 10**0.5 + 3)
     rows = [node(str(k), 10 + k / 1000) for k in range(bound + 1)]
@@ -118,7 +118,7 @@
     assert rules(nodes=rows[:-1], events=[started]) == []
 
 
-def test_a_plan_is_drawn_from_its_seed_and_overlaps_faults() -> None:
+def test_drawn_faults_depend_on_seed_and_overlap() -> None:
     size = Size()
     plan = draw(3, 40.0, size)
     assert plan == draw(3, 40.0, size) != draw(4, 40.0, size)
@@ -132,7 +132,7 @@
             assert not same or later.begin >= earlier.begin + FRONT_ENDS_SECONDS
 
 
-def test_a_record_half_written_at_a_kill_is_passed_by(tmp_path: Path) -> None:
+def test_incomplete_last_record_is_skipped(tmp_path: Path) -> None:
     path = tmp_path / "events.jsonl"
     writer = Writer(path)
     event = Event(1, "front_killed", "f0")
@@ -142,7 +142,7 @@
     assert list(read(path, Event)) == [event]
 
 
-def test_five_seeds_in_a_row_play_five_mixes_and_every_fault_is_drawn() -> None:
+def test_five_consecutive_seeds_use_five_mixes() -> None:
     mixes = [mix_of(seed, Size(), tuple(Fault)) for seed in CI_SEEDS]
     assert [mix.name for mix in mixes] == ["all", "signals", "crowd", "leavers", "fleet"]
     assert mixes[4].size.fronts >= 24
@@ -152,12 +152,12 @@
     assert set(only.faults) == {Fault.NODE_KILL}
 
 
-def test_sigkill_comes_as_early_as_the_page_allows() -> None:
+def test_sigkill_delay_follows_deadline_up_to_cap() -> None:
     """SIGKILL follows the longest deadline, capped at 3 s, by 0.7 s."""
     assert [kill_delay_seconds(deadline) for deadline in (0.8, 3.0, 4.0)] == [1.5, 3.7, 3.7]
 
 
-def test_a_new_connection_that_a_crowd_shut_unread_is_not_lost() -> None:
+def test_judge_allows_unread_new_connection_during_crowd() -> None:
     crowd = Event(10 * SECOND, "crowd", "f0", 1.0)
     row = client(end="reset", connected=int(10.5 * SECOND))
     assert rules(clients=[row], events=[crowd]) == []
@@ -165,7 +165,7 @@
     assert rules(clients=[client(end="reset", connected=12 * SECOND)], events=[crowd]) == ["lost"]
 
 
-def test_results_are_kept_in_a_file_and_made_a_table(tmp_path: Path) -> None:
+def test_results_file_and_table(tmp_path: Path) -> None:
     path = tmp_path / "results.jsonl"
     broken = [Violation("lost", "a request")]
     kept = Verdict([], Counter(fetch=3), Counter(crowd=2), Counter(), mix="crowd")
@@ -181,9 +181,7 @@
 
 
 @pytest.mark.parametrize("planted", PLANTED, ids=lambda planted: planted.name.partition(":")[0])
-def test_each_guard_that_make_planted_soak_takes_out_stands_in_the_program(
-    tmp_path: Path, planted: Planted
-) -> None:
+def test_each_planted_text_occurs_in_the_program(tmp_path: Path, planted: Planted) -> None:
     package = Path(umberlead.__file__).parent
     for replacement in planted.replacements:
         copy = tmp_path / replacement.path
@@ -193,7 +191,7 @@
 
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
-def test_a_short_run_of_a_fixed_seed_keeps_all_rules(tmp_path: Path, seed: int) -> None:
+def test_short_run_with_fixed_seed_has_no_violations(tmp_path: Path, seed: int) -> None:
     verdict = play(tmp_path, seed, CI_SECONDS, Size(4, 6, 4), list(Fault))
     assert verdict.violations == [], verdict.violations
     assert sum(verdict.counts.values()) > 1000
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -25,7 +25,7 @@
 SHORTAGE_SECONDS = 1.0
 
 
-def play(folder: Path, nodes: int, steps: Callable[[Run], Awaitable[None]]) -> Run:
+def run_steps(folder: Path, nodes: int, steps: Callable[[Run], Awaitable[None]]) -> Run:
     """Start one front and its chunk servers, carry out the steps, and stop all; return the run."""
 
     async def whole() -> Run:
@@ -46,18 +46,18 @@
     process.faults.apply()
 
 
-def message(id_: str, budget: float, shard: int = 0, units: int = 1) -> bytes:
+def request_bytes(id_: str, budget: float, shard: int = 0, units: int = 1) -> bytes:
     return (
         f"GET /fetch?block={7:016x} HTTP/1.1\r\nHost: s\r\nX-Call-Id: {id_}\r\nX-Plan: basic\r\n"
         f"X-Budget: {budget:.3f}\r\nX-IO: volume={3:016x},units={units},shard={shard},hosts=1\r\n\r\n"
     ).encode()
 
 
-async def ask(run: Run, id_: str, budget: float, shard: int = 0) -> tuple[int, int, int]:
+async def send_request(run: Run, id_: str, budget: float, shard: int = 0) -> tuple[int, int, int]:
     """Send a request on a new connection; return when it was sent and answered, and the status."""
     address = f"{run.net}.{FRONT_HOST}"
     reader, writer = await asyncio.open_connection(address, PORT)
-    writer.write(message(id_, budget, shard))
+    writer.write(request_bytes(id_, budget, shard))
     await writer.drain()
     sent = time.monotonic_ns()
     head = await reader.readuntil(b"\r\n\r\n")
@@ -69,7 +69,7 @@
     return [row for path in run.folder.glob("node-*.jsonl") for row in read(path, NodeRecord)]
 
 
-def test_a_hand_over_while_the_state_folder_takes_no_writes_serves_and_ends_well(tmp_path: Path) -> None:
+def test_handover_with_failing_writes_to_state_folder(tmp_path: Path) -> None:
     """A new process that assumes it is alone can't listen beside the old one, and exits with 2."""
     for code in (errno.ENOSPC, errno.EIO):
         folder = tmp_path / errno.errorcode[code]
@@ -82,14 +82,14 @@
             new = await run.start_process(front)
             assert new.process.returncode is None and new.ready_seconds is not None, run.violations
             await run.end_process(front, old)
-            assert (await ask(run, "a", 1.0))[2] == 200
+            assert (await send_request(run, "a", 1.0))[2] == 200
             new.signal(signal.SIGTERM)
             assert await asyncio.wait_for(new.process.wait(), 6.0) == 0, new.log.read_text()
 
-        assert play(folder, 1, steps).violations == []
+        assert run_steps(folder, 1, steps).violations == []
 
 
-def test_a_server_that_starts_after_the_wall_clock_stepped_is_warmed_up_like_any_other(
+def test_cold_server_after_wall_clock_step_gets_slow_start(
     tmp_path: Path,
 ) -> None:
     """Guards against a start time that seems an hour old: the cold server would get its full load at once."""
@@ -101,15 +101,15 @@
         run.fronts[0].agent.tell(run.entry(server, cold=True))
         run.fronts[0].agent.tell(run.entry(run.first, status="gone"))
         await asyncio.sleep(0.3)  # the front learns of the change: earlier requests go elsewhere or wait
-        await asyncio.gather(*(ask(run, f"{n}", 1.2) for n in range(120)))
+        await asyncio.gather(*(send_request(run, f"{n}", 1.2) for n in range(120)))
 
-    run = play(tmp_path, 1, steps)
+    run = run_steps(tmp_path, 1, steps)
     events = list(read(run.folder / "events.jsonl", Event))
     rows = [row for row in attempts(run) if row.node.startswith("cold")]
     assert rows and not slow_starts(Evidence(nodes=rows, events=events), limits())
 
 
-def test_a_request_that_waited_for_its_accept_is_given_no_more_time_than_its_client_has(
+def test_budget_excludes_time_spent_waiting_for_accept(
     tmp_path: Path,
 ) -> None:
     """Guards against a deadline counted from the accept: it would give the server more time than is left."""
@@ -119,10 +119,10 @@
         process = run.fronts[0].processes[0]
         for number, code in enumerate((errno.ENFILE, errno.ECONNABORTED, errno.ENOBUFS)):
             set_faults(process, accept_rate=1000, accept_errno=code)
-            asked = asyncio.create_task(ask(run, f"{number}", 1.0))
+            pending_request = asyncio.create_task(send_request(run, f"{number}", 1.0))
             await asyncio.sleep(0.5)
             set_faults(process, accept_rate=0)
-            sent, ended, status = await asked
+            sent, ended, status = await pending_request
             assert status == 200 and ended < sent + 1_000_000_000, (errno.errorcode[code], status)
             rows.append(
                 ClientRecord(
@@ -130,11 +130,11 @@
                 )
             )
 
-    run = play(tmp_path, 1, steps)
+    run = run_steps(tmp_path, 1, steps)
     assert not budgets(Evidence(clients=rows, nodes=attempts(run)))
 
 
-def test_a_start_while_the_system_has_no_buffers_for_sockets_waits_and_serves(tmp_path: Path) -> None:
+def test_start_retries_while_socket_fails_with_enobufs(tmp_path: Path) -> None:
     """socket() fails with ENOBUFS for a second, which must not make the start exit with 2."""
 
     async def steps(run: Run) -> None:
@@ -146,18 +146,18 @@
         assert process.process.returncode is None, process.log.read_text()
         set_faults(process, socket_rate=0)
         await process.ready()
-        _, _, status = await ask(run, "after", 1.0)
+        _, _, status = await send_request(run, "after", 1.0)
         assert status == 200
         ending = await run.launch_process(front)
         set_faults(ending, socket_rate=1000, socket_errno=errno.ENOBUFS)
         await asyncio.sleep(SHORTAGE_SECONDS)
         await run.end_process(front, ending)  # SIGTERM while it waits
 
-    run = play(tmp_path, 1, steps)
+    run = run_steps(tmp_path, 1, steps)
     assert run.violations == []
 
 
-def test_a_process_that_begins_on_a_machine_whose_clock_is_off_feeds_no_cold_server_as_a_warm_one(
+def test_cold_server_gets_slow_start_when_front_starts_with_wrong_clock(
     tmp_path: Path,
 ) -> None:
     """No earlier process saw the correct time. By the wrong clock, a cold server started an hour ago.
@@ -176,7 +176,7 @@
             run.fronts[0].agent.tell(run.entry(server, cold=True))
             run.fronts[0].agent.tell(run.entry(run.first, status="gone"))
             await asyncio.sleep(0.3)
-            await asyncio.gather(*(ask(run, f"{n}", 1.2) for n in range(120)))
+            await asyncio.gather(*(send_request(run, f"{n}", 1.2) for n in range(120)))
         finally:
             await run.close()
         return run
