--- a/umberlead/testing/soak/fault_player.py
+++ b/umberlead/testing/soak/fault_player.py
@@ -1,4 +1,4 @@
-"""Plays faults on a running fleet of the soak test."""
+"""Injects faults into a running fleet of the soak test."""
 
 import asyncio
 import signal
@@ -14,20 +14,20 @@
 
 
 class FaultPlayer:
-    """Plays faults on a fleet.
+    """Injects faults into a fleet.
 
     Attributes:
-        played: how often each kind was.
+        played: number of injections of each kind.
     """
 
     def __init__(self, run: Fleet) -> None:
-        """Play on the fleet of `run`."""
+        """Create a player for the fleet of `run`."""
         self._run = run
         self._signals = SignalSeries(run)
         self.played: Counter[str] = Counter()
 
     async def play(self, intervals: list[Interval], seconds: float) -> None:
-        """Play all faults at their times, and wait until each is over and so many seconds have gone by."""
+        """Inject all faults at their times; return when all are over and `seconds` have passed."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         tasks = []
@@ -59,11 +59,13 @@
             **dict.fromkeys(SIGNAL_SERIES, self._signal_series),
         }
         self.played[interval.fault.value] += 1
-        self._run.note(interval.fault.value, str(interval.target), value=interval.end - interval.begin)
+        self._run.record_event(
+            interval.fault.value, str(interval.target), value=interval.end - interval.begin
+        )
         await plays.get(interval.fault, self._system_faults)(interval)
 
     @staticmethod
-    async def _last(interval: Interval) -> None:
+    async def _wait_until_over(interval: Interval) -> None:
         await asyncio.sleep(interval.end - interval.begin)
 
     def _front(self, interval: Interval) -> Front:
@@ -93,11 +95,11 @@
 
     async def _front_reload(self, interval: Interval) -> None:
         front = self._front(interval)
-        front.moved = not front.moved
+        front.uses_other_lists_port = not front.uses_other_lists_port
         self._run.configure(front)
         for process in front.live():
             process.signal(signal.SIGHUP)
-        await self._last(interval)
+        await self._wait_until_over(interval)
 
     async def _front_pause(self, interval: Interval) -> None:
         for process in self._front(interval).live():
@@ -105,22 +107,22 @@
             await asyncio.sleep(0.02 + 0.13 * interval.variant)
             process.signal(signal.SIGCONT)
 
-    def _tell(self, entry: Entry) -> float:
-        """Tell all agents; return when all fronts count as told."""
+    def _announce(self, entry: Entry) -> float:
+        """Send an entry through all agents; return the time by when all fronts must know it."""
         for front in self._run.fronts:
-            front.agent.tell(entry)
-        return max(front.agent.told_by for front in self._run.fronts)
+            front.agent.send_change(entry)
+        return max(front.agent.known_by for front in self._run.fronts)
 
     async def _node_drain(self, interval: Interval) -> None:
         old = self._server(interval)
         new = await self._run.start_server(
             old.slot, f"s{old.slot}-{self._run.incarnations[str(old.slot)]}", cold=True
         )
-        self._tell(self._run.entry(new, cold=True))
-        told_by = self._tell(self._run.entry(old, "draining"))
-        self._run.note("node_drains", old.record_name, told_by)
-        await asyncio.sleep(told_by - time.monotonic() + DRAINED_AFTER_SECONDS)
-        self._tell(self._run.entry(old, "gone"))
+        self._announce(self._run.entry(new, cold=True))
+        known_by = self._announce(self._run.entry(old, "draining"))
+        self._run.record_event("node_drains", old.record_name, known_by)
+        await asyncio.sleep(known_by - time.monotonic() + DRAINED_AFTER_SECONDS)
+        self._announce(self._run.entry(old, "gone"))
         await asyncio.sleep(0.5)
         old.node.kill()
         old.proxy.kill()
@@ -129,24 +131,24 @@
         old = self._server(interval)
         old.node.kill()
         old.proxy.kill()
-        await self._last(interval)
+        await self._wait_until_over(interval)
         new = await self._run.start_server(old.slot, old.name, cold=True)
-        self._tell(self._run.entry(new, cold=True))
+        self._announce(self._run.entry(new, cold=True))
 
     async def _node_hang(self, interval: Interval) -> None:
         server = self._server(interval)
         server.node.order(hangs=True)
-        await self._last(interval)
+        await self._wait_until_over(interval)
         server.node.order(hangs=False)
 
     async def _node_errors(self, interval: Interval) -> None:
         server = self._server(interval)
         server.node.order(flaw_rate=0.1 + 0.5 * interval.variant)
-        await self._last(interval)
+        await self._wait_until_over(interval)
         server.node.order(flaw_rate=0.0)
 
-    async def _switch(self, server: Server, word: str) -> bool:
-        """Have all fronts take a server out, or put it back; a front that is away is called again."""
+    async def _set_manual_drain(self, server: Server, word: str) -> bool:
+        """Set or clear the manual drain of a server at all fronts; retry at a front that does not answer."""
         path = f"/control/chunk-servers/{server.name}/{word}"
         for front in self._run.fronts:
             for _ in range(40):
@@ -163,16 +165,16 @@
 
     async def _node_by_hand(self, interval: Interval) -> None:
         server = self._server(interval)
-        if await self._switch(server, "offline"):
-            self._run.note("node_out", server.record_name)
-            await self._last(interval)
-            self._run.note("node_back", server.record_name)
-        await self._switch(server, "online")
+        if await self._set_manual_drain(server, "offline"):
+            self._run.record_event("node_out", server.record_name)
+            await self._wait_until_over(interval)
+            self._run.record_event("node_back", server.record_name)
+        await self._set_manual_drain(server, "online")
 
     async def _link_stall(self, interval: Interval) -> None:
         server = self._server(interval)
         server.proxy.order(stalls=True)
-        await self._last(interval)
+        await self._wait_until_over(interval)
         server.proxy.order(stalls=False)
 
     async def _link_reset(self, interval: Interval) -> None:
@@ -181,14 +183,14 @@
     async def _link_pieces(self, interval: Interval) -> None:
         server = self._server(interval)
         server.proxy.order(pieces=True)
-        await self._last(interval)
+        await self._wait_until_over(interval)
         server.proxy.order(pieces=False)
 
     async def _lists_silent(self, interval: Interval) -> None:
         agent = self._front(interval).agent
         agent.fall_silent()
-        await self._last(interval)
-        agent.speak()
+        await self._wait_until_over(interval)
+        agent.resume()
 
     async def _lists_reset(self, interval: Interval) -> None:
         self._front(interval).agent.reset()
@@ -197,17 +199,17 @@
         await self._signals.play(self._front(interval), interval)
 
     async def _crowd(self, interval: Interval) -> None:
-        """Fill a front with idle clients; every other time its agent says nothing meanwhile."""
+        """Use up a front's descriptors with idle clients; half of the time its agent is silent meanwhile."""
         front = self._front(interval)
         silent = interval.variant < 0.5
         if silent:
             front.agent.fall_silent()
         await self._run.crowd(front, interval.end - interval.begin)
         if silent:
-            front.agent.speak()
+            front.agent.resume()
 
     async def _system_faults(self, interval: Interval) -> None:
-        """Have system calls of a front's processes fail for a while; its clock stays stepped."""
+        """Make system calls of a front's processes fail for a while; a clock step is not undone."""
         front = self._front(interval)
         changed = faults_of(interval)
         for process in front.processes:
