--- a/umberlead/load_generator/__init__.py
+++ b/umberlead/load_generator/__init__.py
@@ -1,1 +1,1 @@
-"""Load on fronts: open loop and seeded, with latencies counted from when a request was due."""
+"""Open-loop, seeded load generators for fronts; latency is measured from the scheduled send time."""
--- a/umberlead/load_generator/clients.py
+++ b/umberlead/load_generator/clients.py
@@ -1,7 +1,7 @@
-"""Clients, free of I/O: when each asks, whether it asks again, and how long it waits.
+"""Client behaviour without I/O: when a request is sent, whether it is retried, and its timeout.
 
-A retry comes to the same front under a new name and belongs to its first try: its time is what the first
-left.
+A retry goes to the same front under a new call id. It keeps the deadline of the first try, so all tries of a
+request share one timeout.
 """
 
 from dataclasses import dataclass
@@ -9,15 +9,15 @@
 from umberlead.load_generator.day import Day, Request
 
 HARMLESS = ("refused",)
-MIN_RETRY_TIME_US = 20_000  # us: with less left, nobody asks again
+MIN_RETRY_TIME_US = 20_000  # a client does not retry with less time than this before its deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Try:
-    """One request on the wire."""
+    """One try of a request, as sent to a front; times in us after the start of the day."""
 
     of: Request
-    number: int  # 0: the first
+    number: int  # 0 for the first try
     at: int
     until: int
 
@@ -28,21 +28,21 @@
 
 
 class Clients:
-    """All clients of a day."""
+    """The clients that send the requests of a day."""
 
     def __init__(self, day: Day) -> None:
-        """Clients that send the requests of `day`."""
+        """Create the clients of `day`."""
         self.day = day
         self.kinds = {k.name: k for k in day.kinds}
 
     def first(self, of: Request) -> Try:
-        """The first try of a request."""
+        """Return the first try of a request."""
         return Try(of, 0, of.at, of.at + self.kinds[of.class_name].timeout_us)
 
     def again(self, of: Try, kind: str, now: int) -> Try | None:
-        """The next try after an answer other than served, or after none.
+        """Return the retry of a try that ended as `kind` at `now`, or None where the client does not retry.
 
-        What may have run is sent again only where that does no harm.
+        A request that may have been executed is retried only if its class is not `at_most_once`.
         """
         cls = self.kinds[of.of.class_name]
         harmless = kind in HARMLESS or cls.effect != "at_most_once"
--- a/umberlead/load_generator/day.py
+++ b/umberlead/load_generator/day.py
@@ -1,9 +1,9 @@
-"""A day's requests, drawn ahead from the operators' figures and a seed: they wait for no answer.
+"""Draws the requests of a simulated day in advance from published figures and a seed (open loop).
 
-Volumes stand on plans and ask at their plan's rate; some ask for more all day, some for many times it in
-surges. A volume's requests come through a few fronts, unevenly, and the busiest one changes. A read may ask
-for an object written in the seconds before, wherever that was put: which shard that is shows only as the day
-is played.
+Each volume belongs to a plan and sends requests at its plan's rate. Some volumes exceed that rate all day;
+others send a multiple of it in surges. A volume's requests arrive through a few fronts, unevenly, and the
+busiest of these fronts changes over the day. A read may request an object written a few seconds earlier; its
+shard is known only when the day is played, because the write is placed then.
 """
 
 import math
@@ -16,7 +16,7 @@
 from umberlead.emulator.figures import Figures
 
 SECOND_US = 1_000_000
-FRESH_OBJECT_US = 8 * SECOND_US  # how far back a read of a new object reaches
+FRESH_OBJECT_US = 8 * SECOND_US  # greatest age of a write that a read of a fresh object refers to
 MAX_FRESH_OBJECT_COUNT = 400
 
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A first try, as it was drawn."""
+    """A drawn request; clients may retry it."""
 
     number: int
     at: int  # us after the day's start
@@ -36,11 +36,11 @@
     hosts: int
     front: int
     block: str
-    shard: int  # -1: a new object
+    shard: int  # -1 for a write of a new object
     units: int
     work: float  # us
     write: bool
-    of: int = -1  # number of the write whose object it reads
+    of: int = -1  # number of the write whose object this request reads; -1 for none
 
     @property
     def id(self) -> str:
@@ -71,17 +71,17 @@
 
     name: str
     plan: str
-    rate: float  # units a second that its plan stands for
-    rate_ratio: float  # against that rate, all day
-    surges: list[tuple[int, int, float]]  # from, to, times the rate
+    rate: float  # units a second, the usual rate of the volume's plan
+    rate_ratio: float  # the volume's rate outside surges, as a multiple of `rate`
+    surges: list[tuple[int, int, float]]  # begin and end in us, multiple of `rate` added
     shards: tuple[int, ...]
     fronts: tuple[int, ...]
     skew: tuple[float, ...]
-    shifts: list[int]  # when the busiest front changes
+    shifts: list[int]  # times in us at which the busiest front changes
     blocks: list[str] = field(default_factory=list)
 
     def times(self, at: int) -> float:
-        """The factor on the plan's rate at `at` microseconds."""
+        """Return the factor on the plan's rate at `at` microseconds."""
         return self.rate_ratio + sum(x for begin, end, x in self.surges if begin <= at < end)
 
     def front(self, at: int, chance: random.Random) -> int:
@@ -93,7 +93,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """All traffic times `by`, or one class's requests costly: from scripts."""
+    """A change of the traffic that a script sets between two times.
+
+    Without a class, the rate of all traffic is multiplied by `by`. With one, the work of a `share` of that
+    class's requests is multiplied by `by`.
+    """
 
     begin: int
     end: int
@@ -104,21 +108,21 @@
 
 @dataclass(slots=True)
 class Day:
-    """What a day asks, and what fronts are told of it."""
+    """The requests of a day and the classes, volumes and client settings that they are drawn from."""
 
     seconds: float
     seed: int
     kinds: list[Kind]
     volumes: list[Volume]
-    unit: float  # us of work that a unit stands for
-    power: float  # units a second that one node does, at its usual
+    unit: float  # us of work in a unit
+    power: float  # units a second that an endpoint of mean speed serves
     requests: list[Request] = field(default_factory=list)
     max_units: int = 6
     retries: int = 0
     retry_wait: int = 0
 
     def kind(self, name: str) -> Kind:
-        """The request class of that name."""
+        """Return the request class called `name`."""
         return next(k for k in self.kinds if k.name == name)
 
 
@@ -155,13 +159,13 @@
     excess: float = 1.0,
     copies: int = 1,
 ) -> Day:
-    """Draws a day.
+    """Draw a day.
 
-    `load` is the usual traffic against nine tenths of what `shards` endpoints of mean `speed` can do;
-    `excess` scales the surges on top; each shard has `copies` endpoints.
+    `load` is the traffic outside surges as a part of nine tenths of the capacity of `shards` endpoints of
+    mean `speed`; `excess` scales the surges, which come on top; each shard has `copies` endpoints.
 
     Raises:
-        InvalidDayError: The day can't be drawn.
+        InvalidDayError: The length, the load or a count is out of range.
     """
     if not (seconds > 0 and 0 < load <= 10 and shards > 0 and fronts > 0):
         raise InvalidDayError("a day needs seconds, a load up to 10, and at least one shard and one front")
@@ -178,8 +182,8 @@
     day.retries = of.clients.draw_int("retries", chance)
     day.retry_wait = int(of.clients.draw("wait_ms", chance) * 1000)
     count = of.traffic.draw("volumes_per_node", chance) * shards
-    # Volumes of each plan in step with its part of the traffic over its size: one base rate for all, brought
-    # to the load once it is known how much more some of them ask for.
+    # The number of volumes of a plan is proportional to the plan's share of the traffic divided by its size.
+    # All plans have one base rate, which is scaled to the load once the volumes' rate ratios are drawn.
     weight = {g.name: g.one("share") / g.one("size") for g in of.plans}
     base = load * can / (count * sum(weight[g.name] / sum(weight.values()) * g.one("size") for g in of.plans))
     for g in of.plans:
@@ -236,9 +240,9 @@
 
 
 def _scale(day: Day, wanted: float, length: int) -> None:
-    """Scales the surges so that together they add up to `wanted` units a second in the mean of the day.
+    """Scale the surges so that their sum, averaged over the day, is `wanted` units a second.
 
-    No surge grows beyond thrice what was drawn.
+    The factor is at most 3.
     """
     got = sum(v.rate * x * (end - begin) for v in day.volumes for begin, end, x in v.surges) / length
     if not got:
@@ -251,7 +255,7 @@
 def _requests(
     day: Day, of: Figures, chance: random.Random, length: int, shares: float, waves: tuple[Wave, ...]
 ) -> Iterator[Request]:
-    """In order of time: of each volume by thinning, merged."""
+    """Yield the requests in order of time; arrivals of each volume are drawn by thinning, then merged."""
     mean_units = sum(k.share * _mean_units(day, k) for k in day.kinds) / shares
     reread = of.traffic.draw("reread", chance)
     surge = [w for w in waves if not w.class_name]
@@ -312,13 +316,16 @@
 
 
 def _mean_units(day: Day, kind: Kind) -> float:
-    """By numbers: rounding and the cap have no closed form worth having."""
+    """Estimate the mean by sampling, because rounding and the cap leave no simple closed form."""
     chance = random.Random(1)
     drawn = [min(max(round(_work(chance, kind) / day.unit), 1), day.max_units) for _ in range(4000)]
     return sum(drawn) / len(drawn)
 
 
 def noise(seed: int, id_: str, attempt: int, kind: Kind) -> float:
-    """An attempt's own factor on the work: from its name, so that both drivers draw alike."""
+    """Return an attempt's factor on the work.
+
+    It depends only on the seed, the request's id and the attempt, so that both drivers draw the same factor.
+    """
     sigma = math.sqrt(math.log(1 + kind.noise**2))
     return random.Random(f"{seed}/{id_}/{attempt}").lognormvariate(-(sigma**2) / 2, sigma)
--- a/umberlead/load_generator/objects.py
+++ b/umberlead/load_generator/objects.py
@@ -1,7 +1,7 @@
-"""Load on the object API, open loop: objects go in, and what comes back is compared byte for byte.
+"""Open-loop load on the object API: it stores objects, reads them and compares the bytes.
 
-An object's bytes come from its name, so nothing is kept but names; latencies run from the time at which a
-call was due (coordinated omission).
+An object's bytes are generated from its name, so only names and sizes are kept. Latency is measured from the
+scheduled time of a request, which avoids coordinated omission.
 """
 
 import asyncio
@@ -13,31 +13,31 @@
 import httptools
 from hdrh.histogram import HdrHistogram
 
-STORED_NAME_LIMIT = 2000  # names of stored objects that reads choose from
-CALL_TIMEOUT_SECONDS = 20.0  # s that a call may take
+STORED_NAME_LIMIT = 2000  # the latest stored objects, from which reads choose
+CALL_TIMEOUT_SECONDS = 20.0
 PLACES = ("in", "back", "part")  # stored, read whole, read as a range
 
 
 def content(name: str, size: int) -> bytes:
-    """The bytes of an object, by its name and size alone."""
+    """Return the bytes of an object, which depend on its name and size only."""
     return random.Random(name).randbytes(size)
 
 
 @dataclass(slots=True)
 class Tally:
-    """What has become of all calls."""
+    """Counts and latencies of the requests that have ended."""
 
-    done: Counter[str] = field(default_factory=Counter)  # by place
+    done: Counter[str] = field(default_factory=Counter)  # requests by entry of PLACES
     octets: Counter[str] = field(default_factory=Counter)
     refused: int = 0
     failed: int = 0
-    wrong: list[str] = field(default_factory=list)  # what was not the same, in words
+    wrong: list[str] = field(default_factory=list)  # a description of each read whose bytes differed
     took: dict[str, HdrHistogram] = field(
         default_factory=lambda: {p: HdrHistogram(1, int(CALL_TIMEOUT_SECONDS * 2e6), 3) for p in PLACES}
     )  # us
 
     def percentile(self, place: str, part: float) -> float:
-        """A percentile of the latency, in milliseconds."""
+        """Return a percentile of the latency, in milliseconds."""
         return float(self.took[place].get_value_at_percentile(part)) / 1000
 
 
@@ -68,7 +68,7 @@
             self.done.set_result((self.parser.get_status_code(), b"".join(self.body)))
 
     def connection_lost(self, fault: Exception | None) -> None:
-        self._end(fault or ConnectionResetError("ended without a whole answer"))
+        self._end(fault or ConnectionResetError("connection closed before the response was complete"))
 
     def _end(self, fault: Exception) -> None:
         if not self.done.done():
@@ -76,7 +76,7 @@
 
 
 async def call(address: tuple[str, int], words: bytes) -> tuple[int, bytes]:
-    """Status and body; 0 where there was no whole answer."""
+    """Send a request; return status and body, or status 0 if there was no complete response."""
     loop = asyncio.get_running_loop()
     transport = None
     try:
@@ -90,10 +90,10 @@
 
 
 class Objects:
-    """The load of one front."""
+    """The load on one front."""
 
     def __init__(self, address: tuple[str, int], buckets: list[str], rate: float, seed: int) -> None:
-        """A load of `rate` calls a second on the front at `address`."""
+        """Create a load of `rate` requests a second on the front at `address`."""
         self.address = address
         self.buckets = buckets
         self.rate = rate
@@ -104,7 +104,7 @@
         self._count = 0
 
     async def run(self, until: asyncio.Event) -> None:
-        """Calls at times drawn ahead, until told to stop; then all are waited for."""
+        """Send requests at times drawn in advance until `until` is set, then wait for all of them to end."""
         begin = time.monotonic()
         at = 0.0
         tasks = set[asyncio.Task[None]]()
@@ -151,7 +151,9 @@
         if self._ended("part" if part else "back", status, due, len(body)):
             want = content(name, size)[low:high]
             if body != want:
-                self.tally.wrong.append(f"{name}, bytes {low} to {high}: {len(body)} came, and not the same")
+                self.tally.wrong.append(
+                    f"{name}, bytes {low} to {high}: received {len(body)} bytes, which differ"
+                )
 
     def _ended(self, place: str, status: int, due: float, size: int) -> bool:
         tally = self.tally
--- a/umberlead/load_generator/platform.py
+++ b/umberlead/load_generator/platform.py
@@ -1,7 +1,8 @@
-"""A load generator for the platform's protocol: arrivals are drawn ahead and wait for no answer.
+"""Open-loop load generator for the platform's protocol; arrival times are drawn in advance.
 
-A request's latency runs from the time at which it was due, so that a front which stalls is not spared what it
-held up (coordinated omission). Each client keeps connections of its own and opens more once all are busy.
+Latency is measured from the time at which a request was due, so that the delay which a stalled front causes
+to later requests is counted (no coordinated omission). There is one pool of connections for each front; it
+opens another connection when all are busy.
 """
 
 import asyncio
@@ -15,12 +16,12 @@
 import httptools
 from hdrh.histogram import HdrHistogram
 
-MAX_LATENCY_US = 60_000_000  # us that the histogram tells apart
+MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this one
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is asked; rates are requests a second over all fronts."""
+    """Parameters of a run; `rate` is in requests a second over all fronts, `budget` in seconds."""
 
     rate: float
     seconds: float
@@ -37,7 +38,7 @@
 
 @dataclass(slots=True)
 class PlannedRequest:
-    """A request as drawn, with the time that it is due."""
+    """A drawn request and the time at which it is due."""
 
     at: float  # s after the start
     front: int
@@ -50,7 +51,7 @@
 
 
 def draw(plan: Plan, fronts: int) -> list[PlannedRequest]:
-    """All requests of a run, from its seed alone."""
+    """Draw all requests of a run; they depend on the plan, its seed and the number of fronts only."""
     chance = random.Random(plan.seed)
     at = 0.0
     made = list[PlannedRequest]()
@@ -79,13 +80,13 @@
 
     latency: HdrHistogram = field(
         default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3)
-    )  # us, served ones
-    statuses: Counter[int] = field(default_factory=Counter)  # 0: no answer, or a broken one
-    answers: Counter[str] = field(default_factory=Counter)  # by request
-    late_start: float = 0.0  # s at most that the generator itself was behind
+    )  # us, served requests only
+    statuses: Counter[int] = field(default_factory=Counter)  # 0: no response, or a broken one
+    answers: Counter[str] = field(default_factory=Counter)  # responses by request id
+    late_start: float = 0.0  # s, the greatest delay with which the generator sent a request
 
     def row(self) -> dict[str, float]:
-        """The result as a row of figures."""
+        """Return the result as a row of figures."""
         took = self.latency
         made = {f"p{p:g}_ms": took.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
         made |= {"max_ms": took.get_max_value() / 1000, "asked": sum(self.statuses.values())}
@@ -168,7 +169,7 @@
 
 
 async def run(plan: Plan, fronts: list[tuple[str, int]]) -> Result:
-    """Ask all that was drawn, and wait for the last answer (twice the budget at most)."""
+    """Send all drawn requests and wait for the last response, for at most twice the budget."""
     made = Result()
     of = [_Front(address) for address in fronts]
     begin = time.monotonic()
--- a/umberlead/load_generator/showing.py
+++ b/umberlead/load_generator/showing.py
@@ -1,6 +1,6 @@
-"""The demo: a front in a process of its own, emulated endpoints and object load in this one.
+"""The demo: a front in a child process, with emulated endpoints and object load in this process.
 
-Figures are shown on the terminal.
+Throughput and latencies are shown on the terminal.
 """
 
 import asyncio
@@ -21,17 +21,17 @@
 from umberlead.testing import fleet
 from umberlead.testing.chunkserver import Model, Record
 
-START_UP = 20.0  # s for the front to listen
-EVERY = 1.0  # s between two looks
+START_UP = 20.0  # s until the front must listen
+EVERY = 1.0  # s between two updates of the figures
 NAMES = {"in": "objects in", "back": "objects back", "part": "ranges back"}
 
 
 class FrontStartError(UmberleadError, RuntimeError):
-    """The front did not come up; the text has its last line."""
+    """The front ended before it listened; the text holds the last line of its log."""
 
 
 def rows(tally: Tally, before: Counter[str], took: float) -> list[list[str]]:
-    """A line a place: calls a second, in all, octets, latencies."""
+    """Return a row for each entry of PLACES: requests a second, requests in all, octets, p50 and p99."""
     return [
         [
             NAMES[p],
@@ -46,7 +46,7 @@
 
 
 def summary(tally: Tally) -> str:
-    """One row of figures a place."""
+    """Return the totals of all requests in one line."""
     read = tally.done["back"] + tally.done["part"]
     return (
         f"{tally.done['in']} objects in, {read} read back, {len(tally.wrong)} not the same; "
@@ -55,10 +55,10 @@
 
 
 class Screen:
-    """A live table on a terminal, a line now and then elsewhere."""
+    """Shows figures: a live table on a terminal, otherwise a line for each update."""
 
     def __init__(self, names: list[str]) -> None:
-        """A table with a row for each server of `names`."""
+        """Create a screen that shows the request rates of the endpoints `names`."""
         self.names = names
         self.live: Any = None
         self.before: Counter[str] = Counter()
@@ -66,7 +66,7 @@
         self.since = time.monotonic()
 
     def __enter__(self) -> "Screen":
-        """Shows the table where standard output is a terminal."""
+        """Start the live table if standard output is a terminal."""
         if sys.stdout.isatty():
             from rich.live import Live
 
@@ -75,12 +75,12 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Stops the table's updates."""
+        """Stop the live table."""
         if self.live is not None:
             self.live.stop()
 
     def show(self, tally: Tally, asked: Counter[str]) -> None:
-        """Shows the figures since the last call."""
+        """Show the totals and the rates since the last call."""
         now = time.monotonic()
         took = max(now - self.since, 1e-3)
         servers = fleet.format_rates(asked, self.asked, self.names, took)
@@ -100,7 +100,7 @@
 
 
 async def _listens(process: asyncio.subprocess.Process, log: Any) -> tuple[str, int]:
-    """The object front's address, the last one that a front names as it starts."""
+    """Return the address of the object API: the last one that the front logs before its limits."""
     assert process.stderr is not None
     last = ""
     found = None
@@ -122,7 +122,10 @@
     rate: float,
     seed: int,
 ) -> bool:
-    """Runs the demo until a signal, or for `seconds`; whether all bytes were right."""
+    """Run the demo until a signal, or for `seconds`.
+
+    Return whether all bytes read were right and the front ended with exit code 0.
+    """
     loop = asyncio.get_running_loop()
     done = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -196,10 +199,10 @@
     rate: float,
     seed: int,
 ) -> bool:
-    """Runs the demo until Ctrl-C, or for `seconds`; False where bytes were wrong.
+    """Run the demo until Ctrl-C, or for `seconds`; return False if bytes were wrong or the front failed.
 
     Raises:
-        FrontStartError: The front did not come up.
+        FrontStartError: The front ended before it listened.
         OSError: A socket or file can't be used.
     """
     return asyncio.run(run(config, servers, buckets, seconds, rate, seed))
