--- a/umberlead/experiments/__init__.py
+++ b/umberlead/experiments/__init__.py
@@ -1,2 +1,2 @@
-"""Experiments: scripts, versions, configurations and seeds crossed, kept as one dataset, compared in
-pairs."""
+"""Experiments: run each combination of scripts, versions, configurations and seeds, store the results as one
+dataset, and compare the arms by paired differences."""
--- a/umberlead/experiments/compare.py
+++ b/umberlead/experiments/compare.py
@@ -1,4 +1,7 @@
-"""Arms of an experiment compared on the same days: paired by script, scenario and seed. Pure."""
+"""Compares the arms of an experiment by differences between the same days, without I/O.
+
+A day is identified by script, scenario and seed; an arm by version and configuration.
+"""
 
 import math
 from collections import defaultdict
@@ -14,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mean:
-    """A mean with its interval; the interval is the whole line where there is but one value."""
+    """A mean with its confidence interval, which is unbounded if there is only one value."""
 
     mean: float
     low: float
@@ -22,29 +25,30 @@
     n: int
 
     def words(self) -> str:
+        """The mean, its interval and the number of values as text."""
         return f"{self.mean:+.4f} ({self.low:+.4f} to {self.high:+.4f}, n {self.n})"
 
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """An arm against the baseline on the days that both played."""
+    """The difference of an arm from the baseline over the days that both have results for."""
 
     arm: str
     measure: str
     difference: Mean
-    better: int  # days on which the arm is above
+    better: int  # number of days on which the arm has the higher value
     worse: int
 
     @property
     def told(self) -> str:
-        """Whether the interval lies on one side."""
+        """The sign of the difference, if its interval excludes 0."""
         if self.difference.n < 2 or self.difference.low <= 0 <= self.difference.high:
             return "not told apart"
         return "higher" if self.difference.low > 0 else "lower"
 
 
 def mean_of(values: list[float]) -> Mean:
-    """Student's interval."""
+    """Return the mean of `values` with Student's confidence interval at LEVEL."""
     n = len(values)
     if not n:
         raise ValueError("no values")
@@ -57,6 +61,7 @@
 
 
 def by_arm(rows: Iterable[dict[str, Any]], measure: str) -> dict[str, dict[Day, float]]:
+    """Return a measure's whole-day values by arm and day."""
     made: dict[str, dict[Day, float]] = defaultdict(dict)
     for row in rows:
         if row["measure"] == measure and row["second"] < 0:
@@ -66,7 +71,7 @@
 
 
 def pairs(rows: list[dict[str, Any]], measure: str, baseline: str) -> list[Pair]:
-    """Every other arm against the baseline, the best first."""
+    """Compare every other arm with the baseline; the highest mean difference comes first."""
     arms = by_arm(rows, measure)
     base = arms.get(baseline, {})
     made = []
@@ -79,7 +84,7 @@
 
 
 def ranking(rows: list[dict[str, Any]], measure: str = "service") -> list[tuple[str, Mean]]:
-    """Arms by their mean over the days that all of them played, the best first."""
+    """Rank the arms by their mean over the days that all arms have, the highest first."""
     arms = by_arm(rows, measure)
     shared = set.intersection(*(set(days) for days in arms.values())) if arms else set()
     if not shared:
@@ -89,7 +94,7 @@
 
 
 def over_time(rows: list[dict[str, Any]], script: str, scenario: str) -> dict[str, list[float]]:
-    """Mean service of each second by arm."""
+    """Return, for each arm, the mean service in each second of the day."""
     sums: dict[str, dict[int, list[float]]] = defaultdict(lambda: defaultdict(list))
     for row in rows:
         of = (row["measure"], row["script"], row["scenario"])
--- a/umberlead/experiments/dataset.py
+++ b/umberlead/experiments/dataset.py
@@ -1,4 +1,4 @@
-"""Datasets in columnar files (Parquet): an experiment's measures, and a rehearsal's every event."""
+"""Writes Parquet files: the measures of an experiment, and all events of a rehearsal."""
 
 from collections.abc import Callable
 from dataclasses import asdict, fields
@@ -39,7 +39,11 @@
 
 
 def rows(cells: list[Cell]) -> list[dict[str, Any]]:
-    """One row a measure: of the whole day (`second` is -1), of each second, and each breach's count."""
+    """Return one row for each value of a measure.
+
+    Whole-day measures, the number of breaches of each kind among them, have `second` -1; the service of each
+    second has its number.
+    """
     made = []
     for cell in cells:
         run = cell.run
@@ -62,7 +66,7 @@
 
 
 def write(cells: list[Cell], folder: Path) -> None:
-    """`measures.parquet`, and `faults.parquet` with the cells that gave no result."""
+    """Write `measures.parquet`, and `faults.parquet` with the cells that have no results."""
     folder.mkdir(parents=True, exist_ok=True)
     pq.write_table(
         pa.Table.from_pylist(rows(cells), MEASURES), folder / "measures.parquet", compression="zstd"
@@ -84,7 +88,11 @@
 
 
 def read(folder: Path) -> tuple[list[dict[str, Any]], list[dict[str, Any]]]:
-    """Measures and faults. OSError where there are none."""
+    """Read the measures and the faults.
+
+    Raises:
+        OSError: One of the two files can't be read.
+    """
     return (
         pq.read_table(folder / "measures.parquet").to_pylist(),
         pq.read_table(folder / "faults.parquet").to_pylist(),
@@ -92,7 +100,7 @@
 
 
 def keeper(folder: Path) -> Callable[[Plan, Records], None]:
-    """Writes a rehearsal's records, a file each kind."""
+    """Return a function that writes a rehearsal's records to `folder`, one file for each kind of record."""
 
     def keep(plan: Plan, records: Records) -> None:
         folder.mkdir(parents=True, exist_ok=True)
--- a/umberlead/experiments/matrix.py
+++ b/umberlead/experiments/matrix.py
@@ -1,4 +1,7 @@
-"""An experiment's file: what is crossed with what. TOML, checked whole; what is wrong names file and key."""
+"""Reads the TOML file of an experiment: the scripts, seeds, versions and configurations to combine.
+
+The whole file is checked; an error names the file and the key.
+"""
 
 import tomllib
 from collections.abc import Iterator
@@ -12,12 +15,12 @@
 
 
 class BadMatrix(ValueError):
-    """The text names file and key."""
+    """An experiment's file is invalid; the text names the file and the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """A state of this repository: `rev` as git knows it; empty: the tree as it lies here."""
+    """A version of this repository: `rev` is a git revision, or empty for the working tree."""
 
     name: str
     rev: str = ""
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """What differs in what fronts are told, and in the world's figures; dotted keys."""
+    """Changes of the fronts' settings and of the emulator's figures, by dotted keys."""
 
     name: str
     settings: dict[str, Any] = field(default_factory=dict)
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One cell."""
+    """One cell of the matrix."""
 
     script: Path
     seed: int
@@ -44,11 +47,14 @@
 
     @property
     def arm(self) -> str:
+        """The version and configuration, which the comparison is between."""
         return f"{self.version.name}/{self.configuration.name}"
 
 
 @dataclass(slots=True)
 class Matrix:
+    """An experiment: all combinations of its scripts, seeds, versions and configurations are run."""
+
     name: str
     scripts: list[Path]
     seeds: list[int]
@@ -59,7 +65,7 @@
     measures: list[str]
 
     def runs(self) -> Iterator[Run]:
-        """Seed by seed, so that a stopped experiment has whole pairs."""
+        """Yield the runs seed by seed, so that an experiment stopped early has complete pairs."""
         for seed in self.seeds:
             for script in self.scripts:
                 for version in self.versions:
@@ -95,6 +101,11 @@
 
 
 def read(path: Path) -> Matrix:
+    """Read and check an experiment's file.
+
+    Raises:
+        BadMatrix: The file can't be read or is invalid.
+    """
     try:
         got = tomllib.loads(path.read_text())
     except (OSError, ValueError) as fault:
--- a/umberlead/experiments/one.py
+++ b/umberlead/experiments/one.py
@@ -1,5 +1,8 @@
-"""One cell of an experiment, in a process of its own: a JSON order on standard input, results on standard
-output. It runs under any version's tree."""
+"""Runs one cell of an experiment in its own process.
+
+It reads the order as JSON from standard input and writes the results as JSON to standard output. It must run
+in the source tree of any version.
+"""
 
 import json
 import sys
@@ -8,7 +11,13 @@
 
 
 def figures_with(changes: dict[str, Any]) -> Any:
-    """The published figures, some of them replaced: `group.key`, a class's or plan's as `class.NAME.key`."""
+    """Return the published figures with `changes` applied.
+
+    A key is `group.key`; for a request class or a plan it is `class.NAME.key` or `plan.NAME.key`.
+
+    Raises:
+        FigureError: There is no figure of that key.
+    """
     from umberlead.emulator.figures import FigureError, Figures, Group
 
     made = Figures()
@@ -26,14 +35,18 @@
 
 
 def settings_with(told: dict[str, Any], changes: dict[str, Any]) -> None:
-    """In place; ValueError names a key whose table there is none of."""
+    """Apply `changes`, by dotted keys, to the settings `told` in place.
+
+    Raises:
+        ValueError: The settings have no table of a key; the text names both.
+    """
     for key, value in changes.items():
         *path, last = key.split(".")
         at: Any = told
         if key == "gossip":
             told["gossip"] = value
             continue
-        if path == ["rooms"]:  # a table of its own in an operator's file; there is none before
+        if path == ["rooms"]:  # an optional table, absent from the settings unless it is added here
             told.setdefault("rooms", {})
         for part in path:
             at = at[int(part)] if isinstance(at, list) and part.isdigit() else at.get(part)
@@ -43,6 +56,7 @@
 
 
 def play(order: dict[str, Any]) -> list[dict[str, Any]]:
+    """Run all scenarios of the order's script and return a result for each."""
     from umberlead.emulator import rehearsal
 
     figures, made = figures_with(order["figures"]), []
@@ -60,10 +74,11 @@
 
 
 def main() -> int:
+    """Run the order from standard input; return 1 and write the error to standard error if it fails."""
     order = json.loads(sys.stdin.read())
     try:
         print(json.dumps(play(order)))
-    except Exception as fault:  # its text is the cell's result
+    except Exception as fault:  # the parent process reports the text as the cell's fault
         print(f"{type(fault).__name__}: {fault}", file=sys.stderr)
         return 1
     return 0
--- a/umberlead/experiments/report.py
+++ b/umberlead/experiments/report.py
@@ -1,4 +1,4 @@
-"""One HTML page of an experiment that a person can read, its charts in it and beside it as images."""
+"""Writes the HTML report of an experiment; charts are embedded in it and also stored as image files."""
 
 import base64
 import io
@@ -67,11 +67,14 @@
     rows: list[dict[str, Any]],
     faults: list[dict[str, Any]],
 ) -> Path:
-    """`report.html` in `folder`, and the charts as images beside it. ValueError where nothing was
-    measured."""
+    """Write `report.html` and the chart images to `folder`; return the path of the report.
+
+    Raises:
+        ValueError: There is no day for which every arm has a result.
+    """
     ranking = compare.ranking(rows)
     if not ranking:
-        raise ValueError("no day was played by every arm: there is nothing to compare")
+        raise ValueError("no day has results from every arm: there is nothing to compare")
     first = compare.pairs(rows, "service", baseline)
     charts = [("Each day's service", _image(_days_chart(rows), folder / "days.png"))]
     if first:
--- a/umberlead/experiments/running.py
+++ b/umberlead/experiments/running.py
@@ -1,4 +1,4 @@
-"""Runs a matrix's cells side by side, each in a process of its own."""
+"""Runs the cells of a matrix in parallel, each in its own process."""
 
 import json
 import os
@@ -13,12 +13,12 @@
 from umberlead.experiments.matrix import Matrix, Run
 from umberlead.experiments.versions import lay_out
 
-LONGEST = 1800.0  # s that a cell may take
+LONGEST = 1800.0  # s, time limit of a cell
 
 
 @dataclass(slots=True)
 class Cell:
-    """A run and what came of it: results by scenario, or why there are none."""
+    """A run with a result for each scenario, or the fault for which there are none."""
 
     run: Run
     results: list[dict[str, Any]] = field(default_factory=list)
@@ -46,16 +46,24 @@
             timeout=LONGEST,
         )
     except subprocess.TimeoutExpired:
-        return Cell(run, fault=f"not done after {LONGEST:g} s")
+        return Cell(run, fault=f"timed out after {LONGEST:g} s")
     if got.returncode:
-        return Cell(run, fault=got.stderr.strip().splitlines()[-1] if got.stderr.strip() else "no word")
+        return Cell(
+            run, fault=got.stderr.strip().splitlines()[-1] if got.stderr.strip() else "no error message"
+        )
     return Cell(run, json.loads(got.stdout))
 
 
 def play(
     matrix: Matrix, folder: Path, workers: int, progress: Callable[[int, int, Cell], None] | None = None
 ) -> list[Cell]:
-    """All cells, in the matrix's order. UnknownVersionError where a version can't be laid out."""
+    """Run all cells on `workers` threads and return them in the matrix's order.
+
+    `progress`, if given, is called after each cell with the number of cells done, that of all, and the cell.
+
+    Raises:
+        UnknownVersionError: The source tree of a version can't be laid out.
+    """
     runs = list(matrix.runs())
     roots = {v: lay_out(v.rev, folder) for v in matrix.versions}
     made: dict[int, Cell] = {}
--- a/umberlead/experiments/versions.py
+++ b/umberlead/experiments/versions.py
@@ -1,7 +1,8 @@
-"""States of this repository's own history, each laid out in a folder under the present emulator.
+"""Lays out earlier versions of this repository in folders, each combined with the present emulator.
 
-The world is the same for all versions, decisions are each version's own. A version from before packages had
-their present names gets the emulator as it was last under the earlier names: it plays the same world.
+All versions run in the same simulated world (WORLD_PACKAGES), while the decisions are each version's own. A
+version from before the packages were renamed gets the last emulator that has the earlier package names; it
+simulates the same world.
 """
 
 import io
@@ -15,13 +16,13 @@
 ROOT = Path(__file__).parents[2]
 WORLD_PACKAGES = ("emulator", "load_generator", "routing_tests", "experiments")
 EARLIER_WORLD_PACKAGES = ("emulator", "load", "expect", "experiments")
-PACKAGES_IF_MISSING = ("membership",)  # what the world needs and old versions lack
+PACKAGES_IF_MISSING = ("membership",)  # packages that the world needs and old versions lack
 PRESENT_LAYOUT_PACKAGE = "scheduling"  # a version without it has the earlier layout
 LAST_EARLIER_LAYOUT_REVISION = "bc811251bccf5247fb26fc8b338d5d0c5dfeb3c1"
 
 
 class UnknownVersionError(UmberleadError, ValueError):
-    """A revision that can't be laid out; the text names it."""
+    """A git command for a revision failed; the text has the command and git's error."""
 
 
 def _git(*words: str) -> bytes:
@@ -32,16 +33,16 @@
 
 
 def _extract(commit: str, folder: Path) -> None:
-    """Lay the program of a commit out in a folder."""
+    """Extract the program's source of a commit into a folder."""
     with tarfile.open(fileobj=io.BytesIO(_git("archive", commit, "umberlead"))) as packed:
         packed.extractall(folder, filter="data")
 
 
 def lay_out(revision: str, folder: Path) -> Path:
-    """Return a tree with the program of `revision`, or of the files as they lie here where that is empty.
+    """Return the source tree of `revision`, or the working tree if `revision` is empty.
 
     Raises:
-        UnknownVersionError: there is no such revision.
+        UnknownVersionError: There is no such revision.
     """
     if not revision:
         return ROOT
@@ -72,7 +73,10 @@
 
 
 def _overlay(package: Path, world: Path, world_packages: tuple[str, ...]) -> None:
-    """Put the world's packages in place of a version's own, anew each time: the present ones change."""
+    """Replace a version's world packages by those of `world`.
+
+    They are copied on every call, because the present packages may have changed since the last one.
+    """
     missing = [name for name in PACKAGES_IF_MISSING if not (package / name).exists()]
     for name in (*world_packages, *missing):
         shutil.rmtree(package / name, ignore_errors=True)
