--- a/umberlead/experiments/running.py
+++ b/umberlead/experiments/running.py
@@ -1,4 +1,4 @@
-"""Runs a matrix's cells side by side, each in a process of its own."""
+"""Runs the cells of a matrix in parallel, each in its own process."""
 
 import json
 import os
@@ -13,19 +13,19 @@
 from umberlead.experiments.matrix import Matrix, Run
 from umberlead.experiments.versions import lay_out
 
-LONGEST = 1800.0  # s that a cell may take
+CELL_TIMEOUT_SECONDS = 1800.0  # s, time limit of a cell
 
 
 @dataclass(slots=True)
 class Cell:
-    """A run and what came of it: results by scenario, or why there are none."""
+    """A run with a result for each scenario, or the fault for which there are none."""
 
     run: Run
     results: list[dict[str, Any]] = field(default_factory=list)
     fault: str = ""
 
 
-def _play(run: Run, root: Path) -> Cell:
+def _run_cell(run: Run, root: Path) -> Cell:
     order = {
         "script": str(run.script.resolve()),
         "seed": run.seed,
@@ -36,36 +36,45 @@
     }
     env = os.environ | {"PYTHONPATH": str(root), "PYTHONHASHSEED": "0"}
     try:
-        got = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-B", "-m", "umberlead.experiments.one"],
             input=json.dumps(order),
             text=True,
             capture_output=True,
             cwd=root,
             env=env,
-            timeout=LONGEST,
+            timeout=CELL_TIMEOUT_SECONDS,
         )
     except subprocess.TimeoutExpired:
-        return Cell(run, fault=f"not done after {LONGEST:g} s")
-    if got.returncode:
-        return Cell(run, fault=got.stderr.strip().splitlines()[-1] if got.stderr.strip() else "no word")
-    return Cell(run, json.loads(got.stdout))
+        return Cell(run, fault=f"timed out after {CELL_TIMEOUT_SECONDS:g} s")
+    if process.returncode:
+        return Cell(
+            run,
+            fault=process.stderr.strip().splitlines()[-1] if process.stderr.strip() else "no error message",
+        )
+    return Cell(run, json.loads(process.stdout))
 
 
 def play(
     matrix: Matrix, folder: Path, workers: int, progress: Callable[[int, int, Cell], None] | None = None
 ) -> list[Cell]:
-    """All cells, in the matrix's order. UnknownVersionError where a version can't be laid out."""
+    """Run all cells on `workers` threads and return them in the matrix's order.
+
+    `progress`, if given, is called after each cell with the number of cells done, that of all, and the cell.
+
+    Raises:
+        UnknownVersionError: The source tree of a version can't be laid out.
+    """
     runs = list(matrix.runs())
     roots = {v: lay_out(v.rev, folder) for v in matrix.versions}
-    made: dict[int, Cell] = {}
+    cells: dict[int, Cell] = {}
     with ThreadPoolExecutor(max(workers, 1)) as pool:
-        going = {pool.submit(_play, run, roots[run.version]): n for n, run in enumerate(runs)}
-        while going:
-            done, _ = wait(going, return_when=FIRST_COMPLETED)
+        pending = {pool.submit(_run_cell, run, roots[run.version]): index for index, run in enumerate(runs)}
+        while pending:
+            done, _ = wait(pending, return_when=FIRST_COMPLETED)
             for future in done:
-                n = going.pop(future)
-                made[n] = future.result()
+                index = pending.pop(future)
+                cells[index] = future.result()
                 if progress is not None:
-                    progress(len(made), len(runs), made[n])
-    return [made[n] for n in range(len(runs))]
+                    progress(len(cells), len(runs), cells[index])
+    return [cells[index] for index in range(len(runs))]
--- a/umberlead/load_generator/clients.py
+++ b/umberlead/load_generator/clients.py
@@ -1,23 +1,23 @@
-"""Clients, free of I/O: when each asks, whether it asks again, and how long it waits.
+"""Client behaviour without I/O: when a request is sent, whether it is retried, and its timeout.
 
-A retry comes to the same front under a new name and belongs to its first try: its time is what the first
-left.
+A retry goes to the same front under a new call id. It keeps the deadline of the first try, so all tries of a
+request share one timeout.
 """
 
 from dataclasses import dataclass
 
 from umberlead.load_generator.day import Day, Request
 
-HARMLESS = ("refused",)
-MIN_RETRY_TIME_US = 20_000  # us: with less left, nobody asks again
+NOT_EXECUTED_OUTCOMES = ("refused",)
+MIN_RETRY_TIME_US = 20_000  # a client does not retry with less time than this before its deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Try:
-    """One request on the wire."""
+    """One try of a request, as sent to a front; times in us after the start of the day."""
 
     of: Request
-    number: int  # 0: the first
+    number: int  # 0 for the first try
     at: int
     until: int
 
@@ -28,30 +28,30 @@
 
 
 class Clients:
-    """All clients of a day."""
+    """The clients that send the requests of a day."""
 
     def __init__(self, day: Day) -> None:
-        """Clients that send the requests of `day`."""
+        """Create the clients of `day`."""
         self.day = day
         self.kinds = {k.name: k for k in day.kinds}
 
     def first(self, of: Request) -> Try:
-        """The first try of a request."""
+        """Return the first try of a request."""
         return Try(of, 0, of.at, of.at + self.kinds[of.class_name].timeout_us)
 
     def again(self, of: Try, kind: str, now: int) -> Try | None:
-        """The next try after an answer other than served, or after none.
+        """Return the retry of a try that ended as `kind` at `now`, or None where the client does not retry.
 
-        What may have run is sent again only where that does no harm.
+        A request that may have been executed is retried only if its class is not `at_most_once`.
         """
-        cls = self.kinds[of.of.class_name]
-        harmless = kind in HARMLESS or cls.effect != "at_most_once"
-        at = now + self.day.retry_wait
+        request_class = self.kinds[of.of.class_name]
+        retry_allowed = kind in NOT_EXECUTED_OUTCOMES or request_class.effect != "at_most_once"
+        retry_at = now + self.day.retry_wait
         if (
             kind == "served"
-            or not harmless
+            or not retry_allowed
             or of.number >= self.day.retries
-            or at + MIN_RETRY_TIME_US > of.until
+            or retry_at + MIN_RETRY_TIME_US > of.until
         ):
             return None
-        return Try(of.of, of.number + 1, at, of.until)
+        return Try(of.of, of.number + 1, retry_at, of.until)
