--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -1,10 +1,11 @@
-"""Scenarios played in virtual time and on sockets, routing compared request by request: `make both-ways`.
+"""Compares routing in virtual time and on sockets, request by request: `make both-ways`.
 
-Each scenario is drawn from its seed: requests one after the other, each waited for, and between them servers
-that drain, leave, come back, are out by hand, or end what they get in one of six ways. On sockets a front in
-a process of its own watches the list and stand-ins serve it; what went where is their record's word. In
-virtual time the same requests come at the same intervals. A request agrees if the same servers got it in the
-same order, and its answer is of the same kind."""
+Each scenario is drawn from its seed. Requests are sent one after the other, each after the response to the
+previous one. Between them servers drain, leave or rejoin the list, are drained manually, or end their
+requests in one of six ways. On sockets, a front in its own process watches the list and sends to stub
+servers, whose record shows which server received each request. In virtual time the same requests are sent at
+the same intervals. A request agrees if the same servers receive it in the same order and its answer is of the
+same kind."""
 
 import argparse
 import asyncio
@@ -28,11 +29,11 @@
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "both-ways.md"
-SHARDS, EVERY = 3, 47_000  # us between requests: no multiple falls on the end of a rest
+SHARDS, EVERY = 3, 47_000  # us between requests; no multiple coincides with the end of a rest
 PACES = {
     "a": 0.004,
     "b": 0.020,
-}  # s of work of a unit, far enough apart that the quicker one is told on sockets
+}  # s of work a unit; different enough that the faster server is recognized on sockets
 ENDS = ("error", "reset", "full", "astray", "no-link", "")
 KINDS = {200: "served", 503: "refused", 502: "failed"}
 CONFIG = """
@@ -74,7 +75,7 @@
 
 @dataclass
 class Move:
-    """Before a request: what befalls a server."""
+    """A change of a server before a request."""
 
     what: str
     server: str
@@ -103,7 +104,7 @@
         name = chance.choice(NAMES)
         other = ("b" if name[0] == "a" else "a") + name[1:]
         kind = chance.choice(["drain", "leave", "back", "hand", "end", "end"])
-        if kind in ("drain", "leave") and listed[name] == listed[other] == "ready":  # one of a shard stays
+        if kind in ("drain", "leave") and listed[name] == listed[other] == "ready":  # one stays ready
             listed[name] = kind
             made.moves[k] = [Move(kind, name)]
         elif kind == "back" and listed[name] != "ready":
@@ -130,7 +131,7 @@
 
 
 def virtual(script: Script, folder: Path, times: list[tuple[float, float]]) -> list[Route]:
-    """The same requests and moves at the times (s) that they had on sockets."""
+    """Plays the same requests and moves in virtual time, at the times (s) that they had on sockets."""
     path = folder / "virtual.list"
     ports = {name: 9000 + k for k, name in enumerate(NAMES)}
     path.write_text(sheet(1, dict.fromkeys(NAMES, "ready"), ports))
@@ -167,7 +168,7 @@
         self.listed = dict.fromkeys(NAMES, "ready")
         self.version = 0
         self.process: asyncio.subprocess.Process | None = None
-        self.times: list[tuple[float, float]] = []  # s: moves done, and the request sent
+        self.times: list[tuple[float, float]] = []  # s: end of the moves, and sending of the request
 
     async def start(self) -> None:
         for name in NAMES:
@@ -262,7 +263,7 @@
 
 
 def written(route: Route, down: set[str]) -> Route:
-    """As a record would have it: a link that never came up leaves no line there."""
+    """Returns the route as the servers' record shows it: without servers that could not be connected to."""
     return tuple(s for s in route[0] if s not in down), route[1]
 
 
@@ -320,7 +321,7 @@
     same = sum(not lines for _, lines in made)
     text = "# Virtual time and sockets\n\n"
     text += f"`make both-ways`; {words.scenarios} scenarios of {words.requests} requests.\n\n"
-    text += f"{total - len(differ)} of {total} requests went alike; {same} scenarios wholly.\n\n"
+    text += f"{total - len(differ)} of {total} requests were routed alike; {same} scenarios agree fully.\n\n"
     text += "\n".join(f"- {line}" for line in differ[:40]) + "\n" * bool(differ)
     print(text)
     if words.keep:
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -1,12 +1,13 @@
-"""What cold chunk servers get from all processes together, by processes: `make bench-cold-ramp`.
+"""Measures the load that cold chunk servers get from all front processes: `make bench-cold-ramp`.
 
-Real `Head`s in virtual time, no I/O. A day of the emulator's own load (volumes over few shards and few
-fronts, skewed, surging, the lead changing) falls on fronts of which some learn of a start seconds late and
-some are restarted in the ramp, the old process living on for a while beside the new one. Servers are the
-emulator's; they have errors and turn some away, so that there are further attempts; clients come again once.
-Settings are drawn from the ranges of two deployments. After each start windows of the settings' length slide
-over what the server was sent, attempts of every end counted, in requests of mean work; N is what the settings
-allow in one: `coldUnits` at the start, growing to the warm server's."""
+Real `Scheduler`s run in virtual time, without I/O. The load is a day of the emulator: volumes are spread over
+few shards and few fronts, skewed, with surges and a changing busiest volume. Some fronts learn of the start
+of a server seconds late, and some are restarted while it warms up; the old process may then run beside the
+new one for a while. The servers are the emulator's; they fail or reject some requests, so that there are
+further attempts, and clients retry once. Settings are drawn from the ranges of two deployments. After each
+start of a server, windows of the configured length slide over the work sent to it, in requests of mean work;
+attempts count whatever their result. N is the number that the settings allow in one window: `coldUnits` at
+the start, growing to that of a warm server."""
 
 import argparse
 import copy
@@ -44,16 +45,17 @@
 BEFORE = "602e568"
 SECOND = 1_000_000
 PROCESSES = (1, 2, 5, 10, 30, 40, 100, 200)
-STARTS = {1: 30, 2: 30, 5: 30, 10: 50, 30: 90, 40: 60, 100: 40, 200: 20}  # servers that start, over all seeds
-SMALL = 18.0  # units a second of a server where a fleet is large; else as drawn
-HISTORY = 12 * SECOND  # heads learn their traffic
-WAY = 300  # us, one way
-GRID = 25_000  # us between windows looked at
-AWAY = 0.02  # part of requests that a server turns away unseen
-RESTS = "rest"  # stands for all servers that are warm: takes new objects, answers at once
-OTHER = 1 << 20  # its shard
+# Number of server starts over all seeds, by number of processes.
+STARTS = {1: 30, 2: 30, 5: 30, 10: 50, 30: 90, 40: 60, 100: 40, 200: 20}
+SMALL = 18.0  # units a second of a server in a large fleet; drawn in smaller ones
+HISTORY = 12 * SECOND  # time for the schedulers to learn their traffic
+WAY = 300  # us, one-way network delay
+GRID = 25_000  # us between two evaluated windows
+AWAY = 0.02  # fraction of requests that a server rejects at once
+RESTS = "rest"  # represents all warm servers: takes new objects and answers at once
+OTHER = 1 << 20  # shard of RESTS
 SITES: tuple[dict[str, Any], ...] = (
-    {},  # the emulator's own figures
+    {},  # defaults of the emulator
     {
         "cold": {"from": [0.2, 0.44], "warm_s": [9.9, 17.0], "least": 0.2, "longest_s": 17.0},
         "node": {"speed": [0.85, 1.7]},
@@ -77,7 +79,7 @@
 
 @dataclass
 class Start:
-    """A cold server: what it was sent, and what came of it. Work in us."""
+    """A starting server, the work sent to it and the work that it completed. Work is in us."""
 
     node: Node
     at: int
@@ -89,17 +91,17 @@
 
 @dataclass
 class Windows:
-    """Counts over starts."""
+    """Counts and sums over server starts."""
 
     starts: int = 0
     windows: int = 0
     past: list[int] = field(default_factory=lambda: [0, 0, 0])  # N; N + 2 root N + 2; N + 3 root N + 3
-    fell: list[int] = field(default_factory=lambda: [0, 0, 0])  # starts with one such, at any arrival
-    most: float = 0.0  # highest window over N + 2 root N + 2
+    fell: list[int] = field(default_factory=lambda: [0, 0, 0])  # starts over each limit at some arrival
+    most: float = 0.0  # highest ratio of a window to N + 2 root N + 2
     offered: float = 0.0
     bearable: float = 0.0
     capacity: float = 0.0
-    done: float = 0.0  # all work that was run
+    done: float = 0.0  # all work that the servers completed
     in_time: float = 0.0
 
     def add(self, other: "Windows") -> None:
@@ -111,12 +113,12 @@
 
 
 def bounds(n: float) -> tuple[float, float, float]:
-    """N, and what chance may add to it: as it is judged from now on, and as it was."""
+    """Returns N and two limits that allow for random variation: the current one and the former one."""
     return n, n + 2 * math.sqrt(n) + 2, n + 3 * math.sqrt(n) + 3
 
 
 def judged(of: Start, s: Settings, mean: float) -> Windows:
-    """`mean` is the work of a mean request."""
+    """Evaluates the windows of one start; `mean` is the mean work of a request in us."""
     made, times = Windows(starts=1), [t for t, _ in of.sent]
     sums = [0.0]
     for _, work in of.sent:
@@ -152,19 +154,19 @@
 
 
 class Process:
-    """A front's process: its head, and what is open there."""
+    """A front process with its scheduler and its open requests."""
 
     def __init__(self, world: "World", number: int, seed: int) -> None:
         self.head = Scheduler(world.settings, seed, world.now)
         self.number = number
-        self.open: dict[str, tuple[Request, int, int]] = {}  # request, when it came, client's try
+        self.open: dict[str, tuple[Request, int, int]] = {}  # request, arrival, client's try
         self.tries: dict[str, int] = {}
-        self.out: dict[str, tuple[int, str, int]] = {}  # attempt, node, when
+        self.out: dict[str, tuple[int, str, int]] = {}  # attempt, node, time of sending
         self.alive = True
 
 
 class World:
-    """One drawn day with `heads` fronts, over and over the same from its seed."""
+    """One random day with `heads` fronts; the same seed always gives the same day."""
 
     def __init__(self, heads: int, seed: int, starts: int) -> None:
         self.chance = chance = random.Random(f"{heads}/{seed}")
@@ -174,7 +176,7 @@
         longest = int(self.of.cold.one("longest_s"))
         self.length = HISTORY + (longest + 4) * SECOND
         speed = self.of.node.draw("speed", chance)
-        if heads > 10:  # where a fleet is large its servers are small
+        if heads > 10:  # large fleets have small servers
             base = draw(self.of, seconds=0.001, load=0.5, shards=shards, fronts=heads, speed=speed, seed=seed)
             speed *= SMALL / base.power
         self.day: Day = draw(
@@ -189,7 +191,9 @@
         )
         self.mean = sum(r.work for r in self.day.requests) / len(self.day.requests)
         told = told_by(self.of, self.day, heads, shards)
-        told["extra"]["coldUnits"] *= chance.uniform(0.38, 1.0)  # 0.19 to 0.5 of what the slowest bears
+        told["extra"]["coldUnits"] *= chance.uniform(
+            0.38, 1.0
+        )  # 0.19 to 0.5 of the slowest server's capacity
         self.settings = configuration.parse_settings(configuration.flatten(told))
         self.kinds = {k.name: k for k in self.day.kinds}
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -250,7 +254,7 @@
     def arrived(self, of: Process, act: Send, attempt: int) -> None:
         start = self.by_node[act.endpoint]
         if act.request_id not in of.open:
-            return  # its front has died: its connection ended before
+            return  # the front process has ended, and its connection with it
         r = of.open[act.request_id][0]
         start.sent.append((self.now, r.work))
         name = f"{act.request_id}/{attempt}"
@@ -304,7 +308,7 @@
             self.at(self.now + self.day.retry_wait, self.ask, r, 1)
 
     def gone(self, of: Process, request: str) -> None:
-        """Its time is over: an attempt that is out has timed out."""
+        """Ends a request at its deadline: an attempt in progress times out."""
         if request in of.open and request in of.out:
             self.ended(of, request, of.out[request][0], AttemptResult.TIMEOUT)
 
@@ -329,7 +333,7 @@
         )
 
     def lump(self, front: int, rows: list[Request]) -> None:
-        """What goes to shards that are not looked at: asked of the head, and over the next moment."""
+        """Feeds requests for shards that are not measured to the scheduler; they expire 1 us later."""
         of, made = self.fronts[front], []
         for r in rows:
             name = f"q{next(self.number)}"
@@ -337,7 +341,7 @@
             made.append(self.request(r, name, r.shard, self.now + 1))
         self.feed(of, *made)
 
-    # What befalls fronts
+    # Events of fronts
 
     def tell(self, front: int, node: Endpoint) -> None:
         self.told[front].append(node)
@@ -345,7 +349,7 @@
 
     def restart(self, front: int, beside: bool) -> None:
         old = self.fronts[front]
-        if beside:  # the new one takes all that comes; the old one has some seconds for what it has
+        if beside:  # the new process takes all new requests; the old one has 3 s for its open ones
             self.at(self.now + 3 * SECOND, self.end, old)
         else:
             self.end(old)
@@ -393,7 +397,7 @@
 
 
 def play(heads: int, starts: int, seed: int = 0) -> Windows:
-    """At least `starts` servers' ramps, over as many drawn days as that takes."""
+    """Plays random days until at least `starts` server starts are measured."""
     made = Windows()
     while made.starts < starts:
         made.add(World(heads, seed, starts - made.starts).play())
@@ -412,7 +416,7 @@
 
 
 def at_revision(rev: str, processes: list[int]) -> list[dict[str, Any]]:
-    """The same, over this repository's program as it was; this file is of now."""
+    """Runs the current version of this file with the program of an earlier revision."""
     packed = subprocess.run(["git", "archive", rev, "umberlead"], cwd=ROOT, capture_output=True, check=True)
     with tempfile.TemporaryDirectory() as folder:
         with tarfile.open(fileobj=BytesIO(packed.stdout)) as tar:
--- a/benchmarks/fleet_speed.py
+++ b/benchmarks/fleet_speed.py
@@ -1,4 +1,4 @@
-"""Virtual time's speed against real time, and its memory, by the fleet's size: `make bench-fleet`."""
+"""Measures speed (against real time) and memory of virtual time by fleet size: `make bench-fleet`."""
 
 import argparse
 import json
@@ -15,7 +15,7 @@
 
 
 def one(fronts: int, servers: int, seconds: float) -> dict[str, float]:
-    """In this process: its peak memory is the world's."""
+    """Plays a day in this process, so that the peak memory of the process is that of the simulated fleet."""
     from umberlead.emulator import rehearsal
     from umberlead.emulator.figures import Figures
     from umberlead.routing_tests.language import parse
@@ -81,7 +81,7 @@
         rows.append(json.loads(got.stdout))
         print(rows[-1], flush=True)
     text = "# Virtual time by the fleet's size\n\n`make bench-fleet`; one core; "
-    text += f"days of {words.seconds:g} s at 56% and surges on top, drawn, played, judged and priced.\n\n"
+    text += f"days of {words.seconds:g} s at 56% load plus surges; drawn, played, checked and scored.\n\n"
     text += "| fronts | servers | requests | core s | of the day in a s | peak MB | service |\n"
     text += "|---|---|---|---|---|---|---|\n"
     for r in rows:
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -1,19 +1,21 @@
-"""How long after their clients left requests are still sent on, and what looking for it costs: `make
-bench-leaving`.
+"""Measures attempts that start after their client has disconnected, and the cost of checking for that.
 
-A front in a process of its own, stand-ins in another, clients here. Each client asks once and leaves after a
-drawn time, closing, ending its sending or resetting; a quarter have sent so much ahead that the front has
-stopped reading. Beside them objects go in, one at a time on each shard, whose clients leave in the middle.
-What was sent on when is told by the stand-ins' record alone: from the system's taking the client's leaving to
-the read of the request's last byte there, on one monotonic clock; what the record itself lags by is in it.
-Three ways:
+Run it with `make bench-leaving`. The front and the stub servers run in a process each, the clients in this
+one. Each client sends one request and disconnects after a random time: by closing, by shutting down its
+sending side or by a reset. A quarter of the clients have sent so much data ahead that the front has stopped
+reading. In parallel, objects are uploaded, one at a time on each shard, and their clients disconnect in
+mid-upload. Only the record of the stub servers counts: the delay runs from the system call that disconnects
+the client to the moment when the stub server has read the last byte of the request, on one monotonic clock,
+and so includes any lag of the record itself. The front runs in three modes:
 
-- `free`: the front has a core;
-- `busy`: it shares one with two processes that never rest (bounded in time);
-- `stopped`: SIGSTOP for 0.15 to 0.3 s, again and again: clients leave and deadlines fall due in that time.
+- `free`: the front has a core of its own;
+- `busy`: it shares a core with two busy-looping processes (which end by themselves after a while);
+- `stopped`: it is stopped by SIGSTOP for 0.15 to 0.3 s repeatedly, so that clients disconnect and deadlines
+  expire meanwhile.
 
-Each is played with the look at the client's connection as an attempt begins and without it. Its cost is the
-processor time a request of two fronts, one with it and one without, loaded by turns; and a call by itself."""
+Each mode runs with and without the check of the client's connection ("look") when an attempt starts. The cost
+of the check is the processor time per request of two fronts, with and without it, loaded alternately; one
+check is also timed by itself."""
 
 import argparse
 import asyncio
@@ -45,9 +47,9 @@
 from umberlead.net.listener import Listener
 
 WAYS, SHARDS, BUSY = ("free", "busy", "stopped"), 8, 2
-RATE, STAY = 500.0, (0.0, 0.3)  # clients a second, and how long they stay, s
-OBJECT_STAY, OBJECT_GAP = 0.12, 0.4  # s an object's client stays at most, and until the next one there
-PAIRS, PART, ASKING = 12, 0.6, 16  # of the cost: turns, s of each, clients that ask at once
+RATE, STAY = 500.0, (0.0, 0.3)  # clients a second; range of the time until one disconnects, s
+OBJECT_STAY, OBJECT_GAP = 0.12, 0.4  # s: longest stay of an uploading client, pause until the next
+PAIRS, PART, ASKING = 12, 0.6, 16  # for the cost: pairs of runs, s of each run, concurrent clients
 CONFIG = """
 name = "front"
 listen = "127.0.0.1:0"
@@ -87,7 +89,7 @@
 
 
 def front(path: str, look: str) -> int:
-    """A front's process; without the look an attempt begins for whoever is not known to have left."""
+    """Runs a front; without the look, an attempt starts unless the client is already known to be gone."""
     os.environ["UMBERLEAD_CONFIG"] = path
     if look == "without":
         from umberlead.requests.lifecycle import RequestLifecycle
@@ -99,7 +101,7 @@
 
 
 class Process:
-    """A front and where it listens: the platform's protocol, the object API."""
+    """A front process, which listens for the protocol of the platform and for the object API."""
 
     def __init__(
         self, folder: Path, name: str, ports: list[int], look: bool, core: int | None = None
@@ -123,7 +125,7 @@
         raise RuntimeError(self.log.read_text())
 
     def used(self) -> int:
-        """ns of processor time."""
+        """Returns the processor time used so far, ns."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0])
 
     def end(self) -> int:
@@ -133,7 +135,7 @@
 
 
 def leave(sock: socket.socket, way: int) -> int:
-    """By closing, ending its sending or resetting; when the system had it, in monotonic ns."""
+    """Disconnects a client: 0 closes, 1 shuts down sending, 2 resets. Returns the time in monotonic ns."""
     if way == 1:
         sock.shutdown(socket.SHUT_WR)
         told = time.monotonic_ns()
@@ -153,15 +155,23 @@
 
 @dataclass
 class Left:
-    """When clients left: by request's id; by shard, from each object's leaving to the next one's begin."""
+    """When clients disconnected, in monotonic ns.
+
+    Attributes:
+        by_id: Time of the disconnection by request id.
+        objects: By shard, for each upload: its disconnection and the start of the next upload.
+    """
 
     by_id: dict[str, int] = field(default_factory=dict)
     objects: dict[int, list[tuple[int, int]]] = field(default_factory=lambda: defaultdict(list))
 
 
 def ahead(sock: socket.socket) -> None:
-    """More than is read ahead; it comes by itself, or what is behind the first request is refused at once."""
-    with contextlib.suppress(OSError):  # it may have left
+    """Sends more than the front reads ahead.
+
+    It is sent separately, as the front would otherwise reject the data behind the first request at once.
+    """
+    with contextlib.suppress(OSError):  # the client may have disconnected
         sock.sendall(b"GET /" + b"x" * 60_000)
 
 
@@ -241,8 +251,11 @@
 
 
 def after(name: str, left: Left, rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """ms from leaving to each attempt begun later: clients' own requests by their ids, objects' blocks by
-    shard and time, as one object at a time goes in there."""
+    """Returns the delays in ms from a disconnection to each attempt that starts later.
+
+    Requests are matched by id. Blocks of objects are matched by shard and time, as each shard has one upload
+    at a time.
+    """
     told = left.by_id
     late = [(r["t"] - told[r["id"]]) / 1e6 for r in rows if r["id"] in told]
     before = {r["id"] for r in rows if r["id"] in told and r["t"] <= told[r["id"]]}
@@ -261,7 +274,7 @@
 
 
 class Asking(asyncio.Protocol):
-    """Asks again as soon as it is answered."""
+    """A client that sends its next request as soon as the previous one is answered."""
 
     def __init__(self, chance: random.Random, name: str) -> None:
         self.chance, self.name, self.count, self.on = chance, name, 0, True
@@ -280,7 +293,7 @@
 
 
 async def turn(address: tuple[str, int], of: Process, name: str) -> float:
-    """us of the front's processor time a request."""
+    """Returns the processor time of the front per request, us."""
     loop, used = asyncio.get_running_loop(), of.used()
     made = [Asking(random.Random(f"{name}/{k}"), f"{name}-{k}") for k in range(ASKING)]
     for each in made:
@@ -296,7 +309,7 @@
 
 
 async def cost(folder: Path, ports: list[int]) -> list[tuple[float, float]]:
-    """us a request without and with the look, turn by turn; who goes first changes."""
+    """Returns us per request without and with the look, by pair of runs; the order alternates."""
     both = [Process(folder, f"cost-{look}", ports, look) for look in (False, True)]
     try:
         places = [(await of.ready())[0] for of in both]
@@ -306,14 +319,14 @@
             for look in (0, 1) if k % 2 else (1, 0):
                 got[look] = await turn(places[look], both[look], f"{k}-{look}")
             made.append((got[0], got[1]))
-        return made[1:]  # the first one warms both
+        return made[1:]  # the first pair warms up both fronts
     finally:
         for of in both:
             of.end()
 
 
 async def call() -> float:
-    """us of one look by itself, on a connection that stands."""
+    """Returns the time of a single look in us, on an established connection."""
     loop, seen = asyncio.get_running_loop(), list[Any]()
     clients = ClientGroup(9, lambda: 0, Counters(), 0, 1 << 20, print)
 
@@ -410,9 +423,11 @@
         "latest, ms",
     ]
     text = "# Attempts begun after their client left\n\n"
-    text += f"`make bench-leaving`; {seconds:g} s each, seed {seed}. Latest: the last request that stand-ins"
-    text += " read whole after its client had left; what they take to read it is in it. Without the look: as"
-    text += " the program was before it. Each front serves alone.\n\n"
+    text += f"`make bench-leaving`; {seconds:g} s each, seed {seed}. Latest: the last request that a stub"
+    text += (
+        " server read completely after its client had disconnected, including the time to read it. Without"
+    )
+    text += " the look: the program before the check was added. Each front serves alone.\n\n"
     text += "| " + " | ".join(heads) + " |\n| --- |" + " --- |" * (len(heads) - 1) + "\n"
     text += "\n".join(row(name, of) for name, of in made["ways"].items()) + "\n\n"
     text += "| the look's cost | us |\n| --- | --- |\n"
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -1,8 +1,8 @@
-"""How long lists are loaded beside a live loop, and what a change costs in its one turn: `make
-bench-long-lists`.
+"""Measures loading long lists while the event loop runs, and the loop time to apply a change.
 
-The loop's stops are measured by a task that wakes each millisecond; the same task beside an idle thread gives
-what the machine itself adds. A reload changes one line; the whole change replaces every server."""
+Run it with `make bench-long-lists`. A task that wakes up every millisecond measures how long the loop is
+blocked; the same task without a reload shows the delay caused by the machine itself. A reload changes one
+line; the whole change replaces the line of every server."""
 
 import argparse
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class Addresses:
-    """The part of a pool that a change touches."""
+    """The part of a connection pool that applying a change uses."""
 
     def __init__(self) -> None:
         self.addresses: dict[str, Any] = {}
@@ -54,7 +54,7 @@
 
 
 async def stops(done: asyncio.Event) -> list[float]:
-    """ms by which each wake came later than its millisecond."""
+    """Returns by how many ms each wake-up was late, ascending."""
     made = []
     while not done.is_set():
         before = time.perf_counter()
@@ -97,7 +97,7 @@
         began = time.perf_counter()
         made.load_first_list()
         first = (time.perf_counter() - began) * 1000
-        gc.set_threshold(10_000, 20, 20)  # as a front has it once it has started
+        gc.set_threshold(10_000, 20, 20)  # the setting of a front after its start
         gc.collect()
         gc.freeze()
         made.start_watching()
--- a/benchmarks/news.py
+++ b/benchmarks/news.py
@@ -1,11 +1,12 @@
-"""How soon all fronts of a fleet know a change once discovery has it and can be reached, and how many calls
-that takes, by simulation in virtual time: `make bench-news`.
+"""Simulates how long discovery changes take to reach all fronts of a fleet after an outage, and how many
+discovery calls that takes, in virtual time: `make bench-news`.
 
-A service takes so many calls a second, one after the other. What waited TURN is turned away then; its turn
-comes all the same and costs as much. An agent of the front's own answers at once, or is silent while
-discovery is down. Every front's watch ends or falls silent as discovery goes down, or is opened by a
-process that starts meanwhile; what happens to calls until discovery is back is a way to fail. The change is
-there at its return at the latest."""
+A discovery service answers calls one after the other at a fixed rate. A call that has waited
+SERVICE_QUEUE_TIMEOUT_US is rejected, yet it keeps its turn in the queue and costs the service as much as an
+answered one. A local discovery agent answers at once, or is silent while discovery is down. When discovery
+goes down, the watch of each front ends or falls silent; a front that restarts during the outage opens a new
+watch. The failure of a `World` says what happens to calls during the outage. The change is available when
+discovery returns, at the latest."""
 
 import argparse
 import heapq
@@ -24,33 +25,35 @@
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "news.md"
 SECOND = 1_000_000
-AGENT = 2_000  # us an agent takes
+AGENT = 2_000  # us until an agent answers a call
 FAILURES = ("refused", "no", "hung dial", "hung", "half a list", "silent", "reset")
 
 
 CHOSEN = """
 ## What is chosen
 
-- The bound goes first. Until a call is turned away after it waited its turn, each front calls so that its
-  next call begins 3.85 s after its last sign of life at the latest, whatever failed and whatever Retry-After
-  says; a call may then wait 2 s for its turn. Once windows have grown, that is one call a front in 3.85 s.
-- Where a call was turned away after its wait and the fleet is larger than 29 (5 calls a second in 5.85 s),
-  the service gets more than it takes and nobody is told by calling sooner: the front waits until the queue
-  must have been worked off at 5 calls a second, calls again within as long, and twice that with each further
-  such no, to 60 s at most. Up to 29 fronts keep to the bound all the same.
-- So a service that takes a little less than a large fleet's calls within the bound has it told later than
-  before, and one that takes far less has it told sooner, or at all. How many calls it takes is told nowhere;
-  some 7 a second were seen.
-- A no that comes at once, a refused connection, a reset and silence are taken to cost a service nothing, and
-  the bound holds for them at any size.
-- An agent is told from a service by its first word; a service taken for an agent says no to a call that was
-  given up, which is listened to for 2.5 s. Of more than 8 fronts one that never met its agent waits 2.5 s for
-  that no before it takes silence for an agent's.
+- The bound on the delay has priority. Until a call is rejected after waiting in the queue of the service,
+  each front starts its next call at most 3.85 s after the last activity on its watch, whatever the failure
+  and whatever Retry-After says; a call may then wait 2 s in the queue. Once the backoff windows have grown,
+  each front makes one call in 3.85 s.
+- If a call is rejected after waiting in the queue and the fleet has more than 29 fronts (5 calls a second in
+  5.85 s), the service is overloaded, and earlier calls do not shorten the delay: the front waits until the
+  queue must be empty at 5 calls a second and calls again within the same time. The wait doubles with each
+  further such rejection, up to 60 s. Fleets of up to 29 fronts keep the bound in this case too.
+- A service that answers slightly fewer calls than a large fleet makes within the bound therefore notifies
+  that fleet later than before; one that answers far fewer notifies it sooner, or at all. The capacity of the
+  service is not documented; about 7 calls a second were observed.
+- An immediate rejection, a refused connection, a reset and silence are assumed to cost the service nothing;
+  the bound holds for them at any fleet size.
+- A front tells an agent from a service by the first response. A service that is mistaken for an agent
+  rejects a call that has timed out; the front still reads that response for 2.5 s. In a fleet of more than 8
+  fronts, a front that has never reached its agent waits 2.5 s for such a rejection before it concludes from
+  silence that discovery is an agent.
 """
 
 
 class PreviousPacing(WatchPacing):
-    """The pacing as it was at c66d2e7, for comparison. It kept nothing for the next process."""
+    """The pacing of revision c66d2e7, for comparison. It saves no state for the next process."""
 
     def __init__(
         self, fleet_size: int, expects_agent: bool, is_agent: bool | None, rng: random.Random
@@ -89,10 +92,15 @@
 
 @dataclass(frozen=True)
 class World:
-    """A fleet, who answers it, and how it fails. `rate`, calls a second the service takes (0: agents of the
-    fronts' own); `pushed`, whether a front takes it for an agent until it learns better; `down`, us;
-    `restarted`, the part of the fleet that starts while discovery is down; `retry_after`, us, said with a
-    no."""
+    """A fleet, its discovery and the failure of that discovery.
+
+    Attributes:
+        rate: Calls a second that the service answers; 0 if each front has a local agent instead.
+        pushed: Whether a front assumes that the service is an agent until a response shows otherwise.
+        down: Length of the outage, us.
+        restarted: Fraction of the fleet that restarts during the outage.
+        retry_after: Retry-After of a rejection, us.
+    """
 
     fronts: int
     rate: float = 0.0
@@ -101,22 +109,26 @@
     down: int = 8 * SECOND
     restarted: float = 0.0
     retry_after: int = 0
-    known: bool = False  # a new process knows from the one before that an agent answers
+    known: bool = False  # a restarted process has saved state saying that an agent answers
     until: int = 300 * SECOND
 
 
 class _Front:
     def __init__(self, pacing: WatchPacing) -> None:
         self.pacing = pacing
-        self.call: WatchCall | None = None  # what it waits for
-        self.late: WatchCall | None = None  # given up, and listened to
-        self.turn = 0  # of its next call: an earlier one is called off
+        self.call: WatchCall | None = None  # the call in progress
+        self.late: WatchCall | None = None  # a timed-out call whose response is still read
+        self.turn = 0  # number of the latest scheduled call; earlier ones are cancelled
         self.told: int | None = None
 
 
 class Fleet:
-    """One fleet through one failure. `notification_delays_us`: us after discovery could be reached; `calls`:
-    by second since then; `downs`: by second before it."""
+    """Plays one failure for one fleet.
+
+    Attributes:
+        calls: Number of calls by second, counted from the moment when discovery is reachable again.
+        downs: Number of calls during the outage, by second relative to the same moment (negative).
+    """
 
     def __init__(self, world: World, made: Callable[..., WatchPacing] = WatchPacing, seed: int = 0) -> None:
         self.world, self.chance = world, random.Random(seed)
@@ -141,7 +153,10 @@
             what()
 
     def notification_delays_us(self) -> list[int]:
-        """Ascending; one never told counts as the end of the time that was looked at."""
+        """Returns the delay of each front, ascending, in us since discovery is reachable again.
+
+        A front that never receives the change counts with the end of the simulated time.
+        """
         end = self.back + self.world.until
         return sorted((end if f.told is None else f.told) - self.back for f in self.fronts)
 
@@ -155,7 +170,7 @@
         return lambda: self._calls(front) if turn == front.turn else None
 
     def _stood(self, front: _Front) -> None:
-        """A watch that stands, and whose end comes as discovery goes down."""
+        """Starts a front with an established watch, which ends or falls silent when discovery goes down."""
         pacing, fell = front.pacing, 10 * SECOND
         if not self.world.rate and pacing.is_agent is None:
             pacing.is_agent = True
@@ -237,13 +252,17 @@
 
 
 def part(times: list[int], share: float) -> float:
-    """In s, the time by which that share of the fleet is told."""
+    """Returns the time in s within which that share of the fleet has received the change."""
     return times[max(math.ceil(share * len(times)) - 1, 0)] / SECOND
 
 
 def figures(world: World, made: Callable[..., WatchPacing], seeds: int) -> dict[str, float]:
-    """Over all seeds: p50 and p99 of all fronts, the last of all; the busiest second's calls since discovery
-    could be reached; the part of plays with every front told in 6 s."""
+    """Returns the figures over all seeds.
+
+    These are p50, p99 and maximum of the delay over all fronts, in s; the number of calls in the busiest
+    second since discovery is reachable again; and the fraction of plays in which every front receives the
+    change within 6 s.
+    """
     plays = [Fleet(world, made, seed) for seed in range(seeds)]
     times = sorted(t for play in plays for t in play.notification_delays_us())
     return {
@@ -279,7 +298,10 @@
 
 
 def least(fronts: int, failing: str, seeds: int, made: Callable[..., WatchPacing]) -> float | None:
-    """The least rate, in whole calls a second, at which each play has every front told in 6 s."""
+    """Returns the lowest whole rate in calls a second at which every front receives the change within 6 s.
+
+    This must hold in each play; None if it does not hold at 400 calls a second.
+    """
     low, high = 0, 400
     if figures(World(fronts, high, failure=failing, until=20 * SECOND), made, seeds)["held"] < 1:
         return None
@@ -291,10 +313,14 @@
 
 
 def report(seeds: int) -> str:
-    text = f"# News of changes\n\n`make bench-news`; by simulation, {seeds} plays a row. Seconds after "
-    text += "discovery had the change and could be reached, over all fronts and plays; calls in the busiest "
-    text += "second since then; before: the program at c66d2e7. A call turned away or given up costs "
-    text += "the service as much as one that it answers.\n\n" + HEAD
+    text = (
+        f"# News of changes\n\n`make bench-news`; by simulation, {seeds} plays a row. Delays are in seconds "
+    )
+    text += (
+        "since discovery has the change and is reachable, over all fronts and plays; calls are those of the "
+    )
+    text += "busiest second since then. Before: the program at c66d2e7. A rejected or timed-out call costs "
+    text += "the service as much as an answered one.\n\n" + HEAD
     base = World(1)
     for fronts in (1, 30, 200):
         for failing in ("hung", "silent"):
@@ -311,9 +337,9 @@
     for fronts, rate in ((5, 7), (28, 7), (40, 7), (200, 20), (200, 80)):
         for failing in ("refused", "hung dial", "hung"):
             text += row(World(fronts, rate, True, failing, restarted=0.7), max(seeds // 2, 1))
-    text += "\n## Where both can't hold\n\nThe least rate of calls at which every play had all fronts "
-    text += "told in 6 s; no pacing can do with less than fronts / 6, and half of that time is gone where a "
-    text += "watch fell silent.\n\n| fronts | failing | before | after |\n|---|---|---|---|\n"
+    text += "\n## Where both can't hold\n\nThe lowest rate of calls at which every play notifies all fronts "
+    text += "within 6 s. No pacing needs less than fronts / 6. Detecting a silent watch takes half of that "
+    text += "time.\n\n| fronts | failing | before | after |\n|---|---|---|---|\n"
     for fronts in (1, 2, 5, 30, 40, 100, 200):
         for failing in ("refused", "hung", "silent", "reset"):
             rates = [
--- a/benchmarks/planted_routes.py
+++ b/benchmarks/planted_routes.py
@@ -1,7 +1,7 @@
-"""Plants mistakes in the configuration, the list, the membership machine, the engine and the module, one at a
-time, and sees which rule of the example suite names each: `make planted-routes`.
+"""Plants faults in the configuration, list, membership, engine and module, one at a time, and reports which
+rules of the example suite fail: `make planted-routes`.
 
-A mistake counts as caught where a rule fails that speaks of it, not where anything does."""
+A fault counts as caught only if a rule fails that covers it; the failure of any other rule is not enough."""
 
 import json
 import os
@@ -25,8 +25,8 @@
 RETRIES, PRIORITIES = "umberlead/scheduling/retries.py", "umberlead/scheduling/priorities.py"
 GUARD = "umberlead/requests/send_guard.py"
 MACHINE, JOIN = "umberlead/membership/list_merge.py", "umberlead/membership/integration.py"
-NOT_LISTED = "error: no server is listed"  # something befalls it, and it is not there
-READ_ONLY = "read"  # the suite, the configuration or the list is refused before anything is played
+NOT_LISTED = "error: no server is listed"  # the scenario changes a server that is not in the list
+READ_ONLY = "read"  # the suite, the configuration or the list is rejected before any scenario runs
 
 PLANTED = (
     # configuration
@@ -47,7 +47,7 @@
     ("a server takes one unit at a time", LIST_A, "shard 0 room room-a weight 1", "shard 0 room room-a weight 1 max-units 0.1", set()),
     ("the heavy server lost its weight", "deploy/expectations/weighted.list", "shard 0 weight 4", "shard 0 weight 1", {"share"}),
     ("weights of two servers are exchanged", "deploy/expectations/weighted.list", "shard 4 weight 0", "shard 4 weight 1", {"share", "never"}),
-    # membership machine, and what is told of its changes
+    # membership, and the changes that it passes on
     ("a draining server counts as ready", MACHINE, "if listed.status is not EndpointStatus.UP and merged.status is EndpointStatus.UP:", "if False:", set()),
     ("who left the list stays", JOIN, "endpoints = [scheduler_endpoint(active, EndpointStatus.GONE) for active in change.removed]", "endpoints = []", {"never", "only"}),
     ("changes of a server are not told", JOIN, "    endpoints += [scheduler_endpoint(after) for _, after in change.changed]\n", "", {"never", "only"}),
@@ -93,7 +93,7 @@
 def _exchange(root: Path, file: str, old: str | None, new: str) -> bool:
     path = root / file
     text = path.read_text()
-    if old is None:  # the server's line goes, and the count with it
+    if old is None:  # removes the line of the server and corrects the line count
         rows = text.splitlines()
         kept = [r for r in rows if f" {new} " not in r]
         count = int(kept[-1].split()[1]) - (len(rows) - len(kept))
@@ -106,7 +106,7 @@
 
 
 def play(number: int) -> tuple[str, str, set[str], set[str]]:
-    """Name, file, the rules that failed, and those that should have."""
+    """Returns the name and file of a fault, the rules that failed, and those that were expected to fail."""
     name, files, olds, news, wanted = PLANTED[number]
     pairs = zip(files, olds, news, strict=True) if isinstance(files, tuple) else [(files, olds, news)]
     where = files if isinstance(files, str) else " and ".join(files)
--- a/benchmarks/rehearsals.py
+++ b/benchmarks/rehearsals.py
@@ -1,4 +1,6 @@
-"""One script on sockets, twice, and in virtual time, service against service: `make bench-rehearsals`."""
+"""Compares the service figure of one script on sockets and in virtual time, each played twice.
+
+Run it with `make bench-rehearsals`."""
 
 import argparse
 import sys
@@ -21,7 +23,8 @@
     "class.image-upload",
     "class.bulk-export",
 )
-BETWEEN, FROM_VIRTUAL = 0.02, 0.05  # how far services may lie apart
+# Allowed difference of the service figure: between the two socket runs, and from virtual time.
+BETWEEN, FROM_VIRTUAL = 0.02, 0.05
 
 
 def played(script: str, seed: int) -> dict[str, tuple[rehearsal.Result, float]]:
@@ -82,11 +85,11 @@
                 )
             seconds = [made[k][1] for k in ("virtual", "sockets", "sockets again")]
             text += "| seconds taken | " + " | ".join(f"{s:.0f}" for s in seconds) + " |\n"
-            text += f"\nVirtual time twice: {'the same bytes' if same else 'NOT THE SAME'}. "
+            text += f"\nVirtual time twice: {'identical output' if same else 'OUTPUT DIFFERS'}. "
             text += f"Sockets twice: {apart:.4f} apart. From virtual time: {off:.4f} at most. "
-            text += "No rule broken, all expectations held.\n" if held else "NOT ALL HELD.\n"
+            text += "No rule broken, all expectations held.\n" if held else "A RULE OR EXPECTATION FAILED.\n"
             behind = max(sockets.late, again.late)
-            text += f"The rehearsal's own process was {behind * 1000:.0f} ms behind at worst.\n"
+            text += f"The rehearsal process itself was at most {behind * 1000:.0f} ms behind schedule.\n"
             for result, _ in made.values():
                 text += "".join(f"- {words}\n" for words in (*result.shown, *result.faults))
     print(text)
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,13 +1,15 @@
-"""How soon fronts that start together are ready, and what the time goes into: `make bench-restarts`.
+"""Measures how long fronts that start together take to become ready, by phase: `make bench-restarts`.
 
-As many fronts as a release starts are started at once, each as the deploy file's `run` does, on a loopback
-address of its own, beside processes that keep all cores busy. Discovery is a stand-in in the benchmark's own
-process: it answers at once, takes calls and says nothing, refuses connections, or answers in turn and turns
-away what waited too long. A front is ready with its first 200 to `GET /healthz`, asked for every 50 ms; its
-time runs from just before its start. The parts come from the front's own line `started`. Modules are timed by
-the interpreter (`-X importtime`) in one front before the others.
+As many fronts as a release starts are started at once, each as by `run` of the deploy file, each on its own
+loopback address, while other processes keep all cores busy. Discovery is a stub in the process of the
+benchmark: it answers at once, accepts calls without answering, refuses connections, or answers calls one
+after the other and rejects those that wait too long. A front is ready when `GET /healthz`, polled every
+50 ms, first returns 200; its time counts from just before its start. The phases come from the `started` line
+in the log of the front. The interpreter times module imports (`-X importtime`) in one front before the others
+start.
 
-Run it with the platform's own environment (`.venv`): a tester's has more, and structlog loads some."""
+Run it with the environment of the platform (`.venv`): a test environment has more packages, and structlog
+loads some of them."""
 
 import argparse
 import asyncio
@@ -26,10 +28,10 @@
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements"
-EVERY = 0.05  # s between asks for readiness
-LONGEST = 30.0  # s that a front may take, as the standing test has it
-WANTED, OF = 10.0, 0.9  # s within which that part of the fronts has to be ready
-PACE, PATIENCE = 7.0, 2.0  # calls a second that a slow discovery answers, and s until it turns one away
+EVERY = 0.05  # s between two readiness polls
+LONGEST = 30.0  # s that a front may take to become ready, as in the standing test
+WANTED, OF = 10.0, 0.9  # s within which that fraction of the fronts has to be ready
+PACE, PATIENCE = 7.0, 2.0  # calls a second that a slow discovery answers; s until it rejects one
 WAYS = {
     "up": ("push", "answers at once"),
     "hung": ("push", "takes calls and says nothing"),
@@ -37,7 +39,8 @@
     "slow": ("push", "answers in turn, 7 a second, 503 after 2 s"),
     "slow, asked for": ("ask", "the same, where the settings say that lists are asked for"),
 }
-# Parts of a start, in their order; `began` splits what is before the program's first line from the rest.
+# Phases of a start, in order. `began` in the log is the time of the program's first line: the interpreter
+# phase ends there.
 PARTS = ("interpreter", "imports", "configuration", "parts", "list", "listeners", "answer")
 SPIN = "import time\nend = time.monotonic() + {}\nwhile time.monotonic() < end: pass"
 ASK = b"GET /healthz HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n"
@@ -45,7 +48,7 @@
 
 @dataclass
 class Started:
-    """One front: its process, and in s of the monotonic clock when it was started and when it was ready."""
+    """One front process. `since` and `ready` are the times of its start and readiness, in monotonic s."""
 
     process: subprocess.Popen[bytes]
     address: tuple[str, int]
@@ -59,7 +62,7 @@
 
 
 class Discovery:
-    """The stand-in. Where it is slow it has one queue for all calls."""
+    """The discovery stub. In its slow modes it has one queue for all calls."""
 
     def __init__(self, way: str, endpoints: list[dict[str, Any]]) -> None:
         self.way, self.tasks = way, set[asyncio.Task[None]]()
@@ -90,7 +93,7 @@
             self.tasks.discard(task)
 
     async def turned(self) -> bool:
-        """Whether a call's turn came in time; it takes its part of the pace."""
+        """Waits for the turn of a call, at PACE; returns False if the wait exceeds PATIENCE."""
         try:
             await asyncio.wait_for(self.turn.acquire(), PATIENCE)
         except TimeoutError:
@@ -103,7 +106,7 @@
 
 
 def told(folder: Path, k: int, port: int, discovery: int, lists: str, fronts: int) -> dict[str, str]:
-    """The platform's environment for front `k`, with a folder of its own."""
+    """Creates a folder for front `k` and returns the environment variables that the platform would set."""
     own = folder / f"f{k}"
     own.mkdir()
     grades = [
@@ -135,7 +138,7 @@
 
 
 def start(folder: Path, env: dict[str, str], *words: str) -> Started:
-    """As `run` of the deploy file: one process, no shell left between."""
+    """Starts a front as `run` of the deploy file does: one process, without a shell as its parent."""
     host, _, port = env["EDGE_LISTEN"].rpartition(":")
     log = folder / f"{env['EDGE_NAME']}.log"
     with log.open("wb") as file:
@@ -145,7 +148,7 @@
 
 
 async def answers(address: tuple[str, int]) -> bool:
-    """Whether it says 200 within a second."""
+    """Returns whether the front answers the health check with 200 within a second."""
     try:
         async with asyncio.timeout(1):
             reader, writer = await asyncio.open_connection(*address)
@@ -159,8 +162,8 @@
 
 
 async def watch(one: Started, number: int = 0) -> None:
-    """Until it is ready, has ended or took too long; then its parts, as far as it told them."""
-    await asyncio.sleep(EVERY * (number % 10) / 10)  # not all in one moment
+    """Polls a front until it is ready, has exited or exceeds LONGEST; then reads its phases from its log."""
+    await asyncio.sleep(EVERY * (number % 10) / 10)  # spreads the polls of the fronts over the interval
     while time.monotonic() - one.since < LONGEST and one.process.poll() is None:
         if await answers(one.address):
             one.ready = time.monotonic()
@@ -193,7 +196,7 @@
 
 
 async def played(way: str, number: int) -> list[Started]:
-    """`number` fronts, started together beside the busy load that stands already."""
+    """Starts `number` fronts together under the running load; waits until each is ready or fails."""
     kind = way.partition(",")[0]
     discovery, made = Discovery(kind, endpoints(number)), list[Started]()
     with tempfile.TemporaryDirectory() as name, socket.socket() as listener, socket.socket() as free:
@@ -201,7 +204,7 @@
         free.bind(("127.1.0.0", 0))
         port, server = free.getsockname()[1], None
         free.close()
-        if kind != "refused":  # bound, and not listening, it refuses
+        if kind != "refused":  # a socket that is bound but not listening refuses connections
             listener.setblocking(False)
             server = await asyncio.start_server(discovery.take, sock=listener, backlog=1024)
         folder, at = Path(name), listener.getsockname()[1]
@@ -222,7 +225,11 @@
 
 
 async def imports() -> tuple[list[tuple[str, float, int]], Started]:
-    """One front alone: ms of its imports by package, and their number; and its start without that timing."""
+    """Starts one front alone, twice.
+
+    Returns the import time in ms and the number of modules by package, from the start with import timing, and
+    the start without it.
+    """
     with tempfile.TemporaryDirectory() as name, socket.socket() as refusing:
         refusing.bind(("127.0.0.1", 0))
         folder, at = Path(name), refusing.getsockname()[1]
@@ -250,21 +257,21 @@
 
 
 def at(values: list[float], part: float) -> float:
-    """The nearest rank."""
+    """Returns a percentile by nearest rank."""
     return sorted(values)[max(-int(-len(values) * part // 1) - 1, 0)]
 
 
 def report(
     rounds: dict[str, list[Started]], busy: int, beside: float, modules: Any, alone: Started
 ) -> tuple[str, bool]:
-    """The page, and whether the term is met; `beside`, the load average before, should be near 0."""
+    """Returns the page and whether the target is met; `beside`, the load average before, should be near 0."""
     number = len(next(iter(rounds.values())))
     lines = [
         "# Restarts",
         "",
         f"`make bench-restarts`; {number} fronts started together beside {busy} processes that spin, on",
-        f"{os.cpu_count()} cores. A front is ready with its first 200 to `GET /healthz`, asked every 50 ms.",
-        f"Times are s since just before its start. Wanted: nine in ten within {WANTED:g} s.",
+        f"{os.cpu_count()} cores. A front is ready when `GET /healthz`, polled every 50 ms, returns 200.",
+        f"Times are s since just before its start. Target: nine in ten within {WANTED:g} s.",
         f"The machine's load average before was {beside:.1f}.",
         "",
         "| discovery | p50 | p90 | max | ready within 10 s | not ready in 30 s |",
@@ -287,7 +294,7 @@
         "listeners, collection",
         "first answer seen",
     )
-    lines += ["", "What it goes into, ms; for the busy machine p50, p90 and max of all fronts.", ""]
+    lines += ["", "Time by phase, ms; for the busy machine p50, p90 and max of all fronts.", ""]
     lines += [
         "| part | one front alone | " + " | ".join(rounds) + " |",
         "| --- |" + " --- |" * (len(rounds) + 1),
--- a/benchmarks/room_loss.py
+++ b/benchmarks/room_loss.py
@@ -1,5 +1,7 @@
-"""A room lost and restored: on sockets with and without [rooms], in virtual time over many days, and how
-often and how soon verdicts come: `make bench-rooms`."""
+"""Measures the loss and recovery of a room: `make bench-rooms`.
+
+There are three parts: on sockets with and without [rooms], in virtual time over many days, and a simulation
+of how often the loss of a room is detected wrongly and how soon a real loss is detected."""
 
 import argparse
 import os
@@ -26,12 +28,14 @@
 SERVERS = 12
 
 
-# Verdicts, by simulation
+# Simulation of verdicts
 
 
 def verdicts(rate: float, breaks: float, lost_at: int, seed: int, seconds: int = 60) -> tuple[int, int]:
-    """Wrong losses, and us until the lost room is held lost (-1: never). `rate` is of one front's
-    attempts."""
+    """Returns the number of false detections, and the us until the loss is detected (-1: never).
+
+    `rate` is the number of attempts a second of one front.
+    """
     chance, of = random.Random(seed), ZoneHealth(ZoneSettings(), seed, 0)
     of.apply_endpoint_list(0, [ZoneMember(f"s{k}", f"r{k % 3}", k) for k in range(SERVERS)])
     now, wrong, out = 0, 0, list[tuple[int, str, str, Contact]]()
@@ -83,7 +87,10 @@
 
 
 def measured(made: Plan, of: Records, dials: Counter[int]) -> dict[str, float]:
-    """From servers' and clients' records: how the reserves fared in the loss, and connections."""
+    """Returns the share of reserved units served during the loss, and the rate of new connections.
+
+    Both come from the records of servers and clients.
+    """
     (cut,) = made.partitions
     begin, end = cut.begin // MICROSECONDS_PER_S, cut.end // MICROSECONDS_PER_S
     first = {a.id: a.first for a in of.asked}
@@ -159,7 +166,7 @@
         cells = running.play(of, Path(folder), workers)
         rows = dataset.rows(cells)
     text = "## In virtual time\n\n`umberlead experiment deploy/rehearsals/room-loss.toml`, "
-    text += f"{len(of.seeds)} seeds of five scenarios; against the front without [rooms], paired by day.\n\n"
+    text += f"{len(of.seeds)} seeds of five scenarios, compared with the front without [rooms] by day.\n\n"
     text += "| scenario | arm | service without | difference | held back without | held back |\n"
     text += "|---|---|---|---|---|---|\n"
     for scenario in sorted({r["scenario"] for r in rows}):
@@ -171,8 +178,7 @@
             text += f"{held[of.baseline]:.1f} | {held[pair.arm]:.1f} |\n"
     broken = sum(r["value"] for r in rows if r["measure"] == "breaches")
     return (
-        text
-        + f"\nRules broken: {broken:.0f}. Cells without a result: {sum(bool(c.fault) for c in cells)}.\n",
+        text + f"\nRules broken: {broken:.0f}. Runs without a result: {sum(bool(c.fault) for c in cells)}.\n",
         rows,
     )
 
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,4 +1,4 @@
-"""Versions of the module ranked over days like the simulator's: `make bench-versions`."""
+"""Ranks versions of the module over simulated days that resemble the simulator's: `make bench-versions`."""
 
 import argparse
 import os
@@ -43,7 +43,7 @@
             against = f"{pair.difference.words()} | {pair.better}, {pair.worse}" if pair else " | "
             text += f"| {name} | {revs[name]} | {mean.mean:.4f} | {against} |\n"
         broken = sum(sum(days.values()) for days in compare.by_arm(rows, "breaches").values())
-        text += f"\nRules broken: {broken:.0f}. Cells without a result: {len(faults)}.\n"
+        text += f"\nRules broken: {broken:.0f}. Runs without a result: {len(faults)}.\n"
         print(text)
         if words.keep:
             shutil.copy(Path(folder) / "differences.png", OUT / "versions.png")
--- a/benchmarks/virtual_time.py
+++ b/benchmarks/virtual_time.py
@@ -1,7 +1,8 @@
-"""Routing tests' speed, and what the observer costs the serving path: `make bench-virtual`.
+"""Measures the speed of routing tests and the cost of the observer on the serving path: `make bench-virtual`.
 
-Requests a second of one core in virtual time, by servers and by collections; then the decision path alone
-with the observer off and on, in turn, so that the machine's drift falls on both."""
+The speed is in requests a second of one core in virtual time, by number of servers and of collections. The
+decision path is then measured alone, with the observer off and on alternately, so that drift of the machine
+affects both alike."""
 
 import argparse
 import statistics
@@ -40,7 +41,7 @@
 
 
 def speed(servers: int, collections: int, new: bool) -> float:
-    """Simulated requests a second of CPU."""
+    """Returns simulated requests per CPU second."""
     shards = max(servers // 2, 1)
     listed = {
         f"n{k}": EndpointSpec(f"n{k}", (f"10.0.{k >> 8}.{k & 255}", 80), k % shards) for k in range(servers)
@@ -60,7 +61,7 @@
 
 
 class _Ends:
-    """A carrier whose attempts end at the next step."""
+    """A transport that collects its attempts; the caller ends them in its next step."""
 
     def __init__(self) -> None:
         self.out: list[Attempt] = []
@@ -69,14 +70,14 @@
         self.out.append(attempt)
 
     def stop(self, attempt: Attempt, result: AttemptResult) -> None:
-        raise AssertionError("nothing is late here")
+        raise AssertionError("no attempt is expected to be stopped")
 
     def cancel_if_unsent(self, attempt: Attempt) -> bool:
         return False
 
 
 def decisions(observed: bool) -> float:
-    """us of CPU of one request through engine and module, with its outcome."""
+    """Returns the CPU time in us of one request through engine and module, including its outcome."""
     now, soon = [1_000_000], list[Any]()
     wheel = TimerWheel(lambda: now[0], lambda delay, fn: None, 2000)
     engine = RequestLifecycle(settings(8), 1, lambda: now[0], wheel, soon.append, Counters(), print)
@@ -121,17 +122,17 @@
     off, on = paired()
     ratios = sorted(b / a for a, b in zip(off, on, strict=True))
     text = "# Virtual time, and the observer's cost\n\n"
-    text += f"`make bench-virtual`; some {REQUESTS} requests a figure, one core, seed 1.\n\n"
+    text += f"`make bench-virtual`; about {REQUESTS} requests a figure, one core, seed 1.\n\n"
     text += (
         "| servers | requests a second, shards told | requests a second, new objects |\n| --- | --- | --- |\n"
     )
     text += "\n".join(f"| {n} | {a:.0f} | {b:.0f} |" for n, a, b in by_servers)
     text += "\n\n| collections, 50 servers | requests a second |\n| --- | --- |\n"
     text += "\n".join(f"| {n} | {a:.0f} |" for n, a in by_collections)
-    text += f"\n\nThe decision path, {DECISIONS} requests a run, {PAIRS} pairs in turn: "
+    text += f"\n\nThe decision path, {DECISIONS} requests a run, {PAIRS} pairs of alternate runs: "
     text += f"{statistics.median(off):.1f} us a"
     text += (
-        f" request with the observer off, {statistics.median(on):.1f} with one that counts; ratio of a pair"
+        f" request with the observer off, {statistics.median(on):.1f} with a counting one; ratio of a pair"
     )
     text += f" {statistics.median(ratios):.3f} in the median, {ratios[0]:.3f} to {ratios[-1]:.3f}.\n\n"
     text += "![requests a second by servers](virtual-time.svg)\n"
--- a/benchmarks/watched_lists.py
+++ b/benchmarks/watched_lists.py
@@ -1,15 +1,16 @@
-"""Files swapped 50 times a second under load, a third of them broken: `make bench-lists`.
+"""Replaces a watched list 50 times a second under load, a third of the time by an invalid list.
 
-Four fronts watch one list; stand-ins serve it; a load generator asks 240 requests a second. The same load
-runs without swaps first and last, for comparison. What was routed where is judged by the stand-ins' record
-alone:
+Run it with `make bench-lists`. Four fronts watch one list and send to stub servers; a load generator sends
+240 requests a second. The same load runs without replacements before and after, for comparison. Only the
+record of the stub servers shows where requests were routed:
 
-- broken lists name trap servers that listen but stand in no sound list: any request there was routed by a
-  list that is not whole, or was refused;
-- two servers leave the list for good stretches; from their record comes how long after a removal work came.
+- invalid lists name trap servers, which listen but are in no valid list: a request there was routed by a
+  partial list or by one that should have been rejected;
+- two servers leave the list for two seconds or more at a time; their record shows how long after a removal
+  they still received requests.
 
-The time from change to force is from the end of a sound swap to the front's log line of that version, or of a
-later one. Table and chart go to docs/measurements/."""
+The time until a list takes effect runs from the end of writing a valid list to the log line of the front for
+that version or a later one. The table and the chart are written to docs/measurements/."""
 
 import argparse
 import asyncio
@@ -28,8 +29,8 @@
 from umberlead.load_generator import platform
 
 ROOT = Path(__file__).parent.parent
-# Lists are swapped in a memory file system where there is one: a disk that stalls under the generator's own
-# writes for half a second is the machine's, and was measured as the front's (p99 6 to 25 times the calm one).
+# Lists are written to a memory file system if there is one. Otherwise the disk may stall for half a second
+# under the writes of the load generator, and that delay counts as the front's (p99 6 to 25 times as high).
 MEMORY = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
 OUT = ROOT / "docs" / "measurements"
 FRONTS, SHARDS, COPIES, PERIOD = 4, 4, 3, 0.02
@@ -78,15 +79,15 @@
 
 
 class Swapper:
-    """Writes lists by turns in each way that files are written; notes when which sound version stood."""
+    """Writes lists in place, by rename and by symlink in turn; records when each valid one is written."""
 
     def __init__(self, folder: Path, base: int, seed: int) -> None:
         self.path, self.chance = folder / "main.list", random.Random(seed)
         self.ports = {f"s{s}{c}": base + s * COPIES + c for s in range(SHARDS) for c in range(COPIES)}
         self.traps = {f"trap{k}": base + SHARDS * COPIES + k for k in range(SHARDS)}
         self.version = 0
-        self.sound: list[tuple[int, float]] = []  # version, Unix time at which it stood
-        self.removed: list[tuple[str, int, int]] = []  # server, from and to in monotonic ns
+        self.sound: list[tuple[int, float]] = []  # version, and Unix time when it was written
+        self.removed: list[tuple[str, int, int]] = []  # server, start and end of its removal in monotonic ns
         self.out: dict[str, int] = {}
         self.swaps = self.broken = 0
 
@@ -116,7 +117,7 @@
         self.sound.append((self.version, time.time()))
 
     def bad(self) -> None:
-        """Cut short, misspelt, outside the networks, or an older version; always with the traps in it."""
+        """Writes an invalid list with the traps: truncated, misspelt, outside the networks or outdated."""
         self.broken += 1
         rows = [server(n, p, k) for k, (n, p) in enumerate(self.traps.items())]
         text = sheet(self.version + 1, rows)
@@ -142,7 +143,7 @@
 
     async def run(self, seconds: float) -> None:
         begin = time.monotonic()
-        self.sound.clear()  # the list that the fronts started with was no change
+        self.sound.clear()  # the list that the fronts loaded at their start is not a change
         victims = ["s00", "s11"]
         turn = 1.0
         while (now := time.monotonic() - begin) < seconds:
@@ -188,7 +189,7 @@
         return int(re.findall(r"VmRSS:\s+(\d+)", text)[0]) / 1024
 
     def forced(self) -> list[tuple[int, float]]:
-        """Versions and when they came into force, in Unix time."""
+        """Returns the versions that took effect, with the Unix time of each."""
         found = re.findall(
             r'^<\d+>1 (\S+)Z .* endpoint_list_changed .*version="(\d+)"', self.log.read_text(), re.M
         )
@@ -196,7 +197,7 @@
 
 
 def delays(sound: list[tuple[int, float]], forced: list[tuple[int, float]]) -> list[float]:
-    """ms from each sound swap to the first force of its version or a later one."""
+    """Returns the ms from writing each valid list until it or a later one takes effect, ascending."""
     made, k = [], 0
     for version, at in sound:
         while k < len(forced) and forced[k][0] < version:
