--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -29,12 +29,12 @@
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "both-ways.md"
-SHARDS, EVERY = 3, 47_000  # us between requests; no multiple coincides with the end of a rest
-PACES = {
+SHARDS, REQUEST_INTERVAL_US = 3, 47_000  # us between requests; no multiple coincides with the end of a rest
+UNIT_WORK_S = {
     "a": 0.004,
     "b": 0.020,
 }  # s of work a unit; different enough that the faster server is recognized on sockets
-ENDS = ("error", "reset", "full", "astray", "no-link", "")
+OUTCOMES = ("error", "reset", "full", "astray", "no-link", "")
 KINDS = {200: "served", 503: "refused", 502: "failed"}
 CONFIG = """
 name = "f"
@@ -89,7 +89,7 @@
     moves: dict[int, list[Move]] = field(default_factory=dict)
 
 
-NAMES = [f"{c}{s}" for s in range(SHARDS) for c in PACES]
+NAMES = [f"{c}{s}" for s in range(SHARDS) for c in UNIT_WORK_S]
 
 
 def draw(seed: int, length: int) -> Script:
@@ -114,11 +114,11 @@
             out ^= {name}
             made.moves[k] = [Move("out" if name in out else "in", name)]
         elif kind == "end":
-            made.moves[k] = [Move("outcome", name, chance.choice(ENDS))]
+            made.moves[k] = [Move("outcome", name, chance.choice(OUTCOMES))]
     return made
 
 
-def sheet(version: int, listed: dict[str, str], ports: dict[str, int]) -> str:
+def list_text(version: int, listed: dict[str, str], ports: dict[str, int]) -> str:
     rows = ["format 1", f"version {version}"]
     for name, state in listed.items():
         if state != "leave":
@@ -134,13 +134,13 @@
     """Plays the same requests and moves in virtual time, at the times (s) that they had on sockets."""
     path = folder / "virtual.list"
     ports = {name: 9000 + k for k, name in enumerate(NAMES)}
-    path.write_text(sheet(1, dict.fromkeys(NAMES, "ready"), ports))
+    path.write_text(list_text(1, dict.fromkeys(NAMES, "ready"), ports))
     listing = ListLoader(path, 0, NameResolver(lambda host: ())).load(None).check_result.checked_list
     assert listing is not None
     world = World(configuration.load_operator_file(str(folder / "front.toml")).settings, listing, script.seed)
     world._first = dict(listing.endpoints)
     for name in NAMES:
-        world.models[name] = ServerModel(PACES[name[0]] / 0.020)
+        world.models[name] = ServerModel(UNIT_WORK_S[name[0]] / 0.020)
     made = []
     for k, (cls, shard) in enumerate(script.requests):
         world.loop.run(START_US + int(times[k][0] * 1e6))
@@ -161,7 +161,7 @@
     ]
 
 
-class Real:
+class SocketRun:
     def __init__(self, folder: Path) -> None:
         self.folder, self.record = folder, Record()
         self.servers: dict[str, ChunkServer] = {}
@@ -173,12 +173,16 @@
     async def start(self) -> None:
         for name in NAMES:
             server = ChunkServer(
-                name, int(name[1:]), Model(unit=PACES[name[0]], spread=0, synthetic=True), self.record, 1
+                name,
+                int(name[1:]),
+                Model(unit=UNIT_WORK_S[name[0]], spread=0, synthetic=True),
+                self.record,
+                1,
             )
             await server.listen("127.0.0.1", 0)
             self.servers[name] = server
         self.ports = {name: s.address[1] for name, s in self.servers.items()}
-        self.swap()
+        self.publish_list()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-B",
@@ -201,10 +205,10 @@
         self.port, self.door = found["listening"], found["admin_api_listening"]
         self.drain = asyncio.create_task(self.process.stderr.read())
 
-    def swap(self) -> None:
+    def publish_list(self) -> None:
         self.version += 1
         path = self.folder / "next"
-        path.write_text(sheet(self.version, self.listed, self.ports))
+        path.write_text(list_text(self.version, self.listed, self.ports))
         path.rename(self.folder / "main.list")
 
     def call(self, path: str, method: str = "GET") -> str:
@@ -226,7 +230,7 @@
             await asyncio.to_thread(self.call, path, "PUT")
         else:
             self.listed[of.server] = "ready" if of.what == "back" else of.what
-            self.swap()
+            self.publish_list()
             while json.loads(await asyncio.to_thread(self.call, "/control/list"))["version"] != self.version:
                 await asyncio.sleep(0.002)
 
@@ -248,7 +252,7 @@
             for move in script.moves.get(k, ()):
                 await self.move(move)
             moved = loop.time() - begin
-            await asyncio.sleep(max(begin + k * EVERY / 1e6 - loop.time(), 0))
+            await asyncio.sleep(max(begin + k * REQUEST_INTERVAL_US / 1e6 - loop.time(), 0))
             self.times.append((moved, loop.time() - begin))
             answers.append(await self.ask(k, cls, shard))
         self.process.terminate()
@@ -262,12 +266,12 @@
         return [(tuple(sent.get(f"q{k}", ())), answer) for k, answer in enumerate(answers)]
 
 
-def written(route: Route, down: set[str]) -> Route:
+def recorded_route(route: Route, down: set[str]) -> Route:
     """Returns the route as the servers' record shows it: without servers that could not be connected to."""
     return tuple(s for s in route[0] if s not in down), route[1]
 
 
-def downs(script: Script) -> Iterator[set[str]]:
+def unreachable_servers(script: Script) -> Iterator[set[str]]:
     down = set[str]()
     for k in range(len(script.requests)):
         for move in script.moves.get(k, ()):
@@ -281,15 +285,15 @@
     with tempfile.TemporaryDirectory() as root:
         folder = Path(root)
         (folder / "front.toml").write_text(CONFIG)
-        world = Real(folder)
+        world = SocketRun(folder)
         try:
             real = await asyncio.wait_for(world.play(script), 60)
         finally:
             if world.process is not None and world.process.returncode is None:
                 world.process.kill()
         model = [
-            written(r, down)
-            for r, down in zip(virtual(script, folder, world.times), downs(script), strict=True)
+            recorded_route(r, down)
+            for r, down in zip(virtual(script, folder, world.times), unreachable_servers(script), strict=True)
         ]
     differ = [
         f"seed {seed}, request {k} ({script.requests[k]}): sockets {a}, virtual {b}"
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -42,16 +42,16 @@
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "cold-ramp.md"
-BEFORE = "602e568"
+BASE_REVISION = "602e568"
 SECOND = 1_000_000
 PROCESSES = (1, 2, 5, 10, 30, 40, 100, 200)
 # Number of server starts over all seeds, by number of processes.
 STARTS = {1: 30, 2: 30, 5: 30, 10: 50, 30: 90, 40: 60, 100: 40, 200: 20}
-SMALL = 18.0  # units a second of a server in a large fleet; drawn in smaller ones
-HISTORY = 12 * SECOND  # time for the schedulers to learn their traffic
-WAY = 300  # us, one-way network delay
-GRID = 25_000  # us between two evaluated windows
-AWAY = 0.02  # fraction of requests that a server rejects at once
+LARGE_FLEET_SERVER_UNITS = 18.0  # units a second of a server in a large fleet; drawn in smaller ones
+HISTORY_US = 12 * SECOND  # time for the schedulers to learn their traffic
+NETWORK_DELAY_US = 300  # us, one-way network delay
+WINDOW_STEP_US = 25_000  # us between two evaluated windows
+REJECTED_FRACTION = 0.02  # fraction of requests that a server rejects at once
 RESTS = "rest"  # represents all warm servers: takes new objects and answers at once
 OTHER = 1 << 20  # shard of RESTS
 SITES: tuple[dict[str, Any], ...] = (
@@ -131,7 +131,7 @@
         )
         return got, bounds(s.slow_start_units / s.mean_request_units * grown / s.initial_capacity_ratio)
 
-    for at in range(of.at, of.at + s.warm_up_us, GRID):
+    for at in range(of.at, of.at + s.warm_up_us, WINDOW_STEP_US):
         got, limits = window(at)
         made.windows += 1
         made.past = [p + (got > limit) for p, limit in zip(made.past, limits, strict=True)]
@@ -174,11 +174,11 @@
         shards = max(heads, 4) if heads > 10 else max(2 * heads, 4)
         self.cold = chance.sample(range(shards), min(starts, max(shards // 2, 1)))
         longest = int(self.of.cold.one("longest_s"))
-        self.length = HISTORY + (longest + 4) * SECOND
+        self.length = HISTORY_US + (longest + 4) * SECOND
         speed = self.of.node.draw("speed", chance)
         if heads > 10:  # large fleets have small servers
             base = draw(self.of, seconds=0.001, load=0.5, shards=shards, fronts=heads, speed=speed, seed=seed)
-            speed *= SMALL / base.power
+            speed *= LARGE_FLEET_SERVER_UNITS / base.power
         self.day: Day = draw(
             self.of,
             seconds=self.length / SECOND,
@@ -209,7 +209,7 @@
 
     def _start(self, shard: int, speed: float) -> Start:
         chance, cold = self.chance, self.of.cold
-        at = HISTORY + int(chance.uniform(0, 2) * SECOND)
+        at = HISTORY_US + int(chance.uniform(0, 2) * SECOND)
         of = Traits(
             cores=2,
             speed=speed * chance.uniform(0.9, 1.1),
@@ -248,8 +248,10 @@
         of.tries[act.request_id] = attempt + 1
         of.out[act.request_id] = attempt, act.endpoint, self.now
         if act.endpoint == RESTS:
-            return self.at(self.now + 2 * WAY, self.ended, of, act.request_id, attempt, AttemptResult.OK)
-        return self.at(self.now + WAY, self.arrived, of, act, attempt)
+            return self.at(
+                self.now + 2 * NETWORK_DELAY_US, self.ended, of, act.request_id, attempt, AttemptResult.OK
+            )
+        return self.at(self.now + NETWORK_DELAY_US, self.arrived, of, act, attempt)
 
     def arrived(self, of: Process, act: Send, attempt: int) -> None:
         start = self.by_node[act.endpoint]
@@ -259,9 +261,11 @@
         start.sent.append((self.now, r.work))
         name = f"{act.request_id}/{attempt}"
         job = Job(name, r.class_name, r.volume, r.block, r.shard, r.units, r.work, r.write, of.number)
-        word = "full" if self.chance.random() < AWAY else start.node.offer(self.now, job)
+        word = "full" if self.chance.random() < REJECTED_FRACTION else start.node.offer(self.now, job)
         if word != "taken":
-            return self.at(self.now + WAY, self.ended, of, act.request_id, attempt, AttemptResult.REJECTED)
+            return self.at(
+                self.now + NETWORK_DELAY_US, self.ended, of, act.request_id, attempt, AttemptResult.REJECTED
+            )
         self.jobs[name] = of, act.request_id, attempt
         return self.arm(start)
 
@@ -278,7 +282,7 @@
             if self.now < start.at + self.settings.warm_up_us:
                 start.served += job.work
             result = AttemptResult.OK if job.end == "ok" else AttemptResult.ERROR
-            self.at(self.now + WAY, self.ended, of, request, attempt, result)
+            self.at(self.now + NETWORK_DELAY_US, self.ended, of, request, attempt, result)
         self.arm(start)
 
     def ended(self, of: Process, request: str, attempt: int, result: AttemptResult) -> None:
@@ -374,14 +378,14 @@
                 node = Endpoint(start.node.name, EndpointStatus.UP, start.node.shard, start.at, 1.0)
                 self.at(start.at + int((spread + chance.uniform(0, 0.3)) * SECOND), self.tell, n, node)
         struck = chance.choice([0.0, 0.3, 0.7])
-        moment = HISTORY + int(chance.uniform(1, 8) * SECOND)
+        moment = HISTORY_US + int(chance.uniform(1, 8) * SECOND)
         for n in range(self.heads):
             if chance.random() < struck:
                 back = moment + int(chance.uniform(0, 1) * SECOND)
                 self.at(back, self.restart, n, chance.random() < 0.3)
         lumps: dict[tuple[int, int], list[Request]] = defaultdict(list)
         for r in self.day.requests:
-            if r.at >= HISTORY - 2 * SECOND and (r.write or r.shard in self.starts):
+            if r.at >= HISTORY_US - 2 * SECOND and (r.write or r.shard in self.starts):
                 self.at(r.at, self.ask, r)
             elif not r.write:
                 lumps[r.front, r.at // (SECOND // 2)].append(r)
@@ -458,7 +462,7 @@
     parser.add_argument("processes", nargs="*", type=int, default=list(PROCESSES))
     parser.add_argument("--keep", action="store_true")
     parser.add_argument("--json", action="store_true", help="figures alone")
-    parser.add_argument("--against", default=BEFORE, help="revision to compare with; - for none")
+    parser.add_argument("--against", default=BASE_REVISION, help="revision to compare with; - for none")
     args = parser.parse_args()
     if args.json:
         print(json.dumps(run(args.processes)))
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -46,10 +46,10 @@
 from umberlead.net.client_connections import ClientGroup
 from umberlead.net.listener import Listener
 
-WAYS, SHARDS, BUSY = ("free", "busy", "stopped"), 8, 2
-RATE, STAY = 500.0, (0.0, 0.3)  # clients a second; range of the time until one disconnects, s
-OBJECT_STAY, OBJECT_GAP = 0.12, 0.4  # s: longest stay of an uploading client, pause until the next
-PAIRS, PART, ASKING = 12, 0.6, 16  # for the cost: pairs of runs, s of each run, concurrent clients
+MODES, SHARDS, BUSY = ("free", "busy", "stopped"), 8, 2
+CLIENTS_PER_SECOND, CLIENT_STAY_S = 500.0, (0.0, 0.3)  # range of the time until one disconnects
+OBJECT_STAY_S, OBJECT_GAP_S = 0.12, 0.4  # longest stay of an uploading client, pause until the next
+PAIRS, RUN_S, CONCURRENT_CLIENTS = 12, 0.6, 16  # for the cost: pairs of runs, length of each run
 CONFIG = """
 name = "front"
 listen = "127.0.0.1:0"
@@ -134,7 +134,7 @@
         return self.process.wait(20)
 
 
-def leave(sock: socket.socket, way: int) -> int:
+def disconnect(sock: socket.socket, way: int) -> int:
     """Disconnects a client: 0 closes, 1 shuts down sending, 2 resets. Returns the time in monotonic ns."""
     if way == 1:
         sock.shutdown(socket.SHUT_WR)
@@ -147,14 +147,14 @@
     return time.monotonic_ns()
 
 
-def asked(name: str, chance: random.Random) -> bytes:
+def request_bytes(name: str, chance: random.Random) -> bytes:
     shard, block = chance.randrange(SHARDS), chance.getrandbits(64)
     head = f"GET /read?block={block:016x} HTTP/1.1\r\nX-Call-Id: {name}\r\nX-Plan: basic\r\n"
     return (head + f"X-IO: volume={block % 40:x},units=2,shard={shard}\r\n\r\n").encode()
 
 
 @dataclass
-class Left:
+class Disconnections:
     """When clients disconnected, in monotonic ns.
 
     Attributes:
@@ -166,7 +166,7 @@
     objects: dict[int, list[tuple[int, int]]] = field(default_factory=lambda: defaultdict(list))
 
 
-def ahead(sock: socket.socket) -> None:
+def send_ahead(sock: socket.socket) -> None:
     """Sends more than the front reads ahead.
 
     It is sent separately, as the front would otherwise reject the data behind the first request at once.
@@ -175,28 +175,32 @@
         sock.sendall(b"GET /" + b"x" * 60_000)
 
 
-async def platform(address: tuple[str, int], name: str, seconds: float, left: Left, seed: int) -> None:
+async def platform(
+    address: tuple[str, int], name: str, seconds: float, left: Disconnections, seed: int
+) -> None:
     loop, chance, begin = asyncio.get_running_loop(), random.Random(seed), time.monotonic()
-    for k in range(int(RATE * seconds)):
-        await asyncio.sleep(max(begin + k / RATE - time.monotonic(), 0))
+    for k in range(int(CLIENTS_PER_SECOND * seconds)):
+        await asyncio.sleep(max(begin + k / CLIENTS_PER_SECOND - time.monotonic(), 0))
         sock = socket.create_connection(address)
         names = [f"{name}-{k}"]
-        text = asked(names[0], chance)
+        text = request_bytes(names[0], chance)
         if chance.random() < 0.25:
             names.append(f"{name}-{k}b")
-            text += asked(names[1], chance)
-            loop.call_later(0.005, ahead, sock)
+            text += request_bytes(names[1], chance)
+            loop.call_later(0.005, send_ahead, sock)
         sock.sendall(text)
 
         def go(sock: socket.socket = sock, names: list[str] = names, way: int = k % 3) -> None:
-            told = leave(sock, way)
+            told = disconnect(sock, way)
             left.by_id.update(dict.fromkeys(names, told))
 
-        loop.call_later(chance.uniform(*STAY), go)
-    await asyncio.sleep(STAY[1] + 1.5)
+        loop.call_later(chance.uniform(*CLIENT_STAY_S), go)
+    await asyncio.sleep(CLIENT_STAY_S[1] + 1.5)
 
 
-async def objects(address: tuple[str, int], shard: int, seconds: float, left: Left, seed: int) -> None:
+async def objects(
+    address: tuple[str, int], shard: int, seconds: float, left: Disconnections, seed: int
+) -> None:
     chance, end, told = random.Random(f"{seed}/{shard}"), time.monotonic() + seconds, 0
     body = b"PUT /scans/%s HTTP/1.1\r\nContent-Length: 49152\r\n\r\n" + b"x" * 49152
     while time.monotonic() < end:
@@ -209,9 +213,9 @@
             left.objects[shard].append((told, time.monotonic_ns()))
         sock = socket.create_connection(address)
         sock.sendall(body.replace(b"%s", key.encode(), 1))
-        await asyncio.sleep(chance.uniform(0, OBJECT_STAY))
-        told = leave(sock, chance.randrange(3))
-        await asyncio.sleep(OBJECT_GAP)
+        await asyncio.sleep(chance.uniform(0, OBJECT_STAY_S))
+        told = disconnect(sock, chance.randrange(3))
+        await asyncio.sleep(OBJECT_GAP_S)
     left.objects[shard].append((told, time.monotonic_ns()))
 
 
@@ -226,10 +230,14 @@
 
 async def phase(
     folder: Path, ports: list[int], way: str, look: bool, seconds: float, seed: int
-) -> tuple[str, Left, int]:
+) -> tuple[str, Disconnections, int]:
     name = f"{way}-{'with' if look else 'without'}"
     core = max(os.sched_getaffinity(0)) if way == "busy" else None
-    of, left, load = Process(folder, name, ports, look, core), Left(), list[subprocess.Popen[bytes]]()
+    of, left, load = (
+        Process(folder, name, ports, look, core),
+        Disconnections(),
+        list[subprocess.Popen[bytes]](),
+    )
     try:
         places = await of.ready()
         if core is not None:
@@ -250,7 +258,7 @@
     return name, left, code
 
 
-def after(name: str, left: Left, rows: list[dict[str, Any]]) -> dict[str, Any]:
+def after(name: str, left: Disconnections, rows: list[dict[str, Any]]) -> dict[str, Any]:
     """Returns the delays in ms from a disconnection to each attempt that starts later.
 
     Requests are matched by id. Blocks of objects are matched by shard and time, as each shard has one upload
@@ -273,7 +281,7 @@
     return made
 
 
-class Asking(asyncio.Protocol):
+class RepeatingClient(asyncio.Protocol):
     """A client that sends its next request as soon as the previous one is answered."""
 
     def __init__(self, chance: random.Random, name: str) -> None:
@@ -285,7 +293,7 @@
 
     def ask(self) -> None:
         self.count += 1
-        self.transport.write(asked(f"{self.name}-{self.count}", self.chance))
+        self.transport.write(request_bytes(f"{self.name}-{self.count}", self.chance))
 
     def data_received(self, data: bytes) -> None:
         if self.on:
@@ -295,10 +303,10 @@
 async def turn(address: tuple[str, int], of: Process, name: str) -> float:
     """Returns the processor time of the front per request, us."""
     loop, used = asyncio.get_running_loop(), of.used()
-    made = [Asking(random.Random(f"{name}/{k}"), f"{name}-{k}") for k in range(ASKING)]
+    made = [RepeatingClient(random.Random(f"{name}/{k}"), f"{name}-{k}") for k in range(CONCURRENT_CLIENTS)]
     for each in made:
         await loop.create_connection(lambda each=each: each, *address)  # type: ignore[misc]
-    await asyncio.sleep(PART)
+    await asyncio.sleep(RUN_S)
     for each in made:
         each.on = False
     await asyncio.sleep(0.1)
@@ -374,10 +382,10 @@
         folder, base = Path(root), 21000 + (os.getpid() * 37) % 20000
         slow, ports, record = stand_ins(folder, "slow", base, 24.0)
         quick, quick_ports, _ = stand_ins(folder, "quick", base + SHARDS, 0.05)
-        lefts, codes = dict[str, Left](), list[int]()
+        lefts, codes = dict[str, Disconnections](), list[int]()
         try:
             await asyncio.sleep(1.5)
-            for way in WAYS:
+            for way in MODES:
                 for look in (False, True):
                     name, lefts[name], code = await phase(folder, ports, way, look, seconds, seed)
                     codes.append(code)
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -29,12 +29,12 @@
 SIZES = (200, 2000, 20_000)
 
 
-class Quiet:
+class NullLog:
     def __getattr__(self, level: str) -> Any:
         return lambda *_, **__: None
 
 
-class Addresses:
+class PoolStub:
     """The part of a connection pool that applying a change uses."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
     def close_unlisted(self, addresses: Any) -> None: ...
 
 
-def sheet(version: int, n: int, weight: str = "1", every: bool = False) -> str:
+def list_text(version: int, n: int, weight: str = "1", every: bool = False) -> str:
     rows = [
         f"server n{k} address 10.{k >> 16}.{k >> 8 & 255}.{k & 255}:80 shard {k} weight" for k in range(n)
     ]
@@ -53,7 +53,7 @@
     return "\n".join([*lines, f"end {len(lines)}", ""])
 
 
-async def stops(done: asyncio.Event) -> list[float]:
+async def measure_blocking(done: asyncio.Event) -> list[float]:
     """Returns by how many ms each wake-up was late, ascending."""
     made = []
     while not done.is_set():
@@ -65,7 +65,7 @@
 
 async def beside(wait: Any) -> tuple[list[float], float]:
     done, began = asyncio.Event(), time.perf_counter()
-    task = asyncio.create_task(stops(done))
+    task = asyncio.create_task(measure_blocking(done))
     await wait()
     took = (time.perf_counter() - began) * 1000
     done.set()
@@ -78,7 +78,7 @@
     wheel = TimerWheel(clock, lambda delay, fn: loop.call_later(delay / 1e6, fn), 2000)
     of = Settings((RequestClass("read", 300_000, 2_000_000),), (Plan("basic"),))
     engine = RequestLifecycle(of, 1, clock, wheel, loop.call_soon, Counters(), print)
-    pool, turns = Addresses(), list[float]()
+    pool, turns = PoolStub(), list[float]()
 
     def take(change: Any) -> None:
         began = time.perf_counter()
@@ -89,10 +89,10 @@
     gc.unfreeze()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "list"
-        path.write_text(sheet(1, n))
+        path.write_text(list_text(1, n))
         rules = MembershipSettings(1.0, 10**9, FlapDampingSettings(100_000, 7000.0, 1000.0))
         made = WatchedListService(
-            WatchedListSettings(path, None, 0.005, 0.25, rules), 0, loop, clock, Counters(), Quiet(), take
+            WatchedListSettings(path, None, 0.005, 0.25, rules), 0, loop, clock, Counters(), NullLog(), take
         )
         began = time.perf_counter()
         made.load_first_list()
@@ -104,7 +104,7 @@
         late, waits = list[float](), list[float]()
         turns.clear()
         for k in range(rounds):
-            text, generation = sheet(2 + k, n, str(2 + k % 2)), made.membership.generation
+            text, generation = list_text(2 + k, n, str(2 + k % 2)), made.membership.generation
 
             async def changed(text: str = text, generation: int = generation) -> None:
                 path.with_name("next").write_text(text)
@@ -118,7 +118,7 @@
         one = max(turns)
         turns.clear()
         generation = made.membership.generation
-        path.write_text(sheet(100, n, "7", every=True))
+        path.write_text(list_text(100, n, "7", every=True))
         while made.membership.generation == generation:
             await asyncio.sleep(0.002)
         whole = max(turns)
--- a/benchmarks/news.py
+++ b/benchmarks/news.py
@@ -25,7 +25,7 @@
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "news.md"
 SECOND = 1_000_000
-AGENT = 2_000  # us until an agent answers a call
+AGENT_RESPONSE_US = 2_000  # us until an agent answers a call
 FAILURES = ("refused", "no", "hung dial", "hung", "half a list", "silent", "reset")
 
 
@@ -145,9 +145,9 @@
         for front in self.fronts:
             if self.chance.random() < world.restarted:
                 at = self.back - min(SECOND, world.down) + self.chance.randrange(SECOND // 2)
-                self._at(at + front.pacing.first_call_delay_us(), self._caller(front))
+                self._schedule(at + front.pacing.first_call_delay_us(), self._call_callback(front))
             else:
-                self._stood(front)
+                self._start_established_watch(front)
         while self.queue and self.queue[0][0] < self.back + world.until:
             self.now, _, what = heapq.heappop(self.queue)
             what()
@@ -160,16 +160,16 @@
         end = self.back + self.world.until
         return sorted((end if f.told is None else f.told) - self.back for f in self.fronts)
 
-    def _at(self, when: int, what: Callable[[], None]) -> None:
+    def _schedule(self, when: int, what: Callable[[], None]) -> None:
         self.number += 1
         heapq.heappush(self.queue, (when, self.number, what))
 
-    def _caller(self, front: _Front) -> Callable[[], None]:
+    def _call_callback(self, front: _Front) -> Callable[[], None]:
         front.turn += 1
         turn = front.turn
-        return lambda: self._calls(front) if turn == front.turn else None
+        return lambda: self._start_call(front) if turn == front.turn else None
 
-    def _stood(self, front: _Front) -> None:
+    def _start_established_watch(self, front: _Front) -> None:
         """Starts a front with an established watch, which ends or falls silent when discovery goes down."""
         pacing, fell = front.pacing, 10 * SECOND
         if not self.world.rate and pacing.is_agent is None:
@@ -181,25 +181,25 @@
         if self.world.failure in ("silent", "half a list"):
             call.partial = self.world.failure == "half a list"
             call.last_activity_us = fell - (0 if call.partial else self.chance.randrange(2 * SECOND))
-            self._at(max(pacing.timeout_at_us(call), fell), lambda: self._due(front, call))
+            self._schedule(max(pacing.timeout_at_us(call), fell), lambda: self._check_timeout(front, call))
         else:
             call.last_activity_us = fell
-            self._at(fell, lambda: self._ends(front, call, silent=False))
+            self._schedule(fell, lambda: self._end_call(front, call, silent=False))
 
-    def _calls(self, front: _Front) -> None:
+    def _start_call(self, front: _Front) -> None:
         call = front.call = front.pacing.start_call(self.now)
         up = self.now >= self.back
         (self.calls if up else self.downs)[(self.now - self.back) // SECOND] += 1
-        kind, at = self._served() if up else self._failed()
+        kind, at = self._service_response() if up else self._outage_response()
         if kind != "hung dial":
             call.connected_us = self.now
         if kind in ("list", "no", "refused"):
-            self._at(at, lambda: self._comes(front, call, kind))
-        self._at(front.pacing.timeout_at_us(call), lambda: self._due(front, call))
+            self._schedule(at, lambda: self._receive_response(front, call, kind))
+        self._schedule(front.pacing.timeout_at_us(call), lambda: self._check_timeout(front, call))
 
-    def _served(self) -> tuple[str, int]:
+    def _service_response(self) -> tuple[str, int]:
         if not self.world.rate:
-            return "list", self.now + AGENT
+            return "list", self.now + AGENT_RESPONSE_US
         begun = max(self.now, self.free)
         self.free = begun + int(SECOND / self.world.rate)
         return (
@@ -208,17 +208,17 @@
             else ("no", self.now + SERVICE_QUEUE_TIMEOUT_US)
         )
 
-    def _failed(self) -> tuple[str, int]:
+    def _outage_response(self) -> tuple[str, int]:
         if self.world.failure in ("no", "refused", "hung dial") and self.world.rate:
             return self.world.failure, self.now + 1000
         return "hung", 0
 
-    def _comes(self, front: _Front, call: WatchCall, kind: str) -> None:
+    def _receive_response(self, front: _Front, call: WatchCall, kind: str) -> None:
         if call is not front.call and call is not front.late:
             return
         if kind == "refused":
             call.connected_us = None
-            return self._ends(front, call, silent=False)
+            return self._end_call(front, call, silent=False)
         front.pacing.record_activity(call, self.now)
         call.retry_after_us = self.world.retry_after if kind == "no" else 0
         front.pacing.record_status(call, 200 if kind == "list" else 503)
@@ -228,27 +228,31 @@
             front.turn += 1
             front.pacing.record_list(call)
         elif call is not late:
-            self._ends(front, call, silent=False)
+            self._end_call(front, call, silent=False)
 
-    def _due(self, front: _Front, call: WatchCall) -> None:
+    def _check_timeout(self, front: _Front, call: WatchCall) -> None:
         if call is not front.call or front.told is not None:
             return
         due = front.pacing.timeout_at_us(call)
         if self.now < due:
-            return self._at(due, lambda: self._due(front, call))
+            return self._schedule(due, lambda: self._check_timeout(front, call))
         if front.late is None and front.pacing.is_still_read(call, self.now):
             front.late = call
-            self._at(call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US, lambda: self._left(front, call))
-        self._ends(front, call, silent=True)
+            self._schedule(
+                call.started_us + UNKNOWN_RESPONSE_TIMEOUT_US, lambda: self._stop_reading(front, call)
+            )
+        self._end_call(front, call, silent=True)
 
-    def _left(self, front: _Front, call: WatchCall) -> None:
+    def _stop_reading(self, front: _Front, call: WatchCall) -> None:
         if front.late is call:
             front.late = None
             front.pacing.record_no_response(call)
 
-    def _ends(self, front: _Front, call: WatchCall, silent: bool) -> None:
+    def _end_call(self, front: _Front, call: WatchCall, silent: bool) -> None:
         front.call = None
-        self._at(self.now + front.pacing.next_call_delay_us(call, self.now, silent), self._caller(front))
+        self._schedule(
+            self.now + front.pacing.next_call_delay_us(call, self.now, silent), self._call_callback(front)
+        )
 
 
 def part(times: list[int], share: float) -> float:
--- a/benchmarks/rehearsals.py
+++ b/benchmarks/rehearsals.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements"
 SCRIPTS = ("combined.script", "faults.script")
-PARTS = (
+REPORTED_FIGURES = (
     "service",
     "whole",
     "worst_10s",
@@ -24,7 +24,7 @@
     "class.bulk-export",
 )
 # Allowed difference of the service figure: between the two socket runs, and from virtual time.
-BETWEEN, FROM_VIRTUAL = 0.02, 0.05
+MAX_SOCKET_DIFFERENCE, MAX_VIRTUAL_DIFFERENCE = 0.02, 0.05
 
 
 def played(script: str, seed: int) -> dict[str, tuple[rehearsal.Result, float]]:
@@ -73,11 +73,11 @@
             apart = abs(sockets.rows["service"] - again.rows["service"])
             off = max(abs(r.rows["service"] - virtual.rows["service"]) for r in (sockets, again))
             held = all(r.held for r, _ in made.values())
-            good &= same and held and apart <= BETWEEN and off <= FROM_VIRTUAL
+            good &= same and held and apart <= MAX_SOCKET_DIFFERENCE and off <= MAX_VIRTUAL_DIFFERENCE
             text += (
                 f"\n## {script}, seed {seed}\n\n| | virtual | sockets | sockets again |\n|---|---|---|---|\n"
             )
-            for part in PARTS:
+            for part in REPORTED_FIGURES:
                 text += (
                     f"| {part} | "
                     + " | ".join(f"{r.rows[part]:.4f}" for r in (virtual, sockets, again))
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -28,11 +28,12 @@
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements"
-EVERY = 0.05  # s between two readiness polls
-LONGEST = 30.0  # s that a front may take to become ready, as in the standing test
-WANTED, OF = 10.0, 0.9  # s within which that fraction of the fronts has to be ready
-PACE, PATIENCE = 7.0, 2.0  # calls a second that a slow discovery answers; s until it rejects one
-WAYS = {
+POLL_INTERVAL_S = 0.05  # between two readiness polls
+READY_TIMEOUT_S = 30.0  # as in the standing test
+TARGET_S, TARGET_FRACTION = 10.0, 0.9  # that fraction of the fronts has to be ready in time
+# A slow discovery answers this many calls a second and rejects a call after that wait.
+CALLS_PER_SECOND, QUEUE_TIMEOUT_S = 7.0, 2.0
+MODES = {
     "up": ("push", "answers at once"),
     "hung": ("push", "takes calls and says nothing"),
     "refused": ("push", "refuses connections"),
@@ -41,13 +42,13 @@
 }
 # Phases of a start, in order. `began` in the log is the time of the program's first line: the interpreter
 # phase ends there.
-PARTS = ("interpreter", "imports", "configuration", "parts", "list", "listeners", "answer")
-SPIN = "import time\nend = time.monotonic() + {}\nwhile time.monotonic() < end: pass"
-ASK = b"GET /healthz HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n"
+PHASES = ("interpreter", "imports", "configuration", "parts", "list", "listeners", "answer")
+BUSY_LOOP = "import time\nend = time.monotonic() + {}\nwhile time.monotonic() < end: pass"
+HEALTH_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n"
 
 
 @dataclass
-class Started:
+class FrontRun:
     """One front process. `since` and `ready` are the times of its start and readiness, in monotonic s."""
 
     process: subprocess.Popen[bytes]
@@ -58,10 +59,10 @@
     parts: dict[str, float] = field(default_factory=dict)  # s
 
     def took(self) -> float:
-        return self.ready - self.since if self.ready else LONGEST
+        return self.ready - self.since if self.ready else READY_TIMEOUT_S
 
 
-class Discovery:
+class DiscoveryStub:
     """The discovery stub. In its slow modes it has one queue for all calls."""
 
     def __init__(self, way: str, endpoints: list[dict[str, Any]]) -> None:
@@ -78,7 +79,7 @@
             await reader.readuntil(b"\r\n\r\n")
             if self.way == "hung":
                 await reader.read()
-            elif self.way == "up" or await self.turned():
+            elif self.way == "up" or await self.wait_for_turn():
                 writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + self.listing)
                 while True:
                     await writer.drain()
@@ -92,20 +93,22 @@
             writer.close()
             self.tasks.discard(task)
 
-    async def turned(self) -> bool:
-        """Waits for the turn of a call, at PACE; returns False if the wait exceeds PATIENCE."""
+    async def wait_for_turn(self) -> bool:
+        """Waits for the turn of a call; returns False if the wait exceeds QUEUE_TIMEOUT_S."""
         try:
-            await asyncio.wait_for(self.turn.acquire(), PATIENCE)
+            await asyncio.wait_for(self.turn.acquire(), QUEUE_TIMEOUT_S)
         except TimeoutError:
             return False
         try:
-            await asyncio.sleep(1 / PACE)
+            await asyncio.sleep(1 / CALLS_PER_SECOND)
         finally:
             self.turn.release()
         return True
 
 
-def told(folder: Path, k: int, port: int, discovery: int, lists: str, fronts: int) -> dict[str, str]:
+def front_environment(
+    folder: Path, k: int, port: int, discovery: int, lists: str, fronts: int
+) -> dict[str, str]:
     """Creates a folder for front `k` and returns the environment variables that the platform would set."""
     own = folder / f"f{k}"
     own.mkdir()
@@ -137,14 +140,14 @@
     return [{"name": f"n{k}", "address": f"127.0.0.1:{9 + k}", "group": k} for k in range(number)]
 
 
-def start(folder: Path, env: dict[str, str], *words: str) -> Started:
+def start(folder: Path, env: dict[str, str], *words: str) -> FrontRun:
     """Starts a front as `run` of the deploy file does: one process, without a shell as its parent."""
     host, _, port = env["EDGE_LISTEN"].rpartition(":")
     log = folder / f"{env['EDGE_NAME']}.log"
     with log.open("wb") as file:
         call, since = [sys.executable, "-B", *words, "-m", "umberlead"], time.monotonic()
         process = subprocess.Popen(call, cwd=ROOT, env=env, stdout=file, stderr=file)
-    return Started(process, (host, int(port)), log, since)
+    return FrontRun(process, (host, int(port)), log, since)
 
 
 async def answers(address: tuple[str, int]) -> bool:
@@ -153,7 +156,7 @@
         async with asyncio.timeout(1):
             reader, writer = await asyncio.open_connection(*address)
             try:
-                writer.write(ASK)
+                writer.write(HEALTH_REQUEST)
                 return (await reader.readline()).startswith(b"HTTP/1.1 200 ")
             finally:
                 writer.close()
@@ -161,44 +164,44 @@
         return False
 
 
-async def watch(one: Started, number: int = 0) -> None:
-    """Polls a front until it is ready, has exited or exceeds LONGEST; then reads its phases from its log."""
-    await asyncio.sleep(EVERY * (number % 10) / 10)  # spreads the polls of the fronts over the interval
-    while time.monotonic() - one.since < LONGEST and one.process.poll() is None:
+async def watch(one: FrontRun, number: int = 0) -> None:
+    """Polls a front until it is ready, exits or exceeds READY_TIMEOUT_S; then reads its phases."""
+    await asyncio.sleep(POLL_INTERVAL_S * (number % 10) / 10)  # spreads the polls over the interval
+    while time.monotonic() - one.since < READY_TIMEOUT_S and one.process.poll() is None:
         if await answers(one.address):
             one.ready = time.monotonic()
             break
-        await asyncio.sleep(EVERY)
+        await asyncio.sleep(POLL_INTERVAL_S)
     if one.ready:
-        await told_parts(one)
+        await read_phases(one)
 
 
-async def told_parts(one: Started) -> None:
+async def read_phases(one: FrontRun) -> None:
     for _ in range(100):
         line = re.search(rb" started \[.*", one.log.read_bytes())
         if line is not None:
             us = {k.decode(): int(v) for k, v in re.findall(rb' (\w+)="(\d+)"', line[0])}
             break
-        await asyncio.sleep(EVERY)
+        await asyncio.sleep(POLL_INTERVAL_S)
     else:
         return
     began = us.pop("began") / 1e6
     one.parts = {k: v / 1e6 for k, v in us.items()} | {"interpreter": began - one.since}
-    inside = sum(one.parts[k] for k in PARTS[1:-1])
+    inside = sum(one.parts[k] for k in PHASES[1:-1])
     one.parts["answer"] = max(one.ready - began - inside, 0.0)
 
 
-def end(started: list[Started]) -> None:
+def end(started: list[FrontRun]) -> None:
     for one in started:
         one.process.kill()
     for one in started:
         one.process.wait()
 
 
-async def played(way: str, number: int) -> list[Started]:
+async def played(way: str, number: int) -> list[FrontRun]:
     """Starts `number` fronts together under the running load; waits until each is ready or fails."""
     kind = way.partition(",")[0]
-    discovery, made = Discovery(kind, endpoints(number)), list[Started]()
+    discovery, made = DiscoveryStub(kind, endpoints(number)), list[FrontRun]()
     with tempfile.TemporaryDirectory() as name, socket.socket() as listener, socket.socket() as free:
         listener.bind(("127.0.0.1", 0))
         free.bind(("127.1.0.0", 0))
@@ -208,7 +211,7 @@
             listener.setblocking(False)
             server = await asyncio.start_server(discovery.take, sock=listener, backlog=1024)
         folder, at = Path(name), listener.getsockname()[1]
-        envs = [told(folder, k, port, at, WAYS[way][0], number) for k in range(number)]
+        envs = [front_environment(folder, k, port, at, MODES[way][0], number) for k in range(number)]
         try:
             for env in envs:
                 made.append(start(folder, env))
@@ -224,7 +227,7 @@
     return made
 
 
-async def imports() -> tuple[list[tuple[str, float, int]], Started]:
+async def imports() -> tuple[list[tuple[str, float, int]], FrontRun]:
     """Starts one front alone, twice.
 
     Returns the import time in ms and the number of modules by package, from the start with import timing, and
@@ -233,11 +236,14 @@
     with tempfile.TemporaryDirectory() as name, socket.socket() as refusing:
         refusing.bind(("127.0.0.1", 0))
         folder, at = Path(name), refusing.getsockname()[1]
-        env = told(folder, 0, 0, at, "ask", 1)
+        env = front_environment(folder, 0, 0, at, "ask", 1)
         timed = start(folder, env, "-X", "importtime")
         try:
-            while b" started " not in timed.log.read_bytes() and time.monotonic() - timed.since < LONGEST:
-                await asyncio.sleep(EVERY)
+            while (
+                b" started " not in timed.log.read_bytes()
+                and time.monotonic() - timed.since < READY_TIMEOUT_S
+            ):
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             end([timed])
         ms, modules = Counter[str](), Counter[str]()
@@ -262,7 +268,7 @@
 
 
 def report(
-    rounds: dict[str, list[Started]], busy: int, beside: float, modules: Any, alone: Started
+    rounds: dict[str, list[FrontRun]], busy: int, beside: float, modules: Any, alone: FrontRun
 ) -> tuple[str, bool]:
     """Returns the page and whether the target is met; `beside`, the load average before, should be near 0."""
     number = len(next(iter(rounds.values())))
@@ -271,7 +277,7 @@
         "",
         f"`make bench-restarts`; {number} fronts started together beside {busy} processes that spin, on",
         f"{os.cpu_count()} cores. A front is ready when `GET /healthz`, polled every 50 ms, returns 200.",
-        f"Times are s since just before its start. Target: nine in ten within {WANTED:g} s.",
+        f"Times are s since just before its start. Target: nine in ten within {TARGET_S:g} s.",
         f"The machine's load average before was {beside:.1f}.",
         "",
         "| discovery | p50 | p90 | max | ready within 10 s | not ready in 30 s |",
@@ -280,11 +286,11 @@
     good = True
     for way, made in rounds.items():
         took = [one.took() for one in made]
-        within = sum(t <= WANTED for t in took)
-        good = good and within >= OF * len(took)
+        within = sum(t <= TARGET_S for t in took)
+        good = good and within >= TARGET_FRACTION * len(took)
         figures = " | ".join(f"{at(took, p):.2f}" for p in (0.5, 0.9, 1.0))
         late = sum(not one.ready for one in made)
-        lines.append(f"| {way}: {WAYS[way][1]} | {figures} | {within} of {len(took)} | {late} |")
+        lines.append(f"| {way}: {MODES[way][1]} | {figures} | {within} of {len(took)} | {late} |")
     names = (
         "the interpreter, to the program's first line",
         "imports",
@@ -299,7 +305,7 @@
         "| part | one front alone | " + " | ".join(rounds) + " |",
         "| --- |" + " --- |" * (len(rounds) + 1),
     ]
-    rows = list(zip(PARTS, names, strict=True)) + [("cpu", "processor time up to `started`")]
+    rows = list(zip(PHASES, names, strict=True)) + [("cpu", "processor time up to `started`")]
     for part, what in rows:
         cells = [f"{alone.parts.get(part, 0) * 1000:.0f}"]
         for made in rounds.values():
@@ -318,13 +324,13 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--fronts", type=int, default=60)
     parser.add_argument("--busy", type=int, default=os.cpu_count() or 1)
-    parser.add_argument("--only", choices=WAYS, nargs="+", default=list(WAYS))
+    parser.add_argument("--only", choices=MODES, nargs="+", default=list(MODES))
     parser.add_argument("--keep", action="store_true")
     words = parser.parse_args()
     beside = os.getloadavg()[0]
     modules, alone = asyncio.run(imports())
     load = [
-        subprocess.Popen([sys.executable, "-S", "-c", SPIN.format(LONGEST * len(words.only))])
+        subprocess.Popen([sys.executable, "-S", "-c", BUSY_LOOP.format(READY_TIMEOUT_S * len(words.only))])
         for _ in range(words.busy)
     ]
     rounds = {}
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -15,7 +15,7 @@
 FILE = ROOT / "deploy" / "rehearsals" / "versions.toml"
 
 
-def _told(done: int, whole: int, cell: running.Cell) -> None:
+def _print_progress(done: int, whole: int, cell: running.Cell) -> None:
     print(done, "of", whole, cell.run.arm, cell.fault, flush=True)
 
 
@@ -26,7 +26,7 @@
     words: Any = parser.parse_args()
     of = matrix.read(FILE)
     with tempfile.TemporaryDirectory() as folder:
-        cells = running.play(of, Path(folder) / "trees", words.workers, _told)
+        cells = running.play(of, Path(folder) / "trees", words.workers, _print_progress)
         dataset.write(cells, Path(folder))
         rows, faults = dataset.read(Path(folder))
         report.write(Path(folder), of.name, of.baseline, of.measures, rows, faults)
--- a/benchmarks/virtual_time.py
+++ b/benchmarks/virtual_time.py
@@ -60,7 +60,7 @@
     return len(lives) / (time.process_time() - began)
 
 
-class _Ends:
+class _CollectingTransport:
     """A transport that collects its attempts; the caller ends them in its next step."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
     now, soon = [1_000_000], list[Any]()
     wheel = TimerWheel(lambda: now[0], lambda delay, fn: None, 2000)
     engine = RequestLifecycle(settings(8), 1, lambda: now[0], wheel, soon.append, Counters(), print)
-    engine.transport = carrier = _Ends()
+    engine.transport = carrier = _CollectingTransport()
     if observed:
         seen: list[int] = []
         engine.decision_loop.action_observer = lambda at, acts: seen.append(len(acts))
--- a/benchmarks/watched_lists.py
+++ b/benchmarks/watched_lists.py
@@ -31,9 +31,9 @@
 ROOT = Path(__file__).parent.parent
 # Lists are written to a memory file system if there is one. Otherwise the disk may stall for half a second
 # under the writes of the load generator, and that delay counts as the front's (p99 6 to 25 times as high).
-MEMORY = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
+MEMORY_FOLDER = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
 OUT = ROOT / "docs" / "measurements"
-FRONTS, SHARDS, COPIES, PERIOD = 4, 4, 3, 0.02
+FRONTS, SHARDS, COPIES, WRITE_INTERVAL_S = 4, 4, 3, 0.02
 CONFIG = """
 name = "front-{k}"
 listen = "127.0.0.1:0"
@@ -160,7 +160,7 @@
                 self.bad()
             else:
                 self.good()
-            await asyncio.sleep(max(begin + self.swaps * PERIOD - time.monotonic(), 0))
+            await asyncio.sleep(max(begin + self.swaps * WRITE_INTERVAL_S - time.monotonic(), 0))
         for name in list(self.out):
             self.put_back(name)
         self.good()
@@ -212,7 +212,7 @@
 
 
 async def measure(seconds: float, seed: int) -> dict[str, Any]:
-    with tempfile.TemporaryDirectory(dir=MEMORY) as root:
+    with tempfile.TemporaryDirectory(dir=MEMORY_FOLDER) as root:
         folder = Path(root)
         (folder / "lists").mkdir()
         swapper = Swapper(folder / "lists", 21000 + (os.getpid() * 37) % 20000, seed)
@@ -294,7 +294,7 @@
     ]
     text = "# Watched lists under load\n\n"
     text += f"`make bench-lists`; {seconds:g} s a phase, seed {seed}, 240 requests a second"
-    text += f" over {FRONTS} fronts, a swap each {PERIOD * 1000:g} ms.\n\n| what | figure |\n| --- | --- |\n"
+    text += f" over {FRONTS} fronts, a swap each {WRITE_INTERVAL_S * 1000:g} ms.\n\n| what | figure |\n| --- | --- |\n"
     text += "".join(f"| {name} | {value} |\n" for name, value in rows)
     phases = made["phases"]
     text += (
