--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -1,10 +1,11 @@
-"""Scenarios played in virtual time and on sockets, routing compared request by request: `make both-ways`.
+"""Compares routing in virtual time and on sockets, request by request: `make both-ways`.
 
-Each scenario is drawn from its seed: requests one after the other, each waited for, and between them servers
-that drain, leave, come back, are out by hand, or end what they get in one of six ways. On sockets a front in
-a process of its own watches the list and stand-ins serve it; what went where is their record's word. In
-virtual time the same requests come at the same intervals. A request agrees if the same servers got it in the
-same order, and its answer is of the same kind."""
+Each scenario is drawn from its seed. Requests are sent one after the other, each after the response to the
+previous one. Between them servers drain, leave or rejoin the list, are drained manually, or end their
+requests in one of six ways. On sockets, a front in its own process watches the list and sends to stub
+servers, whose record shows which server received each request. In virtual time the same requests are sent at
+the same intervals. A request agrees if the same servers receive it in the same order and its answer is of the
+same kind."""
 
 import argparse
 import asyncio
@@ -28,12 +29,12 @@
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "both-ways.md"
-SHARDS, EVERY = 3, 47_000  # us between requests: no multiple falls on the end of a rest
-PACES = {
+SHARDS, REQUEST_INTERVAL_US = 3, 47_000  # us between requests; no multiple coincides with the end of a rest
+UNIT_WORK_S = {
     "a": 0.004,
     "b": 0.020,
-}  # s of work of a unit, far enough apart that the quicker one is told on sockets
-ENDS = ("error", "reset", "full", "astray", "no-link", "")
+}  # s of work a unit; different enough that the faster server is recognized on sockets
+OUTCOMES = ("error", "reset", "full", "astray", "no-link", "")
 KINDS = {200: "served", 503: "refused", 502: "failed"}
 CONFIG = """
 name = "f"
@@ -74,7 +75,7 @@
 
 @dataclass
 class Move:
-    """Before a request: what befalls a server."""
+    """A change of a server before a request."""
 
     what: str
     server: str
@@ -88,7 +89,7 @@
     moves: dict[int, list[Move]] = field(default_factory=dict)
 
 
-NAMES = [f"{c}{s}" for s in range(SHARDS) for c in PACES]
+NAMES = [f"{c}{s}" for s in range(SHARDS) for c in UNIT_WORK_S]
 
 
 def draw(seed: int, length: int) -> Script:
@@ -103,7 +104,7 @@
         name = chance.choice(NAMES)
         other = ("b" if name[0] == "a" else "a") + name[1:]
         kind = chance.choice(["drain", "leave", "back", "hand", "end", "end"])
-        if kind in ("drain", "leave") and listed[name] == listed[other] == "ready":  # one of a shard stays
+        if kind in ("drain", "leave") and listed[name] == listed[other] == "ready":  # one stays ready
             listed[name] = kind
             made.moves[k] = [Move(kind, name)]
         elif kind == "back" and listed[name] != "ready":
@@ -113,11 +114,11 @@
             out ^= {name}
             made.moves[k] = [Move("out" if name in out else "in", name)]
         elif kind == "end":
-            made.moves[k] = [Move("outcome", name, chance.choice(ENDS))]
+            made.moves[k] = [Move("outcome", name, chance.choice(OUTCOMES))]
     return made
 
 
-def sheet(version: int, listed: dict[str, str], ports: dict[str, int]) -> str:
+def list_text(version: int, listed: dict[str, str], ports: dict[str, int]) -> str:
     rows = ["format 1", f"version {version}"]
     for name, state in listed.items():
         if state != "leave":
@@ -130,16 +131,16 @@
 
 
 def virtual(script: Script, folder: Path, times: list[tuple[float, float]]) -> list[Route]:
-    """The same requests and moves at the times (s) that they had on sockets."""
+    """Plays the same requests and moves in virtual time, at the times (s) that they had on sockets."""
     path = folder / "virtual.list"
     ports = {name: 9000 + k for k, name in enumerate(NAMES)}
-    path.write_text(sheet(1, dict.fromkeys(NAMES, "ready"), ports))
+    path.write_text(list_text(1, dict.fromkeys(NAMES, "ready"), ports))
     listing = ListLoader(path, 0, NameResolver(lambda host: ())).load(None).check_result.checked_list
     assert listing is not None
     world = World(configuration.load_operator_file(str(folder / "front.toml")).settings, listing, script.seed)
     world._first = dict(listing.endpoints)
     for name in NAMES:
-        world.models[name] = ServerModel(PACES[name[0]] / 0.020)
+        world.models[name] = ServerModel(UNIT_WORK_S[name[0]] / 0.020)
     made = []
     for k, (cls, shard) in enumerate(script.requests):
         world.loop.run(START_US + int(times[k][0] * 1e6))
@@ -160,24 +161,28 @@
     ]
 
 
-class Real:
+class SocketRun:
     def __init__(self, folder: Path) -> None:
         self.folder, self.record = folder, Record()
         self.servers: dict[str, ChunkServer] = {}
         self.listed = dict.fromkeys(NAMES, "ready")
         self.version = 0
         self.process: asyncio.subprocess.Process | None = None
-        self.times: list[tuple[float, float]] = []  # s: moves done, and the request sent
+        self.times: list[tuple[float, float]] = []  # s: end of the moves, and sending of the request
 
     async def start(self) -> None:
         for name in NAMES:
             server = ChunkServer(
-                name, int(name[1:]), Model(unit=PACES[name[0]], spread=0, synthetic=True), self.record, 1
+                name,
+                int(name[1:]),
+                Model(unit=UNIT_WORK_S[name[0]], spread=0, synthetic=True),
+                self.record,
+                1,
             )
             await server.listen("127.0.0.1", 0)
             self.servers[name] = server
         self.ports = {name: s.address[1] for name, s in self.servers.items()}
-        self.swap()
+        self.publish_list()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-B",
@@ -200,10 +205,10 @@
         self.port, self.door = found["listening"], found["admin_api_listening"]
         self.drain = asyncio.create_task(self.process.stderr.read())
 
-    def swap(self) -> None:
+    def publish_list(self) -> None:
         self.version += 1
         path = self.folder / "next"
-        path.write_text(sheet(self.version, self.listed, self.ports))
+        path.write_text(list_text(self.version, self.listed, self.ports))
         path.rename(self.folder / "main.list")
 
     def call(self, path: str, method: str = "GET") -> str:
@@ -225,7 +230,7 @@
             await asyncio.to_thread(self.call, path, "PUT")
         else:
             self.listed[of.server] = "ready" if of.what == "back" else of.what
-            self.swap()
+            self.publish_list()
             while json.loads(await asyncio.to_thread(self.call, "/control/list"))["version"] != self.version:
                 await asyncio.sleep(0.002)
 
@@ -247,7 +252,7 @@
             for move in script.moves.get(k, ()):
                 await self.move(move)
             moved = loop.time() - begin
-            await asyncio.sleep(max(begin + k * EVERY / 1e6 - loop.time(), 0))
+            await asyncio.sleep(max(begin + k * REQUEST_INTERVAL_US / 1e6 - loop.time(), 0))
             self.times.append((moved, loop.time() - begin))
             answers.append(await self.ask(k, cls, shard))
         self.process.terminate()
@@ -261,12 +266,12 @@
         return [(tuple(sent.get(f"q{k}", ())), answer) for k, answer in enumerate(answers)]
 
 
-def written(route: Route, down: set[str]) -> Route:
-    """As a record would have it: a link that never came up leaves no line there."""
+def recorded_route(route: Route, down: set[str]) -> Route:
+    """Returns the route as the servers' record shows it: without servers that could not be connected to."""
     return tuple(s for s in route[0] if s not in down), route[1]
 
 
-def downs(script: Script) -> Iterator[set[str]]:
+def unreachable_servers(script: Script) -> Iterator[set[str]]:
     down = set[str]()
     for k in range(len(script.requests)):
         for move in script.moves.get(k, ()):
@@ -280,15 +285,15 @@
     with tempfile.TemporaryDirectory() as root:
         folder = Path(root)
         (folder / "front.toml").write_text(CONFIG)
-        world = Real(folder)
+        world = SocketRun(folder)
         try:
             real = await asyncio.wait_for(world.play(script), 60)
         finally:
             if world.process is not None and world.process.returncode is None:
                 world.process.kill()
         model = [
-            written(r, down)
-            for r, down in zip(virtual(script, folder, world.times), downs(script), strict=True)
+            recorded_route(r, down)
+            for r, down in zip(virtual(script, folder, world.times), unreachable_servers(script), strict=True)
         ]
     differ = [
         f"seed {seed}, request {k} ({script.requests[k]}): sockets {a}, virtual {b}"
@@ -320,7 +325,7 @@
     same = sum(not lines for _, lines in made)
     text = "# Virtual time and sockets\n\n"
     text += f"`make both-ways`; {words.scenarios} scenarios of {words.requests} requests.\n\n"
-    text += f"{total - len(differ)} of {total} requests went alike; {same} scenarios wholly.\n\n"
+    text += f"{total - len(differ)} of {total} requests were routed alike; {same} scenarios agree fully.\n\n"
     text += "\n".join(f"- {line}" for line in differ[:40]) + "\n" * bool(differ)
     print(text)
     if words.keep:
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -1,12 +1,13 @@
-"""What cold chunk servers get from all processes together, by processes: `make bench-cold-ramp`.
+"""Measures the load that cold chunk servers get from all front processes: `make bench-cold-ramp`.
 
-Real `Head`s in virtual time, no I/O. A day of the emulator's own load (volumes over few shards and few
-fronts, skewed, surging, the lead changing) falls on fronts of which some learn of a start seconds late and
-some are restarted in the ramp, the old process living on for a while beside the new one. Servers are the
-emulator's; they have errors and turn some away, so that there are further attempts; clients come again once.
-Settings are drawn from the ranges of two deployments. After each start windows of the settings' length slide
-over what the server was sent, attempts of every end counted, in requests of mean work; N is what the settings
-allow in one: `coldUnits` at the start, growing to the warm server's."""
+Real `Scheduler`s run in virtual time, without I/O. The load is a day of the emulator: volumes are spread over
+few shards and few fronts, skewed, with surges and a changing busiest volume. Some fronts learn of the start
+of a server seconds late, and some are restarted while it warms up; the old process may then run beside the
+new one for a while. The servers are the emulator's; they fail or reject some requests, so that there are
+further attempts, and clients retry once. Settings are drawn from the ranges of two deployments. After each
+start of a server, windows of the configured length slide over the work sent to it, in requests of mean work;
+attempts count whatever their result. N is the number that the settings allow in one window: `coldUnits` at
+the start, growing to that of a warm server."""
 
 import argparse
 import copy
@@ -41,19 +42,20 @@
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "docs" / "measurements" / "cold-ramp.md"
-BEFORE = "602e568"
+BASE_REVISION = "602e568"
 SECOND = 1_000_000
 PROCESSES = (1, 2, 5, 10, 30, 40, 100, 200)
-STARTS = {1: 30, 2: 30, 5: 30, 10: 50, 30: 90, 40: 60, 100: 40, 200: 20}  # servers that start, over all seeds
-SMALL = 18.0  # units a second of a server where a fleet is large; else as drawn
-HISTORY = 12 * SECOND  # heads learn their traffic
-WAY = 300  # us, one way
-GRID = 25_000  # us between windows looked at
-AWAY = 0.02  # part of requests that a server turns away unseen
-RESTS = "rest"  # stands for all servers that are warm: takes new objects, answers at once
-OTHER = 1 << 20  # its shard
+# Number of server starts over all seeds, by number of processes.
+STARTS = {1: 30, 2: 30, 5: 30, 10: 50, 30: 90, 40: 60, 100: 40, 200: 20}
+LARGE_FLEET_SERVER_UNITS = 18.0  # units a second of a server in a large fleet; drawn in smaller ones
+HISTORY_US = 12 * SECOND  # time for the schedulers to learn their traffic
+NETWORK_DELAY_US = 300  # us, one-way network delay
+WINDOW_STEP_US = 25_000  # us between two evaluated windows
+REJECTED_FRACTION = 0.02  # fraction of requests that a server rejects at once
+RESTS = "rest"  # represents all warm servers: takes new objects and answers at once
+OTHER = 1 << 20  # shard of RESTS
 SITES: tuple[dict[str, Any], ...] = (
-    {},  # the emulator's own figures
+    {},  # defaults of the emulator
     {
         "cold": {"from": [0.2, 0.44], "warm_s": [9.9, 17.0], "least": 0.2, "longest_s": 17.0},
         "node": {"speed": [0.85, 1.7]},
@@ -77,7 +79,7 @@
 
 @dataclass
 class Start:
-    """A cold server: what it was sent, and what came of it. Work in us."""
+    """A starting server, the work sent to it and the work that it completed. Work is in us."""
 
     node: Node
     at: int
@@ -89,17 +91,17 @@
 
 @dataclass
 class Windows:
-    """Counts over starts."""
+    """Counts and sums over server starts."""
 
     starts: int = 0
     windows: int = 0
     past: list[int] = field(default_factory=lambda: [0, 0, 0])  # N; N + 2 root N + 2; N + 3 root N + 3
-    fell: list[int] = field(default_factory=lambda: [0, 0, 0])  # starts with one such, at any arrival
-    most: float = 0.0  # highest window over N + 2 root N + 2
+    fell: list[int] = field(default_factory=lambda: [0, 0, 0])  # starts over each limit at some arrival
+    most: float = 0.0  # highest ratio of a window to N + 2 root N + 2
     offered: float = 0.0
     bearable: float = 0.0
     capacity: float = 0.0
-    done: float = 0.0  # all work that was run
+    done: float = 0.0  # all work that the servers completed
     in_time: float = 0.0
 
     def add(self, other: "Windows") -> None:
@@ -111,12 +113,12 @@
 
 
 def bounds(n: float) -> tuple[float, float, float]:
-    """N, and what chance may add to it: as it is judged from now on, and as it was."""
+    """Returns N and two limits that allow for random variation: the current one and the former one."""
     return n, n + 2 * math.sqrt(n) + 2, n + 3 * math.sqrt(n) + 3
 
 
 def judged(of: Start, s: Settings, mean: float) -> Windows:
-    """`mean` is the work of a mean request."""
+    """Evaluates the windows of one start; `mean` is the mean work of a request in us."""
     made, times = Windows(starts=1), [t for t, _ in of.sent]
     sums = [0.0]
     for _, work in of.sent:
@@ -129,7 +131,7 @@
         )
         return got, bounds(s.slow_start_units / s.mean_request_units * grown / s.initial_capacity_ratio)
 
-    for at in range(of.at, of.at + s.warm_up_us, GRID):
+    for at in range(of.at, of.at + s.warm_up_us, WINDOW_STEP_US):
         got, limits = window(at)
         made.windows += 1
         made.past = [p + (got > limit) for p, limit in zip(made.past, limits, strict=True)]
@@ -152,19 +154,19 @@
 
 
 class Process:
-    """A front's process: its head, and what is open there."""
+    """A front process with its scheduler and its open requests."""
 
     def __init__(self, world: "World", number: int, seed: int) -> None:
         self.head = Scheduler(world.settings, seed, world.now)
         self.number = number
-        self.open: dict[str, tuple[Request, int, int]] = {}  # request, when it came, client's try
+        self.open: dict[str, tuple[Request, int, int]] = {}  # request, arrival, client's try
         self.tries: dict[str, int] = {}
-        self.out: dict[str, tuple[int, str, int]] = {}  # attempt, node, when
+        self.out: dict[str, tuple[int, str, int]] = {}  # attempt, node, time of sending
         self.alive = True
 
 
 class World:
-    """One drawn day with `heads` fronts, over and over the same from its seed."""
+    """One random day with `heads` fronts; the same seed always gives the same day."""
 
     def __init__(self, heads: int, seed: int, starts: int) -> None:
         self.chance = chance = random.Random(f"{heads}/{seed}")
@@ -172,11 +174,11 @@
         shards = max(heads, 4) if heads > 10 else max(2 * heads, 4)
         self.cold = chance.sample(range(shards), min(starts, max(shards // 2, 1)))
         longest = int(self.of.cold.one("longest_s"))
-        self.length = HISTORY + (longest + 4) * SECOND
+        self.length = HISTORY_US + (longest + 4) * SECOND
         speed = self.of.node.draw("speed", chance)
-        if heads > 10:  # where a fleet is large its servers are small
+        if heads > 10:  # large fleets have small servers
             base = draw(self.of, seconds=0.001, load=0.5, shards=shards, fronts=heads, speed=speed, seed=seed)
-            speed *= SMALL / base.power
+            speed *= LARGE_FLEET_SERVER_UNITS / base.power
         self.day: Day = draw(
             self.of,
             seconds=self.length / SECOND,
@@ -189,7 +191,9 @@
         )
         self.mean = sum(r.work for r in self.day.requests) / len(self.day.requests)
         told = told_by(self.of, self.day, heads, shards)
-        told["extra"]["coldUnits"] *= chance.uniform(0.38, 1.0)  # 0.19 to 0.5 of what the slowest bears
+        told["extra"]["coldUnits"] *= chance.uniform(
+            0.38, 1.0
+        )  # 0.19 to 0.5 of the slowest server's capacity
         self.settings = configuration.parse_settings(configuration.flatten(told))
         self.kinds = {k.name: k for k in self.day.kinds}
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -205,7 +209,7 @@
 
     def _start(self, shard: int, speed: float) -> Start:
         chance, cold = self.chance, self.of.cold
-        at = HISTORY + int(chance.uniform(0, 2) * SECOND)
+        at = HISTORY_US + int(chance.uniform(0, 2) * SECOND)
         of = Traits(
             cores=2,
             speed=speed * chance.uniform(0.9, 1.1),
@@ -244,20 +248,24 @@
         of.tries[act.request_id] = attempt + 1
         of.out[act.request_id] = attempt, act.endpoint, self.now
         if act.endpoint == RESTS:
-            return self.at(self.now + 2 * WAY, self.ended, of, act.request_id, attempt, AttemptResult.OK)
-        return self.at(self.now + WAY, self.arrived, of, act, attempt)
+            return self.at(
+                self.now + 2 * NETWORK_DELAY_US, self.ended, of, act.request_id, attempt, AttemptResult.OK
+            )
+        return self.at(self.now + NETWORK_DELAY_US, self.arrived, of, act, attempt)
 
     def arrived(self, of: Process, act: Send, attempt: int) -> None:
         start = self.by_node[act.endpoint]
         if act.request_id not in of.open:
-            return  # its front has died: its connection ended before
+            return  # the front process has ended, and its connection with it
         r = of.open[act.request_id][0]
         start.sent.append((self.now, r.work))
         name = f"{act.request_id}/{attempt}"
         job = Job(name, r.class_name, r.volume, r.block, r.shard, r.units, r.work, r.write, of.number)
-        word = "full" if self.chance.random() < AWAY else start.node.offer(self.now, job)
+        word = "full" if self.chance.random() < REJECTED_FRACTION else start.node.offer(self.now, job)
         if word != "taken":
-            return self.at(self.now + WAY, self.ended, of, act.request_id, attempt, AttemptResult.REJECTED)
+            return self.at(
+                self.now + NETWORK_DELAY_US, self.ended, of, act.request_id, attempt, AttemptResult.REJECTED
+            )
         self.jobs[name] = of, act.request_id, attempt
         return self.arm(start)
 
@@ -274,7 +282,7 @@
             if self.now < start.at + self.settings.warm_up_us:
                 start.served += job.work
             result = AttemptResult.OK if job.end == "ok" else AttemptResult.ERROR
-            self.at(self.now + WAY, self.ended, of, request, attempt, result)
+            self.at(self.now + NETWORK_DELAY_US, self.ended, of, request, attempt, result)
         self.arm(start)
 
     def ended(self, of: Process, request: str, attempt: int, result: AttemptResult) -> None:
@@ -304,7 +312,7 @@
             self.at(self.now + self.day.retry_wait, self.ask, r, 1)
 
     def gone(self, of: Process, request: str) -> None:
-        """Its time is over: an attempt that is out has timed out."""
+        """Ends a request at its deadline: an attempt in progress times out."""
         if request in of.open and request in of.out:
             self.ended(of, request, of.out[request][0], AttemptResult.TIMEOUT)
 
@@ -329,7 +337,7 @@
         )
 
     def lump(self, front: int, rows: list[Request]) -> None:
-        """What goes to shards that are not looked at: asked of the head, and over the next moment."""
+        """Feeds requests for shards that are not measured to the scheduler; they expire 1 us later."""
         of, made = self.fronts[front], []
         for r in rows:
             name = f"q{next(self.number)}"
@@ -337,7 +345,7 @@
             made.append(self.request(r, name, r.shard, self.now + 1))
         self.feed(of, *made)
 
-    # What befalls fronts
+    # Events of fronts
 
     def tell(self, front: int, node: Endpoint) -> None:
         self.told[front].append(node)
@@ -345,7 +353,7 @@
 
     def restart(self, front: int, beside: bool) -> None:
         old = self.fronts[front]
-        if beside:  # the new one takes all that comes; the old one has some seconds for what it has
+        if beside:  # the new process takes all new requests; the old one has 3 s for its open ones
             self.at(self.now + 3 * SECOND, self.end, old)
         else:
             self.end(old)
@@ -370,14 +378,14 @@
                 node = Endpoint(start.node.name, EndpointStatus.UP, start.node.shard, start.at, 1.0)
                 self.at(start.at + int((spread + chance.uniform(0, 0.3)) * SECOND), self.tell, n, node)
         struck = chance.choice([0.0, 0.3, 0.7])
-        moment = HISTORY + int(chance.uniform(1, 8) * SECOND)
+        moment = HISTORY_US + int(chance.uniform(1, 8) * SECOND)
         for n in range(self.heads):
             if chance.random() < struck:
                 back = moment + int(chance.uniform(0, 1) * SECOND)
                 self.at(back, self.restart, n, chance.random() < 0.3)
         lumps: dict[tuple[int, int], list[Request]] = defaultdict(list)
         for r in self.day.requests:
-            if r.at >= HISTORY - 2 * SECOND and (r.write or r.shard in self.starts):
+            if r.at >= HISTORY_US - 2 * SECOND and (r.write or r.shard in self.starts):
                 self.at(r.at, self.ask, r)
             elif not r.write:
                 lumps[r.front, r.at // (SECOND // 2)].append(r)
@@ -393,7 +401,7 @@
 
 
 def play(heads: int, starts: int, seed: int = 0) -> Windows:
-    """At least `starts` servers' ramps, over as many drawn days as that takes."""
+    """Plays random days until at least `starts` server starts are measured."""
     made = Windows()
     while made.starts < starts:
         made.add(World(heads, seed, starts - made.starts).play())
@@ -412,7 +420,7 @@
 
 
 def at_revision(rev: str, processes: list[int]) -> list[dict[str, Any]]:
-    """The same, over this repository's program as it was; this file is of now."""
+    """Runs the current version of this file with the program of an earlier revision."""
     packed = subprocess.run(["git", "archive", rev, "umberlead"], cwd=ROOT, capture_output=True, check=True)
     with tempfile.TemporaryDirectory() as folder:
         with tarfile.open(fileobj=BytesIO(packed.stdout)) as tar:
@@ -454,7 +462,7 @@
     parser.add_argument("processes", nargs="*", type=int, default=list(PROCESSES))
     parser.add_argument("--keep", action="store_true")
     parser.add_argument("--json", action="store_true", help="figures alone")
-    parser.add_argument("--against", default=BEFORE, help="revision to compare with; - for none")
+    parser.add_argument("--against", default=BASE_REVISION, help="revision to compare with; - for none")
     args = parser.parse_args()
     if args.json:
         print(json.dumps(run(args.processes)))
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -1,19 +1,21 @@
-"""How long after their clients left requests are still sent on, and what looking for it costs: `make
-bench-leaving`.
+"""Measures attempts that start after their client has disconnected, and the cost of checking for that.
 
-A front in a process of its own, stand-ins in another, clients here. Each client asks once and leaves after a
-drawn time, closing, ending its sending or resetting; a quarter have sent so much ahead that the front has
-stopped reading. Beside them objects go in, one at a time on each shard, whose clients leave in the middle.
-What was sent on when is told by the stand-ins' record alone: from the system's taking the client's leaving to
-the read of the request's last byte there, on one monotonic clock; what the record itself lags by is in it.
-Three ways:
+Run it with `make bench-leaving`. The front and the stub servers run in a process each, the clients in this
+one. Each client sends one request and disconnects after a random time: by closing, by shutting down its
+sending side or by a reset. A quarter of the clients have sent so much data ahead that the front has stopped
+reading. In parallel, objects are uploaded, one at a time on each shard, and their clients disconnect in
+mid-upload. Only the record of the stub servers counts: the delay runs from the system call that disconnects
+the client to the moment when the stub server has read the last byte of the request, on one monotonic clock,
+and so includes any lag of the record itself. The front runs in three modes:
 
-- `free`: the front has a core;
-- `busy`: it shares one with two processes that never rest (bounded in time);
-- `stopped`: SIGSTOP for 0.15 to 0.3 s, again and again: clients leave and deadlines fall due in that time.
+- `free`: the front has a core of its own;
+- `busy`: it shares a core with two busy-looping processes (which end by themselves after a while);
+- `stopped`: it is stopped by SIGSTOP for 0.15 to 0.3 s repeatedly, so that clients disconnect and deadlines
+  expire meanwhile.
 
-Each is played with the look at the client's connection as an attempt begins and without it. Its cost is the
-processor time a request of two fronts, one with it and one without, loaded by turns; and a call by itself."""
+Each mode runs with and without the check of the client's connection ("look") when an attempt starts. The cost
+of the check is the processor time per request of two fronts, with and without it, loaded alternately; one
+check is also timed by itself."""
 
 import argparse
 import asyncio
@@ -44,10 +46,10 @@
 from umberlead.net.client_connections import ClientGroup
 from umberlead.net.listener import Listener
 
-WAYS, SHARDS, BUSY = ("free", "busy", "stopped"), 8, 2
-RATE, STAY = 500.0, (0.0, 0.3)  # clients a second, and how long they stay, s
-OBJECT_STAY, OBJECT_GAP = 0.12, 0.4  # s an object's client stays at most, and until the next one there
-PAIRS, PART, ASKING = 12, 0.6, 16  # of the cost: turns, s of each, clients that ask at once
+MODES, SHARDS, BUSY = ("free", "busy", "stopped"), 8, 2
+CLIENTS_PER_SECOND, CLIENT_STAY_S = 500.0, (0.0, 0.3)  # range of the time until one disconnects
+OBJECT_STAY_S, OBJECT_GAP_S = 0.12, 0.4  # longest stay of an uploading client, pause until the next
+PAIRS, RUN_S, CONCURRENT_CLIENTS = 12, 0.6, 16  # for the cost: pairs of runs, length of each run
 CONFIG = """
 name = "front"
 listen = "127.0.0.1:0"
@@ -87,7 +89,7 @@
 
 
 def front(path: str, look: str) -> int:
-    """A front's process; without the look an attempt begins for whoever is not known to have left."""
+    """Runs a front; without the look, an attempt starts unless the client is already known to be gone."""
     os.environ["UMBERLEAD_CONFIG"] = path
     if look == "without":
         from umberlead.requests.lifecycle import RequestLifecycle
@@ -99,7 +101,7 @@
 
 
 class Process:
-    """A front and where it listens: the platform's protocol, the object API."""
+    """A front process, which listens for the protocol of the platform and for the object API."""
 
     def __init__(
         self, folder: Path, name: str, ports: list[int], look: bool, core: int | None = None
@@ -123,7 +125,7 @@
         raise RuntimeError(self.log.read_text())
 
     def used(self) -> int:
-        """ns of processor time."""
+        """Returns the processor time used so far, ns."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0])
 
     def end(self) -> int:
@@ -132,8 +134,8 @@
         return self.process.wait(20)
 
 
-def leave(sock: socket.socket, way: int) -> int:
-    """By closing, ending its sending or resetting; when the system had it, in monotonic ns."""
+def disconnect(sock: socket.socket, way: int) -> int:
+    """Disconnects a client: 0 closes, 1 shuts down sending, 2 resets. Returns the time in monotonic ns."""
     if way == 1:
         sock.shutdown(socket.SHUT_WR)
         told = time.monotonic_ns()
@@ -145,48 +147,60 @@
     return time.monotonic_ns()
 
 
-def asked(name: str, chance: random.Random) -> bytes:
+def request_bytes(name: str, chance: random.Random) -> bytes:
     shard, block = chance.randrange(SHARDS), chance.getrandbits(64)
     head = f"GET /read?block={block:016x} HTTP/1.1\r\nX-Call-Id: {name}\r\nX-Plan: basic\r\n"
     return (head + f"X-IO: volume={block % 40:x},units=2,shard={shard}\r\n\r\n").encode()
 
 
 @dataclass
-class Left:
-    """When clients left: by request's id; by shard, from each object's leaving to the next one's begin."""
+class Disconnections:
+    """When clients disconnected, in monotonic ns.
+
+    Attributes:
+        by_id: Time of the disconnection by request id.
+        objects: By shard, for each upload: its disconnection and the start of the next upload.
+    """
 
     by_id: dict[str, int] = field(default_factory=dict)
     objects: dict[int, list[tuple[int, int]]] = field(default_factory=lambda: defaultdict(list))
 
 
-def ahead(sock: socket.socket) -> None:
-    """More than is read ahead; it comes by itself, or what is behind the first request is refused at once."""
-    with contextlib.suppress(OSError):  # it may have left
+def send_ahead(sock: socket.socket) -> None:
+    """Sends more than the front reads ahead.
+
+    It is sent separately, as the front would otherwise reject the data behind the first request at once.
+    """
+    with contextlib.suppress(OSError):  # the client may have disconnected
         sock.sendall(b"GET /" + b"x" * 60_000)
 
 
-async def platform(address: tuple[str, int], name: str, seconds: float, left: Left, seed: int) -> None:
+async def platform(
+    address: tuple[str, int], name: str, seconds: float, left: Disconnections, seed: int
+) -> None:
     loop, chance, begin = asyncio.get_running_loop(), random.Random(seed), time.monotonic()
-    for k in range(int(RATE * seconds)):
-        await asyncio.sleep(max(begin + k / RATE - time.monotonic(), 0))
+    for k in range(int(CLIENTS_PER_SECOND * seconds)):
+        await asyncio.sleep(max(begin + k / CLIENTS_PER_SECOND - time.monotonic(), 0))
         sock = socket.create_connection(address)
         names = [f"{name}-{k}"]
-        text = asked(names[0], chance)
+        text = request_bytes(names[0], chance)
         if chance.random() < 0.25:
             names.append(f"{name}-{k}b")
-            text += asked(names[1], chance)
-            loop.call_later(0.005, ahead, sock)
+            text += request_bytes(names[1], chance)
+            loop.call_later(0.005, send_ahead, sock)
         sock.sendall(text)
 
         def go(sock: socket.socket = sock, names: list[str] = names, way: int = k % 3) -> None:
-            told = leave(sock, way)
+            told = disconnect(sock, way)
             left.by_id.update(dict.fromkeys(names, told))
 
-        loop.call_later(chance.uniform(*STAY), go)
-    await asyncio.sleep(STAY[1] + 1.5)
+        loop.call_later(chance.uniform(*CLIENT_STAY_S), go)
+    await asyncio.sleep(CLIENT_STAY_S[1] + 1.5)
 
 
-async def objects(address: tuple[str, int], shard: int, seconds: float, left: Left, seed: int) -> None:
+async def objects(
+    address: tuple[str, int], shard: int, seconds: float, left: Disconnections, seed: int
+) -> None:
     chance, end, told = random.Random(f"{seed}/{shard}"), time.monotonic() + seconds, 0
     body = b"PUT /scans/%s HTTP/1.1\r\nContent-Length: 49152\r\n\r\n" + b"x" * 49152
     while time.monotonic() < end:
@@ -199,9 +213,9 @@
             left.objects[shard].append((told, time.monotonic_ns()))
         sock = socket.create_connection(address)
         sock.sendall(body.replace(b"%s", key.encode(), 1))
-        await asyncio.sleep(chance.uniform(0, OBJECT_STAY))
-        told = leave(sock, chance.randrange(3))
-        await asyncio.sleep(OBJECT_GAP)
+        await asyncio.sleep(chance.uniform(0, OBJECT_STAY_S))
+        told = disconnect(sock, chance.randrange(3))
+        await asyncio.sleep(OBJECT_GAP_S)
     left.objects[shard].append((told, time.monotonic_ns()))
 
 
@@ -216,10 +230,14 @@
 
 async def phase(
     folder: Path, ports: list[int], way: str, look: bool, seconds: float, seed: int
-) -> tuple[str, Left, int]:
+) -> tuple[str, Disconnections, int]:
     name = f"{way}-{'with' if look else 'without'}"
     core = max(os.sched_getaffinity(0)) if way == "busy" else None
-    of, left, load = Process(folder, name, ports, look, core), Left(), list[subprocess.Popen[bytes]]()
+    of, left, load = (
+        Process(folder, name, ports, look, core),
+        Disconnections(),
+        list[subprocess.Popen[bytes]](),
+    )
     try:
         places = await of.ready()
         if core is not None:
@@ -240,9 +258,12 @@
     return name, left, code
 
 
-def after(name: str, left: Left, rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """ms from leaving to each attempt begun later: clients' own requests by their ids, objects' blocks by
-    shard and time, as one object at a time goes in there."""
+def after(name: str, left: Disconnections, rows: list[dict[str, Any]]) -> dict[str, Any]:
+    """Returns the delays in ms from a disconnection to each attempt that starts later.
+
+    Requests are matched by id. Blocks of objects are matched by shard and time, as each shard has one upload
+    at a time.
+    """
     told = left.by_id
     late = [(r["t"] - told[r["id"]]) / 1e6 for r in rows if r["id"] in told]
     before = {r["id"] for r in rows if r["id"] in told and r["t"] <= told[r["id"]]}
@@ -260,8 +281,8 @@
     return made
 
 
-class Asking(asyncio.Protocol):
-    """Asks again as soon as it is answered."""
+class RepeatingClient(asyncio.Protocol):
+    """A client that sends its next request as soon as the previous one is answered."""
 
     def __init__(self, chance: random.Random, name: str) -> None:
         self.chance, self.name, self.count, self.on = chance, name, 0, True
@@ -272,7 +293,7 @@
 
     def ask(self) -> None:
         self.count += 1
-        self.transport.write(asked(f"{self.name}-{self.count}", self.chance))
+        self.transport.write(request_bytes(f"{self.name}-{self.count}", self.chance))
 
     def data_received(self, data: bytes) -> None:
         if self.on:
@@ -280,12 +301,12 @@
 
 
 async def turn(address: tuple[str, int], of: Process, name: str) -> float:
-    """us of the front's processor time a request."""
+    """Returns the processor time of the front per request, us."""
     loop, used = asyncio.get_running_loop(), of.used()
-    made = [Asking(random.Random(f"{name}/{k}"), f"{name}-{k}") for k in range(ASKING)]
+    made = [RepeatingClient(random.Random(f"{name}/{k}"), f"{name}-{k}") for k in range(CONCURRENT_CLIENTS)]
     for each in made:
         await loop.create_connection(lambda each=each: each, *address)  # type: ignore[misc]
-    await asyncio.sleep(PART)
+    await asyncio.sleep(RUN_S)
     for each in made:
         each.on = False
     await asyncio.sleep(0.1)
@@ -296,7 +317,7 @@
 
 
 async def cost(folder: Path, ports: list[int]) -> list[tuple[float, float]]:
-    """us a request without and with the look, turn by turn; who goes first changes."""
+    """Returns us per request without and with the look, by pair of runs; the order alternates."""
     both = [Process(folder, f"cost-{look}", ports, look) for look in (False, True)]
     try:
         places = [(await of.ready())[0] for of in both]
@@ -306,14 +327,14 @@
             for look in (0, 1) if k % 2 else (1, 0):
                 got[look] = await turn(places[look], both[look], f"{k}-{look}")
             made.append((got[0], got[1]))
-        return made[1:]  # the first one warms both
+        return made[1:]  # the first pair warms up both fronts
     finally:
         for of in both:
             of.end()
 
 
 async def call() -> float:
-    """us of one look by itself, on a connection that stands."""
+    """Returns the time of a single look in us, on an established connection."""
     loop, seen = asyncio.get_running_loop(), list[Any]()
     clients = ClientGroup(9, lambda: 0, Counters(), 0, 1 << 20, print)
 
@@ -361,10 +382,10 @@
         folder, base = Path(root), 21000 + (os.getpid() * 37) % 20000
         slow, ports, record = stand_ins(folder, "slow", base, 24.0)
         quick, quick_ports, _ = stand_ins(folder, "quick", base + SHARDS, 0.05)
-        lefts, codes = dict[str, Left](), list[int]()
+        lefts, codes = dict[str, Disconnections](), list[int]()
         try:
             await asyncio.sleep(1.5)
-            for way in WAYS:
+            for way in MODES:
                 for look in (False, True):
                     name, lefts[name], code = await phase(folder, ports, way, look, seconds, seed)
                     codes.append(code)
@@ -410,9 +431,11 @@
         "latest, ms",
     ]
     text = "# Attempts begun after their client left\n\n"
-    text += f"`make bench-leaving`; {seconds:g} s each, seed {seed}. Latest: the last request that stand-ins"
-    text += " read whole after its client had left; what they take to read it is in it. Without the look: as"
-    text += " the program was before it. Each front serves alone.\n\n"
+    text += f"`make bench-leaving`; {seconds:g} s each, seed {seed}. Latest: the last request that a stub"
+    text += (
+        " server read completely after its client had disconnected, including the time to read it. Without"
+    )
+    text += " the look: the program before the check was added. Each front serves alone.\n\n"
     text += "| " + " | ".join(heads) + " |\n| --- |" + " --- |" * (len(heads) - 1) + "\n"
     text += "\n".join(row(name, of) for name, of in made["ways"].items()) + "\n\n"
     text += "| the look's cost | us |\n| --- | --- |\n"
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -1,8 +1,8 @@
-"""How long lists are loaded beside a live loop, and what a change costs in its one turn: `make
-bench-long-lists`.
+"""Measures loading long lists while the event loop runs, and the loop time to apply a change.
 
-The loop's stops are measured by a task that wakes each millisecond; the same task beside an idle thread gives
-what the machine itself adds. A reload changes one line; the whole change replaces every server."""
+Run it with `make bench-long-lists`. A task that wakes up every millisecond measures how long the loop is
+blocked; the same task without a reload shows the delay caused by the machine itself. A reload changes one
+line; the whole change replaces the line of every server."""
 
 import argparse
 import asyncio
@@ -29,13 +29,13 @@
 SIZES = (200, 2000, 20_000)
 
 
-class Quiet:
+class NullLog:
     def __getattr__(self, level: str) -> Any:
         return lambda *_, **__: None
 
 
-class Addresses:
-    """The part of a pool that a change touches."""
+class PoolStub:
+    """The part of a connection pool that applying a change uses."""
 
     def __init__(self) -> None:
         self.addresses: dict[str, Any] = {}
@@ -44,7 +44,7 @@
     def close_unlisted(self, addresses: Any) -> None: ...
 
 
-def sheet(version: int, n: int, weight: str = "1", every: bool = False) -> str:
+def list_text(version: int, n: int, weight: str = "1", every: bool = False) -> str:
     rows = [
         f"server n{k} address 10.{k >> 16}.{k >> 8 & 255}.{k & 255}:80 shard {k} weight" for k in range(n)
     ]
@@ -53,8 +53,8 @@
     return "\n".join([*lines, f"end {len(lines)}", ""])
 
 
-async def stops(done: asyncio.Event) -> list[float]:
-    """ms by which each wake came later than its millisecond."""
+async def measure_blocking(done: asyncio.Event) -> list[float]:
+    """Returns by how many ms each wake-up was late, ascending."""
     made = []
     while not done.is_set():
         before = time.perf_counter()
@@ -65,7 +65,7 @@
 
 async def beside(wait: Any) -> tuple[list[float], float]:
     done, began = asyncio.Event(), time.perf_counter()
-    task = asyncio.create_task(stops(done))
+    task = asyncio.create_task(measure_blocking(done))
     await wait()
     took = (time.perf_counter() - began) * 1000
     done.set()
@@ -78,7 +78,7 @@
     wheel = TimerWheel(clock, lambda delay, fn: loop.call_later(delay / 1e6, fn), 2000)
     of = Settings((RequestClass("read", 300_000, 2_000_000),), (Plan("basic"),))
     engine = RequestLifecycle(of, 1, clock, wheel, loop.call_soon, Counters(), print)
-    pool, turns = Addresses(), list[float]()
+    pool, turns = PoolStub(), list[float]()
 
     def take(change: Any) -> None:
         began = time.perf_counter()
@@ -89,22 +89,22 @@
     gc.unfreeze()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "list"
-        path.write_text(sheet(1, n))
+        path.write_text(list_text(1, n))
         rules = MembershipSettings(1.0, 10**9, FlapDampingSettings(100_000, 7000.0, 1000.0))
         made = WatchedListService(
-            WatchedListSettings(path, None, 0.005, 0.25, rules), 0, loop, clock, Counters(), Quiet(), take
+            WatchedListSettings(path, None, 0.005, 0.25, rules), 0, loop, clock, Counters(), NullLog(), take
         )
         began = time.perf_counter()
         made.load_first_list()
         first = (time.perf_counter() - began) * 1000
-        gc.set_threshold(10_000, 20, 20)  # as a front has it once it has started
+        gc.set_threshold(10_000, 20, 20)  # the setting of a front after its start
         gc.collect()
         gc.freeze()
         made.start_watching()
         late, waits = list[float](), list[float]()
         turns.clear()
         for k in range(rounds):
-            text, generation = sheet(2 + k, n, str(2 + k % 2)), made.membership.generation
+            text, generation = list_text(2 + k, n, str(2 + k % 2)), made.membership.generation
 
             async def changed(text: str = text, generation: int = generation) -> None:
                 path.with_name("next").write_text(text)
@@ -118,7 +118,7 @@
         one = max(turns)
         turns.clear()
         generation = made.membership.generation
-        path.write_text(sheet(100, n, "7", every=True))
+        path.write_text(list_text(100, n, "7", every=True))
         while made.membership.generation == generation:
             await asyncio.sleep(0.002)
         whole = max(turns)
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,4 +1,4 @@
-"""Versions of the module ranked over days like the simulator's: `make bench-versions`."""
+"""Ranks versions of the module over simulated days that resemble the simulator's: `make bench-versions`."""
 
 import argparse
 import os
@@ -15,7 +15,7 @@
 FILE = ROOT / "deploy" / "rehearsals" / "versions.toml"
 
 
-def _told(done: int, whole: int, cell: running.Cell) -> None:
+def _print_progress(done: int, whole: int, cell: running.Cell) -> None:
     print(done, "of", whole, cell.run.arm, cell.fault, flush=True)
 
 
@@ -26,7 +26,7 @@
     words: Any = parser.parse_args()
     of = matrix.read(FILE)
     with tempfile.TemporaryDirectory() as folder:
-        cells = running.play(of, Path(folder) / "trees", words.workers, _told)
+        cells = running.play(of, Path(folder) / "trees", words.workers, _print_progress)
         dataset.write(cells, Path(folder))
         rows, faults = dataset.read(Path(folder))
         report.write(Path(folder), of.name, of.baseline, of.measures, rows, faults)
@@ -43,7 +43,7 @@
             against = f"{pair.difference.words()} | {pair.better}, {pair.worse}" if pair else " | "
             text += f"| {name} | {revs[name]} | {mean.mean:.4f} | {against} |\n"
         broken = sum(sum(days.values()) for days in compare.by_arm(rows, "breaches").values())
-        text += f"\nRules broken: {broken:.0f}. Cells without a result: {len(faults)}.\n"
+        text += f"\nRules broken: {broken:.0f}. Runs without a result: {len(faults)}.\n"
         print(text)
         if words.keep:
             shutil.copy(Path(folder) / "differences.png", OUT / "versions.png")
