--- a/benchmarks/both_ways.py
+++ b/benchmarks/both_ways.py
@@ -130,7 +130,7 @@
 Route = tuple[tuple[str, ...], str]
 
 
-def virtual(script: Script, folder: Path, times: list[tuple[float, float]]) -> list[Route]:
+def play_virtual(script: Script, folder: Path, times: list[tuple[float, float]]) -> list[Route]:
     """Plays the same requests and moves in virtual time, at the times (s) that they had on sockets."""
     path = folder / "virtual.list"
     ports = {name: 9000 + k for k, name in enumerate(NAMES)}
@@ -280,7 +280,7 @@
         yield set(down)
 
 
-async def both(seed: int, length: int) -> tuple[int, list[str]]:
+async def compare_scenario(seed: int, length: int) -> tuple[int, list[str]]:
     script = draw(seed, length)
     with tempfile.TemporaryDirectory() as root:
         folder = Path(root)
@@ -293,7 +293,9 @@
                 world.process.kill()
         model = [
             recorded_route(r, down)
-            for r, down in zip(virtual(script, folder, world.times), unreachable_servers(script), strict=True)
+            for r, down in zip(
+                play_virtual(script, folder, world.times), unreachable_servers(script), strict=True
+            )
         ]
     differ = [
         f"seed {seed}, request {k} ({script.requests[k]}): sockets {a}, virtual {b}"
@@ -308,7 +310,7 @@
 
     async def one(seed: int) -> tuple[int, list[str]]:
         async with gate:
-            return await both(seed, length)
+            return await compare_scenario(seed, length)
 
     return list(await asyncio.gather(*(one(seed) for seed in range(1, count + 1))))
 
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -32,7 +32,7 @@
 from umberlead import configuration
 from umberlead.emulator.figures import Figures
 from umberlead.emulator.node import FOREVER_US, Job, Node, Traits
-from umberlead.emulator.settings import settings as told_by
+from umberlead.emulator.settings import settings as emulator_settings
 from umberlead.load_generator.day import Day, Request, draw
 from umberlead.scheduling import events
 from umberlead.scheduling.actions import Cancel, Fail, Reject, Send, SetTimer
@@ -52,8 +52,8 @@
 NETWORK_DELAY_US = 300  # us, one-way network delay
 WINDOW_STEP_US = 25_000  # us between two evaluated windows
 REJECTED_FRACTION = 0.02  # fraction of requests that a server rejects at once
-RESTS = "rest"  # represents all warm servers: takes new objects and answers at once
-OTHER = 1 << 20  # shard of RESTS
+WARM_SERVERS = "rest"  # represents all warm servers: takes new objects and answers at once
+WARM_SHARD = 1 << 20  # shard of WARM_SERVERS
 SITES: tuple[dict[str, Any], ...] = (
     {},  # defaults of the emulator
     {
@@ -117,7 +117,7 @@
     return n, n + 2 * math.sqrt(n) + 2, n + 3 * math.sqrt(n) + 3
 
 
-def judged(of: Start, s: Settings, mean: float) -> Windows:
+def evaluate_windows(of: Start, s: Settings, mean: float) -> Windows:
     """Evaluates the windows of one start; `mean` is the mean work of a request in us."""
     made, times = Windows(starts=1), [t for t, _ in of.sent]
     sums = [0.0]
@@ -190,7 +190,7 @@
             excess=chance.uniform(0.3, 1.0),
         )
         self.mean = sum(r.work for r in self.day.requests) / len(self.day.requests)
-        told = told_by(self.of, self.day, heads, shards)
+        told = emulator_settings(self.of, self.day, heads, shards)
         told["extra"]["coldUnits"] *= chance.uniform(
             0.38, 1.0
         )  # 0.19 to 0.5 of the slowest server's capacity
@@ -237,7 +237,7 @@
             elif isinstance(act, SetTimer):
                 self.at(self.now + act.delay_us, self.feed, of)
             elif isinstance(act, Reject | Fail):
-                self.over(of, act.request_id, isinstance(act, Reject))
+                self.finish_unserved(of, act.request_id, isinstance(act, Reject))
             elif isinstance(act, Cancel):
                 attempt, node, since = of.out.get(act.request_id, (-1, "", 0))
                 if attempt == act.attempt:
@@ -247,13 +247,13 @@
         attempt = of.tries.get(act.request_id, 0)
         of.tries[act.request_id] = attempt + 1
         of.out[act.request_id] = attempt, act.endpoint, self.now
-        if act.endpoint == RESTS:
+        if act.endpoint == WARM_SERVERS:
             return self.at(
                 self.now + 2 * NETWORK_DELAY_US, self.ended, of, act.request_id, attempt, AttemptResult.OK
             )
-        return self.at(self.now + NETWORK_DELAY_US, self.arrived, of, act, attempt)
+        return self.at(self.now + NETWORK_DELAY_US, self.receive_attempt, of, act, attempt)
 
-    def arrived(self, of: Process, act: Send, attempt: int) -> None:
+    def receive_attempt(self, of: Process, act: Send, attempt: int) -> None:
         start = self.by_node[act.endpoint]
         if act.request_id not in of.open:
             return  # the front process has ended, and its connection with it
@@ -267,9 +267,9 @@
                 self.now + NETWORK_DELAY_US, self.ended, of, act.request_id, attempt, AttemptResult.REJECTED
             )
         self.jobs[name] = of, act.request_id, attempt
-        return self.arm(start)
+        return self.schedule_advance(start)
 
-    def arm(self, start: Start) -> None:
+    def schedule_advance(self, start: Start) -> None:
         due = start.node.due()
         if due < self.armed[start.node.name]:
             self.armed[start.node.name] = due
@@ -283,7 +283,7 @@
                 start.served += job.work
             result = AttemptResult.OK if job.end == "ok" else AttemptResult.ERROR
             self.at(self.now + NETWORK_DELAY_US, self.ended, of, request, attempt, result)
-        self.arm(start)
+        self.schedule_advance(start)
 
     def ended(self, of: Process, request: str, attempt: int, result: AttemptResult) -> None:
         if request not in of.open or of.out.get(request, (-1,))[0] != attempt:
@@ -300,10 +300,10 @@
             start.in_time += r.work * (start.at <= self.now < start.at + self.settings.warm_up_us)
         if final:
             of.open.pop(request)
-        elapsed = self.now - since if node != RESTS else 20_000
+        elapsed = self.now - since if node != WARM_SERVERS else 20_000
         self.feed(of, Outcome(request, node, attempt, result, elapsed, final))
 
-    def over(self, of: Process, request: str, harmless: bool) -> None:
+    def finish_unserved(self, of: Process, request: str, harmless: bool) -> None:
         r, came, number = of.open.pop(request)
         of.out.pop(request, None)
         kind = self.kinds[r.class_name]
@@ -311,7 +311,7 @@
         if again and self.now < r.at + kind.timeout_us:
             self.at(self.now + self.day.retry_wait, self.ask, r, 1)
 
-    def gone(self, of: Process, request: str) -> None:
+    def expire(self, of: Process, request: str) -> None:
         """Ends a request at its deadline: an attempt in progress times out."""
         if request in of.open and request in of.out:
             self.ended(of, request, of.out[request][0], AttemptResult.TIMEOUT)
@@ -328,7 +328,7 @@
             second = (self.now - start.at) // SECOND
             start.offered[second] = start.offered.get(second, 0.0) + r.work
         of.open[name] = r, r.at, number
-        self.at(until, self.gone, of, name)
+        self.at(until, self.expire, of, name)
         self.feed(of, self.request(r, name, shard, until))
 
     def request(self, r: Request, name: str, shard: int, until: int) -> events.Request:
@@ -336,7 +336,7 @@
             name, r.block, r.volume, until, shard, float(r.units), r.class_name, r.plan, r.hosts
         )
 
-    def lump(self, front: int, rows: list[Request]) -> None:
+    def feed_unmeasured(self, front: int, rows: list[Request]) -> None:
         """Feeds requests for shards that are not measured to the scheduler; they expire 1 us later."""
         of, made = self.fronts[front], []
         for r in rows:
@@ -347,7 +347,7 @@
 
     # Events of fronts
 
-    def tell(self, front: int, node: Endpoint) -> None:
+    def update_endpoint(self, front: int, node: Endpoint) -> None:
         self.told[front].append(node)
         self.feed(self.fronts[front], EndpointList(False, (node,)))
 
@@ -367,16 +367,22 @@
     def play(self) -> Windows:
         chance = self.chance
         others = Endpoint(
-            RESTS, EndpointStatus.UP, OTHER, 0, float(max(self.settings.shard_count - len(self.cold), 1))
+            WARM_SERVERS,
+            EndpointStatus.UP,
+            WARM_SHARD,
+            0,
+            float(max(self.settings.shard_count - len(self.cold), 1)),
         )
         late = chance.random() < 0.5
         for n in range(self.heads):
-            self.tell(n, others)
+            self.update_endpoint(n, others)
             behind = chance.uniform(2, 7.5) if late and chance.random() < 0.33 else 0.0
             spread = chance.uniform(0.27, 2.4) + behind
             for start in self.starts.values():
                 node = Endpoint(start.node.name, EndpointStatus.UP, start.node.shard, start.at, 1.0)
-                self.at(start.at + int((spread + chance.uniform(0, 0.3)) * SECOND), self.tell, n, node)
+                self.at(
+                    start.at + int((spread + chance.uniform(0, 0.3)) * SECOND), self.update_endpoint, n, node
+                )
         struck = chance.choice([0.0, 0.3, 0.7])
         moment = HISTORY_US + int(chance.uniform(1, 8) * SECOND)
         for n in range(self.heads):
@@ -390,13 +396,13 @@
             elif not r.write:
                 lumps[r.front, r.at // (SECOND // 2)].append(r)
         for (n, half), rows in lumps.items():
-            self.at((half + 1) * (SECOND // 2), self.lump, n, rows)
+            self.at((half + 1) * (SECOND // 2), self.feed_unmeasured, n, rows)
         while self.heap and self.heap[0][0] < self.length:
             self.now, _, what, args = heappop(self.heap)
             what(*args)
         made = Windows()
         for start in self.starts.values():
-            made.add(judged(start, self.settings, self.mean))
+            made.add(evaluate_windows(start, self.settings, self.mean))
         return made
 
 
--- a/benchmarks/watched_lists.py
+++ b/benchmarks/watched_lists.py
@@ -78,7 +78,7 @@
     return "\n".join([*lines, f"end {len(lines)}", ""])
 
 
-class Swapper:
+class ListWriter:
     """Writes lists in place, by rename and by symlink in turn; records when each valid one is written."""
 
     def __init__(self, folder: Path, base: int, seed: int) -> None:
@@ -111,12 +111,12 @@
         elif how == 1:
             os.replace(beside, self.path)
 
-    def good(self) -> None:
+    def write_valid(self) -> None:
         self.version += 1
         self.write(sheet(self.version, self.rows()), self.swaps % 3)
         self.sound.append((self.version, time.time()))
 
-    def bad(self) -> None:
+    def write_invalid(self) -> None:
         """Writes an invalid list with the traps: truncated, misspelt, outside the networks or outdated."""
         self.broken += 1
         rows = [server(n, p, k) for k, (n, p) in enumerate(self.traps.items())]
@@ -134,12 +134,12 @@
 
     def take_out(self, name: str) -> None:
         self.out[name] = 0
-        self.good()
+        self.write_valid()
         self.out[name] = time.monotonic_ns()
 
     def put_back(self, name: str) -> None:
         self.removed.append((name, self.out.pop(name), time.monotonic_ns()))
-        self.good()
+        self.write_valid()
 
     async def run(self, seconds: float) -> None:
         begin = time.monotonic()
@@ -157,13 +157,13 @@
                     self.take_out(name)
                 turn = now + 2.0
             elif self.swaps % 3 == 0:
-                self.bad()
+                self.write_invalid()
             else:
-                self.good()
+                self.write_valid()
             await asyncio.sleep(max(begin + self.swaps * WRITE_INTERVAL_S - time.monotonic(), 0))
         for name in list(self.out):
             self.put_back(name)
-        self.good()
+        self.write_valid()
 
 
 class Front:
@@ -188,7 +188,7 @@
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.findall(r"VmRSS:\s+(\d+)", text)[0]) / 1024
 
-    def forced(self) -> list[tuple[int, float]]:
+    def versions_in_effect(self) -> list[tuple[int, float]]:
         """Returns the versions that took effect, with the Unix time of each."""
         found = re.findall(
             r'^<\d+>1 (\S+)Z .* endpoint_list_changed .*version="(\d+)"', self.log.read_text(), re.M
@@ -196,14 +196,14 @@
         return [(int(v), datetime.fromisoformat(f"{at}+00:00").timestamp()) for at, v in found]
 
 
-def delays(sound: list[tuple[int, float]], forced: list[tuple[int, float]]) -> list[float]:
+def delays(sound: list[tuple[int, float]], versions_in_effect: list[tuple[int, float]]) -> list[float]:
     """Returns the ms from writing each valid list until it or a later one takes effect, ascending."""
     made, k = [], 0
     for version, at in sound:
-        while k < len(forced) and forced[k][0] < version:
+        while k < len(versions_in_effect) and versions_in_effect[k][0] < version:
             k += 1
-        if k < len(forced):
-            made.append(max(forced[k][1] - at, 0.0) * 1000)
+        if k < len(versions_in_effect):
+            made.append(max(versions_in_effect[k][1] - at, 0.0) * 1000)
     return sorted(made)
 
 
@@ -215,11 +215,11 @@
     with tempfile.TemporaryDirectory(dir=MEMORY_FOLDER) as root:
         folder = Path(root)
         (folder / "lists").mkdir()
-        swapper = Swapper(folder / "lists", 21000 + (os.getpid() * 37) % 20000, seed)
-        swapper.good()
+        writer = ListWriter(folder / "lists", 21000 + (os.getpid() * 37) % 20000, seed)
+        writer.write_valid()
         stand_in_list = folder / "stand-ins.list"
-        rows = [server(n, p, int(n[1])) for n, p in swapper.ports.items()]
-        rows += [server(n, p, k) for k, (n, p) in enumerate(swapper.traps.items())]
+        rows = [server(n, p, int(n[1])) for n, p in writer.ports.items()]
+        rows += [server(n, p, k) for k, (n, p) in enumerate(writer.traps.items())]
         stand_in_list.write_text(sheet(1, rows))
         record = folder / "record"
         call = [sys.executable, "-m", "umberlead", "standin", str(stand_in_list), "--synthetic", "--quiet"]
@@ -235,7 +235,7 @@
                 plan = platform.Plan(240, seconds, seed * 10 + k, SHARDS)
                 load = asyncio.create_task(platform.run(plan, addresses))
                 if phase == "swaps":
-                    await swapper.run(seconds)
+                    await writer.run(seconds)
                 phases[phase] = await load
                 memory.append([f.memory() for f in fronts])
         finally:
@@ -245,17 +245,17 @@
             stand_ins.terminate()
             stand_ins.wait(20)
         asked = [json.loads(line) for line in record.read_text().splitlines()]
-        waits = sorted(d for front in fronts for d in delays(swapper.sound, front.forced()))
+        waits = sorted(d for front in fronts for d in delays(writer.sound, front.versions_in_effect()))
         lates = []
-        for name, since, until in swapper.removed:
+        for name, since, until in writer.removed:
             times = [r["t"] for r in asked if r["server"] == name and since < r["t"] < until]
             lates.append((max(times, default=since) - since) / 1e6)
         uploads = [r["id"] for r in asked if r["method"] == "PUT"]
-        traps = sum(r["server"] in swapper.traps for r in asked)
-        changes = sum(len(front.forced()) for front in fronts) / FRONTS
+        traps = sum(r["server"] in writer.traps for r in asked)
+        changes = sum(len(front.versions_in_effect()) for front in fronts) / FRONTS
         return {
-            "swaps": swapper.swaps,
-            "broken": swapper.broken,
+            "swaps": writer.swaps,
+            "broken": writer.broken,
             "requests": len(asked),
             "at_traps": traps,
             "astray": sum(r["end"] == "astray" for r in asked),
@@ -294,7 +294,10 @@
     ]
     text = "# Watched lists under load\n\n"
     text += f"`make bench-lists`; {seconds:g} s a phase, seed {seed}, 240 requests a second"
-    text += f" over {FRONTS} fronts, a swap each {WRITE_INTERVAL_S * 1000:g} ms.\n\n| what | figure |\n| --- | --- |\n"
+    text += (
+        f" over {FRONTS} fronts, a swap each {WRITE_INTERVAL_S * 1000:g} ms.\n\n"
+        "| what | figure |\n| --- | --- |\n"
+    )
     text += "".join(f"| {name} | {value} |\n" for name, value in rows)
     phases = made["phases"]
     text += (
