--- a/benchmarks/planted_routes.py
+++ b/benchmarks/planted_routes.py
@@ -30,63 +30,63 @@
 
 PLANTED = (
     # configuration
-    ("uploads may be repeated", CONF, 'effect = "at_most_once"', 'effect = "idempotent"', {"may-once", "once", "answered-once"}),
+    ("uploads count as idempotent", CONF, 'effect = "at_most_once"', 'effect = "idempotent"', {"may-once", "once", "answered-once"}),
     ("four attempts instead of three", CONF, "maxAttempts = 3", "maxAttempts = 4", {"may-attempts", "attempts"}),
-    ("one attempt alone", CONF, "maxAttempts = 3", "maxAttempts = 1", {"served"}),
-    ("reads have a tenth of their aim", CONF, "aim = 300000", "aim = 30000", {"served"}),
+    ("one attempt instead of three", CONF, "maxAttempts = 3", "maxAttempts = 1", {"served"}),
+    ("reads have a tenth of their latency objective", CONF, "aim = 300000", "aim = 30000", {"served"}),
     ("exports have a tenth of their aim", CONF, "aim = 2000000", "aim = 60000", {"served"}),
-    ("a class is misspelt", CONF, 'name = "bulk-export"', 'name = "bulk-exports"', {READ_ONLY}),
-    ("a plan is missing", CONF, 'name = "standard"', 'name = "standrad"', {READ_ONLY}),
-    ("uploads' aim is under their work", CONF, "aim = 600000", "aim = 15000", {"served"}),
+    ("a class name is misspelt", CONF, 'name = "bulk-export"', 'name = "bulk-exports"', {READ_ONLY}),
+    ("a plan name is misspelt", CONF, 'name = "standard"', 'name = "standrad"', {READ_ONLY}),
+    ("the latency objective of uploads is below their service time", CONF, "aim = 600000", "aim = 15000", {"served"}),
     # list
     ("a server holds another shard", LIST_A, "8602 shard 2", "8602 shard 3", {"only", "may-only"}),
     ("two servers' shards are exchanged", LIST_B, "8610 shard 0", "8610 shard 1", {"only", "may-only"}),
     ("a server is missing", LIST_B, None, "node-b2", {NOT_LISTED}),
     ("a server is drained", LIST_A, "shard 4 room room-a weight 1", "shard 4 room room-a weight 1 state draining", {"served", "only"}),
-    ("a server's name is misspelt", LIST_A, "server node-a1 ", "server node-al ", {NOT_LISTED}),
+    ("a server name is misspelt", LIST_A, "server node-a1 ", "server node-al ", {NOT_LISTED}),
     ("a server takes one unit at a time", LIST_A, "shard 0 room room-a weight 1", "shard 0 room room-a weight 1 max-units 0.1", set()),
-    ("the heavy server lost its weight", "deploy/expectations/weighted.list", "shard 0 weight 4", "shard 0 weight 1", {"share"}),
+    ("the server with weight 4 has weight 1", "deploy/expectations/weighted.list", "shard 0 weight 4", "shard 0 weight 1", {"share"}),
     ("weights of two servers are exchanged", "deploy/expectations/weighted.list", "shard 4 weight 0", "shard 4 weight 1", {"share", "never"}),
     # membership, and the changes that it passes on
     ("a draining server counts as ready", MACHINE, "if listed.status is not EndpointStatus.UP and merged.status is EndpointStatus.UP:", "if False:", set()),
-    ("who left the list stays", JOIN, "endpoints = [scheduler_endpoint(active, EndpointStatus.GONE) for active in change.removed]", "endpoints = []", {"never", "only"}),
-    ("changes of a server are not told", JOIN, "    endpoints += [scheduler_endpoint(after) for _, after in change.changed]\n", "", {"never", "only"}),
-    ("marks by hand are not told", JOIN, "        lifecycle.set_manual_drain(endpoint_id, drained, drained_us)", "        pass", {"never", "only"}),
-    ("a mark goes out the other way", JOIN, "lifecycle.set_manual_drain(endpoint_id, drained, drained_us)", "lifecycle.set_manual_drain(endpoint_id, not drained, drained_us)", {"never", "only"}),
-    ("weights are not told", JOIN, "        endpoint.weight,\n", "        None,\n", {"share", "never"}),
-    ("shards are told one too high", JOIN, "        endpoint.shard,\n", "        endpoint.shard + 1,\n", {"only", "may-only"}),
-    ("draining is told as ready", JOIN, "status or endpoint.status,", "status or EndpointStatus.UP,", {"never", "only"}),
-    ("merging forgets who went", MACHINE, "                removed.append(before)\n", "                pass\n", {"never", "only"}),
-    ("merging forgets who changed", MACHINE, "                changed.append(EndpointChange(before, after))", "                pass", {"never", "only"}),
-    ("marks are forgotten as they are told", MACHINE, "                changes.append(ManualDrain(current_id, True, self.manual_drains[name]))", "                pass", {"never", "only"}),
+    ("a removed server is kept", JOIN, "endpoints = [scheduler_endpoint(active, EndpointStatus.GONE) for active in change.removed]", "endpoints = []", {"never", "only"}),
+    ("changes of a server are not passed on", JOIN, "    endpoints += [scheduler_endpoint(after) for _, after in change.changed]\n", "", {"never", "only"}),
+    ("manual drains are not passed on", JOIN, "        lifecycle.set_manual_drain(endpoint_id, drained, drained_us)", "        pass", {"never", "only"}),
+    ("manual drains are passed on inverted", JOIN, "lifecycle.set_manual_drain(endpoint_id, drained, drained_us)", "lifecycle.set_manual_drain(endpoint_id, not drained, drained_us)", {"never", "only"}),
+    ("weights are not passed on", JOIN, "        endpoint.weight,\n", "        None,\n", {"share", "never"}),
+    ("shards are passed on one too high", JOIN, "        endpoint.shard,\n", "        endpoint.shard + 1,\n", {"only", "may-only"}),
+    ("draining is passed on as ready", JOIN, "status or endpoint.status,", "status or EndpointStatus.UP,", {"never", "only"}),
+    ("the merge omits removed servers", MACHINE, "                removed.append(before)\n", "                pass\n", {"never", "only"}),
+    ("the merge omits changed servers", MACHINE, "                changed.append(EndpointChange(before, after))", "                pass", {"never", "only"}),
+    ("the merge omits manual drains", MACHINE, "                changes.append(ManualDrain(current_id, True, self.manual_drains[name]))", "                pass", {"never", "only"}),
     # engine
     ("an upload that may have run is sent again", GUARD, "        if request.may_have_run and unsafe:\n            return Denial.MAY_HAVE_RUN\n", "", set()),
-    ("what may have run is not noted", LIFECYCLE, "request.may_have_run |= result not in RESULTS_WITHOUT_EFFECT", "pass", set()),
-    ("an answer is given twice", LIFECYCLE, "        request.on_answer(answer)\n", "        request.on_answer(answer)\n        request.on_answer(answer)\n", {"answered-once"}),
+    ("possible execution of an attempt is not recorded", LIFECYCLE, "request.may_have_run |= result not in RESULTS_WITHOUT_EFFECT", "pass", set()),
+    ("an answer is sent twice", LIFECYCLE, "        request.on_answer(answer)\n", "        request.on_answer(answer)\n        request.on_answer(answer)\n", {"answered-once"}),
     ("a served answer is not passed on", LIFECYCLE, "if result is AttemptResult.OK and not request.answered:", "if False:", {"served", "answered-once", "within"}),
-    ("requests are never answered at their time", LIFECYCLE, "        if not request.answered:\n            self.wheel.call_after(DECISION_GRACE_US, self._answer_undecided, request)", "", set()),
-    ("refusals are not answered", LIFECYCLE, "        self._answer(request, Answer(kind, None, retry_after_us, request.may_have_run))\n", "", {"refused", "prompt", "answered-once"}),
+    ("undecided requests are not answered at their deadline", LIFECYCLE, "        if not request.answered:\n            self.wheel.call_after(DECISION_GRACE_US, self._answer_undecided, request)", "", set()),
+    ("rejected requests are not answered", LIFECYCLE, "        self._answer(request, Answer(kind, None, retry_after_us, request.may_have_run))\n", "", {"refused", "prompt", "answered-once"}),
     # module
-    ("the node's state is not looked at", ENDPOINT, "if self.endpoint.status is not EndpointStatus.UP or self._is_full(units):", "if self._is_full(units):", {"never", "only"}),
-    ("marks by hand are not looked at", DIRECTORY, "[self.endpoints[name] for name in names if name not in self.manual_drains]", "[self.endpoints[name] for name in names]", {"never", "only"}),
-    ("any node may take any shard", DIRECTORY, "self.by_shard.get(shard, {}) if shard >= 0 else self.endpoints", "self.endpoints", {"only", "may-only"}),
+    ("the status of a server is ignored", ENDPOINT, "if self.endpoint.status is not EndpointStatus.UP or self._is_full(units):", "if self._is_full(units):", {"never", "only"}),
+    ("manual drains are ignored", DIRECTORY, "[self.endpoints[name] for name in names if name not in self.manual_drains]", "[self.endpoints[name] for name in names]", {"never", "only"}),
+    ("any server may serve any shard", DIRECTORY, "self.by_shard.get(shard, {}) if shard >= 0 else self.endpoints", "self.endpoints", {"only", "may-only"}),
     ("weight 0 takes new objects", DIRECTORY, "        return [state for state in states if state.endpoint.weight != 0]", "        return states", {"share", "never"}),
-    ("weights don't count", DIRECTORY, "        if self._placement_weights:\n            return", "        if False:\n            return", {"share"}),
+    ("weights are ignored", DIRECTORY, "        if self._placement_weights:\n            return", "        if False:\n            return", {"share"}),
     ("one more attempt than is allowed", RETRIES, "pending.attempt_count >= self._settings.max_attempts", "pending.attempt_count > self._settings.max_attempts", set()),
     ("the module sends uploads again", RETRIES, "        return request_class.deduplication_window_us\n    return 0\n", "        return request_class.deduplication_window_us\n    return NEVER\n", set()),
     ("module and engine both send uploads again", (RETRIES, GUARD), ("        return request_class.deduplication_window_us\n    return 0\n", "        if request.may_have_run and unsafe:\n            return Denial.MAY_HAVE_RUN\n"), ("        return request_class.deduplication_window_us\n    return NEVER\n", ""), {"may-once", "once"}),
     ("module and engine both allow one more attempt", (RETRIES, GUARD), ("pending.attempt_count >= self._settings.max_attempts", "        if request.attempt_count >= self._max_attempts:\n            return Denial.ATTEMPTS_USED\n"), ("pending.attempt_count > self._settings.max_attempts", ""), {"may-attempts", "attempts"}),
-    ("after a failure nothing is tried again", SCHEDULER, "        elif outcome.misdirected or not self.retries.may_attempt(pending, self.now_us):", "        elif True:", {"served", "may-attempts"}),
-    ("refusals come only at the deadline", SCHEDULER, "self._schedule(pending.objective_at_us, self._end_unserved, pending)", "self._schedule(request.deadline_us, self._end_unserved, pending)", {"prompt", "within"}),
-    ("who is refused is held for good", SCHEDULER, "        self._schedule(pending.objective_at_us, self._end_unserved, pending)", "        pass", {"refused", "prompt", "answered-once"}),
-    ("a node that went is kept", DIRECTORY, "                self._remove(endpoint)\n", "                pass\n", {"never", "only"}),
-    ("the bound is one unit", ENDPOINT, "MAX_CONCURRENCY_REQUESTS = 8.0", "MAX_CONCURRENCY_REQUESTS = 0.1", set()),
-    ("a warming node gets nothing", "umberlead/scheduling/slow_start.py", "    return units * settings.slow_start_window_us / window_units", "    return 1e6 * units * settings.slow_start_window_us / window_units", set()),
-    ("new objects go to the first node alone", DIRECTORY, "            for index, state in enumerate(states)\n", "            for index, state in enumerate(states[:1])\n", {"share", "served"}),
-    ("all requests count as refused", SCHEDULER, "if state is not None and self.priorities.is_late(pending, state, self.now_us):", "if state is not None:", {"served"}),
-    ("volumes are held for ever", PRIORITIES, "return can_wait or priority < latency_ratio - 1", "return can_wait or priority < latency_ratio + 9", {"served"}),
-    ("who can wait never goes", PRIORITIES, "can_wait = latency_ratio > RELAXED_LATENCY_RATIO and ", "can_wait = latency_ratio > -1 or ", {"served"}),
-    ("who is sick is offered alone", DIRECTORY, "if not state.is_outlier(now_us)]", "if state.is_outlier(now_us)]", set()),
+    ("a failed attempt is not retried", SCHEDULER, "        elif outcome.misdirected or not self.retries.may_attempt(pending, self.now_us):", "        elif True:", {"served", "may-attempts"}),
+    ("rejections come only at the deadline", SCHEDULER, "self._schedule(pending.objective_at_us, self._end_unserved, pending)", "self._schedule(request.deadline_us, self._end_unserved, pending)", {"prompt", "within"}),
+    ("requests to reject are held forever", SCHEDULER, "        self._schedule(pending.objective_at_us, self._end_unserved, pending)", "        pass", {"refused", "prompt", "answered-once"}),
+    ("a removed endpoint is kept", DIRECTORY, "                self._remove(endpoint)\n", "                pass\n", {"never", "only"}),
+    ("the concurrency bound is a tenth of a request", ENDPOINT, "MAX_CONCURRENCY_REQUESTS = 8.0", "MAX_CONCURRENCY_REQUESTS = 0.1", set()),
+    ("a server in slow start gets nothing", "umberlead/scheduling/slow_start.py", "    return units * settings.slow_start_window_us / window_units", "    return 1e6 * units * settings.slow_start_window_us / window_units", set()),
+    ("new objects go to the first server only", DIRECTORY, "            for index, state in enumerate(states)\n", "            for index, state in enumerate(states[:1])\n", {"share", "served"}),
+    ("all requests count as late", SCHEDULER, "if state is not None and self.priorities.is_late(pending, state, self.now_us):", "if state is not None:", {"served"}),
+    ("volumes are held forever", PRIORITIES, "return can_wait or priority < latency_ratio - 1", "return can_wait or priority < latency_ratio + 9", {"served"}),
+    ("requests that can wait are never sent", PRIORITIES, "can_wait = latency_ratio > RELAXED_LATENCY_RATIO and ", "can_wait = latency_ratio > -1 or ", {"served"}),
+    ("only outliers are candidates", DIRECTORY, "if not state.is_outlier(now_us)]", "if state.is_outlier(now_us)]", set()),
 )  # fmt: skip
 
 
@@ -116,7 +116,7 @@
             shutil.copytree(ROOT / part, root / part, ignore=shutil.ignore_patterns("__pycache__"))
         for file, old, new in pairs:
             if not _exchange(root, file, old, new):  # type: ignore[arg-type]
-                return name, where, {"its text is gone"}, wanted
+                return name, where, {"text to replace not found"}, wanted
         call = [sys.executable, "-B", "-m", "umberlead", "expect", SUITE, "--workers", "1", "--json"]
         done = subprocess.run(call, cwd=root, capture_output=True, text=True, timeout=600)
         if done.returncode == 2:
@@ -140,12 +140,12 @@
             caught += bool(rules & wanted)
         state = "caught" if rules & wanted else "MISSED" if wanted else "no effect" if not rules else "shows"
         rows.append(f"| {name} | {where} | {state} | {', '.join(sorted(rules)) or '-'} |")
-    text = "# Mistakes planted in routes\n\n`make planted-routes`; each alone, judged by the example suite. 'no effect':"
-    text += " another part keeps the rule, or the suite doesn't speak of it.\n\n| mistake | where | state | rules that failed |\n"
+    text = "# Mistakes planted in routes\n\n`make planted-routes`; each alone, checked by the example suite. 'no effect':"
+    text += " another component prevents the fault, or the suite does not cover it.\n\n| mistake | where | state | rules that failed |\n"
     text += (
         "| --- | --- | --- | --- |\n"
         + "\n".join(rows)
-        + f"\n\n{caught} of {meant} caught by a rule that speaks of them.\n"
+        + f"\n\n{caught} of {meant} caught by a rule that covers them.\n"
     )
     print(text)
     if "--keep" in sys.argv:
