--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -100,16 +100,16 @@
         load = Objects(server.sockets[0].getsockname(), ["scans"], 200.0, 1)
         until = asyncio.Event()
         going = asyncio.create_task(load.run(until))
-        while sum(load.tally.done.values()) + load.tally.refused < 80:
+        while sum(load.tally.completed.values()) + load.tally.refused < 80:
             await asyncio.sleep(0.01)
         until.set()
         await going
         server.close()
-        assert bool(load.tally.wrong) == wrong
+        assert bool(load.tally.mismatches) == wrong
         if status == 503:
-            assert load.tally.refused >= 80 and not load.tally.done
+            assert load.tally.refused >= 80 and not load.tally.completed
         else:
-            assert load.tally.done["back"] and load.tally.done["part"] and not load.tally.refused
+            assert load.tally.completed["back"] and load.tally.completed["part"] and not load.tally.refused
             assert "not the same" in summary(load.tally)
             assert [r[0] for r in rows(load.tally, Counter(), 1.0)] == [
                 "objects in",
--- a/umberlead/load_generator/clients.py
+++ b/umberlead/load_generator/clients.py
@@ -8,7 +8,7 @@
 
 from umberlead.load_generator.day import Day, Request
 
-HARMLESS = ("refused",)
+NOT_EXECUTED_OUTCOMES = ("refused",)
 MIN_RETRY_TIME_US = 20_000  # a client does not retry with less time than this before its deadline
 
 
@@ -44,14 +44,14 @@
 
         A request that may have been executed is retried only if its class is not `at_most_once`.
         """
-        cls = self.kinds[of.of.class_name]
-        harmless = kind in HARMLESS or cls.effect != "at_most_once"
-        at = now + self.day.retry_wait
+        request_class = self.kinds[of.of.class_name]
+        retry_allowed = kind in NOT_EXECUTED_OUTCOMES or request_class.effect != "at_most_once"
+        retry_at = now + self.day.retry_wait
         if (
             kind == "served"
-            or not harmless
+            or not retry_allowed
             or of.number >= self.day.retries
-            or at + MIN_RETRY_TIME_US > of.until
+            or retry_at + MIN_RETRY_TIME_US > of.until
         ):
             return None
-        return Try(of.of, of.number + 1, at, of.until)
+        return Try(of.of, of.number + 1, retry_at, of.until)
--- a/umberlead/load_generator/day.py
+++ b/umberlead/load_generator/day.py
@@ -84,11 +84,11 @@
         """Return the factor on the plan's rate at `at` microseconds."""
         return self.rate_ratio + sum(x for begin, end, x in self.surges if begin <= at < end)
 
-    def front(self, at: int, chance: random.Random) -> int:
+    def front(self, at: int, rng: random.Random) -> int:
         """Draws the front that a request at `at` microseconds comes through."""
         turn = bisect_right(self.shifts, at) % len(self.fronts)
         order = self.fronts[turn:] + self.fronts[:turn]
-        return chance.choices(order, self.skew)[0]
+        return rng.choices(order, self.skew)[0]
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,24 +126,24 @@
         return next(k for k in self.kinds if k.name == name)
 
 
-def _kinds(of: Figures, chance: random.Random) -> list[Kind]:
-    made = [
+def _draw_kinds(figures: Figures, rng: random.Random) -> list[Kind]:
+    kinds = [
         Kind(
-            g.name,
-            g.draw("share", chance),
-            g.draw("work_ms", chance) * 1000,
-            g.draw("cv", chance),
-            g.draw("noise", chance),
-            int(g.one("aim_ms") * 1000),
-            int(g.one("deadline_ms") * 1000),
-            g.one("worth"),
-            g.one("late_worth"),
-            g.text("effect"),
-            g.flag("write"),
+            group.name,
+            group.draw("share", rng),
+            group.draw("work_ms", rng) * 1000,
+            group.draw("cv", rng),
+            group.draw("noise", rng),
+            int(group.one("aim_ms") * 1000),
+            int(group.one("deadline_ms") * 1000),
+            group.one("worth"),
+            group.one("late_worth"),
+            group.text("effect"),
+            group.flag("write"),
         )
-        for g in of.classes
+        for group in figures.classes
     ]
-    return made
+    return kinds
 
 
 def draw(
@@ -169,156 +169,160 @@
     """
     if not (seconds > 0 and 0 < load <= 10 and shards > 0 and fronts > 0):
         raise InvalidDayError("a day needs seconds, a load up to 10, and at least one shard and one front")
-    chance = random.Random(f"{seed}/day")
+    rng = random.Random(f"{seed}/day")
     length = int(seconds * SECOND_US)
-    kinds = _kinds(of, chance)
+    kinds = _draw_kinds(of, rng)
     cores = of.node.one("cores")
-    shares = sum(k.share for k in kinds)
-    mean = sum(k.share * k.work for k in kinds) / shares
-    unit = mean / 2
-    power = cores * speed * SECOND_US / (mean / 2)
-    can = of.traffic.one("capacity_part") * power * shards * copies
+    share_sum = sum(k.share for k in kinds)
+    mean_work = sum(k.share * k.work for k in kinds) / share_sum
+    unit = mean_work / 2
+    power = cores * speed * SECOND_US / (mean_work / 2)
+    capacity = of.traffic.one("capacity_part") * power * shards * copies
     day = Day(seconds, seed, kinds, [], unit, power, max_units=int(of.traffic.one("most_units")))
-    day.retries = of.clients.draw_int("retries", chance)
-    day.retry_wait = int(of.clients.draw("wait_ms", chance) * 1000)
-    count = of.traffic.draw("volumes_per_node", chance) * shards
+    day.retries = of.clients.draw_int("retries", rng)
+    day.retry_wait = int(of.clients.draw("wait_ms", rng) * 1000)
+    count = of.traffic.draw("volumes_per_node", rng) * shards
     # The number of volumes of a plan is proportional to the plan's share of the traffic divided by its size.
     # All plans have one base rate, which is scaled to the load once the volumes' rate ratios are drawn.
     weight = {g.name: g.one("share") / g.one("size") for g in of.plans}
-    base = load * can / (count * sum(weight[g.name] / sum(weight.values()) * g.one("size") for g in of.plans))
+    base = (
+        load
+        * capacity
+        / (count * sum(weight[g.name] / sum(weight.values()) * g.one("size") for g in of.plans))
+    )
     for g in of.plans:
-        many = max(round(count * weight[g.name] / sum(weight.values())), 1)
-        usage = of.traffic.draw("usage", chance)
-        busy = g.draw("busy", chance)
-        heavy = g.draw("heavy", chance)
-        for _ in range(many):
-            asks = usage
-            if chance.random() < busy:
-                asks *= of.traffic.draw("busy_x", chance)
-            hosts = min(g.draw_int("hosts", chance), fronts)
-            nodes = min(g.draw_int("nodes", chance), shards)
-            skew = of.traffic.draw("skew", chance)
+        volume_count = max(round(count * weight[g.name] / sum(weight.values())), 1)
+        usage = of.traffic.draw("usage", rng)
+        busy = g.draw("busy", rng)
+        heavy = g.draw("heavy", rng)
+        for _ in range(volume_count):
+            rate_ratio = usage
+            if rng.random() < busy:
+                rate_ratio *= of.traffic.draw("busy_x", rng)
+            hosts = min(g.draw_int("hosts", rng), fronts)
+            nodes = min(g.draw_int("nodes", rng), shards)
+            skew = of.traffic.draw("skew", rng)
             shifts = []
             at = 0.0
             while at < length:
-                at += of.traffic.draw("shift_s", chance) * SECOND_US
+                at += of.traffic.draw("shift_s", rng) * SECOND_US
                 shifts.append(int(at))
-            surges = list(_surges(of, chance, length)) if chance.random() < heavy else []
-            name = f"{len(day.volumes):04x}{chance.getrandbits(48):012x}"
+            surges = list(_surges(of, rng, length)) if rng.random() < heavy else []
+            name = f"{len(day.volumes):04x}{rng.getrandbits(48):012x}"
             day.volumes.append(
                 Volume(
                     name,
                     g.name,
                     g.one("size") * base,
-                    asks,
+                    rate_ratio,
                     surges,
-                    tuple(chance.sample(range(shards), nodes)),
-                    tuple(chance.sample(range(fronts), hosts)),
+                    tuple(rng.sample(range(shards), nodes)),
+                    tuple(rng.sample(range(fronts), hosts)),
                     tuple((k + 1) ** -skew for k in range(hosts)),
                     shifts,
-                    [f"{chance.getrandbits(64):016x}" for _ in range(200)],
+                    [f"{rng.getrandbits(64):016x}" for _ in range(200)],
                 )
             )
-    lift = load * can / sum(v.rate * v.rate_ratio for v in day.volumes)
+    rate_factor = load * capacity / sum(v.rate * v.rate_ratio for v in day.volumes)
     for v in day.volumes:
-        v.rate *= lift
-    _scale(day, of.traffic.draw("excess", chance) * can * excess, length)
-    day.requests = list(_requests(day, of, chance, length, shares, waves))
+        v.rate *= rate_factor
+    _scale_surges(day, of.traffic.draw("excess", rng) * capacity * excess, length)
+    day.requests = list(_requests(day, of, rng, length, share_sum, waves))
     return day
 
 
-def _surges(of: Figures, chance: random.Random, length: int) -> Iterator[tuple[int, int, float]]:
-    every = of.traffic.one("surge_every_s")
+def _surges(figures: Figures, rng: random.Random, length: int) -> Iterator[tuple[int, int, float]]:
+    mean_interval_s = figures.traffic.one("surge_every_s")
     at = 0.0
     while True:
-        at += chance.expovariate(1 / every) * SECOND_US
+        at += rng.expovariate(1 / mean_interval_s) * SECOND_US
         if at >= length:
             return
-        took = of.traffic.draw("surge_s", chance) * SECOND_US
-        yield int(at), min(int(at + took), length), of.traffic.draw("surge_x", chance)
-        at += took
+        duration = figures.traffic.draw("surge_s", rng) * SECOND_US
+        yield int(at), min(int(at + duration), length), figures.traffic.draw("surge_x", rng)
+        at += duration
 
 
-def _scale(day: Day, wanted: float, length: int) -> None:
+def _scale_surges(day: Day, target: float, length: int) -> None:
     """Scale the surges so that their sum, averaged over the day, is `wanted` units a second.
 
     The factor is at most 3.
     """
-    got = sum(v.rate * x * (end - begin) for v in day.volumes for begin, end, x in v.surges) / length
-    if not got:
+    drawn = sum(v.rate * x * (end - begin) for v in day.volumes for begin, end, x in v.surges) / length
+    if not drawn:
         return
-    factor = min(wanted / got, 3.0)
+    factor = min(target / drawn, 3.0)
     for v in day.volumes:
         v.surges = [(begin, end, x * factor) for begin, end, x in v.surges]
 
 
 def _requests(
-    day: Day, of: Figures, chance: random.Random, length: int, shares: float, waves: tuple[Wave, ...]
+    day: Day, figures: Figures, rng: random.Random, length: int, share_sum: float, waves: tuple[Wave, ...]
 ) -> Iterator[Request]:
     """Yield the requests in order of time; arrivals of each volume are drawn by thinning, then merged."""
-    mean_units = sum(k.share * _mean_units(day, k) for k in day.kinds) / shares
-    reread = of.traffic.draw("reread", chance)
-    surge = [w for w in waves if not w.class_name]
-    peak = max([1.0] + [w.by for w in surge]) if surge else 1.0
-    came: list[tuple[int, int]] = []
-    for n, v in enumerate(day.volumes):
-        most = (v.rate_ratio + sum(x for _, _, x in v.surges)) * peak
-        step = v.rate * most / mean_units / SECOND_US
+    mean_units = sum(k.share * _mean_units(day, k) for k in day.kinds) / share_sum
+    reread = figures.traffic.draw("reread", rng)
+    rate_waves = [w for w in waves if not w.class_name]
+    peak_factor = max([1.0] + [w.by for w in rate_waves]) if rate_waves else 1.0
+    arrivals: list[tuple[int, int]] = []
+    for volume_number, v in enumerate(day.volumes):
+        peak_ratio = (v.rate_ratio + sum(x for _, _, x in v.surges)) * peak_factor
+        step = v.rate * peak_ratio / mean_units / SECOND_US
         at = 0.0
-        while step and (at := at + chance.expovariate(step)) < length:
+        while step and (at := at + rng.expovariate(step)) < length:
             now = int(at)
-            by = math.prod(w.by for w in surge if w.begin <= now < w.end)
-            if chance.random() * most < v.times(now) * by:
-                came.append((now, n))
-    came.sort()
+            factor = math.prod(w.by for w in rate_waves if w.begin <= now < w.end)
+            if rng.random() * peak_ratio < v.times(now) * factor:
+                arrivals.append((now, volume_number))
+    arrivals.sort()
     weights = [k.share for k in day.kinds]
     written = dict[int, list[Request]]()
-    for number, (at, n) in enumerate(came):
-        v = day.volumes[n]
-        kind = chance.choices(day.kinds, weights)[0]
-        work = _work(chance, kind)
+    for number, (at, volume_number) in enumerate(arrivals):
+        v = day.volumes[volume_number]
+        kind = rng.choices(day.kinds, weights)[0]
+        work = _work(rng, kind)
         for w in waves:
-            if w.class_name == kind.name and w.begin <= at < w.end and chance.random() < w.share:
+            if w.class_name == kind.name and w.begin <= at < w.end and rng.random() < w.share:
                 work *= w.by
         units = min(max(round(work / day.unit), 1), day.max_units)
-        made = Request(
+        request = Request(
             number,
             at,
             kind.name,
             v.plan,
             v.name,
             len(v.fronts),
-            v.front(at, chance),
-            chance.choice(v.blocks),
-            chance.choice(v.shards),
+            v.front(at, rng),
+            rng.choice(v.blocks),
+            rng.choice(v.shards),
             units,
             work,
             kind.write,
         )
         if kind.write:
-            made.shard = -1
-            made.block = f"{chance.getrandbits(64):016x}"
-            latest = written.setdefault(n, [])
-            latest.append(made)
+            request.shard = -1
+            request.block = f"{rng.getrandbits(64):016x}"
+            latest = written.setdefault(volume_number, [])
+            latest.append(request)
             del latest[:-MAX_FRESH_OBJECT_COUNT]
-        elif chance.random() < reread and written.get(n):
-            fresh = [w for w in written[n] if w.at >= at - FRESH_OBJECT_US]
+        elif rng.random() < reread and written.get(volume_number):
+            fresh = [w for w in written[volume_number] if w.at >= at - FRESH_OBJECT_US]
             if fresh:
-                object_ = chance.choice(fresh)
-                made.of = object_.number
-                made.block = object_.block
-        yield made
+                object_ = rng.choice(fresh)
+                request.of = object_.number
+                request.block = object_.block
+        yield request
 
 
-def _work(chance: random.Random, kind: Kind) -> float:
+def _work(rng: random.Random, kind: Kind) -> float:
     sigma = math.sqrt(math.log(1 + kind.cv**2))
-    return kind.work * chance.lognormvariate(-(sigma**2) / 2, sigma)
+    return kind.work * rng.lognormvariate(-(sigma**2) / 2, sigma)
 
 
 def _mean_units(day: Day, kind: Kind) -> float:
     """Estimate the mean by sampling, because rounding and the cap leave no simple closed form."""
-    chance = random.Random(1)
-    drawn = [min(max(round(_work(chance, kind) / day.unit), 1), day.max_units) for _ in range(4000)]
+    rng = random.Random(1)
+    drawn = [min(max(round(_work(rng, kind) / day.unit), 1), day.max_units) for _ in range(4000)]
     return sum(drawn) / len(drawn)
 
 
--- a/umberlead/load_generator/objects.py
+++ b/umberlead/load_generator/objects.py
@@ -27,38 +27,38 @@
 class Tally:
     """Counts and latencies of the requests that have ended."""
 
-    done: Counter[str] = field(default_factory=Counter)  # requests by entry of PLACES
+    completed: Counter[str] = field(default_factory=Counter)  # requests by entry of PLACES
     octets: Counter[str] = field(default_factory=Counter)
     refused: int = 0
     failed: int = 0
-    wrong: list[str] = field(default_factory=list)  # a description of each read whose bytes differed
-    took: dict[str, HdrHistogram] = field(
+    mismatches: list[str] = field(default_factory=list)  # a description of each read whose bytes differed
+    latencies: dict[str, HdrHistogram] = field(
         default_factory=lambda: {p: HdrHistogram(1, int(CALL_TIMEOUT_SECONDS * 2e6), 3) for p in PLACES}
     )  # us
 
     def percentile(self, place: str, part: float) -> float:
         """Return a percentile of the latency, in milliseconds."""
-        return float(self.took[place].get_value_at_percentile(part)) / 1000
+        return float(self.latencies[place].get_value_at_percentile(part)) / 1000
 
 
 class _Call(asyncio.Protocol):
     """One request on a connection of its own."""
 
-    def __init__(self, words: bytes) -> None:
-        self.words = words
+    def __init__(self, request: bytes) -> None:
+        self.request = request
         self.body = list[bytes]()
         self.done: asyncio.Future[tuple[int, bytes]] = asyncio.get_running_loop().create_future()
         self.parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        transport.write(self.words)
+        transport.write(self.request)
 
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserError as fault:
-            self._end(fault)
+        except httptools.HttpParserError as error:
+            self._end(error)
 
     def on_body(self, body: bytes) -> None:
         self.body.append(body)
@@ -67,21 +67,21 @@
         if not self.done.done():
             self.done.set_result((self.parser.get_status_code(), b"".join(self.body)))
 
-    def connection_lost(self, fault: Exception | None) -> None:
-        self._end(fault or ConnectionResetError("connection closed before the response was complete"))
+    def connection_lost(self, error: Exception | None) -> None:
+        self._end(error or ConnectionResetError("connection closed before the response was complete"))
 
-    def _end(self, fault: Exception) -> None:
+    def _end(self, error: Exception) -> None:
         if not self.done.done():
-            self.done.set_exception(fault)
+            self.done.set_exception(error)
 
 
-async def call(address: tuple[str, int], words: bytes) -> tuple[int, bytes]:
+async def call(address: tuple[str, int], request: bytes) -> tuple[int, bytes]:
     """Send a request; return status and body, or status 0 if there was no complete response."""
     loop = asyncio.get_running_loop()
     transport = None
     try:
-        transport, made = await loop.create_connection(lambda: _Call(words), *address)
-        return await asyncio.wait_for(made.done, CALL_TIMEOUT_SECONDS)
+        transport, protocol = await loop.create_connection(lambda: _Call(request), *address)
+        return await asyncio.wait_for(protocol.done, CALL_TIMEOUT_SECONDS)
     except (OSError, TimeoutError, httptools.HttpParserError):
         return 0, b""
     finally:
@@ -98,7 +98,7 @@
         self.buckets = buckets
         self.rate = rate
         self.seed = seed
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.tally = Tally()
         self.stored: deque[tuple[str, int]] = deque(maxlen=STORED_NAME_LIMIT)
         self._count = 0
@@ -109,7 +109,7 @@
         at = 0.0
         tasks = set[asyncio.Task[None]]()
         while not until.is_set():
-            at += self.chance.expovariate(self.rate)
+            at += self.rng.expovariate(self.rate)
             wait = begin + at - time.monotonic()
             if wait > 0:
                 try:
@@ -117,50 +117,50 @@
                     break
                 except TimeoutError:
                     pass
-            task = asyncio.create_task(self._one(begin + at))
+            task = asyncio.create_task(self._send_one(begin + at))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
 
-    async def _one(self, due: float) -> None:
-        if not self.stored or self.chance.random() < 0.4:
+    async def _send_one(self, due: float) -> None:
+        if not self.stored or self.rng.random() < 0.4:
             await self._put(due)
         else:
-            name, size = self.chance.choice(self.stored)
-            await self._get(due, name, size, size > 1 and self.chance.random() < 0.3)
+            name, size = self.rng.choice(self.stored)
+            await self._get(due, name, size, size > 1 and self.rng.random() < 0.3)
 
     async def _put(self, due: float) -> None:
         self._count += 1
-        size = min(int(self.chance.lognormvariate(10.5, 1.2)) + 1, 2 << 20)
-        name = f"{self.chance.choice(self.buckets)}/{self.seed}/{self._count:06d}"
+        size = min(int(self.rng.lognormvariate(10.5, 1.2)) + 1, 2 << 20)
+        name = f"{self.rng.choice(self.buckets)}/{self.seed}/{self._count:06d}"
         body = content(name, size)
         head = f"PUT /{name} HTTP/1.1\r\nHost: demo\r\nContent-Length: {size}\r\nConnection: close\r\n\r\n"
         status, _ = await call(self.address, head.encode() + body)
-        if self._ended("in", status, due, size):
+        if self._record("in", status, due, size):
             self.stored.append((name, size))
 
-    async def _get(self, due: float, name: str, size: int, part: bool) -> None:
-        low = 0
-        high = size
-        if part:
-            low = self.chance.randrange(size)
-            high = self.chance.randint(low + 1, size)
+    async def _get(self, due: float, name: str, size: int, ranged: bool) -> None:
+        begin = 0
+        end = size
+        if ranged:
+            begin = self.rng.randrange(size)
+            end = self.rng.randint(begin + 1, size)
         head = f"GET /{name} HTTP/1.1\r\nHost: demo\r\nConnection: close\r\n"
-        head += f"Range: bytes={low}-{high - 1}\r\n" if part else ""
+        head += f"Range: bytes={begin}-{end - 1}\r\n" if ranged else ""
         status, body = await call(self.address, head.encode() + b"\r\n")
-        if self._ended("part" if part else "back", status, due, len(body)):
-            want = content(name, size)[low:high]
-            if body != want:
-                self.tally.wrong.append(
-                    f"{name}, bytes {low} to {high}: received {len(body)} bytes, which differ"
+        if self._record("part" if ranged else "back", status, due, len(body)):
+            expected = content(name, size)[begin:end]
+            if body != expected:
+                self.tally.mismatches.append(
+                    f"{name}, bytes {begin} to {end}: received {len(body)} bytes, which differ"
                 )
 
-    def _ended(self, place: str, status: int, due: float, size: int) -> bool:
+    def _record(self, place: str, status: int, due: float, size: int) -> bool:
         tally = self.tally
         if status in (200, 206):
-            tally.done[place] += 1
+            tally.completed[place] += 1
             tally.octets[place] += size
-            tally.took[place].record_value(max(int((time.monotonic() - due) * 1e6), 1))
+            tally.latencies[place].record_value(max(int((time.monotonic() - due) * 1e6), 1))
             return True
         if status in (429, 503):
             tally.refused += 1
--- a/umberlead/load_generator/platform.py
+++ b/umberlead/load_generator/platform.py
@@ -16,7 +16,7 @@
 import httptools
 from hdrh.histogram import HdrHistogram
 
-MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this one
+MAX_RECORDED_LATENCY_US = 60_000_000  # longer latencies are recorded as this one
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,24 +52,24 @@
 
 def draw(plan: Plan, fronts: int) -> list[PlannedRequest]:
     """Draw all requests of a run; they depend on the plan, its seed and the number of fronts only."""
-    chance = random.Random(plan.seed)
+    rng = random.Random(plan.seed)
     at = 0.0
-    made = list[PlannedRequest]()
+    requests = list[PlannedRequest]()
     while True:
-        at += chance.expovariate(plan.rate)
+        at += rng.expovariate(plan.rate)
         if at >= plan.seconds:
-            return made
-        volume = chance.randrange(plan.volumes)
-        made.append(
+            return requests
+        volume = rng.randrange(plan.volumes)
+        requests.append(
             PlannedRequest(
                 at,
-                chance.randrange(fronts),
-                f"{plan.seed:x}-{len(made):x}",
-                chance.random() < plan.writes,
-                chance.randrange(plan.shards),
+                rng.randrange(fronts),
+                f"{plan.seed:x}-{len(requests):x}",
+                rng.random() < plan.writes,
+                rng.randrange(plan.shards),
                 volume,
-                chance.choice(plan.units),
-                f"{chance.getrandbits(64):016x}",
+                rng.choice(plan.units),
+                f"{rng.getrandbits(64):016x}",
             )
         )
 
@@ -79,7 +79,7 @@
     """Counts and latencies of a run."""
 
     latency: HdrHistogram = field(
-        default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3)
+        default_factory=lambda: HdrHistogram(1, MAX_RECORDED_LATENCY_US, 3)
     )  # us, served requests only
     statuses: Counter[int] = field(default_factory=Counter)  # 0: no response, or a broken one
     answers: Counter[str] = field(default_factory=Counter)  # responses by request id
@@ -87,19 +87,19 @@
 
     def row(self) -> dict[str, float]:
         """Return the result as a row of figures."""
-        took = self.latency
-        made = {f"p{p:g}_ms": took.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
-        made |= {"max_ms": took.get_max_value() / 1000, "asked": sum(self.statuses.values())}
-        return made | {
+        latency = self.latency
+        figures = {f"p{p:g}_ms": latency.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
+        figures |= {"max_ms": latency.get_max_value() / 1000, "asked": sum(self.statuses.values())}
+        return figures | {
             "served": self.statuses[200],
             "refused": self.statuses[503],
             "failed": self.statuses[502],
         }
 
 
-class _Link(asyncio.Protocol):
-    def __init__(self, front: "_Front") -> None:
-        self.front = front
+class _Connection(asyncio.Protocol):
+    def __init__(self, pool: "_ConnectionPool") -> None:
+        self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.done: Callable[[int], None] | None = None
@@ -107,7 +107,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, data: bytes, done: Callable[[int], None]) -> None:
+    def send(self, data: bytes, done: Callable[[int], None]) -> None:
         assert self.transport is not None
         self.done = done
         self.transport.write(data)
@@ -126,76 +126,79 @@
         done = self.done
         self.done = None
         if keep:
-            self.front.idle.append(self)
+            self.pool.idle.append(self)
         elif self.transport is not None:
             self.transport.close()
         if done is not None:
             done(status)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self in self.front.idle:
-            self.front.idle.remove(self)
+        if self in self.pool.idle:
+            self.pool.idle.remove(self)
         if self.done is not None:
             done = self.done
             self.done = None
             done(0)
 
 
-class _Front:
+class _ConnectionPool:
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self.idle = deque[_Link]()
+        self.idle = deque[_Connection]()
 
-    async def ask(self, data: bytes, done: Callable[[int], None]) -> None:
+    async def send(self, data: bytes, done: Callable[[int], None]) -> None:
         if self.idle:
-            return self.idle.pop().ask(data, done)
+            return self.idle.pop().send(data, done)
         loop = asyncio.get_running_loop()
         try:
-            _, link = await loop.create_connection(lambda: _Link(self), *self.address)
+            _, connection = await loop.create_connection(lambda: _Connection(self), *self.address)
         except OSError:
             return done(0)
-        link.ask(data, done)
+        connection.send(data, done)
 
 
-def _words(plan: Plan, of: PlannedRequest) -> bytes:
-    body = b"x" * 200 if of.write else b""
-    name = plan.write if of.write else plan.read
+def _encode_request(plan: Plan, request: PlannedRequest) -> bytes:
+    body = b"x" * 200 if request.write else b""
+    name = plan.write if request.write else plan.read
     head = (
-        f"{'PUT' if of.write else 'GET'} /{name}?block={of.block} HTTP/1.1\r\nHost: load\r\n"
-        f"X-Call-Id: {of.id}\r\nX-Plan: {plan.plan}\r\nX-Budget: {plan.budget:.3f}\r\n"
-        f"X-IO: volume={of.volume:016x},units={of.units},shard={of.shard},hosts=1\r\n"
+        f"{'PUT' if request.write else 'GET'} /{name}?block={request.block} HTTP/1.1\r\nHost: load\r\n"
+        f"X-Call-Id: {request.id}\r\nX-Plan: {plan.plan}\r\nX-Budget: {plan.budget:.3f}\r\n"
+        f"X-IO: volume={request.volume:016x},units={request.units},shard={request.shard},hosts=1\r\n"
     )
-    return head.encode() + (b"Content-Length: %d\r\n" % len(body) if of.write else b"") + b"\r\n" + body
+    return head.encode() + (b"Content-Length: %d\r\n" % len(body) if request.write else b"") + b"\r\n" + body
 
 
 async def run(plan: Plan, fronts: list[tuple[str, int]]) -> Result:
     """Send all drawn requests and wait for the last response, for at most twice the budget."""
-    made = Result()
-    of = [_Front(address) for address in fronts]
+    result = Result()
+    pools = [_ConnectionPool(address) for address in fronts]
     begin = time.monotonic()
     tasks = set[asyncio.Task[None]]()
-    left = set[str]()
+    unanswered = set[str]()
 
-    def answered(asked: PlannedRequest, status: int) -> None:
-        made.statuses[status] += 1
-        made.answers[asked.id] += 1
-        left.discard(asked.id)
+    def answered(request: PlannedRequest, status: int) -> None:
+        result.statuses[status] += 1
+        result.answers[request.id] += 1
+        unanswered.discard(request.id)
         if status == 200:
-            took = time.monotonic() - begin - asked.at
-            made.latency.record_value(max(min(int(took * 1e6), MAX_LATENCY_US), 1))
+            latency = time.monotonic() - begin - request.at
+            result.latency.record_value(max(min(int(latency * 1e6), MAX_RECORDED_LATENCY_US), 1))
 
-    for asked in draw(plan, len(fronts)):
-        wait = asked.at - (time.monotonic() - begin)
+    for request in draw(plan, len(fronts)):
+        wait = request.at - (time.monotonic() - begin)
         if wait > 0:
             await asyncio.sleep(wait)
-        made.late_start = max(made.late_start, time.monotonic() - begin - asked.at)
-        left.add(asked.id)
-        call = of[asked.front].ask(_words(plan, asked), lambda status, a=asked: answered(a, status))  # type: ignore[misc]
+        result.late_start = max(result.late_start, time.monotonic() - begin - request.at)
+        unanswered.add(request.id)
+        call = pools[request.front].send(
+            _encode_request(plan, request),
+            lambda status, a=request: answered(a, status),  # type: ignore[misc]
+        )
         task = asyncio.create_task(call)
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     end = time.monotonic() + 2 * plan.budget
-    while left and time.monotonic() < end:
+    while unanswered and time.monotonic() < end:
         await asyncio.sleep(0.01)
-    made.statuses[0] += len(left)
-    return made
+    result.statuses[0] += len(unanswered)
+    return result
--- a/umberlead/load_generator/showing.py
+++ b/umberlead/load_generator/showing.py
@@ -21,22 +21,22 @@
 from umberlead.testing import fleet
 from umberlead.testing.chunkserver import Model, Record
 
-START_UP = 20.0  # s until the front must listen
-EVERY = 1.0  # s between two updates of the figures
-NAMES = {"in": "objects in", "back": "objects back", "part": "ranges back"}
+START_TIMEOUT_SECONDS = 20.0  # s until the front must listen
+UPDATE_INTERVAL_SECONDS = 1.0  # s between two updates of the figures
+ROW_NAMES = {"in": "objects in", "back": "objects back", "part": "ranges back"}
 
 
 class FrontStartError(UmberleadError, RuntimeError):
     """The front ended before it listened; the text holds the last line of its log."""
 
 
-def rows(tally: Tally, before: Counter[str], took: float) -> list[list[str]]:
+def rows(tally: Tally, previous: Counter[str], elapsed: float) -> list[list[str]]:
     """Return a row for each entry of PLACES: requests a second, requests in all, octets, p50 and p99."""
     return [
         [
-            NAMES[p],
-            f"{(tally.done[p] - before[p]) / took:.1f}/s",
-            f"{tally.done[p]}",
+            ROW_NAMES[p],
+            f"{(tally.completed[p] - previous[p]) / elapsed:.1f}/s",
+            f"{tally.completed[p]}",
             f"{tally.octets[p] / 1e6:.1f} MB",
             f"{tally.percentile(p, 50):.0f} ms",
             f"{tally.percentile(p, 99):.0f} ms",
@@ -47,9 +47,9 @@
 
 def summary(tally: Tally) -> str:
     """Return the totals of all requests in one line."""
-    read = tally.done["back"] + tally.done["part"]
+    read = tally.completed["back"] + tally.completed["part"]
     return (
-        f"{tally.done['in']} objects in, {read} read back, {len(tally.wrong)} not the same; "
+        f"{tally.completed['in']} objects in, {read} read back, {len(tally.mismatches)} not the same; "
         f"{tally.refused} refused, {tally.failed} failed"
     )
 
@@ -61,9 +61,9 @@
         """Create a screen that shows the request rates of the endpoints `names`."""
         self.names = names
         self.live: Any = None
-        self.before: Counter[str] = Counter()
-        self.asked: Counter[str] = Counter()
-        self.since = time.monotonic()
+        self.previous_completed: Counter[str] = Counter()
+        self.previous_requests: Counter[str] = Counter()
+        self.shown_at = time.monotonic()
 
     def __enter__(self) -> "Screen":
         """Start the live table if standard output is a terminal."""
@@ -79,27 +79,27 @@
         if self.live is not None:
             self.live.stop()
 
-    def show(self, tally: Tally, asked: Counter[str]) -> None:
+    def show(self, tally: Tally, requests: Counter[str]) -> None:
         """Show the totals and the rates since the last call."""
         now = time.monotonic()
-        took = max(now - self.since, 1e-3)
-        servers = fleet.format_rates(asked, self.asked, self.names, took)
+        elapsed = max(now - self.shown_at, 1e-3)
+        servers = fleet.format_rates(requests, self.previous_requests, self.names, elapsed)
         if self.live is not None:
             from rich.console import Group
             from rich.table import Table
 
             table = Table("", "now", "in all", "octets", "p50", "p99")
-            for row in rows(tally, self.before, took):
+            for row in rows(tally, self.previous_completed, elapsed):
                 table.add_row(*row)
             self.live.update(Group(table, summary(tally), f"chunk servers: {servers}", "Ctrl-C ends it"))
         else:
             print(f"{summary(tally)}; chunk servers: {servers}", flush=True)
-        self.before = Counter(tally.done)
-        self.asked = Counter(asked)
-        self.since = now
+        self.previous_completed = Counter(tally.completed)
+        self.previous_requests = Counter(requests)
+        self.shown_at = now
 
 
-async def _listens(process: asyncio.subprocess.Process, log: Any) -> tuple[str, int]:
+async def _listening_address(process: asyncio.subprocess.Process, log: Any) -> tuple[str, int]:
     """Return the address of the object API: the last one that the front logs before its limits."""
     assert process.stderr is not None
     last = ""
@@ -128,12 +128,12 @@
     """
     loop = asyncio.get_running_loop()
     done = asyncio.Event()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, done.set)
-    kept, path = tempfile.mkstemp(prefix="umberlead-demo-", suffix=".log")
-    os.close(kept)
-    with open(os.devnull, "w") as nowhere:
-        record = Record(nowhere)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, done.set)
+    descriptor, path = tempfile.mkstemp(prefix="umberlead-demo-", suffix=".log")
+    os.close(descriptor)
+    with open(os.devnull, "w") as null_device:
+        record = Record(null_device)
         nodes = await fleet.start(servers, Model(), record, seed, emulated=True)
         log = open(path, "w")  # noqa: SIM115 (closed below, once the front has ended)
         process = await asyncio.create_subprocess_exec(
@@ -148,47 +148,51 @@
             start_new_session=True,
         )
         try:
-            address = await asyncio.wait_for(_listens(process, log), START_UP)
+            address = await asyncio.wait_for(_listening_address(process, log), START_TIMEOUT_SECONDS)
             print(f"objects at http://{address[0]}:{address[1]}/{buckets[0]}/NAME; the front's log: {path}")
-            reading = asyncio.create_task(_copy(process, log))
-            sound = await _course(Objects(address, buckets, rate, seed), record, nodes, seconds, done)
+            log_copy = asyncio.create_task(_copy_log(process, log))
+            bytes_correct = await _run_load(
+                Objects(address, buckets, rate, seed), record, nodes, seconds, done
+            )
         finally:
             if process.returncode is None:
                 with suppress(ProcessLookupError):
                     process.terminate()
             code = await process.wait()
-        await reading
+        await log_copy
         for node in nodes:
             node.close()
         log.close()
     if code != 0:
         print(f"the front ended with {code}: {path}", file=sys.stderr)
-    return sound and code == 0
+    return bytes_correct and code == 0
 
 
-async def _copy(process: asyncio.subprocess.Process, log: Any) -> None:
+async def _copy_log(process: asyncio.subprocess.Process, log: Any) -> None:
     assert process.stderr is not None
     while line := await process.stderr.readline():
         log.write(line.decode("utf-8", "replace"))
 
 
-async def _course(
+async def _run_load(
     load: Objects, record: Record, nodes: list[Any], seconds: float | None, done: asyncio.Event
 ) -> bool:
     end = time.monotonic() + seconds if seconds is not None else float("inf")
-    going = asyncio.create_task(load.run(done)) if load.rate > 0 else None
+    load_task = asyncio.create_task(load.run(done)) if load.rate > 0 else None
     with Screen([n.name for n in nodes]) as screen:
         while not done.is_set() and time.monotonic() < end:
             with suppress(TimeoutError):
-                await asyncio.wait_for(done.wait(), min(EVERY, max(end - time.monotonic(), 0.01)))
+                await asyncio.wait_for(
+                    done.wait(), min(UPDATE_INTERVAL_SECONDS, max(end - time.monotonic(), 0.01))
+                )
             screen.show(load.tally, record.counts)
     done.set()
-    if going is not None:
-        await going
+    if load_task is not None:
+        await load_task
     print(summary(load.tally))
-    for words in load.tally.wrong[:10]:
-        print(f"NOT THE SAME: {words}")
-    return not load.tally.wrong
+    for mismatch in load.tally.mismatches[:10]:
+        print(f"NOT THE SAME: {mismatch}")
+    return not load.tally.mismatches
 
 
 def main(
