--- a/umberlead/experiments/compare.py
+++ b/umberlead/experiments/compare.py
@@ -55,32 +55,32 @@
     mean = math.fsum(values) / n
     if n == 1:
         return Mean(mean, -math.inf, math.inf, 1)
-    error = math.sqrt(math.fsum((v - mean) ** 2 for v in values) / (n - 1) / n)
-    half = float(stats.t.ppf((1 + LEVEL) / 2, n - 1)) * error
-    return Mean(mean, mean - half, mean + half, n)
+    standard_error = math.sqrt(math.fsum((v - mean) ** 2 for v in values) / (n - 1) / n)
+    half_width = float(stats.t.ppf((1 + LEVEL) / 2, n - 1)) * standard_error
+    return Mean(mean, mean - half_width, mean + half_width, n)
 
 
 def by_arm(rows: Iterable[dict[str, Any]], measure: str) -> dict[str, dict[Day, float]]:
     """Return a measure's whole-day values by arm and day."""
-    made: dict[str, dict[Day, float]] = defaultdict(dict)
+    values: dict[str, dict[Day, float]] = defaultdict(dict)
     for row in rows:
         if row["measure"] == measure and row["second"] < 0:
             arm = f"{row['version']}/{row['configuration']}"
-            made[arm][row["script"], row["scenario"], row["seed"]] = row["value"]
-    return dict(made)
+            values[arm][row["script"], row["scenario"], row["seed"]] = row["value"]
+    return dict(values)
 
 
 def pairs(rows: list[dict[str, Any]], measure: str, baseline: str) -> list[Pair]:
     """Compare every other arm with the baseline; the highest mean difference comes first."""
     arms = by_arm(rows, measure)
-    base = arms.get(baseline, {})
-    made = []
+    baseline_days = arms.get(baseline, {})
+    compared = []
     for arm, days in arms.items():
-        apart = [days[d] - base[d] for d in sorted(days) if d in base]
-        if arm != baseline and apart:
-            better, worse = sum(a > 0 for a in apart), sum(a < 0 for a in apart)
-            made.append(Pair(arm, measure, mean_of(apart), better, worse))
-    return sorted(made, key=lambda p: (-p.difference.mean, p.arm))
+        differences = [days[d] - baseline_days[d] for d in sorted(days) if d in baseline_days]
+        if arm != baseline and differences:
+            better, worse = sum(a > 0 for a in differences), sum(a < 0 for a in differences)
+            compared.append(Pair(arm, measure, mean_of(differences), better, worse))
+    return sorted(compared, key=lambda p: (-p.difference.mean, p.arm))
 
 
 def ranking(rows: list[dict[str, Any]], measure: str = "service") -> list[tuple[str, Mean]]:
@@ -89,18 +89,18 @@
     shared = set.intersection(*(set(days) for days in arms.values())) if arms else set()
     if not shared:
         return []
-    made = [(arm, mean_of([days[d] for d in sorted(shared)])) for arm, days in arms.items()]
-    return sorted(made, key=lambda row: (-row[1].mean, row[0]))
+    means = [(arm, mean_of([days[d] for d in sorted(shared)])) for arm, days in arms.items()]
+    return sorted(means, key=lambda row: (-row[1].mean, row[0]))
 
 
 def over_time(rows: list[dict[str, Any]], script: str, scenario: str) -> dict[str, list[float]]:
     """Return, for each arm, the mean service in each second of the day."""
-    sums: dict[str, dict[int, list[float]]] = defaultdict(lambda: defaultdict(list))
+    values: dict[str, dict[int, list[float]]] = defaultdict(lambda: defaultdict(list))
     for row in rows:
-        of = (row["measure"], row["script"], row["scenario"])
-        if of == ("service", script, scenario) and row["second"] >= 0:
-            sums[f"{row['version']}/{row['configuration']}"][row["second"]].append(row["value"])
+        series = (row["measure"], row["script"], row["scenario"])
+        if series == ("service", script, scenario) and row["second"] >= 0:
+            values[f"{row['version']}/{row['configuration']}"][row["second"]].append(row["value"])
     return {
         arm: [math.fsum(v) / len(v) for _, v in sorted(seconds.items())]
-        for arm, seconds in sorted(sums.items())
+        for arm, seconds in sorted(values.items())
     }
--- a/umberlead/experiments/dataset.py
+++ b/umberlead/experiments/dataset.py
@@ -44,25 +44,30 @@
     Whole-day measures, the number of breaches of each kind among them, have `second` -1; the service of each
     second has its number.
     """
-    made = []
+    table_rows = []
     for cell in cells:
         run = cell.run
-        for got in cell.results:
+        for result in cell.results:
             key = {
                 "script": run.script.name,
-                "scenario": got["scenario"],
+                "scenario": result["scenario"],
                 "seed": run.seed,
                 "version": run.version.name,
                 "configuration": run.configuration.name,
                 "driver": run.driver,
             }
-            values = dict(got["service"]) | {f"breach.{k}": float(v) for k, v in got["breaches"].items()}
-            values |= {"breaches": float(sum(got["breaches"].values())), "faults": float(len(got["faults"]))}
-            made += [key | {"measure": k, "second": -1, "value": v} for k, v in values.items()]
-            made += [
-                key | {"measure": "service", "second": n, "value": v} for n, v in enumerate(got["seconds"])
+            values = dict(result["service"]) | {
+                f"breach.{k}": float(v) for k, v in result["breaches"].items()
+            }
+            values |= {
+                "breaches": float(sum(result["breaches"].values())),
+                "faults": float(len(result["faults"])),
+            }
+            table_rows += [key | {"measure": k, "second": -1, "value": v} for k, v in values.items()]
+            table_rows += [
+                key | {"measure": "service", "second": n, "value": v} for n, v in enumerate(result["seconds"])
             ]
-    return made
+    return table_rows
 
 
 def write(cells: list[Cell], folder: Path) -> None:
@@ -102,14 +107,14 @@
 def keeper(folder: Path) -> Callable[[Plan, Records], None]:
     """Return a function that writes a rehearsal's records to `folder`, one file for each kind of record."""
 
-    def keep(plan: Plan, records: Records) -> None:
+    def write_records(plan: Plan, records: Records) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         for name, kind in TABLES.items():
-            got = getattr(records, name)
+            kind_records = getattr(records, name)
             columns = [f.name for f in fields(kind)]
-            table = pa.table({c: [getattr(row, c) for row in got] for c in columns})
+            table = pa.table({c: [getattr(row, c) for row in kind_records] for c in columns})
             pq.write_table(table, folder / f"{name}.parquet", compression="zstd")
         requests = pa.Table.from_pylist([asdict(r) for r in plan.day.requests])
         pq.write_table(requests, folder / "day.parquet", compression="zstd")
 
-    return keep
+    return write_records
--- a/umberlead/experiments/matrix.py
+++ b/umberlead/experiments/matrix.py
@@ -11,7 +11,7 @@
 
 KEYS = {"name", "scripts", "seeds", "driver", "baseline", "version", "configuration", "measures"}
 DRIVERS = ("virtual", "sockets")
-RUNS_MOST = 20_000
+MAX_RUNS = 20_000
 
 
 class BadMatrix(ValueError):
@@ -73,31 +73,31 @@
                         yield Run(script, seed, version, configuration, self.driver)
 
 
-def _seeds(value: Any, bad: Any) -> list[int]:
+def _checked_seeds(value: Any, error: Any) -> list[int]:
     if isinstance(value, dict) and set(value) == {"from", "to"}:
         value = (
             list(range(value["from"], value["to"] + 1))
             if all(isinstance(v, int) for v in value.values())
             else None
         )
-    whole = isinstance(value, list) and value and all(isinstance(v, int) and v >= 0 for v in value)
-    if not whole:
-        raise bad("seeds", "must be a list of whole numbers, or { from = 1, to = 8 }")
+    valid = isinstance(value, list) and value and all(isinstance(v, int) and v >= 0 for v in value)
+    if not valid:
+        raise error("seeds", "must be a list of whole numbers, or { from = 1, to = 8 }")
     if len(set(value)) != len(value):
-        raise bad("seeds", "names a seed twice")
+        raise error("seeds", "names a seed twice")
     return list(value)
 
 
-def _flat(value: Any, bad: Any, key: str) -> dict[str, Any]:
+def _flatten(value: Any, error: Any, key: str) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise bad(key, "must be a table")
-    made: dict[str, Any] = {}
+        raise error(key, "must be a table")
+    flattened: dict[str, Any] = {}
     for name, inner in value.items():
         if isinstance(inner, dict):
-            made |= {f"{name}.{k}": v for k, v in _flat(inner, bad, f"{key}.{name}").items()}
+            flattened |= {f"{name}.{k}": v for k, v in _flatten(inner, error, f"{key}.{name}").items()}
         else:
-            made[name] = inner
-    return made
+            flattened[name] = inner
+    return flattened
 
 
 def read(path: Path) -> Matrix:
@@ -107,38 +107,39 @@
         BadMatrix: The file can't be read or is invalid.
     """
     try:
-        got = tomllib.loads(path.read_text())
-    except (OSError, ValueError) as fault:
-        raise BadMatrix(f"{path}: {fault}") from None
+        table = tomllib.loads(path.read_text())
+    except (OSError, ValueError) as read_error:
+        raise BadMatrix(f"{path}: {read_error}") from None
 
-    def bad(key: str, why: str) -> BadMatrix:
+    def error(key: str, why: str) -> BadMatrix:
         return BadMatrix(f"{path.name}: {key}: {why}")
 
-    for key in got:
+    for key in table:
         if key not in KEYS:
-            raise bad(key, f"is unknown; known are {', '.join(sorted(KEYS))}")
-    scripts = got.get("scripts")
+            raise error(key, f"is unknown; known are {', '.join(sorted(KEYS))}")
+    scripts = table.get("scripts")
     if not isinstance(scripts, list) or not scripts or not all(isinstance(s, str) for s in scripts):
-        raise bad("scripts", "must be a list of files")
-    files = [path.parent / s for s in scripts]
-    for n, file in enumerate(files):
+        raise error("scripts", "must be a list of files")
+    script_paths = [path.parent / s for s in scripts]
+    for n, file in enumerate(script_paths):
         if not file.is_file():
-            raise bad(f"scripts.{n}", f"no such file: {file}")
-    driver = got.get("driver", "virtual")
+            raise error(f"scripts.{n}", f"no such file: {file}")
+    driver = table.get("driver", "virtual")
     if driver not in DRIVERS:
-        raise bad("driver", f"must be one of {', '.join(DRIVERS)}, not {driver!r}")
+        raise error("driver", f"must be one of {', '.join(DRIVERS)}, not {driver!r}")
     versions = [
-        Version(*_named(v, n, "version", {"name", "rev"}, bad)) for n, v in _rows(got, "version", bad)
+        Version(*_checked_name_and_revision(v, n, "version", {"name", "rev"}, error))
+        for n, v in _table_rows(table, "version", error)
     ]
     configurations = []
-    for n, row in _rows(got, "configuration", bad):
-        _named(row, n, "configuration", {"name", "settings", "figures"}, bad)
-        of = f"configuration.{n}"
+    for n, row in _table_rows(table, "configuration", error):
+        _checked_name_and_revision(row, n, "configuration", {"name", "settings", "figures"}, error)
+        row_key = f"configuration.{n}"
         configurations.append(
             Configuration(
                 row["name"],
-                _flat(row.get("settings", {}), bad, f"{of}.settings"),
-                _flat(row.get("figures", {}), bad, f"{of}.figures"),
+                _flatten(row.get("settings", {}), error, f"{row_key}.settings"),
+                _flatten(row.get("figures", {}), error, f"{row_key}.figures"),
             )
         )
     versions = versions or [Version("here")]
@@ -148,43 +149,43 @@
         ("configuration", [c.name for c in configurations]),
     ):
         if len(set(names)) != len(names):
-            raise bad(key, "two have the same name")
+            raise error(key, "two have the same name")
     arms = [f"{v.name}/{c.name}" for v in versions for c in configurations]
-    baseline = got.get("baseline", arms[0])
+    baseline = table.get("baseline", arms[0])
     if baseline not in arms:
-        raise bad("baseline", f"must be one of {', '.join(arms)}, not {baseline!r}")
-    measures = got.get("measures", ["service", "whole", "worst_10s", "worst_class", "waste"])
+        raise error("baseline", f"must be one of {', '.join(arms)}, not {baseline!r}")
+    measures = table.get("measures", ["service", "whole", "worst_10s", "worst_class", "waste"])
     if not isinstance(measures, list) or not all(isinstance(m, str) for m in measures):
-        raise bad("measures", "must be a list of names")
-    made = Matrix(
-        str(got.get("name", path.stem)),
-        files,
-        _seeds(got.get("seeds"), bad),
+        raise error("measures", "must be a list of names")
+    matrix = Matrix(
+        str(table.get("name", path.stem)),
+        script_paths,
+        _checked_seeds(table.get("seeds"), error),
         versions,
         configurations,
         driver,
         baseline,
         measures,
     )
-    count = len(made.seeds) * len(files) * len(arms)
-    if count > RUNS_MOST:
-        raise bad("seeds", f"the matrix has {count} runs, more than {RUNS_MOST}")
-    return made
+    count = len(matrix.seeds) * len(script_paths) * len(arms)
+    if count > MAX_RUNS:
+        raise error("seeds", f"the matrix has {count} runs, more than {MAX_RUNS}")
+    return matrix
 
 
-def _rows(got: dict[str, Any], key: str, bad: Any) -> list[tuple[int, Any]]:
-    rows = got.get(key, [])
+def _table_rows(table: dict[str, Any], key: str, error: Any) -> list[tuple[int, Any]]:
+    rows = table.get(key, [])
     if not isinstance(rows, list):
-        raise bad(key, f"must be given as [[{key}]]")
+        raise error(key, f"must be given as [[{key}]]")
     return list(enumerate(rows))
 
 
-def _named(row: Any, n: int, key: str, known: set[str], bad: Any) -> tuple[str, str]:
+def _checked_name_and_revision(row: Any, n: int, key: str, known: set[str], error: Any) -> tuple[str, str]:
     if not isinstance(row, dict) or not isinstance(row.get("name"), str) or not row["name"]:
-        raise bad(f"{key}.{n}", "needs a name")
+        raise error(f"{key}.{n}", "needs a name")
     if "/" in row["name"]:
-        raise bad(f"{key}.{n}.name", "must not hold a slash")
+        raise error(f"{key}.{n}.name", "must not hold a slash")
     for name in row:
         if name not in known:
-            raise bad(f"{key}.{n}.{name}", f"is unknown; known are {', '.join(sorted(known))}")
+            raise error(f"{key}.{n}.{name}", f"is unknown; known are {', '.join(sorted(known))}")
     return row["name"], str(row.get("rev", ""))
--- a/umberlead/experiments/one.py
+++ b/umberlead/experiments/one.py
@@ -20,57 +20,59 @@
     """
     from umberlead.emulator.figures import FigureError, Figures, Group
 
-    made = Figures()
+    figures = Figures()
     for key, value in changes.items():
-        of, _, name = key.rpartition(".")
-        head, _, rest = of.partition(".")
-        rows = {"class": made.classes, "plan": made.plans}.get(head)
+        group_path, _, name = key.rpartition(".")
+        kind, _, row_name = group_path.partition(".")
+        rows = {"class": figures.classes, "plan": figures.plans}.get(kind)
         group: Any = (
-            getattr(made, of, None) if rows is None else next((g for g in rows if g.name == rest), None)
+            getattr(figures, group_path, None)
+            if rows is None
+            else next((g for g in rows if g.name == row_name), None)
         )
         if not isinstance(group, Group) or name not in group.got:
             raise FigureError(f"configuration.figures.{key}: there is no such figure")
         group.got = dict(group.got) | {name: {"is": value, "source": "the experiment"}}
-    return made
+    return figures
 
 
-def settings_with(told: dict[str, Any], changes: dict[str, Any]) -> None:
-    """Apply `changes`, by dotted keys, to the settings `told` in place.
+def settings_with(settings: dict[str, Any], changes: dict[str, Any]) -> None:
+    """Apply `changes`, by dotted keys, to `settings` in place.
 
     Raises:
         ValueError: The settings have no table of a key; the text names both.
     """
     for key, value in changes.items():
         *path, last = key.split(".")
-        at: Any = told
+        table: Any = settings
         if key == "gossip":
-            told["gossip"] = value
+            settings["gossip"] = value
             continue
         if path == ["rooms"]:  # an optional table, absent from the settings unless it is added here
-            told.setdefault("rooms", {})
+            settings.setdefault("rooms", {})
         for part in path:
-            at = at[int(part)] if isinstance(at, list) and part.isdigit() else at.get(part)
-            if not isinstance(at, dict | list):
+            table = table[int(part)] if isinstance(table, list) and part.isdigit() else table.get(part)
+            if not isinstance(table, dict | list):
                 raise ValueError(f"configuration.settings.{key}: there is no {part}")
-        at[last] = value
+        table[last] = value
 
 
 def play(order: dict[str, Any]) -> list[dict[str, Any]]:
     """Run all scenarios of the order's script and return a result for each."""
     from umberlead.emulator import rehearsal
 
-    figures, made = figures_with(order["figures"]), []
-    for of in rehearsal.read(Path(order["script"])):
+    figures, results = figures_with(order["figures"]), []
+    for scenario in rehearsal.read(Path(order["script"])):
         result = rehearsal.rehearse(
-            of,
+            scenario,
             figures,
             sockets=order["driver"] == "sockets",
             seed=order["seed"],
             root=Path(order["root"]),
-            alter=lambda told: settings_with(told, order["settings"]),
+            alter=lambda settings: settings_with(settings, order["settings"]),
         )
-        made.append(json.loads(result.text()) | {"late": result.late})
-    return made
+        results.append(json.loads(result.text()) | {"late": result.late})
+    return results
 
 
 def main() -> int:
--- a/umberlead/experiments/report.py
+++ b/umberlead/experiments/report.py
@@ -17,12 +17,12 @@
 
 
 def _image(figure: Any, path: Path) -> str:
-    kept = io.BytesIO()
+    buffer = io.BytesIO()
     figure.tight_layout()
-    figure.savefig(kept, format="png", dpi=110)
+    figure.savefig(buffer, format="png", dpi=110)
     plt.close(figure)
-    path.write_bytes(kept.getvalue())
-    return base64.b64encode(kept.getvalue()).decode()
+    path.write_bytes(buffer.getvalue())
+    return base64.b64encode(buffer.getvalue()).decode()
 
 
 def _days_chart(rows: list[dict[str, Any]]) -> Any:
@@ -40,8 +40,8 @@
 def _pairs_chart(pairs: list[compare.Pair], baseline: str) -> Any:
     figure, axes = plt.subplots(figsize=(8, 0.8 + 0.5 * len(pairs)))
     for n, p in enumerate(pairs):
-        half = p.difference.high - p.difference.mean if p.difference.n > 1 else 0.0
-        axes.errorbar([p.difference.mean], [n], xerr=[[half], [half]], fmt="o", capsize=4)
+        half_width = p.difference.high - p.difference.mean if p.difference.n > 1 else 0.0
+        axes.errorbar([p.difference.mean], [n], xerr=[[half_width], [half_width]], fmt="o", capsize=4)
     axes.axvline(0, color="k", linewidth=0.8)
     axes.set_yticks(range(len(pairs)), [p.arm for p in pairs])
     axes.set_xlabel(f"service against {baseline}, paired by day, 95%")
@@ -75,10 +75,12 @@
     ranking = compare.ranking(rows)
     if not ranking:
         raise ValueError("no day has results from every arm: there is nothing to compare")
-    first = compare.pairs(rows, "service", baseline)
+    service_pairs = compare.pairs(rows, "service", baseline)
     charts = [("Each day's service", _image(_days_chart(rows), folder / "days.png"))]
-    if first:
-        charts.append(("Differences", _image(_pairs_chart(first, baseline), folder / "differences.png")))
+    if service_pairs:
+        charts.append(
+            ("Differences", _image(_pairs_chart(service_pairs, baseline), folder / "differences.png"))
+        )
     for n, (script, scenario) in enumerate(sorted({(r["script"], r["scenario"]) for r in rows})):
         chart = _time_chart(compare.over_time(rows, script, scenario))
         charts.append((f"{script}: {scenario}", _image(chart, folder / f"seconds-{n}.png")))
--- a/umberlead/experiments/running.py
+++ b/umberlead/experiments/running.py
@@ -13,7 +13,7 @@
 from umberlead.experiments.matrix import Matrix, Run
 from umberlead.experiments.versions import lay_out
 
-LONGEST = 1800.0  # s, time limit of a cell
+CELL_TIMEOUT_SECONDS = 1800.0  # s, time limit of a cell
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
     fault: str = ""
 
 
-def _play(run: Run, root: Path) -> Cell:
+def _run_cell(run: Run, root: Path) -> Cell:
     order = {
         "script": str(run.script.resolve()),
         "seed": run.seed,
@@ -36,22 +36,23 @@
     }
     env = os.environ | {"PYTHONPATH": str(root), "PYTHONHASHSEED": "0"}
     try:
-        got = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-B", "-m", "umberlead.experiments.one"],
             input=json.dumps(order),
             text=True,
             capture_output=True,
             cwd=root,
             env=env,
-            timeout=LONGEST,
+            timeout=CELL_TIMEOUT_SECONDS,
         )
     except subprocess.TimeoutExpired:
-        return Cell(run, fault=f"timed out after {LONGEST:g} s")
-    if got.returncode:
+        return Cell(run, fault=f"timed out after {CELL_TIMEOUT_SECONDS:g} s")
+    if process.returncode:
         return Cell(
-            run, fault=got.stderr.strip().splitlines()[-1] if got.stderr.strip() else "no error message"
+            run,
+            fault=process.stderr.strip().splitlines()[-1] if process.stderr.strip() else "no error message",
         )
-    return Cell(run, json.loads(got.stdout))
+    return Cell(run, json.loads(process.stdout))
 
 
 def play(
@@ -66,14 +67,14 @@
     """
     runs = list(matrix.runs())
     roots = {v: lay_out(v.rev, folder) for v in matrix.versions}
-    made: dict[int, Cell] = {}
+    cells: dict[int, Cell] = {}
     with ThreadPoolExecutor(max(workers, 1)) as pool:
-        going = {pool.submit(_play, run, roots[run.version]): n for n, run in enumerate(runs)}
-        while going:
-            done, _ = wait(going, return_when=FIRST_COMPLETED)
+        pending = {pool.submit(_run_cell, run, roots[run.version]): index for index, run in enumerate(runs)}
+        while pending:
+            done, _ = wait(pending, return_when=FIRST_COMPLETED)
             for future in done:
-                n = going.pop(future)
-                made[n] = future.result()
+                index = pending.pop(future)
+                cells[index] = future.result()
                 if progress is not None:
-                    progress(len(made), len(runs), made[n])
-    return [made[n] for n in range(len(runs))]
+                    progress(len(cells), len(runs), cells[index])
+    return [cells[index] for index in range(len(runs))]
--- a/umberlead/experiments/versions.py
+++ b/umberlead/experiments/versions.py
@@ -25,17 +25,17 @@
     """A git command for a revision failed; the text has the command and git's error."""
 
 
-def _git(*words: str) -> bytes:
-    done = subprocess.run(["git", *words], cwd=ROOT, capture_output=True)
-    if done.returncode:
-        raise UnknownVersionError(f"git {' '.join(words)}: {done.stderr.decode().strip()}")
-    return done.stdout
+def _git(*arguments: str) -> bytes:
+    process = subprocess.run(["git", *arguments], cwd=ROOT, capture_output=True)
+    if process.returncode:
+        raise UnknownVersionError(f"git {' '.join(arguments)}: {process.stderr.decode().strip()}")
+    return process.stdout
 
 
 def _extract(commit: str, folder: Path) -> None:
     """Extract the program's source of a commit into a folder."""
-    with tarfile.open(fileobj=io.BytesIO(_git("archive", commit, "umberlead"))) as packed:
-        packed.extractall(folder, filter="data")
+    with tarfile.open(fileobj=io.BytesIO(_git("archive", commit, "umberlead"))) as archive:
+        archive.extractall(folder, filter="data")
 
 
 def lay_out(revision: str, folder: Path) -> Path:
--- a/umberlead/load_generator/day.py
+++ b/umberlead/load_generator/day.py
@@ -196,9 +196,9 @@
         busy = g.draw("busy", rng)
         heavy = g.draw("heavy", rng)
         for _ in range(volume_count):
-            rate_ratio = usage
+            volume_rate_ratio = usage
             if rng.random() < busy:
-                rate_ratio *= of.traffic.draw("busy_x", rng)
+                volume_rate_ratio *= of.traffic.draw("busy_x", rng)
             hosts = min(g.draw_int("hosts", rng), fronts)
             nodes = min(g.draw_int("nodes", rng), shards)
             skew = of.traffic.draw("skew", rng)
@@ -214,7 +214,7 @@
                     name,
                     g.name,
                     g.one("size") * base,
-                    rate_ratio,
+                    volume_rate_ratio,
                     surges,
                     tuple(rng.sample(range(shards), nodes)),
                     tuple(rng.sample(range(fronts), hosts)),
--- a/umberlead/load_generator/platform.py
+++ b/umberlead/load_generator/platform.py
@@ -87,9 +87,9 @@
 
     def row(self) -> dict[str, float]:
         """Return the result as a row of figures."""
-        latency = self.latency
-        figures = {f"p{p:g}_ms": latency.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
-        figures |= {"max_ms": latency.get_max_value() / 1000, "asked": sum(self.statuses.values())}
+        histogram = self.latency
+        figures = {f"p{p:g}_ms": histogram.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
+        figures |= {"max_ms": histogram.get_max_value() / 1000, "asked": sum(self.statuses.values())}
         return figures | {
             "served": self.statuses[200],
             "refused": self.statuses[503],
@@ -181,8 +181,8 @@
         result.answers[request.id] += 1
         unanswered.discard(request.id)
         if status == 200:
-            latency = time.monotonic() - begin - request.at
-            result.latency.record_value(max(min(int(latency * 1e6), MAX_RECORDED_LATENCY_US), 1))
+            latency_s = time.monotonic() - begin - request.at
+            result.latency.record_value(max(min(int(latency_s * 1e6), MAX_RECORDED_LATENCY_US), 1))
 
     for request in draw(plan, len(fronts)):
         wait = request.at - (time.monotonic() - begin)
