--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo: emulated nodes that keep bytes, load that compares them, and the command over both."""
+"""The demo: emulated endpoints that store bytes, a load that compares them, and the command with both."""
 
 import asyncio
 import re
@@ -35,7 +35,9 @@
         assert (await _ask(address, "GET", "0b"))[0] == 404
         began = loop.time()
         await asyncio.gather(*[_ask(address, "GET", "0a") for _ in range(20)])
-        assert loop.time() - began > 0.1  # 20 pieces of some 12 ms on two cores, repeats cheaper
+        assert (
+            loop.time() - began > 0.1
+        )  # 20 requests of about 12 ms on two cores; repeated reads are cheaper
         assert not node.node.busy and node.node.connections == len(node.connections)
         node.close()
 
@@ -56,7 +58,7 @@
 
 
 class Store(asyncio.Protocol):
-    """An object store in a page; `spoil` changes what it gives back."""
+    """A minimal object store; `spoil` alters the bodies that it returns."""
 
     kept: dict[bytes, bytes] = {}
     spoil: Any = staticmethod(lambda body: body)
@@ -134,7 +136,7 @@
 
 
 def _set_up(folder: Path) -> Path:
-    """A front and four servers at ports that were free a moment ago, on an address of this test's own."""
+    """Write the files of a front and four servers; their ports were free just before, on an own address."""
     socks = [socket.socket() for _ in range(4)]
     for sock in socks:
         sock.bind(("127.77.1.1", 0))
@@ -146,7 +148,7 @@
     text = (ROOT / "deploy/watched.toml").read_text()
     text = text.replace('"watched/servers.list"', '"servers.list"').replace("nShards = 5", "nShards = 2")
     text = text.replace('"127.0.0.1:9000"', '"127.0.0.1:0"').replace('"127.0.0.1:9001"', '"127.0.0.1:0"')
-    # Limits that a slow machine keeps too: a call that fails is then the front's fault, not the machine's.
+    # The limits are so long that a slow machine meets them: a failed request then shows a fault of the front.
     text = re.sub(r"\b(within_ms) = \d+", r"\1 = 50000", text)
     text = re.sub(r"\b(hardLimit|aim) = \d+", r"\1 = 50000000", text)
     (folder / "front.toml").write_text(text)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: the matrix's file, versions laid out, the dataset, and comparisons by paired days."""
+"""Experiments: the file of the matrix, the source trees of versions, the dataset and paired comparisons."""
 
 import json
 import math
@@ -149,7 +149,7 @@
     tree = versions.lay_out("HEAD", tmp_path / "trees")
     assert (tree / "umberlead/scheduling/scheduler.py").read_text() == "old"
     assert (tree / "umberlead/emulator/ours.py").read_text() == "new world"
-    assert (tree / "umberlead/membership/ours.py").exists()  # the old one had none
+    assert (tree / "umberlead/membership/ours.py").exists()  # the old version has no such package
     (repo / "umberlead/emulator/ours.py").write_text("newer world")
     assert versions.lay_out("HEAD", tmp_path / "trees") == tree
     assert (tree / "umberlead/emulator/ours.py").read_text() == "newer world"
@@ -204,7 +204,7 @@
 
 
 def test_pairs_tell_what_means_alone_do_not() -> None:
-    """Days differ far more than versions: only paired does the difference show."""
+    """Days differ far more than versions, so only paired differences show which version is better."""
     days = [0.2, 0.5, 0.8, 0.9, 0.4]
     rows = [row("a", n, d) for n, d in enumerate(days)]
     rows += [row("b", n, d + 0.01 + 0.001 * (n % 2)) for n, d in enumerate(days)]
@@ -220,7 +220,7 @@
     rows = [row("a", 1, 0.5), row("a", 2, 0.6), row("b", 2, 0.7), row("b", 3, 0.1)]
     pair = compare.pairs(rows, "service", "a/c")[0]
     assert pair.difference.n == 1 and pair.difference.mean == pytest.approx(0.1)
-    assert pair.told == "not told apart"  # one day tells nothing
+    assert pair.told == "not told apart"  # a single day has no finite interval
     assert [arm for arm, _ in compare.ranking(rows)] == ["b/c", "a/c"]
     assert compare.ranking([row("a", 1, 0.5), row("b", 2, 0.6)]) == []
 
@@ -233,7 +233,7 @@
 
 
 def test_students_interval_is_the_tables() -> None:
-    got = compare.mean_of([1.0, 2.0, 3.0, 4.0])  # s 1.291, t 3.182, n 4
+    got = compare.mean_of([1.0, 2.0, 3.0, 4.0])  # standard deviation 1.291, t 3.182, n 4
     assert got.high - got.mean == pytest.approx(3.182 * 1.29099 / 2, rel=1e-3)
 
 
