--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -232,14 +232,14 @@
 
 @given(st.lists(st.floats(0, 1), min_size=2, max_size=30))
 def test_mean_lies_in_its_interval(values: list[float]) -> None:
-    mean = compare.mean_of(values)
-    assert mean.low <= mean.mean <= mean.high and mean.n == len(values)
-    assert mean.mean == pytest.approx(math.fsum(values) / len(values))
+    interval = compare.mean_of(values)
+    assert interval.low <= interval.mean <= interval.high and interval.n == len(values)
+    assert interval.mean == pytest.approx(math.fsum(values) / len(values))
 
 
 def test_interval_matches_the_table_of_students_t() -> None:
-    mean = compare.mean_of([1.0, 2.0, 3.0, 4.0])  # standard deviation 1.291, t 3.182, n 4
-    assert mean.high - mean.mean == pytest.approx(3.182 * 1.29099 / 2, rel=1e-3)
+    interval = compare.mean_of([1.0, 2.0, 3.0, 4.0])  # standard deviation 1.291, t 3.182, n 4
+    assert interval.high - interval.mean == pytest.approx(3.182 * 1.29099 / 2, rel=1e-3)
 
 
 def test_service_over_time_is_the_mean_over_days() -> None:
