--- a/umberlead/experiments/matrix.py
+++ b/umberlead/experiments/matrix.py
@@ -47,7 +47,7 @@
 
     @property
     def arm(self) -> str:
-        """The version and configuration, which the comparison is between."""
+        """`VERSION/CONFIGURATION`; experiments compare these arms."""
         return f"{self.version.name}/{self.configuration.name}"
 
 
--- a/umberlead/load_generator/day.py
+++ b/umberlead/load_generator/day.py
@@ -1,4 +1,4 @@
-"""Draws the requests of a simulated day in advance from published figures and a seed (open loop).
+"""Draws the requests of a simulated day in advance from the operators' figures and a seed (open loop).
 
 Each volume belongs to a plan and sends requests at its plan's rate. Some volumes exceed that rate all day;
 others send a multiple of it in surges. A volume's requests arrive through a few fronts, unevenly, and the
@@ -21,7 +21,7 @@
 
 
 class InvalidDayError(UmberleadError, ValueError):
-    """A day's length, load or size is out of range."""
+    """A day's length, its load, or its number of shards or fronts is out of range."""
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
         return self.rate_ratio + sum(x for begin, end, x in self.surges if begin <= at < end)
 
     def front(self, at: int, rng: random.Random) -> int:
-        """Draws the front that a request at `at` microseconds comes through."""
+        """Draw the front that a request at `at` microseconds is sent to."""
         turn = bisect_right(self.shifts, at) % len(self.fronts)
         order = self.fronts[turn:] + self.fronts[:turn]
         return rng.choices(order, self.skew)[0]
@@ -168,7 +168,9 @@
         InvalidDayError: The length, the load or a count is out of range.
     """
     if not (seconds > 0 and 0 < load <= 10 and shards > 0 and fronts > 0):
-        raise InvalidDayError("a day needs seconds, a load up to 10, and at least one shard and one front")
+        raise InvalidDayError(
+            "a day needs a length above 0 s, a load above 0 and up to 10, at least one shard and one front"
+        )
     rng = random.Random(f"{seed}/day")
     length = int(seconds * SECOND_US)
     kinds = _draw_kinds(of, rng)
@@ -244,7 +246,7 @@
 
 
 def _scale_surges(day: Day, target: float, length: int) -> None:
-    """Scale the surges so that their sum, averaged over the day, is `wanted` units a second.
+    """Scale the surges so that their sum, averaged over the day, is `target` units a second.
 
     The factor is at most 3.
     """
--- a/umberlead/load_generator/objects.py
+++ b/umberlead/load_generator/objects.py
@@ -15,7 +15,7 @@
 
 STORED_NAME_LIMIT = 2000  # the latest stored objects, from which reads choose
 CALL_TIMEOUT_SECONDS = 20.0
-PLACES = ("in", "back", "part")  # stored, read whole, read as a range
+PLACES = ("in", "back", "part")  # stored, read in full, read as a byte range
 
 
 def content(name: str, size: int) -> bytes:
--- a/umberlead/load_generator/showing.py
+++ b/umberlead/load_generator/showing.py
@@ -111,7 +111,7 @@
             found = re.search(r'address="([^"]+):(\d+)"', line)
         if " limits " in line and found is not None:
             return found[1], int(found[2])
-    raise FrontStartError(last or "it said nothing")
+    raise FrontStartError(last or "the front ended without a log line")
 
 
 async def run(
