--- a/tests/test_expect_tools.py
+++ b/tests/test_expect_tools.py
@@ -60,7 +60,7 @@
     draining = listing(a=replace(ENDPOINTS["a"], status=EndpointStatus.DRAINING))
     assert difference_lines(draining)[1] == "read, shard 0: - a"
     lines = difference_lines(without("a", "c"))[1:]
-    assert lines and all(": - a c; " in x and x.endswith("no server can serve it") for x in lines)
+    assert lines and all(": - a c; " in x and x.endswith("nobody can serve it") for x in lines)
 
 
 def test_server_moved_between_shards_is_reported_for_both() -> None:
--- a/umberlead/routing_tests/altered.py
+++ b/umberlead/routing_tests/altered.py
@@ -173,7 +173,7 @@
                     f"answers {'/'.join(sorted(a.answer_kinds))} -> {'/'.join(sorted(b.answer_kinds))}"
                 )
             if not b.servers:
-                notes.append("no server can serve it")
+                notes.append("nobody can serve it")
             gained = tuple(sorted(b.servers - a.servers))
             lost = tuple(sorted(a.servers - b.servers))
             yield Difference(f"{requests}, shard {shard}", gained, lost, tuple(notes))
