--- a/umberlead/emulator/client_connections.py
+++ b/umberlead/emulator/client_connections.py
@@ -22,7 +22,7 @@
         self.front = front
         self.transport: asyncio.Transport | None = None
         self.of: Try | None = None
-        self.words: Callable[[], bytes] = bytes
+        self.build_request: Callable[[], bytes] = bytes
         self.reused = self.begun = False
         self._reset_parser()
 
@@ -34,14 +34,14 @@
         """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, of: Try, words: Callable[[], bytes], reused: bool) -> None:
-        """Send a try; `words` builds the request when it is written."""
+    def ask(self, of: Try, build_request: Callable[[], bytes], reused: bool) -> None:
+        """Send a try; `build_request` makes the request when it is written."""
         self.of = of
-        self.words = words
+        self.build_request = build_request
         self.reused = reused
         self.begun = False
         assert self.transport is not None
-        self.transport.write(words())  # X-Budget holds the time left at this moment
+        self.transport.write(build_request())  # X-Budget holds the time left at this moment
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes; report an answer that is not valid HTTP as a fault."""
@@ -81,7 +81,7 @@
         if of is not None:
             # The front closed an idle connection before it read this request, so it is safe to send again.
             again = self.reused and not self.begun
-            self.play.once_more(of, self.words) if again else self.play.broke(of)
+            self.play.once_more(of, self.build_request) if again else self.play.broke(of)
 
     def abort(self) -> None:
         """Abort the connection."""
--- a/umberlead/emulator/judge.py
+++ b/umberlead/emulator/judge.py
@@ -18,7 +18,7 @@
 SOCKET_SLACK_US = 50_000
 NOTICE_GRACE_US = 1_000_000  # for requests sent after a notice that the server drains or is gone
 MAX_ATTEMPTS = 3
-NEVER_US = 1 << 62
+NEVER_ENDED_US = 1 << 62
 
 NAMES = {
     "no-answer": "a request was not answered before its client gave up",
@@ -189,7 +189,7 @@
             if e.server == row.server and e.at >= row.at and RESULT_AFTER_RUN[e.word] is not None
         ]
         leaves = [at for at in self.left.get((row.id, row.server), []) if at >= row.at]
-        return min([*ends, *leaves, NEVER_US])
+        return min([*ends, *leaves, NEVER_ENDED_US])
 
     def _check_fallen(self) -> Iterator[Breach]:
         for life in self.records.lives:
@@ -251,8 +251,10 @@
             got = sum(r.work for r in window) / mean_work
             if got <= allowed + 2 * math.sqrt(allowed) + 2:
                 continue
-            knew = [r for r in window if any(life.at <= t <= r.at for t in told[r.front, life.server])]
-            if sum(r.work for r in knew) > 2 / 3 * mean_work * got:
+            from_notified_fronts = [
+                r for r in window if any(life.at <= t <= r.at for t in told[r.front, life.server])
+            ]
+            if sum(r.work for r in from_notified_fronts) > 2 / 3 * mean_work * got:
                 why = f"{got:.1f} requests of mean work in a window; allowed: {allowed:.1f} and variation"
                 yield Breach("cold-over-budget", row.at, row.id, life.server, why)
                 return
--- a/umberlead/emulator/loopback.py
+++ b/umberlead/emulator/loopback.py
@@ -18,11 +18,11 @@
         self.sockets = [bound_socket(address)]
         self.sockets[0].listen(0)
         for _ in range(4):
-            filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            filler.setblocking(False)
+            connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            connection.setblocking(False)
             with suppress(BlockingIOError):
-                filler.connect(address)
-            self.sockets.append(filler)
+                connection.connect(address)
+            self.sockets.append(connection)
 
     def close(self) -> None:
         """Release the address."""
--- a/umberlead/emulator/plan.py
+++ b/umberlead/emulator/plan.py
@@ -20,7 +20,7 @@
 
 TABLES_BESIDE_SETTINGS = ("rooms", "gossip")  # configuration tables outside the fronts' `settings`
 RUN_ON_US = 8 * SECOND_US  # after the last arrival, for requests still in flight
-SHUFFLE_US = 3 * SECOND_US  # longest extra delay of a notice while lists are shuffled
+MAX_SHUFFLE_DELAY_US = 3 * SECOND_US  # longest extra delay of a notice while lists are shuffled
 
 
 class ScriptError(ValueError):
@@ -161,11 +161,11 @@
         )
     seed = of.seed if seed is None else seed
     chance = random.Random(f"{seed}/fleet")
-    kinds = [traits(figures, chance) for _ in range(fleet.servers)]
+    traits_of_nodes = [traits(figures, chance) for _ in range(fleet.servers)]
     shards = fleet.servers // fleet.copies
-    births = [
+    starts_of_nodes = [
         NodeStart(node_name(n), n % shards, (n % shards + n // shards) % fleet.zones, 0, False, t)
-        for n, t in enumerate(kinds)
+        for n, t in enumerate(traits_of_nodes)
     ]
     waves = [Wave(h.at_us, h.until_us, h.value) for h in of.happenings if h.kind == "surge"]
     classes = {g.name for g in figures.classes}
@@ -180,8 +180,8 @@
         if h.at_us >= fleet.seconds * SECOND_US:
             problems.append(ListProblem("E122", h.place, f"the day ends after {fleet.seconds:g} s"))
         for name in h.servers:
-            if name not in {b.name for b in births}:
-                last = births[-1].name
+            if name not in {b.name for b in starts_of_nodes}:
+                last = starts_of_nodes[-1].name
                 problems.append(
                     ListProblem("E123", h.place, f"there is no server {name}; known are n00 to {last}")
                 )
@@ -189,7 +189,7 @@
             problems.append(ListProblem("E124", h.place, f"there is no room {h.value:g}; rooms count from 0"))
     if problems:
         raise ScriptError(problems)
-    speed = sum(t.speed for t in kinds) / len(kinds)
+    speed = sum(t.speed for t in traits_of_nodes) / len(traits_of_nodes)
     day = draw(
         figures,
         seconds=fleet.seconds,
@@ -212,7 +212,7 @@
         fleet,
         day,
         settings(figures, day, fleet.fronts, shards),
-        births,
+        starts_of_nodes,
         [n % fleet.zones for n in range(fleet.fronts)],
     )
     for a in range(fleet.zones):
@@ -265,36 +265,36 @@
             late = wait + self.spread[front]
             for h in self.lists:
                 if h.at_us <= at < h.until_us:
-                    late += h.value if h.label == "late" else self.chance.uniform(0, SHUFFLE_US)
+                    late += h.value if h.label == "late" else self.chance.uniform(0, MAX_SHUFFLE_DELAY_US)
             self.made.notices.append(Notice(int(at + late), front, server, state, started, at))
 
-    def spell(self, h: Happening, kind: str, value: float) -> None:
+    def add_impairment(self, h: Happening, kind: str, value: float) -> None:
         for name in h.servers:
-            spells = self.made.impairments.setdefault(name, [])
-            spells.append(Impairment(h.at_us, h.until_us or FOREVER_US, kind, value))
+            impairments_of_node = self.made.impairments.setdefault(name, [])
+            impairments_of_node.append(Impairment(h.at_us, h.until_us or FOREVER_US, kind, value))
 
     def on_nothing(self, h: Happening) -> None:
         """Surges and costly requests are part of the day; `tell` reads happenings of lists and clocks."""
 
     def on_slow(self, h: Happening) -> None:
-        self.spell(h, "slow", h.value)
+        self.add_impairment(h, "slow", h.value)
 
     def on_neighbour(self, h: Happening) -> None:
         """Another program on the machine runs and stops by turns."""
         for name in h.servers:
-            at, spells = float(h.at_us), self.made.impairments.setdefault(name, [])
+            at, impairments_of_node = float(h.at_us), self.made.impairments.setdefault(name, [])
             while at < h.until_us:
                 end = min(at + self.chance.uniform(1.2, 4.4) * SECOND_US, h.until_us)
-                spells.append(Impairment(int(at), int(end), "neighbour", h.value))
+                impairments_of_node.append(Impairment(int(at), int(end), "neighbour", h.value))
                 at = end + self.chance.uniform(1.2, 4.4) * SECOND_US
 
     def on_lag(self, h: Happening) -> None:
-        self.spell(h, "lag", h.value)
-        self.spell(h, "lag-ms", h.parameters[0] / 1000)
+        self.add_impairment(h, "lag", h.value)
+        self.add_impairment(h, "lag-ms", h.parameters[0] / 1000)
 
     def on_outcome(self, h: Happening) -> None:
         words = {"timeout": "silence", "no-link": "early"}
-        self.spell(h, words.get(h.label, h.label), h.value)
+        self.add_impairment(h, words.get(h.label, h.label), h.value)
 
     def on_cut(self, h: Happening) -> None:
         self.made.partitions.append(ZonePartition(h.at_us, h.until_us, int(h.value)))
--- a/umberlead/emulator/price.py
+++ b/umberlead/emulator/price.py
@@ -93,18 +93,18 @@
             at[node][volume] = units
     for node, wants in at.items():
         left = room.get(node, 0.0)
-        open_ = dict(wants)
-        while open_ and left > 1e-9:
-            total = sum(weights[v] for v in open_)
-            done = {v: u for v, u in open_.items() if u <= left * weights[v] / total + 1e-12}
+        unsatisfied = dict(wants)
+        while unsatisfied and left > 1e-9:
+            total = sum(weights[v] for v in unsatisfied)
+            done = {v: u for v, u in unsatisfied.items() if u <= left * weights[v] / total + 1e-12}
             if not done:
-                for v in open_:
+                for v in unsatisfied:
                     made[v] += left * weights[v] / total
                 break
             for v, units in done.items():
                 made[v] += units
                 left -= units
-                del open_[v]
+                del unsatisfied[v]
     return made
 
 
@@ -139,14 +139,14 @@
         for second, requests in enumerate(by_second):
             asked: dict[str, float] = defaultdict(float)
             at: dict[tuple[str, int], float] = defaultdict(float)
-            spread: dict[str, float] = defaultdict(float)
+            units_per_node: dict[str, float] = defaultdict(float)
             for r in requests:
                 asked[r.volume] += r.units
                 if r.shard < 0:
-                    spread[r.volume] += r.units / nodes
+                    units_per_node[r.volume] += r.units / nodes
                 else:
                     at[r.volume, r.shard] += r.units
-            for volume, units in spread.items():
+            for volume, units in units_per_node.items():
                 for node in self.room:
                     at[volume, node] += units
             inside = {v: min(units, store[v]) for v, units in asked.items()}
@@ -241,13 +241,13 @@
         for r in day.requests:
             got[r.at // SECOND_US] += earned.get(r.number, 0.0)
             want[r.at // SECOND_US] += due[r.number]
-        spans = [
+        stretches = [
             sum(got[k : k + WORST_STRETCH_SECONDS]) / sum(want[k : k + WORST_STRETCH_SECONDS])
             for k in range(max(seconds - WORST_STRETCH_SECONDS, 0) + 1)
             if sum(want[k : k + WORST_STRETCH_SECONDS])
         ]
         whole = sum(got) / sum(want) if sum(want) else 0.0
-        worst = min(spans, default=0.0)
+        worst = min(stretches, default=0.0)
         classes = part(lambda r: r.class_name)
         asked = sum(r.work for r in day.requests)
         first = {a.id: a.first for a in records.asked}
--- a/umberlead/emulator/scenario_driver.py
+++ b/umberlead/emulator/scenario_driver.py
@@ -44,7 +44,7 @@
     def fall(self, node: Node) -> None:
         """End a server that is overloaded."""
 
-    def once_more(self, of: Try, words: Callable[[], bytes]) -> None:
+    def once_more(self, of: Try, build_request: Callable[[], bytes]) -> None:
         """Send a request again on a new connection."""
 
     def answered(self, of: Try, kind: str, body: str) -> None:
--- a/umberlead/emulator/sockets.py
+++ b/umberlead/emulator/sockets.py
@@ -51,8 +51,8 @@
         self.links: dict[str, set[ServerConnection]] = {}
         self.servers: dict[tuple[str, int], asyncio.Server] = {}
         self.ports: dict[tuple[str, int], int] = {}
-        self.holes: dict[tuple[str, int], Blackhole] = {}
-        self.stage_room = {b.name: b.zone for b in plan.node_starts}
+        self.blackholes: dict[tuple[str, int], Blackhole] = {}
+        self.zone_by_server = {b.name: b.zone for b in plan.node_starts}
         self.collectors: list[CollectorConnection] = []
         self.faults: list[str] = []
         self.lines: list[str] = []
@@ -97,19 +97,19 @@
         return self.state.records
 
     async def _start(self, folder: Path) -> None:
-        for birth in self.plan.node_starts:
+        for node_start in self.plan.node_starts:
             for front in self.fronts:
-                await self._listen(birth.name, front.number, 0)
+                await self._listen(node_start.name, front.number, 0)
         collector = ""
         if self.plan.collector_stops:
             taker = await self.loop.create_server(lambda: CollectorConnection(self), "127.0.0.1", 0)
             self.servers["collector", 0] = taker
             collector = f"tcp://127.0.0.1:{port_of(taker)}"
         for front in self.fronts:
-            for birth in self.plan.node_starts:
-                if not birth.at_us:
-                    front.agent.entries[birth.name] = self._entry(
-                        front.number, birth.name, birth.shard, "up", 0
+            for node_start in self.plan.node_starts:
+                if not node_start.at_us:
+                    front.agent.entries[node_start.name] = self._entry(
+                        front.number, node_start.name, node_start.shard, "up", 0
                     )
             await self._start_front(front, folder, collector)
         end = time.monotonic() + START_TIMEOUT_S
@@ -141,7 +141,7 @@
         return {
             "name": name,
             "address": f"127.0.0.1:{self.ports[name, front]}",
-            "zone": str(self.stage_room[name]),
+            "zone": str(self.zone_by_server[name]),
             "type": "node",
             "group": shard,
             "status": STATUS_BY_STATE[state],
@@ -184,31 +184,31 @@
     async def _play_day(self, progress: Callable[[float], None] | None) -> None:
         plan = self.plan
         self.begin, self.unix = self.loop.time() + 0.5, time.time() + 0.5
-        for birth in plan.node_starts:
-            if birth.at_us:
-                self.at(birth.at_us, lambda b=birth: self.state.start_node(b))  # type: ignore[misc]
+        for node_start in plan.node_starts:
+            if node_start.at_us:
+                self.at(node_start.at_us, lambda b=node_start: self.state.start_node(b))  # type: ignore[misc]
             else:
-                self.state.start_node(birth)
+                self.state.start_node(node_start)
         for front in self.fronts:
-            for birth in plan.node_starts:
-                if not birth.at_us:
-                    self.state.record_notice(0, front.number, birth.name, "up")
-        news: dict[tuple[int, str], int] = {}
+            for node_start in plan.node_starts:
+                if not node_start.at_us:
+                    self.state.record_notice(0, front.number, node_start.name, "up")
+        latest_notice_us: dict[tuple[int, str], int] = {}
         for notice in plan.notices:
-            self.at(notice.at, lambda n=notice: self._send_notice(n, news))  # type: ignore[misc]
-        for turn in plan.state_changes:
-            self.at(turn.at, lambda t=turn: self._change_state(t))  # type: ignore[misc]
-        for hand in plan.manual_drains:
-            self.at(hand.at, lambda h=hand: self._apply_manual_drain(h))  # type: ignore[misc]
+            self.at(notice.at, lambda n=notice: self._send_notice(n, latest_notice_us))  # type: ignore[misc]
+        for change in plan.state_changes:
+            self.at(change.at, lambda t=change: self._change_state(t))  # type: ignore[misc]
+        for drain in plan.manual_drains:
+            self.at(drain.at, lambda h=drain: self._apply_manual_drain(h))  # type: ignore[misc]
         for cut in plan.partitions:
             self.at(cut.begin, lambda: self._start_task(self._apply_partitions()))
             self.at(cut.end, lambda: self._start_task(self._apply_partitions()))
         for begin, end in plan.collector_stops:
             self.at(begin, lambda: self._set_collector_reading(False))
             self.at(end, lambda: self._set_collector_reading(True))
-        beat, whole = 0.0, plan.length_us + RUN_ON
+        beat, end_us = 0.0, plan.length_us + RUN_ON
         requests, k = plan.day.requests, 0
-        while (now := self.now()) < whole:
+        while (now := self.now()) < end_us:
             while k < len(requests) and requests[k].at < now + SECOND_US // 2:
                 of = self.state.clients.first(requests[k])
                 self.at(of.at, lambda t=of: self._ask(t))  # type: ignore[misc]
@@ -218,7 +218,7 @@
                 for front in self.fronts:
                     front.agent.beat()
             if progress is not None:
-                progress(now / whole)
+                progress(now / end_us)
             if k == len(requests) and not self.state.open and now > plan.length_us:
                 break
             await asyncio.sleep(0.1)
@@ -239,8 +239,8 @@
                 self.faults.append(f"front {front.number} ended with {code}")
             if front.reader is not None:
                 await front.reader
-        for hole in self.holes.values():
-            hole.close()
+        for blackhole in self.blackholes.values():
+            blackhole.close()
         for server in self.servers.values():
             server.close()
         for links in self.links.values():
@@ -254,25 +254,25 @@
 
     # Endpoint list, servers and operators
 
-    def _send_notice(self, notice: Notice, news: dict[tuple[int, str], int]) -> None:
+    def _send_notice(self, notice: Notice, latest_notice_us: dict[tuple[int, str], int]) -> None:
         """Send a notice to a front, unless the front has a newer one of that server: lists have versions."""
         key = (notice.front, notice.server)
-        if notice.since < news.get(key, 0):
+        if notice.since < latest_notice_us.get(key, 0):
             return
-        news[key] = notice.since
+        latest_notice_us[key] = notice.since
         self.state.record_notice(self.now(), notice.front, notice.server, notice.state)
         shard = self.state.nodes[notice.server].shard
         entry = self._entry(notice.front, notice.server, shard, notice.state, notice.started)
         self.fronts[notice.front].agent.tell(entry)
 
-    def _change_state(self, turn: StateChange) -> None:
-        lost = self.state.change_state(self.now(), turn)
+    def _change_state(self, change: StateChange) -> None:
+        lost = self.state.change_state(self.now(), change)
         del lost  # their connections are aborted with all others of the process
-        if turn.state in ("gone", "cold"):
-            self._abort_connections(turn.server)
-        if turn.state == "gone":
+        if change.state in ("gone", "cold"):
+            self._abort_connections(change.server)
+        if change.state == "gone":
             for front in self.fronts:
-                self.servers[turn.server, front.number].close()
+                self.servers[change.server, front.number].close()
 
     def _abort_connections(self, name: str) -> None:
         for link in list(self.links.get(name, ())):
@@ -295,25 +295,25 @@
 
     async def _apply_partitions(self) -> None:
         """Apply the partitions active now: addresses across them stop accepting, all others accept again."""
-        for birth in self.plan.node_starts:
-            node = self.state.nodes.get(birth.name)
+        for node_start in self.plan.node_starts:
+            node = self.state.nodes.get(node_start.name)
             if node is None or node.state in ("gone", "fallen"):
                 continue
             for front in self.fronts:
-                key = (birth.name, front.number)
-                cut = self.plan.is_partitioned(self.now() + 1, front.number, birth.zone)
-                if cut and key not in self.holes:
+                key = (node_start.name, front.number)
+                cut = self.plan.is_partitioned(self.now() + 1, front.number, node_start.zone)
+                if cut and key not in self.blackholes:
                     self.servers[key].close()
                     await asyncio.sleep(0)
-                    self.holes[key] = Blackhole(("127.0.0.1", self.ports[key]))
-                elif not cut and key in self.holes:
-                    self.holes.pop(key).close()
-                    await self._listen(birth.name, front.number, self.ports[key])
+                    self.blackholes[key] = Blackhole(("127.0.0.1", self.ports[key]))
+                elif not cut and key in self.blackholes:
+                    self.blackholes.pop(key).close()
+                    await self._listen(node_start.name, front.number, self.ports[key])
 
-    def _apply_manual_drain(self, hand: ManualDrain) -> None:
+    def _apply_manual_drain(self, drain: ManualDrain) -> None:
         for front in self.fronts:
-            word = "offline" if hand.drained else "online"
-            url = f"http://127.0.0.1:{front.admin_port}/control/chunk-servers/{hand.server}/{word}"
+            word = "offline" if drain.drained else "online"
+            url = f"http://127.0.0.1:{front.admin_port}/control/chunk-servers/{drain.server}/{word}"
             self._start_task(asyncio.to_thread(put, url))
 
     def arm(self, node: Node) -> None:
@@ -335,7 +335,7 @@
     def _ask(self, of: Try) -> None:
         block, shard = self.state.record_request(self.now(), of)
         r = of.of
-        words = lambda: request_text(of, block, shard, self.now())  # noqa: E731
+        build_request = lambda: request_text(of, block, shard, self.now())  # noqa: E731
 
         # If this process was delayed, an answer that arrived in time may not have been read yet. One further
         # turn of the loop reads it.
@@ -345,10 +345,10 @@
         if front.idle:
             client = front.idle.pop()
             self._client_of_call[of.id] = client
-            return client.ask(of, words, True)
-        self._start_task(self._connect(of, words))
+            return client.ask(of, build_request, True)
+        self._start_task(self._connect(of, build_request))
 
-    async def _connect(self, of: Try, words: Callable[[], bytes]) -> None:
+    async def _connect(self, of: Try, build_request: Callable[[], bytes]) -> None:
         front = self.fronts[of.of.front]
         try:
             _, client = await self.loop.create_connection(
@@ -359,11 +359,11 @@
         if of.id not in self.state.open:
             return client.abort()
         self._client_of_call[of.id] = client
-        client.ask(of, words, False)
+        client.ask(of, build_request, False)
 
-    def once_more(self, of: Try, words: Callable[[], bytes]) -> None:
+    def once_more(self, of: Try, build_request: Callable[[], bytes]) -> None:
         if of.id in self.state.open:
-            self._start_task(self._connect(of, words))
+            self._start_task(self._connect(of, build_request))
 
     def answered(self, of: Try, kind: str, body: str) -> None:
         self._client_of_call.pop(of.id, None)
--- a/umberlead/emulator/virtual.py
+++ b/umberlead/emulator/virtual.py
@@ -84,12 +84,12 @@
     def _schedule_changes(self) -> None:
         plan = self.plan
         loop = self.loop
-        for turn in plan.state_changes:
-            loop.at(START_US + turn.at, partial(self._change_state, turn))
+        for change in plan.state_changes:
+            loop.at(START_US + change.at, partial(self._change_state, change))
         for notice in plan.notices:
             loop.at(START_US + notice.at, partial(self.fronts[notice.front].told, notice, notice.since))
-        for hand in plan.manual_drains:
-            loop.at(START_US + hand.at, partial(self._apply_manual_drain, hand))
+        for drain in plan.manual_drains:
+            loop.at(START_US + drain.at, partial(self._apply_manual_drain, drain))
 
     def _start_zones(self) -> None:
         front_settings = self.plan.front_settings
@@ -141,13 +141,13 @@
 
     # Servers
 
-    def _change_state(self, turn: StateChange) -> None:
-        for job in self.state.change_state(self.now, turn):
+    def _change_state(self, change: StateChange) -> None:
+        for job in self.state.change_state(self.now, change):
             self._reset_attempt(job)
 
-    def _apply_manual_drain(self, hand: ManualDrain) -> None:
+    def _apply_manual_drain(self, drain: ManualDrain) -> None:
         for front in self.fronts:
-            front.engine.set_manual_drain(hand.server, hand.drained, self.loop.now)
+            front.engine.set_manual_drain(drain.server, drain.drained, self.loop.now)
 
     def _reset_attempt(self, job: Job) -> None:
         front, out = job.token
--- a/umberlead/emulator/virtual_front.py
+++ b/umberlead/emulator/virtual_front.py
@@ -19,7 +19,7 @@
 from umberlead.scheduling.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
 from umberlead.scheduling.settings import Settings
 
-TIME_MARGIN_US = 15_000  # a front's deadline is earlier than its client's, as on sockets
+DEADLINE_MARGIN_US = 15_000  # a front's deadline is earlier than its client's, as on sockets
 RETIRE_RATIO = 0.6  # fraction of the keepalive time after which a front closes an idle connection
 STATUS_BY_STATE = {
     "up": EndpointStatus.UP,
@@ -139,7 +139,7 @@
             block,
             shard,
             request.units,
-            until - TIME_MARGIN_US,
+            until - DEADLINE_MARGIN_US,
             (of, block),
             request.hosts,
         )
@@ -155,10 +155,10 @@
     # Connections
 
     def _take_idle_connection(self, name: str) -> Node | None:
-        resting = self.idle.get(name, [])
+        idle_connections = self.idle.get(name, [])
         now = self.world.loop.now
-        while resting:
-            since, node = resting.pop()
+        while idle_connections:
+            since, node = idle_connections.pop()
             if since + self.retire > now and self.world.state.nodes.get(name) is node:
                 if node.state in ("up", "draining"):
                     return node
@@ -169,9 +169,9 @@
     def sweep(self) -> None:
         """Close connections that have been idle for too long."""
         old = self.world.loop.now - self.retire
-        for resting in self.idle.values():
-            while resting and resting[0][0] <= old:
-                resting.pop(0)[1].disconnect()
+        for idle_connections in self.idle.values():
+            while idle_connections and idle_connections[0][0] <= old:
+                idle_connections.pop(0)[1].disconnect()
 
     def start(self, attempt: Attempt) -> None:
         """Start an attempt on an idle connection or a new one."""
@@ -196,8 +196,8 @@
                 now + 2 * way, lambda: self.end(out, AttemptResult.CONNECT_FAILED, None, False)
             )
         out.linked = True
-        up = now + int(2 * way * node.traits.handshake_round_trips)
-        return world.loop.at(up, lambda: self._send_request(out, way, False))
+        established_at = now + int(2 * way * node.traits.handshake_round_trips)
+        return world.loop.at(established_at, lambda: self._send_request(out, way, False))
 
     def _send_request(self, out: AttemptUnderWay, way: int, cut: bool) -> None:
         if out.over:
--- a/umberlead/emulator/virtual_gossip.py
+++ b/umberlead/emulator/virtual_gossip.py
@@ -64,8 +64,8 @@
             if self.kind == "mute" and front.number % 3 == 0:
                 continue
             zones = front.zones.router.zone_health.zones
-            lies = self.kind == "liars" and front.number % 3 == 0
-            member.observations = {n: ZoneState.DOWN if lies else room.state for n, room in zones.items()}
+            is_liar = self.kind == "liars" and front.number % 3 == 0
+            member.observations = {n: ZoneState.DOWN if is_liar else room.state for n, room in zones.items()}
             self._send(front.number, member.tick(self.world.loop.now))
 
     def _send(self, source: int, rows: list[tuple[str, bytes]]) -> None:
@@ -75,8 +75,8 @@
             to = int(address.partition(":")[0])
             if plan.is_partitioned(self.world.now, source, plan.front_zones[to]):
                 continue
-            way = plan.one_way_delays_us[plan.front_zones[source], plan.front_zones[to]]
-            loop.at(loop.now + way, partial(self._receive, to, data))
+            delay_us = plan.one_way_delays_us[plan.front_zones[source], plan.front_zones[to]]
+            loop.at(loop.now + delay_us, partial(self._receive, to, data))
 
     def _receive(self, to: int, data: bytes) -> None:
         self._send(to, self.members[to].receive(self.world.loop.now, data))
