--- a/umberlead/emulator/plan.py
+++ b/umberlead/emulator/plan.py
@@ -19,7 +19,7 @@
 from umberlead.scheduling.settings import Settings
 
 TABLES_BESIDE_SETTINGS = ("rooms", "gossip")  # configuration tables outside the fronts' `settings`
-RUN_ON_US = 8 * SECOND_US  # after the last arrival, for requests still in flight
+RUN_ON_US = 8 * SECOND_US  # after the end of the day, for requests still in flight
 MAX_SHUFFLE_DELAY_US = 3 * SECOND_US  # longest extra delay of a notice while lists are shuffled
 
 
@@ -96,7 +96,7 @@
     impairments: dict[str, list[Impairment]] = field(default_factory=dict)
     partitions: list[ZonePartition] = field(default_factory=list)
     manual_drains: list[ManualDrain] = field(default_factory=list)
-    collector_stops: list[tuple[int, int]] = field(default_factory=list)  # times it reads no log lines
+    collector_stops: list[tuple[int, int]] = field(default_factory=list)  # begin and end of each stop, in us
     rates: dict[str, float] = field(default_factory=dict)  # units per second of each volume's plan
     meter: tuple[int, int] = (500_000, 800_000)  # period and delay of the meter, us
 
