--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from umberlead.testing.soak.fleet import FrontProcess
-from umberlead.testing.soak.judge import Evidence, budgets, slow_starts
+from umberlead.testing.soak.judge import Evidence, find_excess_budgets, find_slow_start_overloads
 from umberlead.testing.soak.mix import Mix
 from umberlead.testing.soak.plan import Size
 from umberlead.testing.soak.records import ClientRecord, Event, NodeRecord, read
@@ -55,7 +55,7 @@
 
 async def send_request(run: Run, id_: str, budget: float, shard: int = 0) -> tuple[int, int, int]:
     """Send a request on a new connection; return when it was sent and answered, and the status."""
-    address = f"{run.net}.{FRONT_HOST}"
+    address = f"{run.network_prefix}.{FRONT_HOST}"
     reader, writer = await asyncio.open_connection(address, PORT)
     writer.write(request_bytes(id_, budget, shard))
     await writer.drain()
@@ -98,15 +98,15 @@
         await asyncio.sleep(COLD_WINDOW_SECONDS)  # a new process sends nothing to cold servers in this time
         run.step_clock(-HOUR_NS)
         server = await run.start_server(0, "cold", cold=True)
-        run.fronts[0].agent.tell(run.entry(server, cold=True))
-        run.fronts[0].agent.tell(run.entry(run.first, status="gone"))
+        run.fronts[0].agent.send_change(run.entry(server, cold=True))
+        run.fronts[0].agent.send_change(run.entry(run.initial_server, status="gone"))
         await asyncio.sleep(0.3)  # the front learns of the change: earlier requests go elsewhere or wait
         await asyncio.gather(*(send_request(run, f"{n}", 1.2) for n in range(120)))
 
     run = run_steps(tmp_path, 1, steps)
     events = list(read(run.folder / "events.jsonl", Event))
     rows = [row for row in attempts(run) if row.node.startswith("cold")]
-    assert rows and not slow_starts(Evidence(nodes=rows, events=events), limits())
+    assert rows and not find_slow_start_overloads(Evidence(nodes=rows, events=events), limits())
 
 
 def test_budget_excludes_time_spent_waiting_for_accept(
@@ -131,7 +131,7 @@
             )
 
     run = run_steps(tmp_path, 1, steps)
-    assert not budgets(Evidence(clients=rows, nodes=attempts(run)))
+    assert not find_excess_budgets(Evidence(clients=rows, nodes=attempts(run)))
 
 
 def test_start_retries_while_socket_fails_with_enobufs(tmp_path: Path) -> None:
@@ -170,11 +170,11 @@
         try:
             run.step_clock(HOUR_NS)  # the clock of the machine on which the front starts
             await run.start()
-            run.forget_clock_step()  # the clock of discovery is correct
+            run.clear_clock_step()  # the clock of discovery is correct
             await asyncio.sleep(COLD_WINDOW_SECONDS)
             server = await run.start_server(0, "cold", cold=True)
-            run.fronts[0].agent.tell(run.entry(server, cold=True))
-            run.fronts[0].agent.tell(run.entry(run.first, status="gone"))
+            run.fronts[0].agent.send_change(run.entry(server, cold=True))
+            run.fronts[0].agent.send_change(run.entry(run.initial_server, status="gone"))
             await asyncio.sleep(0.3)
             await asyncio.gather(*(send_request(run, f"{n}", 1.2) for n in range(120)))
         finally:
@@ -185,4 +185,4 @@
     events = list(read(run.folder / "events.jsonl", Event))
     rows = [row for row in attempts(run) if row.node.startswith("cold")]
     assert rows
-    assert not slow_starts(Evidence(nodes=rows, events=events), limits())
+    assert not find_slow_start_overloads(Evidence(nodes=rows, events=events), limits())
--- a/umberlead/testing/soak/client.py
+++ b/umberlead/testing/soak/client.py
@@ -24,8 +24,8 @@
 from umberlead.testing.soak.records import ClientRecord, Writer
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-CROSSING_SECONDS = 0.05  # after EOF; a reset in this time shows that the last data went unread
-PATIENCE_SECONDS = 1.5  # after a request's deadline, for which its answer is still awaited
+RESET_CHECK_SECONDS = 0.05  # after EOF; a reset in this time shows that the last data went unread
+ANSWER_GRACE_SECONDS = 1.5  # after a request's deadline, for which its answer is still awaited
 CONNECT_SECONDS = 2.0
 MAX_PIPELINED = 5
 CLIENT_RATE = 4.0  # requests per second of one client
@@ -139,10 +139,10 @@
     def eof_received(self) -> bool:
         """Check shortly after EOF whether a reset follows: if so, the last data sent was not read."""
         self.ended = True
-        asyncio.get_running_loop().call_later(CROSSING_SECONDS, self._crossed)
+        asyncio.get_running_loop().call_later(RESET_CHECK_SECONDS, self._finish_after_eof)
         return True
 
-    def _crossed(self) -> None:
+    def _finish_after_eof(self) -> None:
         self._end("reset" if self._was_reset() else "eof")
         self.transport.abort()
 
@@ -219,7 +219,7 @@
             head += f"Content-Length: {len(body)}\r\n"
         return sent, head.encode() + b"\r\n" + body
 
-    def write_down(self, front: str, kind: Kind, connection: Connection, sent: Sent) -> None:
+    def record_request(self, front: str, kind: Kind, connection: Connection, sent: Sent) -> None:
         """Record a request once it has ended or its answer is no longer awaited."""
         self.record.add(
             ClientRecord(
@@ -240,7 +240,7 @@
             )
         )
 
-    async def live(self, kind: Kind, rate: float, until: float) -> None:
+    async def run_client(self, kind: Kind, rate: float, until: float) -> None:
         """Act as one client until `until`, with `rate` requests per second on average."""
         loop = asyncio.get_running_loop()
         front = self.chance.choice(sorted(self.fronts))
@@ -260,7 +260,7 @@
                 front = self.chance.choice(sorted(self.fronts))
                 continue
             if connection.usable():
-                await self._ask(kind, front, connection)
+                await self._send_requests(kind, front, connection)
             if kind in (Kind.FRESH, Kind.LEAVER, Kind.HALF):
                 connection.transport.close()
                 connection = None
@@ -278,7 +278,7 @@
             return None
         return connection
 
-    async def _ask(self, kind: Kind, front: str, connection: Connection) -> None:
+    async def _send_requests(self, kind: Kind, front: str, connection: Connection) -> None:
         count = self.chance.randint(2, MAX_PIPELINED) if kind is Kind.PIPELINE else 1
         # The same for all requests: a pipelined answer waits for the earlier ones.
         budget = self.chance.choice(self.budgets)
@@ -305,17 +305,17 @@
             for request in sent:
                 request.sent_last = now
         if kind is Kind.LEAVER:
-            await self._leave(connection, sent[0])
+            await self._disconnect_early(connection, sent[0])
         for request in sent:
             await self._wait(request)
-            self.write_down(front, kind, connection, request)
+            self.record_request(front, kind, connection, request)
 
     async def _wait(self, request: Sent) -> None:
-        """Wait for an answer until PATIENCE_SECONDS after the request's deadline."""
+        """Wait for an answer until ANSWER_GRACE_SECONDS after the request's deadline."""
         if request.done.is_set():
             return
         elapsed = (time.monotonic_ns() - (request.sent_last or request.sent_first)) / 1e9
-        left = max(request.budget + PATIENCE_SECONDS - elapsed, 0.01)
+        left = max(request.budget + ANSWER_GRACE_SECONDS - elapsed, 0.01)
         try:
             async with asyncio.timeout(left):
                 await request.done.wait()
@@ -337,7 +337,7 @@
             await asyncio.sleep(self.chance.uniform(0.0, 0.06))
         return True
 
-    async def _leave(self, connection: Connection, request: Sent) -> None:
+    async def _disconnect_early(self, connection: Connection, request: Sent) -> None:
         try:
             async with asyncio.timeout(self.chance.uniform(0.0, 0.15)):
                 await request.done.wait()
@@ -360,7 +360,7 @@
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     kinds = [clients.chance.choice(choice) for _ in range(max(int(rate / CLIENT_RATE), 1))]
-    await asyncio.gather(*(clients.live(kind, CLIENT_RATE, until) for kind in kinds))
+    await asyncio.gather(*(clients.run_client(kind, CLIENT_RATE, until) for kind in kinds))
 
 
 def _fronts(words: list[str]) -> dict[str, tuple[str, int]]:
--- a/umberlead/testing/soak/crowd.py
+++ b/umberlead/testing/soak/crowd.py
@@ -10,13 +10,13 @@
 
 import uvloop
 
-ASK = b"GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n"
-ASKING_EVERY = 2  # one of this many clients sends a health check
+HEALTH_CHECK = b"GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n"
+HEALTH_CHECK_EVERY = 2  # one of this many clients sends a health check
 DIAL_SECONDS = 2.0
 RECONNECT_SECONDS = 0.1  # after a front closed a connection
 
 
-async def _rest(host: str, port: int, asks: bool, until: float) -> None:
+async def _hold_connection(host: str, port: int, sends_health_check: bool, until: float) -> None:
     """Hold a connection until `until`, and reconnect whenever the front closes it."""
     loop = asyncio.get_running_loop()
     while loop.time() < until:
@@ -26,8 +26,8 @@
         except (OSError, TimeoutError):
             await asyncio.sleep(RECONNECT_SECONDS)
             continue
-        if asks:
-            writer.write(ASK)
+        if sends_health_check:
+            writer.write(HEALTH_CHECK)
         try:
             async with asyncio.timeout_at(until):
                 while await reader.read(4096):
@@ -43,7 +43,10 @@
     host, _, port = address.partition(":")
     until = asyncio.get_running_loop().time() + seconds
     await asyncio.gather(
-        *(_rest(host, int(port), number % ASKING_EVERY == 0, until) for number in range(count))
+        *(
+            _hold_connection(host, int(port), number % HEALTH_CHECK_EVERY == 0, until)
+            for number in range(count)
+        )
     )
 
 
--- a/umberlead/testing/soak/fault_player.py
+++ b/umberlead/testing/soak/fault_player.py
@@ -59,11 +59,13 @@
             **dict.fromkeys(SIGNAL_SERIES, self._signal_series),
         }
         self.played[interval.fault.value] += 1
-        self._run.note(interval.fault.value, str(interval.target), value=interval.end - interval.begin)
+        self._run.record_event(
+            interval.fault.value, str(interval.target), value=interval.end - interval.begin
+        )
         await plays.get(interval.fault, self._system_faults)(interval)
 
     @staticmethod
-    async def _last(interval: Interval) -> None:
+    async def _wait_until_over(interval: Interval) -> None:
         await asyncio.sleep(interval.end - interval.begin)
 
     def _front(self, interval: Interval) -> Front:
@@ -93,11 +95,11 @@
 
     async def _front_reload(self, interval: Interval) -> None:
         front = self._front(interval)
-        front.moved = not front.moved
+        front.uses_other_lists_port = not front.uses_other_lists_port
         self._run.configure(front)
         for process in front.live():
             process.signal(signal.SIGHUP)
-        await self._last(interval)
+        await self._wait_until_over(interval)
 
     async def _front_pause(self, interval: Interval) -> None:
         for process in self._front(interval).live():
@@ -105,22 +107,22 @@
             await asyncio.sleep(0.02 + 0.13 * interval.variant)
             process.signal(signal.SIGCONT)
 
-    def _tell(self, entry: Entry) -> float:
+    def _announce(self, entry: Entry) -> float:
         """Send an entry through all agents; return the time by when all fronts must know it."""
         for front in self._run.fronts:
-            front.agent.tell(entry)
-        return max(front.agent.told_by for front in self._run.fronts)
+            front.agent.send_change(entry)
+        return max(front.agent.known_by for front in self._run.fronts)
 
     async def _node_drain(self, interval: Interval) -> None:
         old = self._server(interval)
         new = await self._run.start_server(
             old.slot, f"s{old.slot}-{self._run.incarnations[str(old.slot)]}", cold=True
         )
-        self._tell(self._run.entry(new, cold=True))
-        told_by = self._tell(self._run.entry(old, "draining"))
-        self._run.note("node_drains", old.record_name, told_by)
-        await asyncio.sleep(told_by - time.monotonic() + DRAINED_AFTER_SECONDS)
-        self._tell(self._run.entry(old, "gone"))
+        self._announce(self._run.entry(new, cold=True))
+        known_by = self._announce(self._run.entry(old, "draining"))
+        self._run.record_event("node_drains", old.record_name, known_by)
+        await asyncio.sleep(known_by - time.monotonic() + DRAINED_AFTER_SECONDS)
+        self._announce(self._run.entry(old, "gone"))
         await asyncio.sleep(0.5)
         old.node.kill()
         old.proxy.kill()
@@ -129,23 +131,23 @@
         old = self._server(interval)
         old.node.kill()
         old.proxy.kill()
-        await self._last(interval)
+        await self._wait_until_over(interval)
         new = await self._run.start_server(old.slot, old.name, cold=True)
-        self._tell(self._run.entry(new, cold=True))
+        self._announce(self._run.entry(new, cold=True))
 
     async def _node_hang(self, interval: Interval) -> None:
         server = self._server(interval)
         server.node.order(hangs=True)
-        await self._last(interval)
+        await self._wait_until_over(interval)
         server.node.order(hangs=False)
 
     async def _node_errors(self, interval: Interval) -> None:
         server = self._server(interval)
         server.node.order(flaw_rate=0.1 + 0.5 * interval.variant)
-        await self._last(interval)
+        await self._wait_until_over(interval)
         server.node.order(flaw_rate=0.0)
 
-    async def _switch(self, server: Server, word: str) -> bool:
+    async def _set_manual_drain(self, server: Server, word: str) -> bool:
         """Set or clear the manual drain of a server at all fronts; retry at a front that does not answer."""
         path = f"/control/chunk-servers/{server.name}/{word}"
         for front in self._run.fronts:
@@ -163,16 +165,16 @@
 
     async def _node_by_hand(self, interval: Interval) -> None:
         server = self._server(interval)
-        if await self._switch(server, "offline"):
-            self._run.note("node_out", server.record_name)
-            await self._last(interval)
-            self._run.note("node_back", server.record_name)
-        await self._switch(server, "online")
+        if await self._set_manual_drain(server, "offline"):
+            self._run.record_event("node_out", server.record_name)
+            await self._wait_until_over(interval)
+            self._run.record_event("node_back", server.record_name)
+        await self._set_manual_drain(server, "online")
 
     async def _link_stall(self, interval: Interval) -> None:
         server = self._server(interval)
         server.proxy.order(stalls=True)
-        await self._last(interval)
+        await self._wait_until_over(interval)
         server.proxy.order(stalls=False)
 
     async def _link_reset(self, interval: Interval) -> None:
@@ -181,14 +183,14 @@
     async def _link_pieces(self, interval: Interval) -> None:
         server = self._server(interval)
         server.proxy.order(pieces=True)
-        await self._last(interval)
+        await self._wait_until_over(interval)
         server.proxy.order(pieces=False)
 
     async def _lists_silent(self, interval: Interval) -> None:
         agent = self._front(interval).agent
         agent.fall_silent()
-        await self._last(interval)
-        agent.speak()
+        await self._wait_until_over(interval)
+        agent.resume()
 
     async def _lists_reset(self, interval: Interval) -> None:
         self._front(interval).agent.reset()
@@ -204,7 +206,7 @@
             front.agent.fall_silent()
         await self._run.crowd(front, interval.end - interval.begin)
         if silent:
-            front.agent.speak()
+            front.agent.resume()
 
     async def _system_faults(self, interval: Interval) -> None:
         """Make system calls of a front's processes fail for a while; a clock step is not undone."""
--- a/umberlead/testing/soak/fleet.py
+++ b/umberlead/testing/soak/fleet.py
@@ -17,7 +17,7 @@
 import msgspec
 
 START_SECONDS = 30.0  # time within which a process must be ready
-READY_LOOK_SECONDS = 0.03
+READY_POLL_SECONDS = 0.03
 CALL_SECONDS = 1.0  # timeout of a call of the admin API
 FAULTS_SOURCE = Path(__file__).with_name("faults.c")
 FAULTS_FORMAT = struct.Struct("<q12iq256s")  # `struct faults`
@@ -183,7 +183,7 @@
             if late or self.process.returncode is not None:
                 tail = self.log.read_text(errors="replace")[-2000:]
                 raise StartError(f"{self.front}: exit {self.process.returncode}, {tail}")
-            await asyncio.sleep(READY_LOOK_SECONDS)
+            await asyncio.sleep(READY_POLL_SECONDS)
         self.ready_seconds = time.monotonic() - self.started
 
     def signal(self, number: signal.Signals) -> None:
--- a/umberlead/testing/soak/judge.py
+++ b/umberlead/testing/soak/judge.py
@@ -62,17 +62,17 @@
 def judge(evidence: Evidence, limits: Limits) -> list[Violation]:
     """Return all violations, in the order of the rules below."""
     return [
-        *lost(evidence),
-        *forged(evidence.clients),
-        *repeated(evidence, limits),
-        *begun_late(evidence),
-        *budgets(evidence),
-        *sent_out_of_service(evidence),
-        *slow_starts(evidence, limits),
+        *find_lost_requests(evidence),
+        *find_forged_answers(evidence.clients),
+        *find_repeated_requests(evidence, limits),
+        *find_attempts_after_disconnect(evidence),
+        *find_excess_budgets(evidence),
+        *find_attempts_out_of_service(evidence),
+        *find_slow_start_overloads(evidence, limits),
     ]
 
 
-def _kills(events: Iterable[Event]) -> dict[str, list[int]]:
+def _kill_times(events: Iterable[Event]) -> dict[str, list[int]]:
     """Return when processes of each front were killed, in order."""
     found = defaultdict(list)
     for event in events:
@@ -81,7 +81,7 @@
     return found
 
 
-def _crowds(events: Iterable[Event]) -> dict[str, list[tuple[int, int]]]:
+def _crowd_intervals(events: Iterable[Event]) -> dict[str, list[tuple[int, int]]]:
     """Return the intervals in which idle clients used up the descriptors of each front."""
     found = defaultdict(list)
     for event in events:
@@ -90,10 +90,10 @@
     return found
 
 
-def lost(evidence: Evidence) -> list[Violation]:
+def find_lost_requests(evidence: Evidence) -> list[Violation]:
     """Find requests sent completely without a final answer in time, unless their client caused that."""
-    kills = _kills(evidence.events)
-    crowds = _crowds(evidence.events)
+    kills = _kill_times(evidence.events)
+    crowds = _crowd_intervals(evidence.events)
     forwarded = {row.id for row in evidence.nodes}
     found = []
     for row in evidence.clients:
@@ -122,15 +122,15 @@
     return found
 
 
-def forged(clients: Iterable[ClientRecord]) -> list[Violation]:
+def find_forged_answers(clients: Iterable[ClientRecord]) -> list[Violation]:
     """Find answers that were not produced by a chunk server for that request."""
     return [Violation("forged", f"{row.id} at {row.front}") for row in clients if not row.sound]
 
 
-def repeated(evidence: Evidence, limits: Limits) -> list[Violation]:
+def find_repeated_requests(evidence: Evidence, limits: Limits) -> list[Violation]:
     """Find requests that ran twice though they must not, had too many attempts, or ran twice at once."""
     by_id: dict[str, list[NodeRecord]] = defaultdict(list)
-    for row in _latest(evidence.nodes):
+    for row in _latest_records(evidence.nodes):
         if row.last:
             by_id[row.id].append(row)
     found = []
@@ -143,7 +143,7 @@
     return found
 
 
-def _latest(rows: Iterable[NodeRecord]) -> list[NodeRecord]:
+def _latest_records(rows: Iterable[NodeRecord]) -> list[NodeRecord]:
     """Return one record per attempt: the one of its end if there is one."""
     found: dict[tuple[str, str, int], NodeRecord] = {}
     for row in rows:
@@ -153,7 +153,7 @@
     return list(found.values())
 
 
-def _arrivals(evidence: Evidence) -> list[NodeRecord]:
+def _undelayed_attempts(evidence: Evidence) -> list[NodeRecord]:
     """Return the attempts that no link fault delayed: their time of arrival shows when they were sent."""
     held = defaultdict(list)
     for event in evidence.events:
@@ -161,7 +161,7 @@
             held[event.who].append((event.at, event.at + int(event.value * 1e9) + LINK_SLACK_NS))
     return [
         row
-        for row in _latest(evidence.nodes)
+        for row in _latest_records(evidence.nodes)
         if not any(begin <= row.first <= end for begin, end in held[_slot(row.node)])
     ]
 
@@ -171,22 +171,22 @@
     return node.partition("#")[0].partition("-")[0].removeprefix("s")
 
 
-def begun_late(evidence: Evidence) -> list[Violation]:
+def find_attempts_after_disconnect(evidence: Evidence) -> list[Violation]:
     """Find attempts that began more than 0.1 s after their client disconnected."""
     left = {row.id: row.ended for row in evidence.clients if row.end == "left"}
     found = []
-    for row in _arrivals(evidence):
+    for row in _undelayed_attempts(evidence):
         since = left.get(row.id)
         if since is not None and row.first > since + LEFT_GRACE_NS + row.late + MACHINE_SLACK_NS:
             found.append(Violation("client_left", f"{row.id} began {(row.first - since) // MS} ms after"))
     return found
 
 
-def budgets(evidence: Evidence) -> list[Violation]:
+def find_excess_budgets(evidence: Evidence) -> list[Violation]:
     """Find attempts whose X-Budget exceeds the time that their client had left."""
     by_id = {row.id: row for row in evidence.clients}
     found = []
-    for row in _arrivals(evidence):
+    for row in _undelayed_attempts(evidence):
         client = by_id.get(row.id)
         if client is None or not client.sent_last or not row.last:
             continue
@@ -197,11 +197,11 @@
     return found
 
 
-def sent_out_of_service(evidence: Evidence) -> list[Violation]:
+def find_attempts_out_of_service(evidence: Evidence) -> list[Violation]:
     """Find attempts at a chunk server that all fronts knew to be draining, gone or manually drained."""
     spans = _out_of_service(evidence.events)
     found = []
-    for row in _arrivals(evidence):
+    for row in _undelayed_attempts(evidence):
         for begin, end in spans.get(row.node, ()):
             if begin + row.late + MACHINE_SLACK_NS < row.first < end:
                 late = (row.first - begin) // MS
@@ -225,10 +225,10 @@
     return spans
 
 
-def slow_starts(evidence: Evidence, limits: Limits) -> list[Violation]:
+def find_slow_start_overloads(evidence: Evidence, limits: Limits) -> list[Violation]:
     """Find warming chunk servers that got more in a window than their limit at its end."""
     by_node: dict[str, list[NodeRecord]] = defaultdict(list)
-    for row in _latest(evidence.nodes):
+    for row in _latest_records(evidence.nodes):
         by_node[row.node].append(row)
     found = []
     for event in evidence.events:
--- a/umberlead/testing/soak/lists.py
+++ b/umberlead/testing/soak/lists.py
@@ -9,8 +9,8 @@
 
 import httptools
 
-BEAT_SECONDS = 2.0  # between the empty lines (heartbeats) of a watch
-TOLD_AFTER_SILENCE_SECONDS = 6.0  # after a watch fell silent, the front must have caught up
+HEARTBEAT_SECONDS = 2.0  # between the empty lines (heartbeats) of a watch
+KNOWN_AFTER_SILENCE_SECONDS = 6.0  # after a watch fell silent, the front must have caught up
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
     status: str = "ready"
     since_ms: int = 0
 
-    def shown(self) -> dict[str, Any]:
+    def as_message(self) -> dict[str, Any]:
         """Return the entry in the format of discovery."""
         return {
             "name": self.name,
@@ -76,7 +76,7 @@
         self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.agent.watchers.add(self)
         known = after is not None and int(after[1]) == self.agent.index
-        self.line(b"" if known else self.agent.whole())
+        self.line(b"" if known else self.agent.snapshot_message())
 
     def line(self, text: bytes) -> None:
         """Write a line as an HTTP chunk."""
@@ -95,7 +95,7 @@
         self.connections: set[Watcher] = set()
         self.silent = False
         self._servers: list[asyncio.Server] = []
-        self.told_by = 0.0  # by when the front must know all changes sent so far
+        self.known_by = 0.0  # by when the front must know all changes sent so far
 
     async def listen(self, *addresses: tuple[str, int]) -> None:
         """Listen on all these addresses."""
@@ -110,23 +110,23 @@
         self.reset()
 
     def _message(self, entries: list[Entry], whole: bool) -> bytes:
-        shown = [entry.shown() for entry in entries]
+        shown = [entry.as_message() for entry in entries]
         return json.dumps({"index": self.index, "snapshot": whole, "endpoints": shown}).encode()
 
-    def whole(self) -> bytes:
+    def snapshot_message(self) -> bytes:
         """Return the snapshot of the list as a message."""
         return self._message([e for e in self.entries.values() if e.status != "gone"], True)
 
-    def tell(self, entry: Entry) -> None:
+    def send_change(self, entry: Entry) -> None:
         """Send a change of one entry to all watchers."""
         self.index += 1
         self.entries[entry.name] = entry
-        self.told_by = max(self.told_by, time.monotonic())
+        self.known_by = max(self.known_by, time.monotonic())
         text = self._message([entry], False)
         for watcher in list(self.watchers):
             watcher.line(text)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send an empty line to every watcher."""
         for watcher in list(self.watchers):
             watcher.line(b"")
@@ -135,9 +135,9 @@
         """Stop sending on open watches, and do not answer new ones."""
         self.silent = True
         self.watchers.clear()
-        self.told_by = time.monotonic() + TOLD_AFTER_SILENCE_SECONDS
+        self.known_by = time.monotonic() + KNOWN_AFTER_SILENCE_SECONDS
 
-    def speak(self) -> None:
+    def resume(self) -> None:
         """Resume answering new watches."""
         self.silent = False
 
--- a/umberlead/testing/soak/node.py
+++ b/umberlead/testing/soak/node.py
@@ -58,9 +58,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the idle timer, which closes the connection after the keepalive."""
         super().connection_made(transport)
-        self._rest()
+        self._start_idle_timer()
 
-    def _rest(self) -> None:
+    def _start_idle_timer(self) -> None:
         loop = asyncio.get_running_loop()
         self._idle = loop.call_later(IDLE_CLOSE_SECONDS, self.transport.close)
 
@@ -131,7 +131,7 @@
         self._close_record()
         self._write_answer(row, flaw)
         if not self.transport.is_closing():
-            self._rest()
+            self._start_idle_timer()
 
     def _write_answer(self, row: NodeRecord, flaw: str) -> None:
         body = row.id.encode() + b"." * BODY_PADDING_BYTES
--- a/umberlead/testing/soak/parts.py
+++ b/umberlead/testing/soak/parts.py
@@ -17,7 +17,7 @@
     name: str
     incarnation: int
     address: str
-    shown_address: str
+    proxy_address: str
     node: Child
     proxy: Child
 
@@ -36,8 +36,8 @@
     agent: Agent
     folder: Path
     processes: list[FrontProcess] = field(default_factory=list)
-    past: list[FrontProcess] = field(default_factory=list)
-    moved: bool = False  # it reads endpoint lists from the second address
+    ended_processes: list[FrontProcess] = field(default_factory=list)
+    uses_other_lists_port: bool = False  # it reads endpoint lists from the second address
 
     def live(self) -> list[FrontProcess]:
         """Return its running processes that have not been stopped."""
@@ -57,7 +57,7 @@
     servers: dict[int, Server]
     incarnations: Counter[str]
 
-    def note(self, what: str, who: str, at: float | None = None, value: float = 0.0) -> None:
+    def record_event(self, what: str, who: str, at: float | None = None, value: float = 0.0) -> None:
         """Record an event at `at`, a monotonic time in seconds, or now."""
 
     def entry(self, server: Server, status: str = "ready", cold: bool = False) -> Entry:
--- a/umberlead/testing/soak/plan.py
+++ b/umberlead/testing/soak/plan.py
@@ -110,7 +110,7 @@
     free_from: dict[tuple[bool, int], float] = {}
     while at < seconds - QUIET_SECONDS:
         for _ in range(chance.randint(*BUNDLES)):
-            made = _one(chance, at, size, faults)
+            made = _draw_interval(chance, at, size, faults)
             if made.fault in FRONT_ENDS:
                 key = (True, made.target)
                 if free_from.get(key, 0.0) > made.begin:
@@ -126,7 +126,7 @@
     return sorted(found, key=lambda interval: interval.begin)
 
 
-def _one(chance: random.Random, at: float, size: Size, faults: Sequence[Fault]) -> Interval:
+def _draw_interval(chance: random.Random, at: float, size: Size, faults: Sequence[Fault]) -> Interval:
     fault = chance.choice(list(faults))
     targets = size.fronts if fault in AT_FRONTS else size.nodes
     begin = at + chance.uniform(0.0, 0.4)
--- a/umberlead/testing/soak/processes.py
+++ b/umberlead/testing/soak/processes.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-PULSE_SECONDS = 0.005  # between measurements of the lateness of this process
+MEASURE_INTERVAL_SECONDS = 0.005  # between measurements of the lateness of this process
 
 
 class RequestReader(asyncio.Protocol):
@@ -81,22 +81,22 @@
     """Measures how late the event loop of this process runs, so that its stalls are not blamed on others."""
 
     def __init__(self) -> None:
-        """Start measuring, every PULSE_SECONDS."""
+        """Start measuring, every MEASURE_INTERVAL_SECONDS."""
         self._loop = asyncio.get_running_loop()
         self._due = self._loop.time()
         self._worst_until = 0.0
         self._worst = 0.0
         self._worst_ever = 0.0
-        self._beat()
+        self._measure()
 
-    def _beat(self) -> None:
+    def _measure(self) -> None:
         now = self._loop.time()
         late = now - self._due
         self._worst_ever = max(self._worst_ever, late)
         if late >= self._worst or now >= self._worst_until:
             self._worst, self._worst_until = late, now + 0.1
-        self._due = now + PULSE_SECONDS
-        self._loop.call_at(self._due, self._beat)
+        self._due = now + MEASURE_INTERVAL_SECONDS
+        self._loop.call_at(self._due, self._measure)
 
     def worst_ns(self) -> int:
         """Return the worst lateness since the previous call of this method."""
--- a/umberlead/testing/soak/proxy.py
+++ b/umberlead/testing/soak/proxy.py
@@ -46,8 +46,8 @@
         """Create an end; `other` is the end at the front, given for an end at the server."""
         self.proxy, self.other = proxy, other
         self.transport: asyncio.Transport | None = None
-        self._held = b""
-        self._carrying = self._ends = False
+        self._pending = b""
+        self._scheduled = self._ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Dial the server for a connection of a front; once dialled, forward the data received so far."""
@@ -57,58 +57,58 @@
             self.other = End(self.proxy, self)
             asyncio.get_running_loop().create_task(self._dial(self.other))
         else:
-            self.other.carry()
+            self.other.forward()
 
-    async def _dial(self, far: "End") -> None:
+    async def _dial(self, other_end: "End") -> None:
         try:
-            await asyncio.get_running_loop().create_connection(lambda: far, *self.proxy.target)
+            await asyncio.get_running_loop().create_connection(lambda: other_end, *self.proxy.target)
         except OSError:
             self.reset()
 
     def data_received(self, data: bytes) -> None:
         """Forward received data."""
-        self._held += data
-        self.carry()
+        self._pending += data
+        self.forward()
 
     def eof_received(self) -> bool:
         """Forward EOF after the data before it."""
-        self._ends = True
-        self.carry()
+        self._ended = True
+        self.forward()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Close the other end after pending data, or reset it if this end broke."""
         self.proxy.ends.discard(self)
-        self._ends = True
+        self._ended = True
         other = self.other
         if exc is not None and other is not None:
             other.reset()
         else:
-            self.carry()
+            self.forward()
 
-    def carry(self) -> None:
+    def forward(self) -> None:
         """Forward pending data, unless that is already scheduled."""
-        if not self._carrying:
-            self._carry()
+        if not self._scheduled:
+            self._forward_piece()
 
-    def _carry(self) -> None:
-        self._carrying = False
-        far, loop = self.other, asyncio.get_running_loop()
-        if far is None or far.transport is None or far.transport.is_closing():
+    def _forward_piece(self) -> None:
+        self._scheduled = False
+        other_end, loop = self.other, asyncio.get_running_loop()
+        if other_end is None or other_end.transport is None or other_end.transport.is_closing():
             return
         if self.proxy.stalls:
-            self._carrying = True
-            loop.call_later(RETRY_SECONDS, self._carry)
+            self._scheduled = True
+            loop.call_later(RETRY_SECONDS, self._forward_piece)
             return
-        size = self.proxy.chance.randint(1, PIECE_BYTES) if self.proxy.pieces else len(self._held)
-        piece, self._held = self._held[:size], self._held[size:]
+        size = self.proxy.chance.randint(1, PIECE_BYTES) if self.proxy.pieces else len(self._pending)
+        piece, self._pending = self._pending[:size], self._pending[size:]
         if piece:
-            far.transport.write(piece)
-        if self._held:
-            self._carrying = True
-            loop.call_later(PIECE_SECONDS, self._carry)
-        elif self._ends:
-            far.transport.close()
+            other_end.transport.write(piece)
+        if self._pending:
+            self._scheduled = True
+            loop.call_later(PIECE_SECONDS, self._forward_piece)
+        elif self._ended:
+            other_end.transport.close()
 
     def reset(self) -> None:
         """Reset both ends."""
--- a/umberlead/testing/soak/run.py
+++ b/umberlead/testing/soak/run.py
@@ -14,7 +14,7 @@
 from umberlead.testing.soak.fault_player import FaultPlayer
 from umberlead.testing.soak.fleet import Child, FaultsFile, FrontProcess, StartError
 from umberlead.testing.soak.judge import Evidence, Violation, judge
-from umberlead.testing.soak.lists import BEAT_SECONDS, Agent, Entry
+from umberlead.testing.soak.lists import HEARTBEAT_SECONDS, Agent, Entry
 from umberlead.testing.soak.mix import Mix, mix_of
 from umberlead.testing.soak.parts import Front, Server
 from umberlead.testing.soak.plan import Fault, Interval, Size, draw
@@ -27,7 +27,6 @@
     FIRST_MANAGEMENT_PORT,
     FRONT_HOST,
     LISTS_PORT,
-    LOOK_SECONDS,
     MANAGEMENT_PORTS_COUNT,
     MEMORY_MB,
     NODE_HOST,
@@ -35,6 +34,7 @@
     PORT,
     PROXY_HOST,
     READY_SECONDS,
+    RESOURCE_CHECK_SECONDS,
     kill_delay_seconds,
     limits,
     settings,
@@ -59,10 +59,10 @@
         self._kill_late_seconds = 0.0
         self._crowds: list[asyncio.subprocess.Process] = []
         pid = os.getpid()
-        self.net = f"127.{64 + pid % 64}.{(pid // 64 + next(_numbers)) % 250 + 1}"
+        self.network_prefix = f"127.{64 + pid % 64}.{(pid // 64 + next(_numbers)) % 250 + 1}"
         self.fronts: list[Front] = []
         self.servers: dict[int, Server] = {}
-        self.first: Server  # the server that is in the first slot when the run starts
+        self.initial_server: Server  # the server that is in the first slot when the run starts
         self.children: list[Child] = []
         self.violations: list[Violation] = []
         self._player = FaultPlayer(self)
@@ -70,19 +70,19 @@
         self.events = Writer(folder / "events.jsonl")
         self.library = fleet.build_faults(folder)
         self.incarnations: Counter[str] = Counter()
-        self._over = False
+        self._stopping = False
 
     # Addresses and events
 
     def _host(self, first: int, number: int) -> str:
-        return f"{self.net}.{first + number}"
+        return f"{self.network_prefix}.{first + number}"
 
-    def note(self, what: str, who: str, at: float | None = None, value: float = 0.0) -> None:
+    def record_event(self, what: str, who: str, at: float | None = None, value: float = 0.0) -> None:
         """Record an event at `at`, a monotonic time in seconds, or now."""
         at_ns = time.monotonic_ns() if at is None else int(at * 1e9)
         self.events.add(Event(at_ns, what, who, value))
 
-    def broken(self, rule: str, what: str) -> None:
+    def add_violation(self, rule: str, what: str) -> None:
         """Add a violation that the run itself observed."""
         self.violations.append(Violation(rule, what))
 
@@ -93,7 +93,7 @@
         for slot in range(self.size.nodes):
             server = await self.start_server(slot, f"s{slot}", cold=False)
             if slot == 0:
-                self.first = server
+                self.initial_server = server
         for number in range(self.size.fronts):
             await self._add_front(number)
         await asyncio.gather(*(self.start_process(front) for front in self.fronts))
@@ -105,21 +105,21 @@
         port = PORT + self.incarnations[str(slot)]
         self.incarnations[str(slot)] += 1
         address = f"{self._host(NODE_HOST, slot)}:{port}"
-        shown = f"{self._host(PROXY_HOST, slot)}:{port}"
+        proxy_address = f"{self._host(PROXY_HOST, slot)}:{port}"
         path = self.folder / f"node-{name}-{incarnation}.jsonl"
         node = await fleet.start_child(name, "node", address, f"{name}#{incarnation}", str(path))
-        proxy = await fleet.start_child(name, "proxy", shown, address)
-        server = Server(slot, name, incarnation, address, shown, node, proxy)
+        proxy = await fleet.start_child(name, "proxy", proxy_address, address)
+        server = Server(slot, name, incarnation, address, proxy_address, node, proxy)
         self.children += (node, proxy)
         self.servers[slot] = server
         if cold:
-            self.note("node_started", server.record_name)
+            self.record_event("node_started", server.record_name)
         return server
 
     def entry(self, server: Server, status: str = "ready", cold: bool = False) -> Entry:
         """Return the list entry of a server; a cold one starts now, by the wall clock of the machines."""
         since_ms = (time.time_ns() + self._step_ns) // 1_000_000 if cold else 0
-        return Entry(server.name, server.shown_address, server.slot, status, since_ms)
+        return Entry(server.name, server.proxy_address, server.slot, status, since_ms)
 
     async def _add_front(self, number: int) -> None:
         agent = Agent()
@@ -133,8 +133,8 @@
 
     def configure(self, front: Front) -> None:
         """Rewrite the configuration file of a front, as the platform does."""
-        port = OTHER_LISTS_PORT if front.moved else LISTS_PORT
-        known = [e.shown() for e in front.agent.entries.values() if e.status != "gone"]
+        port = OTHER_LISTS_PORT if front.uses_other_lists_port else LISTS_PORT
+        known = [e.as_message() for e in front.agent.entries.values() if e.status != "gone"]
         config = {
             "name": front.name,
             "seed": f"{self.seed:x}",
@@ -149,7 +149,7 @@
     async def launch_process(self, front: Front) -> FrontProcess:
         """Start a process of a front beside its running ones; return before it is ready."""
         self.configure(front)
-        number = len(front.past) + len(front.processes)
+        number = len(front.ended_processes) + len(front.processes)
         state = front.folder / "tmp"
         faults = FaultsFile(front.folder / f"faults-{number}.bin", state / "umberlead")
         faults.faults.clock_step_ns = self._step_ns
@@ -182,9 +182,9 @@
         try:
             await process.ready()
         except StartError as fault:
-            self.broken("start", str(fault))
+            self.add_violation("start", str(fault))
         if process.ready_seconds is not None and process.ready_seconds > READY_SECONDS:
-            self.broken("start", f"{front.name} was ready after {process.ready_seconds:.1f} s")
+            self.add_violation("start", f"{front.name} was ready after {process.ready_seconds:.1f} s")
         return process
 
     def step_clock(self, step_ns: int) -> None:
@@ -195,7 +195,7 @@
                 process.faults.faults.clock_step_ns = step_ns
                 process.faults.apply()
 
-    def forget_clock_step(self) -> None:
+    def clear_clock_step(self) -> None:
         """Use the correct time for new lists and processes; running processes keep their stepped clock."""
         self._step_ns = 0
 
@@ -206,7 +206,7 @@
 
         SIGKILL is sent at that moment. Requests that it cuts off count as lost: SIGTERM came in time.
         """
-        booting = process.ready_seconds is None
+        starting = process.ready_seconds is None
         process.ends = True
         loop = asyncio.get_running_loop()
         kill_at = loop.time() + kill_delay_seconds(self.mix.deadline_seconds)
@@ -215,20 +215,20 @@
             async with asyncio.timeout_at(kill_at):
                 code = await process.process.wait()
             # The interpreter has no signal handler yet while it starts up.
-            if code != 0 and not (booting and code == -signal.SIGTERM):
+            if code != 0 and not (starting and code == -signal.SIGTERM):
                 tail = process.log.read_text(errors="replace")[-1500:]
-                self.broken("exit", f"{front.name} ended with {code}: {tail}")
+                self.add_violation("exit", f"{front.name} ended with {code}: {tail}")
         except TimeoutError:
             process.process.kill()
             self._kill_late_seconds = max(self._kill_late_seconds, loop.time() - kill_at)
             await process.process.wait()
             tail = process.log.read_text(errors="replace")[-1500:]
-            self.broken("stands", f"{front.name} still ran at the earliest SIGKILL: {tail}")
+            self.add_violation("stands", f"{front.name} still ran at the earliest SIGKILL: {tail}")
         self._retire(front, process)
 
     async def crowd(self, front: Front, seconds: float) -> None:
         """Open idle clients that use up the descriptors of a front, for `seconds`."""
-        self.note("crowd", front.name, value=seconds)
+        self.record_event("crowd", front.name, value=seconds)
         address = f"{self._host(FRONT_HOST, front.number)}:{PORT}"
         words = (address, str(CROWD_CLIENTS), str(seconds))
         call = (sys.executable, "-B", "-m", f"{fleet.MODULE}.crowd", *words)
@@ -240,7 +240,7 @@
         """Send SIGKILL to a process of a front."""
         process.ends = process.killed = True
         process.signal(signal.SIGKILL)
-        self.note("front_killed", front.name)
+        self.record_event("front_killed", front.name)
         await process.process.wait()
         self._retire(front, process)
 
@@ -248,36 +248,36 @@
     def _retire(front: Front, process: FrontProcess) -> None:
         if process in front.processes:
             front.processes.remove(process)
-            front.past.append(process)
+            front.ended_processes.append(process)
 
     # The run as a whole
 
-    async def _watch(self) -> None:
+    async def _monitor(self) -> None:
         """Check descriptors and memory of the fronts, and that no process ends unexpectedly."""
-        beat = 0.0
+        since_heartbeat_seconds = 0.0
         lateness = Lateness()
-        while not self._over:
-            await asyncio.sleep(LOOK_SECONDS)
+        while not self._stopping:
+            await asyncio.sleep(RESOURCE_CHECK_SECONDS)
             self._late_seconds = max(self._late_seconds, lateness.worst_ns() / 1e9)
-            beat += LOOK_SECONDS
+            since_heartbeat_seconds += RESOURCE_CHECK_SECONDS
             for front in self.fronts:
-                self._look(front)
-                if beat >= BEAT_SECONDS:
-                    front.agent.beat()
-            if beat >= BEAT_SECONDS:
-                beat = 0.0
+                self._check_resources(front)
+                if since_heartbeat_seconds >= HEARTBEAT_SECONDS:
+                    front.agent.send_heartbeat()
+            if since_heartbeat_seconds >= HEARTBEAT_SECONDS:
+                since_heartbeat_seconds = 0.0
 
-    def _look(self, front: Front) -> None:
+    def _check_resources(self, front: Front) -> None:
         held = sum(process.descriptors() for process in front.processes)
         if held > DESCRIPTORS:
-            self.broken("descriptors", f"{front.name} holds {held} of {DESCRIPTORS}")
+            self.add_violation("descriptors", f"{front.name} holds {held} of {DESCRIPTORS}")
         if (memory := sum(process.memory_mb() for process in front.processes)) > MEMORY_MB:
-            self.broken("memory", f"{front.name} holds {memory:.0f} MB of {MEMORY_MB}")
+            self.add_violation("memory", f"{front.name} holds {memory:.0f} MB of {MEMORY_MB}")
         for process in list(front.processes):
             if process.process.returncode is not None and not process.ends:
                 tail = process.log.read_text(errors="replace")[-2000:]
-                self.broken("crash", f"{front.name} ended with {process.process.returncode}: {tail}")
-                self.note("front_killed", front.name)
+                self.add_violation("crash", f"{front.name} ended with {process.process.returncode}: {tail}")
+                self.record_event("front_killed", front.name)
                 self._retire(front, process)
 
     async def _clients(self) -> list[asyncio.subprocess.Process]:
@@ -299,20 +299,20 @@
             made.append(await asyncio.create_subprocess_exec(*call))
         return made
 
-    async def play_all(self) -> Verdict:
+    async def perform(self) -> Verdict:
         """Perform the run and return its verdict."""
         try:
             await self.start()
-            watching = asyncio.get_running_loop().create_task(self._watch())
+            watching = asyncio.get_running_loop().create_task(self._monitor())
             clients = await self._clients()
             await self._player.play(self.intervals, self.seconds)
             for client in clients:
                 if await client.wait() != 0:
-                    self.broken("clients", "a client process failed")
+                    self.add_violation("clients", "a client process failed")
             await asyncio.gather(
                 *(self.end_process(front, process) for front in self.fronts for process in front.live())
             )
-            self._over = True
+            self._stopping = True
             await watching
         finally:
             await self.close()
@@ -340,10 +340,10 @@
         for name in ("invariant_violations", "unexpected_errors", "module_errors"):
             if counters[name]:
                 lines = [line for line in log_lines(self.folder) if "violated" in line or "error" in line]
-                self.broken(name, f"{counters[name]}: " + "; ".join(lines[:5]))
+                self.add_violation(name, f"{counters[name]}: " + "; ".join(lines[:5]))
         found = [*self.violations, *judge(evidence, limits())]
         counts = Counter(f"{row.kind} {row.end} {row.status or ''}".strip() for row in evidence.clients)
-        injected = sum(p.faults.injected() for f in self.fronts for p in (*f.past, *f.processes))
+        injected = sum(p.faults.injected() for f in self.fronts for p in (*f.ended_processes, *f.processes))
         return Verdict(
             found,
             counts,
@@ -369,4 +369,4 @@
     mix = mix_of(seed, size, faults)
     run = Run(folder, seed, seconds, mix, draw(seed, seconds, mix.size, mix.faults))
     with asyncio.Runner() as runner:
-        return runner.run(run.play_all())
+        return runner.run(run.perform())
--- a/umberlead/testing/soak/signals.py
+++ b/umberlead/testing/soak/signals.py
@@ -39,7 +39,7 @@
 
     def _reload(self, front: Front, process: FrontProcess) -> None:
         """Change the configuration of a front, and make one process reload it."""
-        front.moved = not front.moved
+        front.uses_other_lists_port = not front.uses_other_lists_port
         self._fleet.configure(front)
         process.signal(signal.SIGHUP)
 
