--- a/umberlead/testing/explore.py
+++ b/umberlead/testing/explore.py
@@ -189,16 +189,16 @@
         Broken: an invariant is violated; the message lists the events that led there.
     """
     events = list(alphabet())
-    met: dict[object, int] = {}
+    explored: dict[object, int] = {}
     steps = 0
     stack: list[tuple[World, tuple[str, ...]]] = [(World.new(rules), ())]
     while stack:
         world, path = stack.pop()
         left = depth - len(path)
         key = world.key()
-        if met.get(key, -1) >= left:
+        if explored.get(key, -1) >= left:
             continue
-        met[key] = left
+        explored[key] = left
         if not left:
             continue
         for name, act in events:
@@ -210,7 +210,7 @@
             except Exception as fault:
                 raise Broken(f"after {' | '.join((*path, name))}: {type(fault).__name__}: {fault}") from fault
             stack.append((follow, (*path, name)))
-    return len(met), steps
+    return len(explored), steps
 
 
 if __name__ == "__main__":
--- a/umberlead/testing/reference.py
+++ b/umberlead/testing/reference.py
@@ -45,10 +45,10 @@
 
 
 class Reference:
-    def __init__(self, rules_of: Membership) -> None:
-        self.rules, self.facts = rules_of.settings, Facts()
+    def __init__(self, membership: Membership) -> None:
+        self.rules, self.facts = membership.settings, Facts()
 
-    def say(self, name: str) -> tuple[EndpointSpec, Source] | None:
+    def merged_entry(self, name: str) -> tuple[EndpointSpec, Source] | None:
         """Return the merged entry of a server and the source that it comes from."""
         listed = self.facts.listing.endpoints.get(name) if self.facts.listing else None
         other = self.facts.discovered.get(name)
@@ -68,7 +68,7 @@
         listed = set(self.facts.listing.endpoints) if self.facts.listing else set()
         return listed | set(self.facts.discovered)
 
-    def _now(self, name: str, now: int) -> float:
+    def _current_penalty(self, name: str, now: int) -> float:
         value, at = self.facts.penalty.get(name, (0.0, now))
         faded = float(value * 2.0 ** (-(now - at) / self.rules.flap_damping.half_life_us))
         return faded if faded >= 50.0 else 0.0
@@ -78,7 +78,7 @@
         facts, damping = self.facts, self.rules.flap_damping
         ready = set()
         for name in self.names() | facts.ready_before:
-            got = self.say(name)
+            got = self.merged_entry(name)
             is_ready = got is not None and got[0].status is EndpointStatus.UP
             if got is not None:
                 place = (got[0].address, got[0].shard)
@@ -90,7 +90,7 @@
                 ready.add(name)
                 if name in facts.lost or (moved and name in facts.ready_before):
                     facts.lost.pop(name, None)
-                    value = min(self._now(name, now) + 1000.0, damping.max_penalty)
+                    value = min(self._current_penalty(name, now) + 1000.0, damping.max_penalty)
                     facts.penalty[name] = (value, now)
                     if value > damping.suppress_threshold:
                         facts.held.add(name)
@@ -102,7 +102,7 @@
     def pass_time(self, now: int) -> None:
         facts = self.facts
         for name in list(facts.held):
-            if self._now(name, now) < self.rules.flap_damping.reuse_threshold:
+            if self._current_penalty(name, now) < self.rules.flap_damping.reuse_threshold:
                 facts.held.discard(name)
         for name, at in list(facts.lost.items()):
             if at <= now - self.rules.identity_retention_us:
@@ -115,7 +115,7 @@
         """Return the expected active list; the flag marks suppressed servers."""
         facts, made = self.facts, {}
         for name in self.names():
-            got = self.say(name)
+            got = self.merged_entry(name)
             assert got is not None
             server = got[0]
             held = False
@@ -128,7 +128,7 @@
         return made
 
     def _shard(self, name: str) -> int:
-        got = self.say(name)
+        got = self.merged_entry(name)
         return got[0].shard if got is not None else -1
 
     def allows(self, listing: CheckedList) -> bool:
@@ -151,14 +151,14 @@
     def __init__(self) -> None:
         self.servers: dict[str, EndpointSpec] = {}
         self.marks: set[str] = set()
-        self.meant: dict[str, tuple[object, int]] = {}  # address and shard by id
+        self.identities: dict[str, tuple[object, int]] = {}  # address and shard by id
         self.gone: dict[str, int] = {}  # removed ids, with the time of removal
         self.generation = 0
 
     def copy(self) -> "Follower":
         made = Follower()
         made.servers, made.marks = dict(self.servers), set(self.marks)
-        made.meant, made.gone, made.generation = dict(self.meant), dict(self.gone), self.generation
+        made.identities, made.gone, made.generation = dict(self.identities), dict(self.gone), self.generation
         return made
 
     def take(self, change: MembershipChange, now: int, remember: int) -> None:
@@ -168,7 +168,7 @@
         the old meaning is open.
         """
         for node in [n for n, at in self.gone.items() if at <= now - remember]:
-            del self.gone[node], self.meant[node]
+            del self.gone[node], self.identities[node]
         moved = bool(change.added or change.changed or change.removed)
         if change.generation != self.generation + moved:
             raise Broken(f"generation {change.generation} after {self.generation}, moved {moved}")
@@ -192,8 +192,8 @@
             self.gone.pop(member.id, None)
         for node, server in self.servers.items():
             place = (server.address, server.shard)
-            if self.meant.setdefault(node, place) != place:
-                raise Broken(f"{node} was {self.meant[node]} and is {place}")
+            if self.identities.setdefault(node, place) != place:
+                raise Broken(f"{node} was {self.identities[node]} and is {place}")
 
 
 def compare(machine: Membership, reference: Reference, follower: Follower) -> None:
