--- a/tests/test_rehearse.py
+++ b/tests/test_rehearse.py
@@ -285,68 +285,72 @@
 class SingleRequest:
     """One client request to a front emulated by the test.
 
-    The front answers from a thread when `tell` is set: while the event loop is blocked, or after the
+    The front answers from a thread when `send_answer` is set: while the event loop is blocked, or after the
     request's deadline.
     """
 
     def __init__(self, wait: float = 0.1) -> None:
-        self.made = SocketScenario(plan(script(), Figures()))
-        self.made.loop = loop = asyncio.get_running_loop()
-        self.made.lateness, self.made.begin = Lateness(loop), loop.time()
-        request = self.made.plan.day.requests[0]
-        self.of = Try(request, 0, 0, int(wait * 1_000_000))
+        self.scenario = SocketScenario(plan(script(), Figures()))
+        self.scenario.loop = loop = asyncio.get_running_loop()
+        self.scenario.lateness, self.scenario.begin = Lateness(loop), loop.time()
+        request = self.scenario.plan.day.requests[0]
+        self.client_try = Try(request, 0, 0, int(wait * 1_000_000))
         self.socket = socket.create_server(("127.0.0.1", 0))
-        self.made.fronts[request.front].address = self.socket.getsockname()
-        self.asked, self.tell, self.told = threading.Event(), threading.Event(), threading.Event()
+        self.scenario.fronts[request.front].address = self.socket.getsockname()
+        self.received, self.send_answer, self.answer_sent = (
+            threading.Event(),
+            threading.Event(),
+            threading.Event(),
+        )
         self.got = b""
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self) -> None:
         link, _ = self.socket.accept()
         self.got = link.recv(9999)
-        self.asked.set()
-        if self.tell.wait(WAIT_TIMEOUT_S):
+        self.received.set()
+        if self.send_answer.wait(WAIT_TIMEOUT_S):
             with contextlib.suppress(OSError):
                 link.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-            self.told.set()
+            self.answer_sent.set()
         link.close()
 
-    async def heard(self) -> None:
-        while not self.asked.is_set():
+    async def wait_until_received(self) -> None:
+        while not self.received.is_set():
             await asyncio.sleep(0.001)
 
-    async def over(self) -> list[str]:
+    async def breaches_at_end(self) -> list[str]:
         """Return the names of the breaches, once the client has an answer or has given up."""
-        while self.of.id in self.made.state.open:
+        while self.client_try.id in self.scenario.state.open:
             await asyncio.sleep(0.001)
-        records = self.made.state.records
+        records = self.scenario.state.records
         self.socket.close()
-        return [b.name for b in Judge(self.made.plan, records, SOCKET_SLACK_US).breaches()]
+        return [b.name for b in Judge(self.scenario.plan, records, SOCKET_SLACK_US).breaches()]
 
 
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop])
 def test_answer_received_while_the_loop_is_blocked_is_no_breach(loop: Any) -> None:
     async def test() -> None:
-        of = SingleRequest()
-        of.made._ask(of.of)
-        await of.heard()
+        exchange = SingleRequest()
+        exchange.scenario._ask(exchange.client_try)
+        await exchange.wait_until_received()
 
         class HeldUp(asyncio.Protocol):
             """Blocks the loop while it reads another socket, until the client's timer is due."""
 
             def data_received(self, data: bytes) -> None:
-                of.tell.set()
-                assert of.told.wait(WAIT_TIMEOUT_S)
-                while of.made.now() <= of.of.until + 2 * SOCKET_SLACK_US:
+                exchange.send_answer.set()
+                assert exchange.answer_sent.wait(WAIT_TIMEOUT_S)
+                while exchange.scenario.now() <= exchange.client_try.until + 2 * SOCKET_SLACK_US:
                     pass
 
         here, there = socket.socketpair()
-        await of.made.loop.create_connection(HeldUp, sock=here)
+        await exchange.scenario.loop.create_connection(HeldUp, sock=here)
         there.send(b"x")
-        assert await of.over() == []
+        assert await exchange.breaches_at_end() == []
         there.close()
-        row = of.made.state.records.answered[0]
-        assert row.at - row.behind <= of.of.until + SOCKET_SLACK_US < row.at
+        row = exchange.scenario.state.records.answered[0]
+        assert row.at - row.behind <= exchange.client_try.until + SOCKET_SLACK_US < row.at
 
     with asyncio.Runner(loop_factory=loop) as runner:
         runner.run(test())
@@ -358,14 +362,14 @@
     """The client gives up, whether the loop reads all the time or is blocked around the deadline."""
 
     async def test() -> None:
-        of = SingleRequest()
-        of.made._ask(of.of)
-        await of.heard()
-        while (over := of.made.now() - of.of.until - SOCKET_SLACK_US) <= 40_000:
+        exchange = SingleRequest()
+        exchange.scenario._ask(exchange.client_try)
+        await exchange.wait_until_received()
+        while (over := exchange.scenario.now() - exchange.client_try.until - SOCKET_SLACK_US) <= 40_000:
             if not held_up or abs(over) > 10_000:
                 await asyncio.sleep(0.001)
-        of.tell.set()
-        assert await of.over() == ["no-answer"]
+        exchange.send_answer.set()
+        assert await exchange.breaches_at_end() == ["no-answer"]
 
     with asyncio.Runner(loop_factory=loop) as runner:
         runner.run(test())
@@ -373,26 +377,28 @@
 
 def test_budget_counts_from_the_send_after_a_slow_connect() -> None:
     async def test() -> None:
-        of, gate = SingleRequest(wait=2.0), asyncio.Event()
-        connect, sent = of.made.loop.create_connection, 0
+        exchange, gate = SingleRequest(wait=2.0), asyncio.Event()
+        connect, sent = exchange.scenario.loop.create_connection, 0
 
-        async def slowly(*words: Any) -> Any:
+        async def connect_slowly(*words: Any) -> Any:
             nonlocal sent
             await gate.wait()
             link = await connect(*words)
-            sent = of.made.now()
+            sent = exchange.scenario.now()
             return link
 
-        of.made.loop.create_connection = slowly  # type: ignore[method-assign, assignment]
-        of.made._ask(of.of)
-        while of.made.now() < 200_000:
+        exchange.scenario.loop.create_connection = connect_slowly  # type: ignore[method-assign, assignment]
+        exchange.scenario._ask(exchange.client_try)
+        while exchange.scenario.now() < 200_000:
             await asyncio.sleep(0.001)
         gate.set()
-        await of.heard()
-        budget = re.search(rb"X-Budget: ([0-9.]+)", of.got)
-        assert budget is not None and 0 < float(budget[1]) * 1_000_000 <= of.of.until - sent + 1000
-        of.tell.set()
-        assert await of.over() == []
+        await exchange.wait_until_received()
+        budget = re.search(rb"X-Budget: ([0-9.]+)", exchange.got)
+        assert (
+            budget is not None and 0 < float(budget[1]) * 1_000_000 <= exchange.client_try.until - sent + 1000
+        )
+        exchange.send_answer.set()
+        assert await exchange.breaches_at_end() == []
 
     asyncio.run(test())
 
