--- a/umberlead/testing/reference.py
+++ b/umberlead/testing/reference.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class Facts:
-    """The inputs so far, by source, and the state derived from them."""
+    """The inputs so far by source, and the facts that follow from them."""
 
     listing: CheckedList | None = None
     discovered: dict[str, EndpointSpec] = field(default_factory=dict)
--- a/umberlead/testing/soak/lists.py
+++ b/umberlead/testing/soak/lists.py
@@ -10,7 +10,7 @@
 import httptools
 
 HEARTBEAT_SECONDS = 2.0  # between the empty lines (heartbeats) of a watch
-KNOWN_AFTER_SILENCE_SECONDS = 6.0  # after a watch fell silent, the front must have caught up
+KNOWN_AFTER_SILENCE_SECONDS = 6.0  # from the silence of a watch until the front must know all changes
 
 
 @dataclass(slots=True)
